--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -227,7 +227,7 @@
 	a.dropStream()
 	r, outcome := a.refusal(err)
 	end := a.end(outcome, time.Now())
-	if outcome == pool.OutcomeCanceled || outcome == pool.OutcomeBroken {
+	if outcome == pool.OutcomeCanceled || outcome == pool.OutcomeStreamLost {
 		a.cancelRun()
 	}
 	if r.NotRun != request.NotRunTrue {
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -79,13 +79,13 @@
 		return refuse(request.ReasonEngineLost, ran, "the engine lost the request"), pool.OutcomeCrashed
 	case errors.Is(err, engine.ErrUnknownRun):
 		// No proof of a crash, which would make suspects of all that ran there.
-		return refuse(request.ReasonEngineLost, ran, "the engine does not know the request"), pool.OutcomeBroken
+		return refuse(request.ReasonEngineLost, ran, "the engine does not know the request"), pool.OutcomeStreamLost
 	case errors.Is(err, engine.ErrFailed):
 		return refuse(request.ReasonEngineFailed, ran, "the engine reports that it failed"), pool.OutcomeFailed
 	case errors.Is(err, engine.ErrNotSent):
-		return refuse(request.ReasonEngineLost, ran, "the engine can't be reached any more"), pool.OutcomeBroken
+		return refuse(request.ReasonEngineLost, ran, "the engine can't be reached any more"), pool.OutcomeStreamLost
 	default:
-		return refuse(request.ReasonAnswerIncomplete, ran, "the answer could not be completed"), pool.OutcomeBroken
+		return refuse(request.ReasonAnswerIncomplete, ran, "the answer could not be completed"), pool.OutcomeStreamLost
 	}
 }
 
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -185,7 +185,7 @@
 			pool.OutcomeCanceled
 	default:
 		return &request.Refusal{Reason: request.ReasonAnswerIncomplete, NotRun: request.RanUnknown,
-			Message: "the service's reply did not come whole; the call may have run"}, pool.OutcomeBroken
+			Message: "the service's reply did not come whole; the call may have run"}, pool.OutcomeStreamLost
 	}
 }
 
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -161,7 +161,7 @@
 		r := newRig(t, b)
 		So(r.call("POST", "/once/", "1", "", "x").status, ShouldEqual, 502)
 		So(len(b.requests()), ShouldEqual, 1)
-		So(r.broker.outcomes(), ShouldResemble, []pool.Outcome{pool.OutcomeBroken})
+		So(r.broker.outcomes(), ShouldResemble, []pool.Outcome{pool.OutcomeStreamLost})
 		So(r.quotas.used(), ShouldEqual, 7) // it may have run
 	})
 	Convey("An idempotent one is sent to a second server, and no third", t, func() {
--- a/internal/forward/hedge_test.go
+++ b/internal/forward/hedge_test.go
@@ -205,7 +205,7 @@
 		got := r.call("POST", "/resume/", "1", "", "x")
 		So(got.body, ShouldEqual, eventsOf(1, 6))
 		So(got.whole, ShouldBeTrue)
-		So(r.broker.outcomes(), ShouldResemble, []pool.Outcome{pool.OutcomeBroken, pool.OutcomeDone})
+		So(r.broker.outcomes(), ShouldResemble, []pool.Outcome{pool.OutcomeStreamLost, pool.OutcomeDone})
 		So(r.broker.demands[1].Spec.ID, ShouldNotEqual, r.broker.demands[0].Spec.ID)
 	})
 	Convey("A caller that leaves while both are waited for frees both", t, func() {
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -192,7 +192,7 @@
 
 // lostRun ends a run whose answer is lost.
 func (x *exchange) lostRun(g *run, err error) error {
-	outcome := pool.OutcomeBroken
+	outcome := pool.OutcomeStreamLost
 	if x.ctx.Err() != nil {
 		outcome = pool.OutcomeCanceled
 	}
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -81,7 +81,7 @@
 			So(got.body, ShouldEqual, eventsOf(1, 20))
 			So(got.whole, ShouldBeTrue)
 			So(headerOf(b2.requests()[0], "Last-Event-Id"), ShouldEqual, "7")
-			So(r.broker.outcomes(), ShouldResemble, []pool.Outcome{pool.OutcomeBroken, pool.OutcomeDone})
+			So(r.broker.outcomes(), ShouldResemble, []pool.Outcome{pool.OutcomeStreamLost, pool.OutcomeDone})
 		})
 		Convey(fmt.Sprintf("One that may not be resumed never looks complete (cut off after %q)", tail), t, func() {
 			r := newRig(t, newBackend(t, streamer(20, 7, tail)))
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -85,7 +85,7 @@
 
 func newScheduler(p *workspace.ResolvedPool, epoch uint64) poolhost.Scheduler {
 	return pool.New(pool.Config{
-		Name: p.Name, Epoch: epoch, Seed: epoch, Patience: patience, LongPatience: longPatience, Headroom: headroom,
-		RunGrace: runGrace, KeepStragglers: true, SpareFast: true,
+		Name: p.Name, Epoch: epoch, Seed: epoch, MaxWaitShare: patience, ExtendedWaitShare: longPatience, Headroom: headroom,
+		ReleaseGrace: runGrace, KeepStragglers: true, SpareFastServers: true,
 	})
 }
--- a/internal/poolhost/host_test.go
+++ b/internal/poolhost/host_test.go
@@ -130,7 +130,7 @@
 			b.advanceUntil(func() bool { return b.misses() == "2" })
 			So(b.health("p").Health, ShouldEqual, pool.HealthUp)
 			b.advance(2 * probeAgain)
-			So(b.health("p").Health, ShouldEqual, pool.HealthSilent)
+			So(b.health("p").Health, ShouldEqual, pool.HealthUnresponsive)
 			b.engine.err = nil
 			b.advance(ProbeEvery + probeJitter)
 			So(b.health("p").Health, ShouldEqual, pool.HealthUp)
@@ -237,7 +237,7 @@
 			So(told[len(told)-1].Free, ShouldEqual, 1)
 		})
 		Convey("a suspect of one is told to the other, and to a pool taken later", func() {
-			b.host.shareSuspect(b.host.Owned("p"), pool.ShareSuspect{Fingerprint: 7, State: pool.Convicted, ExpiresIn: time.Minute})
+			b.host.shareSuspect(b.host.Owned("p"), pool.ShareSuspect{Fingerprint: 7, State: pool.SuspectConfirmed, ExpiresIn: time.Minute})
 			b.configure(false, "p", "q", "later")
 			b.advance(time.Second)
 			So(eventsOf[pool.SuspectShared](b, "p"), ShouldBeEmpty)
--- a/internal/poolhost/monitor.go
+++ b/internal/poolhost/monitor.go
@@ -174,7 +174,7 @@
 			w.next = m.r.host.cfg.Now().Add(probeAgain)
 		}
 		if w.misses >= probeMisses && w.reach != pool.HealthGone {
-			w.reach = pool.HealthSilent
+			w.reach = pool.HealthUnresponsive
 		}
 	}
 	if w.warming || w.reach != pool.HealthUp {
--- a/internal/poolhost/report.go
+++ b/internal/poolhost/report.go
@@ -74,9 +74,9 @@
 }
 
 // logDown tells when a server counts as down and when it answers again.
-func (r *Runtime) logDown(c pool.ServerDown) {
+func (r *Runtime) logDown(c pool.BreakerChanged) {
 	l := logs.For("poolhost").WithFields(logrus.Fields{"pool": r.name, "server": c.Server, "share": r.share})
-	if c.Down {
+	if c.Open {
 		r.host.count.serversDown.Add(1)
 		l.Warn("Server counts as down.")
 		return
--- a/internal/poolhost/runtime.go
+++ b/internal/poolhost/runtime.go
@@ -114,7 +114,7 @@
 		}
 	case pool.ShareSuspect:
 		r.host.shareSuspect(r, c)
-	case pool.ServerDown:
+	case pool.BreakerChanged:
 		r.logDown(c)
 	}
 }
--- a/internal/poolhost/session.go
+++ b/internal/poolhost/session.go
@@ -218,7 +218,7 @@
 	ev.Entry = e.id
 	r.feed(ev)
 	switch ev.Outcome {
-	case pool.OutcomeNotSent, pool.OutcomeRefused, pool.OutcomeBroken, pool.OutcomeCrashed:
+	case pool.OutcomeNotSent, pool.OutcomeRefused, pool.OutcomeStreamLost, pool.OutcomeCrashed:
 		r.monitor.doubt(ev.Server)
 	}
 }
--- a/internal/poolwire/decode.go
+++ b/internal/poolwire/decode.go
@@ -93,7 +93,7 @@
 	var c checker
 	s := pool.SuspectShared{
 		Fingerprint: m.Fingerprint,
-		State:       pool.SuspectState(c.below("state", m.State, uint32(pool.Convicted)+1)),
+		State:       pool.SuspectState(c.below("state", m.State, uint32(pool.SuspectConfirmed)+1)),
 		ExpiresIn:   c.span("expires_in", m.ExpiresIn),
 	}
 	return s, c.err
--- a/internal/poolwire/poolwire_test.go
+++ b/internal/poolwire/poolwire_test.go
@@ -72,7 +72,7 @@
 	gotCommands, err := DecodeCommands(EncodeCommands(commands), entry)
 	same(t, gotCommands, commands, err)
 
-	suspect := pool.SuspectShared{Fingerprint: 1, State: pool.Convicted, ExpiresIn: time.Hour}
+	suspect := pool.SuspectShared{Fingerprint: 1, State: pool.SuspectConfirmed, ExpiresIn: time.Hour}
 	gotSuspect, err := DecodeSuspect(EncodeSuspect(suspect))
 	same(t, gotSuspect, suspect, err)
 
--- a/pool/admission.go
+++ b/pool/admission.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	retryMin    = 500 * time.Millisecond
-	retryMax    = 30 * time.Second
-	retryJitter = 0.25 // each way
-	// returnShare of the grants is reckoned to be left for callers that come back:
+	retryAfterMin    = 500 * time.Millisecond
+	retryAfterMax    = 30 * time.Second
+	retryAfterJitter = 0.25 // each way
+	// retryGrantShare of the grants is reckoned to be left for callers that come back:
 	// those that come for the first time go on coming.
-	returnShare = 0.5
-	// returnMost bounds how far returns are spaced out: a burst of that length is an
+	retryGrantShare = 0.5
+	// retrySpreadMax bounds how far returns are spaced out: a burst of that length is an
 	// overload, of which nobody can say when it ends.
-	returnMost = 10 * time.Second
-	// freshSibling is the age beyond which a sibling's report says nothing.
-	freshSibling = 2 * time.Second
+	retrySpreadMax = 10 * time.Second
+	// siblingMaxAge is the age beyond which a sibling's report says nothing.
+	siblingMaxAge = 2 * time.Second
 )
 
 // sibling is another pool of the same model as it last reported.
 type sibling struct {
 	Sibling
-	at time.Time
+	reportedAt time.Time
 }
 
-func (p *Pool) learnSibling(e Sibling) {
+func (p *Pool) updateSibling(e Sibling) {
 	if e.Gone {
 		delete(p.siblings, e.Pool)
 		return
 	}
-	p.siblings[e.Pool] = &sibling{Sibling: e, at: p.now.Add(-e.Age)}
+	p.siblings[e.Pool] = &sibling{Sibling: e, reportedAt: p.now.Add(-e.Age)}
 }
 
 // admit lets a request wait, or gives it or another one up.
@@ -42,53 +42,53 @@
 // The rule, for each bound: nobody is given up while anything of a lower tier
 // waits here, nor, as far as fresh reports tell, in a sibling pool.
 func (p *Pool) admit(w *waiter) {
-	switch p.verdict(w) {
+	switch p.suspectState(w) {
 	case suspect.Convicted:
-		p.shedConvict(w)
+		p.shedConfirmed(w)
 		return
 	case suspect.Suspected:
 		p.admitSuspect(w)
 		return
 	}
-	if p.exceedsBound(w) && !p.overBound(w) {
+	if p.exceedsWorkspaceLimit(w) && !p.admitOverLimit(w) {
 		return
 	}
 	if !p.makeRoom(w) {
 		return
 	}
-	p.push(w)
+	p.queueWaiter(w)
 }
 
-func (p *Pool) push(w *waiter) {
+func (p *Pool) queueWaiter(w *waiter) {
 	p.waiting[w.Request] = w
 	p.queue.Push(&w.Item)
 }
 
-func (p *Pool) exceedsBound(w *waiter) bool {
+func (p *Pool) exceedsWorkspaceLimit(w *waiter) bool {
 	return w.MaxWaiting > 0 && !p.entries.rebuilding(p.now) &&
 		p.queue.WaitingOf(w.Item.Tier, w.Item.Workspace) >= w.MaxWaiting
 }
 
-// overBound decides on a request above its workspace's bound and reports
+// admitOverLimit decides on a request above its workspace's bound and reports
 // whether it may wait. While anything of a lower tier waits, it does, at the
 // end of its tier, and a request of its own workspace goes in its place where
 // that one is of the lowest tier that waits; so the bound never turns the
 // tiers' order around.
-func (p *Pool) overBound(w *waiter) bool {
-	if !p.lowerWaits(w.Item.Tier) {
-		p.giveUp(w, request.ReasonWorkspaceLimit)
+func (p *Pool) admitOverLimit(w *waiter) bool {
+	if !p.lowerTierWaits(w.Item.Tier) {
+		p.redirectOrShed(w, request.ReasonWorkspaceLimit)
 		return false
 	}
 	w.Class = tier.Late
-	if own := p.queue.LastBelow(w.Item.Tier, w.Item.Workspace); own != nil && !p.lowerWaits(own.Tier) {
+	if own := p.queue.LastBelow(w.Item.Tier, w.Item.Workspace); own != nil && !p.lowerTierWaits(own.Tier) {
 		victim := own.Value
-		p.drop(victim)
-		p.giveUp(victim, request.ReasonWorkspaceLimit)
+		p.removeWaiter(victim)
+		p.redirectOrShed(victim, request.ReasonWorkspaceLimit)
 	}
 	return true
 }
 
-func (p *Pool) lowerWaits(t request.Tier) bool {
+func (p *Pool) lowerTierWaits(t request.Tier) bool {
 	for lower := t + 1; lower < request.MaxTiers; lower++ {
 		if p.queue.Waiting(lower)+p.isolated.Waiting(lower) > 0 {
 			return true
@@ -104,14 +104,14 @@
 	if len(p.waiting) < p.maxWaiting() {
 		return true
 	}
-	last := p.lastWaiting()
-	if last == nil || last.Tier < w.Item.Tier || last.Tier == w.Item.Tier && !p.yields(last, w) {
-		p.giveUp(w, request.ReasonShed)
+	last := p.evictionCandidate()
+	if last == nil || last.Tier < w.Item.Tier || last.Tier == w.Item.Tier && !p.isEvictedFor(last, w) {
+		p.redirectOrShed(w, request.ReasonShed)
 		return false
 	}
 	victim := last.Value
-	p.drop(victim)
-	p.giveUp(victim, request.ReasonShed)
+	p.removeWaiter(victim)
+	p.redirectOrShed(victim, request.ReasonShed)
 	return true
 }
 
@@ -124,18 +124,18 @@
 	return p.cfg.MaxWaiting
 }
 
-// trim evicts what a rebuilt queue holds above its bound.
-func (p *Pool) trim() {
+// evictExcess evicts what a rebuilt queue holds above its bound.
+func (p *Pool) evictExcess() {
 	for len(p.waiting) > p.maxWaiting() {
-		victim := p.lastWaiting().Value
-		p.drop(victim)
-		p.giveUp(victim, request.ReasonShed)
+		victim := p.evictionCandidate().Value
+		p.removeWaiter(victim)
+		p.redirectOrShed(victim, request.ReasonShed)
 	}
 }
 
-// lastWaiting is the item to evict first. Suspects count by their tier as
+// evictionCandidate is the item to evict first. Suspects count by their tier as
 // everyone else.
-func (p *Pool) lastWaiting() *tier.Item[*waiter] {
+func (p *Pool) evictionCandidate() *tier.Item[*waiter] {
 	last, alone := p.queue.Last(), p.isolated.Last()
 	if last == nil || alone != nil && alone.Tier > last.Tier {
 		return alone
@@ -143,8 +143,8 @@
 	return last
 }
 
-// yields tells whether a waiting item goes before a newcomer of its own tier.
-func (p *Pool) yields(last *tier.Item[*waiter], w *waiter) bool {
+// isEvictedFor tells whether a waiting item goes before a newcomer of its own tier.
+func (p *Pool) isEvictedFor(last *tier.Item[*waiter], w *waiter) bool {
 	if last.Class != w.Class {
 		return last.Class > w.Class
 	}
@@ -155,54 +155,54 @@
 	return q.WaitingOf(last.Tier, last.Workspace) > q.WaitingOf(last.Tier, w.Item.Workspace)+1
 }
 
-// giveUp ends a request that doesn't wait (any more): it goes to a sibling
+// redirectOrShed ends a request that doesn't wait (any more): it goes to a sibling
 // pool where a slot is free or a lower tier waits, else it is shed.
-func (p *Pool) giveUp(w *waiter, reason request.Reason) {
+func (p *Pool) redirectOrShed(w *waiter, reason request.Reason) {
 	if !w.NoRedirect {
-		if name, ok := p.siblingFor(w.Item.Tier, false); ok {
+		if name, ok := p.pickSibling(w.Item.Tier, false); ok {
 			p.emit(Redirect{Request: w.Request, Entry: w.Entry, Pool: name})
 			return
 		}
 	}
-	p.shed(&w.Enqueue, reason, p.nextReturn(w.Item.Tier))
+	p.shed(&w.Enqueue, reason, p.nextRetryAfter(w.Item.Tier))
 }
 
-// nextReturn is the Retry-After of a refused request: after what waits now, and after
+// nextRetryAfter is the Retry-After of a refused request: after what waits now, and after
 // all others that were refused, at the pace of the last grants.
 //
 // What goes wrong without it: in a burst of seconds all refused callers are told to
 // come back in half a second, when the burst still lasts, and the one retry that each
 // has is refused too.
-func (p *Pool) nextReturn(t request.Tier) time.Duration {
-	room := p.now.Add(max(p.expectedWait(t), retryMin))
-	if p.returnsUntil.Before(room) {
-		p.returnsUntil = room
+func (p *Pool) nextRetryAfter(t request.Tier) time.Duration {
+	room := p.now.Add(max(p.expectedWait(t), retryAfterMin))
+	if p.retryHorizon.Before(room) {
+		p.retryHorizon = room
 	}
-	wait := min(p.returnsUntil.Sub(p.now), returnMost)
-	p.returnsUntil = p.now.Add(wait + time.Duration(float64(time.Second)/max(1, returnShare*p.pace.grants(p.now))))
+	wait := min(p.retryHorizon.Sub(p.now), retrySpreadMax)
+	p.retryHorizon = p.now.Add(wait + time.Duration(float64(time.Second)/max(1, retryGrantShare*p.rates.grantRate(p.now))))
 	return wait
 }
 
-// siblingFor picks a sibling for a request of a tier, and counts the request
+// pickSibling picks a sibling for a request of a tier, and counts the request
 // against the sibling's report, so that one report doesn't draw a crowd.
 // freeOnly asks for a free slot.
-func (p *Pool) siblingFor(t request.Tier, freeOnly bool) (string, bool) {
+func (p *Pool) pickSibling(t request.Tier, freeOnly bool) (string, bool) {
 	names := make([]string, 0, len(p.siblings))
 	for name, s := range p.siblings {
-		if p.now.Sub(s.at) <= freshSibling {
+		if p.now.Sub(s.reportedAt) <= siblingMaxAge {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if p.siblings[name].takes(t, freeOnly) {
+		if p.siblings[name].tryReserve(t, freeOnly) {
 			return name, true
 		}
 	}
 	return "", false
 }
 
-func (s *sibling) takes(t request.Tier, freeOnly bool) bool {
+func (s *sibling) tryReserve(t request.Tier, freeOnly bool) bool {
 	if s.Free > 0 {
 		s.Free--
 		return true
@@ -219,35 +219,35 @@
 	return false
 }
 
-// relieve sends requests to siblings with free slots while no server of this
+// redirectWhileDown sends requests to siblings with free slots while no server of this
 // pool is up: they would wait here for nothing.
-func (p *Pool) relieve() {
-	if p.plain() || len(p.siblings) == 0 || slices.ContainsFunc(p.order, p.up) {
+func (p *Pool) redirectWhileDown() {
+	if p.isBaseline() || len(p.siblings) == 0 || slices.ContainsFunc(p.sorted, p.up) {
 		return
 	}
 	for t := request.Tier(0); t < request.MaxTiers; t++ {
 		for it := p.queue.Head(t, tier.Live); it != nil && !it.Value.NoRedirect; it = p.queue.Head(t, tier.Live) {
-			name, ok := p.siblingFor(t, true)
+			name, ok := p.pickSibling(t, true)
 			if !ok {
 				return
 			}
-			p.drop(it.Value)
+			p.removeWaiter(it.Value)
 			p.emit(Redirect{Request: it.Value.Request, Entry: it.Value.Entry, Pool: name})
 		}
 	}
 }
 
 func (p *Pool) shed(e *Enqueue, reason request.Reason, retry time.Duration) {
-	p.tally.refused(e.Tier, reason)
+	p.tally.countRefusal(e.Tier, reason)
 	if reason == request.ReasonShed || reason == request.ReasonExpired {
-		p.shares.Refused(p.now, e.Tier)
+		p.fairShare.Refused(p.now, e.Tier)
 	}
-	p.emit(Shed{Request: e.Request, Entry: e.Entry, Reason: reason, RetryAfter: p.retryAfter(retry)})
+	p.emit(Shed{Request: e.Request, Entry: e.Entry, Reason: reason, RetryAfter: p.jitterRetryAfter(retry)})
 }
 
-// retryAfter bounds and jitters a wait, so that callers refused together
+// jitterRetryAfter bounds and jitters a wait, so that callers refused together
 // don't come back together.
-func (p *Pool) retryAfter(d time.Duration) time.Duration {
-	d = min(max(d, retryMin), retryMax)
-	return time.Duration(float64(d) * (1 - retryJitter + 2*retryJitter*p.random.Float64()))
+func (p *Pool) jitterRetryAfter(d time.Duration) time.Duration {
+	d = min(max(d, retryAfterMin), retryAfterMax)
+	return time.Duration(float64(d) * (1 - retryAfterJitter + 2*retryAfterJitter*p.rng.Float64()))
 }
--- a/pool/bench_test.go
+++ b/pool/bench_test.go
@@ -37,12 +37,12 @@
 	now := start
 	var out []Command
 	p.Handle(now, set, nil)
-	asks := make([]Enqueue, waiting+servers*benchSlots)
-	for i := range asks {
-		asks[i] = benchAsk(i)
+	requests := make([]Enqueue, waiting+servers*benchSlots)
+	for i := range requests {
+		requests[i] = benchEnqueue(i)
 	}
 	var running []Grant
-	for _, e := range asks {
+	for _, e := range requests {
 		now = now.Add(benchInterval)
 		out = p.Handle(now, e, out[:0])
 		running = append(running, grants(out)...)
@@ -58,7 +58,7 @@
 		next := grants(out)
 		granted += len(next)
 		running = append(running, next...)
-		e := asks[i%len(asks)]
+		e := requests[i%len(requests)]
 		e.Request = request.ID(fmt.Sprint("again", i))
 		out = p.Handle(now, e, out[:0])
 		running = append(running, grants(out)...)
@@ -68,7 +68,7 @@
 	}
 }
 
-func benchAsk(i int) Enqueue {
+func benchEnqueue(i int) Enqueue {
 	e := Enqueue{
 		Request: request.ID(fmt.Sprint("r", i)), Entry: "e", Workspace: fmt.Sprint("w", i%5), Template: "t", Model: "m",
 		Tier: request.Tier(i % 4), FirstTokenIn: time.Hour, DeadlineIn: 2 * time.Hour,
--- a/pool/capacity.go
+++ b/pool/capacity.go
@@ -10,59 +10,59 @@
 )
 
 const (
-	// kvFull is the part of a measured KV capacity that is used.
-	kvFull = 0.95
-	// headroomSlack is the part of a first-token target in which a request of
+	// maxKVFill is the part of a measured KV capacity that is used.
+	maxKVFill = 0.95
+	// headroomTargetShare is the part of a first-token target in which a request of
 	// a burst should find a slot.
-	headroomSlack = 0.4
-	// unknownService is assumed, in seconds, where nothing has ended yet.
-	unknownService = 1.0
-	// unknown marks a rate that has to be worked out.
-	unknown = -1
+	headroomTargetShare = 0.4
+	// defaultServiceSeconds is assumed, in seconds, where nothing has ended yet.
+	defaultServiceSeconds = 1.0
+	// rateUnknown marks a rate that has to be worked out.
+	rateUnknown = -1
 )
 
-// limit returns how many requests may run on a server now.
-func (p *Pool) limit(s *server) int {
-	n := min(limit.Slots(s.requests), limit.Slots(s.slotted))
-	if s.slots > 0 {
-		n = min(n, s.slots)
+// runLimit returns how many requests may run on a server now.
+func (p *Pool) runLimit(s *server) int {
+	n := min(limit.Slots(s.tokenRateLimit), limit.Slots(s.queueingLimit))
+	if s.engineSlots > 0 {
+		n = min(n, s.engineSlots)
 	}
-	if s.straggler && p.sound || s.breaker.open {
+	if s.straggler && p.anyHealthy || s.breaker.open {
 		n = 1 // the probe
 	}
-	return p.entries.share(max(1, n))
+	return p.entries.limitShare(max(1, n))
 }
 
-// refresh works out, once for an event, which servers may get grants and how
+// refreshServers works out, once for an event, which servers may get grants and how
 // many requests each may run.
-func (p *Pool) refresh() {
-	p.sound, p.freed = false, unknown
-	for _, s := range p.order {
-		s.ready = p.up(s) && !s.breaker.open
-		if s.ready && !s.straggler && !s.overdue {
-			p.sound = true
+func (p *Pool) refreshServers() {
+	p.anyHealthy, p.freeRate = false, rateUnknown
+	for _, s := range p.sorted {
+		s.grantable = p.up(s) && !s.breaker.open
+		if s.grantable && !s.straggler && !s.overdue {
+			p.anyHealthy = true
 		}
 	}
-	for _, s := range p.order {
-		s.most = p.limit(s)
+	for _, s := range p.sorted {
+		s.maxRunning = p.runLimit(s)
 	}
 }
 
-// usable returns the servers with a slot free, and how many slots are free on
+// serversWithSlots returns the servers with a slot free, and how many slots are free on
 // all of them. Stragglers and servers with an overdue first token only serve
 // where no server is sound; a straggler gets its probes by scheduleProbes.
-func (p *Pool) usable() ([]*server, int) {
-	p.free = p.free[:0]
+func (p *Pool) serversWithSlots() ([]*server, int) {
+	p.usableServers = p.usableServers[:0]
 	slots := 0
-	for _, s := range p.order {
-		left := s.most - len(s.running)
-		if left <= 0 || !s.ready || s == p.alone || p.sound && (s.straggler || s.overdue) {
+	for _, s := range p.sorted {
+		left := s.maxRunning - len(s.running)
+		if left <= 0 || !s.grantable || s == p.isolation || p.anyHealthy && (s.straggler || s.overdue) {
 			continue
 		}
 		slots += left
-		p.free = append(p.free, s)
+		p.usableServers = append(p.usableServers, s)
 	}
-	return p.free, slots
+	return p.usableServers, slots
 }
 
 // fits tells whether a server's KV memory has room for so many more tokens.
@@ -71,45 +71,45 @@
 	if len(s.running) == 0 {
 		return true
 	}
-	if s.kv > 0 && float64(s.tokens+tokens) > kvFull*s.kv {
+	if s.kvCapacity > 0 && float64(s.kvTokens+tokens) > maxKVFill*s.kvCapacity {
 		return false
 	}
-	return float64(s.tokens+tokens) <= kiloToken*s.kilo.Limit()
+	return float64(s.kvTokens+tokens) <= kiloToken*s.memoryLimit.Limit()
 }
 
-// reserve returns how many slots a tier leaves free for those above it.
-func (p *Pool) reserve(t request.Tier) int {
+// reservedSlots returns how many slots a tier leaves free for those above it.
+func (p *Pool) reservedSlots(t request.Tier) int {
 	if t == 0 {
 		return 0
 	}
-	freed, all := p.freedPerSecond()
-	need := 0
+	perSecond, total := p.slotFreeRate()
+	reserved := 0
 	for higher := request.Tier(0); higher < t; higher++ {
-		slack := time.Duration(headroomSlack * float64(p.targets[higher]))
-		need += headroom.Reserve(p.arrivals[higher].Peak(p.now), freed, slack)
+		slack := time.Duration(headroomTargetShare * float64(p.firstTokenTargets[higher]))
+		reserved += headroom.Reserve(p.arrivals[higher].Peak(p.now), perSecond, slack)
 	}
-	return min(need, int(p.cfg.Headroom*float64(all)))
+	return min(reserved, int(p.cfg.Headroom*float64(total)))
 }
 
-// freedPerSecond returns how many slots come free a second when all are in
+// slotFreeRate returns how many slots come free a second when all are in
 // use, and how many there are.
-func (p *Pool) freedPerSecond() (float64, int) {
-	if p.freed != unknown {
-		return p.freed, p.slots
+func (p *Pool) slotFreeRate() (float64, int) {
+	if p.freeRate != rateUnknown {
+		return p.freeRate, p.totalSlots
 	}
-	p.freed, p.slots = 0, 0
-	for _, s := range p.order {
-		if !s.ready || s.straggler {
+	p.freeRate, p.totalSlots = 0, 0
+	for _, s := range p.sorted {
+		if !s.grantable || s.straggler {
 			continue
 		}
-		p.slots += s.most
-		service := s.service
+		p.totalSlots += s.maxRunning
+		service := s.meanService
 		if service <= 0 {
-			service = unknownService
+			service = defaultServiceSeconds
 		}
-		p.freed += float64(s.most) / service
+		p.freeRate += float64(s.maxRunning) / service
 	}
-	return p.freed, p.slots
+	return p.freeRate, p.totalSlots
 }
 
 // expectedWait estimates how long a new request of a tier would wait: what
@@ -122,16 +122,16 @@
 	if backlog == 0 {
 		return 0
 	}
-	pace := p.served.PerSecond(p.now)
-	if pace <= 0 {
-		return retryMax
+	perSecond := p.servedWork.PerSecond(p.now)
+	if perSecond <= 0 {
+		return retryAfterMax
 	}
-	return min(time.Duration(backlog/pace*float64(time.Second)), retryMax)
+	return min(time.Duration(backlog/perSecond*float64(time.Second)), retryAfterMax)
 }
 
-// bestTimes returns the least time to a first token, and to a whole answer,
+// fastestTimes returns the least time to a first token, and to a whole answer,
 // of any server that is up, with nothing else to compute and nothing cached.
-func (p *Pool) bestTimes(prompt, output int) (first, whole time.Duration) {
+func (p *Pool) fastestTimes(prompt, output int) (first, whole time.Duration) {
 	if p.fastest == (score.Prior{}) {
 		p.findFastest()
 	}
@@ -143,7 +143,7 @@
 // renewed with every comparison of peers.
 func (p *Pool) findFastest() {
 	p.fastest = score.Prior{}
-	for _, s := range p.order {
+	for _, s := range p.sorted {
 		if p.up(s) {
 			p.fastest = s.speed.Faster(p.fastest)
 		}
--- a/pool/config.go
+++ b/pool/config.go
@@ -13,7 +13,7 @@
 const (
 	defaultMaxWaiting = 10000
 	defaultSlots      = 16
-	defaultVerdict    = 10 * time.Minute
+	defaultSuspectTTL = 10 * time.Minute
 	defaultHeadroom   = 0.2
 )
 
@@ -33,28 +33,28 @@
 	DefaultSlots int
 	// Law is the control law of the servers' limits; empty means the default.
 	Law limit.Name
-	// Verdict is how long a request stays suspected or convicted of crashing
+	// SuspectTTL is how long a request stays suspected or convicted of crashing
 	// servers; 0 means a default.
-	Verdict time.Duration
-	// Patience is the part of its first-token target, or without one of its
+	SuspectTTL time.Duration
+	// MaxWaitShare is the part of its first-token target, or without one of its
 	// deadline, for which a request may wait before it is shed; 0 means the
 	// whole deadline. A caller that learns early that there is no room may
 	// find some elsewhere or later.
-	Patience float64
-	// LongPatience is the same for a request that will have a slot by then, as
+	MaxWaitShare float64
+	// ExtendedWaitShare is the same for a request that will have a slot by then, as
 	// far as the pace of grants tells; no more than Patience means none.
-	LongPatience float64
+	ExtendedWaitShare float64
 	// KeepStragglers leaves a server in use that has become slow: it is chosen
 	// after the others, for what it still serves in time. Without it, such a
 	// server gets probes alone.
 	KeepStragglers bool
-	// SpareFast sends a request that is far from its targets on any server to
+	// SpareFastServers sends a request that is far from its targets on any server to
 	// the one with most slots free, not to the fastest.
-	SpareFast bool
-	// RunGrace, where entries end every run at its deadline, is how long after
+	SpareFastServers bool
+	// ReleaseGrace, where entries end every run at its deadline, is how long after
 	// that its release may take; its slot is freed then. 0: runs may go on
 	// past their deadlines.
-	RunGrace time.Duration
+	ReleaseGrace time.Duration
 	// Headroom is the largest part of all slots kept free of lower tiers for
 	// higher ones; 0 means a default.
 	Headroom float64
@@ -73,12 +73,12 @@
 	switch {
 	case c.Name == "":
 		return errors.New("pool without a name")
-	case c.MaxWaiting < 0 || c.DefaultSlots < 0 || c.Verdict < 0 || c.RunGrace < 0:
+	case c.MaxWaiting < 0 || c.DefaultSlots < 0 || c.SuspectTTL < 0 || c.ReleaseGrace < 0:
 		return errors.Errorf("pool %q: a bound is negative", c.Name)
 	case c.Headroom < 0 || c.Headroom > 1:
 		return errors.Errorf("pool %q: headroom %v is no share", c.Name, c.Headroom)
-	case c.Patience < 0 || c.Patience > 1 || c.LongPatience < 0 || c.LongPatience > 1:
-		return errors.Errorf("pool %q: patience %v or %v is no share", c.Name, c.Patience, c.LongPatience)
+	case c.MaxWaitShare < 0 || c.MaxWaitShare > 1 || c.ExtendedWaitShare < 0 || c.ExtendedWaitShare > 1:
+		return errors.Errorf("pool %q: patience %v or %v is no share", c.Name, c.MaxWaitShare, c.ExtendedWaitShare)
 	case !c.Law.Valid():
 		return errors.Errorf("pool %q: unknown control law %q", c.Name, c.Law)
 	}
@@ -99,10 +99,10 @@
 	if c.Headroom == 0 {
 		c.Headroom = defaultHeadroom
 	}
-	if c.Verdict == 0 {
-		c.Verdict = defaultVerdict
+	if c.SuspectTTL == 0 {
+		c.SuspectTTL = defaultSuspectTTL
 	}
 	return c
 }
 
-func (c Config) random() *rand.Rand { return rand.New(rand.NewPCG(c.Seed, c.Epoch)) }
+func (c Config) newRand() *rand.Rand { return rand.New(rand.NewPCG(c.Seed, c.Epoch)) }
--- a/pool/crash.go
+++ b/pool/crash.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// oneCrash is the time within which signs of a crash are signs of one.
-	oneCrash = 5 * time.Second
-	// suspectRetry is the wait told to a suspect that must come back.
-	suspectRetry = 5 * time.Second
-	// maxIsolated bounds the suspects that wait.
-	maxIsolated = 64
-	// maxLost bounds the lost runs remembered of a server.
-	maxLost = 256
+	// crashWindow is the time within which signs of a crash are signs of one.
+	crashWindow = 5 * time.Second
+	// suspectRetryAfter is the wait told to a suspect that must come back.
+	suspectRetryAfter = 5 * time.Second
+	// maxIsolatedSuspects bounds the suspects that wait.
+	maxIsolatedSuspects = 64
+	// maxLostRuns bounds the lost runs remembered of a server.
+	maxLostRuns = 256
 )
 
 // isolated tells whether the request waits among the suspects.
-func (w *waiter) isolated() bool { return w.alone }
+func (w *waiter) isolated() bool { return w.suspect }
 
-func (p *Pool) shedConvict(w *waiter) {
+func (p *Pool) shedConfirmed(w *waiter) {
 	p.emit(Shed{
 		Request: w.Request, Entry: w.Entry, Reason: request.ReasonConvicted,
 		RetryAfter: p.suspects.ExpiresIn(p.now, w.Fingerprint),
@@ -31,53 +31,53 @@
 
 // admitSuspect lets a suspect wait for its turn to run alone.
 func (p *Pool) admitSuspect(w *waiter) {
-	if p.isolated.Len() >= maxIsolated {
-		p.shed(&w.Enqueue, request.ReasonSuspectBusy, suspectRetry)
+	if p.isolated.Len() >= maxIsolatedSuspects {
+		p.shed(&w.Enqueue, request.ReasonSuspectBusy, suspectRetryAfter)
 		return
 	}
-	w.alone = true
+	w.suspect = true
 	w.Class, w.Due = 0, w.deadline
 	p.waiting[w.Request] = w
 	p.isolated.Push(&w.Item)
 }
 
-// scheduleAlone runs suspects, one at a time in the pool: a server is emptied
+// scheduleSuspects runs suspects, one at a time in the pool: a server is emptied
 // for it, and nothing else is granted there until it has ended. Otherwise a
 // crash would prove nothing of it and harm others.
-func (p *Pool) scheduleAlone() {
-	if p.alone != nil && !p.up(p.alone) && len(p.alone.running) == 0 {
-		p.alone = nil
+func (p *Pool) scheduleSuspects() {
+	if p.isolation != nil && !p.up(p.isolation) && len(p.isolation.running) == 0 {
+		p.isolation = nil
 	}
-	for p.isolated.Len() > 0 && !p.suspectRuns() {
-		w := p.firstIsolated()
-		switch p.verdict(w) {
+	for p.isolated.Len() > 0 && !p.suspectRunning() {
+		w := p.nextSuspect()
+		switch p.suspectState(w) {
 		case suspect.Convicted:
-			p.drop(w)
-			p.shedConvict(w)
+			p.removeWaiter(w)
+			p.shedConfirmed(w)
 			continue
 		case suspect.Clear:
-			p.acquit(w)
+			p.readmitCleared(w)
 			continue
 		}
-		if p.alone == nil {
-			p.alone = p.emptiest()
+		if p.isolation == nil {
+			p.isolation = p.pickIsolationServer()
 		}
-		if p.alone == nil || len(p.alone.running) > 0 || !p.up(p.alone) {
+		if p.isolation == nil || len(p.isolation.running) > 0 || !p.up(p.isolation) {
 			return
 		}
-		p.grant(w, p.option(w, p.alone))
+		p.grant(w, p.predict(w, p.isolation))
 		return
 	}
-	if p.isolated.Len() == 0 && !p.suspectRuns() {
-		p.alone = nil
+	if p.isolated.Len() == 0 && !p.suspectRunning() {
+		p.isolation = nil
 	}
 }
 
-func (p *Pool) suspectRuns() bool {
-	return p.alone != nil && slices.ContainsFunc(p.alone.running, func(r *run) bool { return r.alone })
+func (p *Pool) suspectRunning() bool {
+	return p.isolation != nil && slices.ContainsFunc(p.isolation.running, func(r *run) bool { return r.suspect })
 }
 
-func (p *Pool) firstIsolated() *waiter {
+func (p *Pool) nextSuspect() *waiter {
 	for t := request.Tier(0); t < request.MaxTiers; t++ {
 		if it := p.isolated.Head(t, 0); it != nil {
 			return it.Value
@@ -86,44 +86,44 @@
 	return nil
 }
 
-// acquit puts a request that is no suspect any more among the others.
-func (p *Pool) acquit(w *waiter) {
-	p.drop(w)
-	w.alone = false
+// readmitCleared puts a request that is no suspect any more among the others.
+func (p *Pool) readmitCleared(w *waiter) {
+	p.removeWaiter(w)
+	w.suspect = false
 	w.Due = p.latestStart(w)
 	p.admit(w)
 }
 
-// emptiest returns the server with the least running, for a suspect. Where a
+// pickIsolationServer returns the server with the least running, for a suspect. Where a
 // server has just crashed and was not seen to run since, another crash could
 // not be told from the last one, and would convict nobody.
-func (p *Pool) emptiest() *server {
+func (p *Pool) pickIsolationServer() *server {
 	var best *server
-	for _, s := range p.order {
-		unclear := !s.crashed.IsZero() && s.back.IsZero() && p.now.Sub(s.crashed) <= oneCrash
-		if p.up(s) && !unclear && (best == nil || len(s.running) < len(best.running)) {
+	for _, s := range p.sorted {
+		ambiguous := !s.crashedAt.IsZero() && s.recoveredAt.IsZero() && p.now.Sub(s.crashedAt) <= crashWindow
+		if p.up(s) && !ambiguous && (best == nil || len(s.running) < len(best.running)) {
 			best = s
 		}
 	}
 	return best
 }
 
-// aloneEnded frees the server of a suspect that ran alone. One that was not
+// suspectEnded frees the server of a suspect that ran alone. One that was not
 // dispatched, or whose caller left, stays a suspect.
-func (p *Pool) aloneEnded(r *run, _ Outcome) {
-	if p.alone == r.server {
-		p.alone = nil
+func (p *Pool) suspectEnded(r *run, _ Outcome) {
+	if p.isolation == r.server {
+		p.isolation = nil
 	}
 }
 
-// lose remembers a run that was lost with its stream: whether its server
+// recordLostRun remembers a run that was lost with its stream: whether its server
 // crashed is told only later, by the monitor.
-func (p *Pool) lose(r *run) {
+func (p *Pool) recordLostRun(r *run) {
 	s := r.server
-	s.lost = slices.DeleteFunc(s.lost, func(x *run) bool { return p.now.Sub(x.heard) > oneCrash })
-	r.heard = p.now
-	if len(s.lost) < maxLost {
-		s.lost = append(s.lost, r)
+	s.lostRuns = slices.DeleteFunc(s.lostRuns, func(x *run) bool { return p.now.Sub(x.lastReport) > crashWindow })
+	r.lastReport = p.now
+	if len(s.lostRuns) < maxLostRuns {
+		s.lostRuns = append(s.lostRuns, r)
 	}
 }
 
@@ -132,64 +132,64 @@
 // times: at each of its runs' entries and at the monitor. Signs within a short
 // time are one crash; a run that began after the first sign had no part in it,
 // unless the server was seen to run again before: then it crashed again.
-func (p *Pool) serverCrashed(s *server, first *run) {
-	if p.plain() {
+func (p *Pool) serverCrashed(s *server, reporter *run) {
+	if p.isBaseline() {
 		return
 	}
-	again := first != nil && !s.back.IsZero() && !first.since.Before(s.back)
-	if s.crashed.IsZero() || p.now.Sub(s.crashed) > oneCrash || again {
-		s.crashed, s.back = p.now, time.Time{}
-		p.leaveAlone(s)
+	secondCrash := reporter != nil && !s.recoveredAt.IsZero() && !reporter.grantedAt.Before(s.recoveredAt)
+	if s.crashedAt.IsZero() || p.now.Sub(s.crashedAt) > crashWindow || secondCrash {
+		s.crashedAt, s.recoveredAt = p.now, time.Time{}
+		p.pauseServer(s)
 		p.forgetCache(s)
 	}
-	began := s.crashed
-	ran := slices.Concat(s.running, s.lost)
-	if first != nil && !slices.Contains(ran, first) {
-		ran = append(ran, first)
+	crashTime := s.crashedAt
+	affected := slices.Concat(s.running, s.lostRuns)
+	if reporter != nil && !slices.Contains(affected, reporter) {
+		affected = append(affected, reporter)
 	}
-	for _, r := range ran {
-		if r.crashed || r.since.After(began) || !slices.Contains(s.running, r) && p.now.Sub(r.heard) > oneCrash {
+	for _, r := range affected {
+		if r.crashed || r.grantedAt.After(crashTime) || !slices.Contains(s.running, r) && p.now.Sub(r.lastReport) > crashWindow {
 			continue
 		}
 		r.crashed = true
-		p.accuse(r)
+		p.markSuspect(r)
 	}
-	s.lost = nil
+	s.lostRuns = nil
 }
 
-func (p *Pool) accuse(r *run) {
+func (p *Pool) markSuspect(r *run) {
 	if r.fingerprint == 0 {
 		return
 	}
-	if r.alone {
+	if r.suspect {
 		p.suspects.Convict(p.now, r.fingerprint)
-		p.share(r.fingerprint, Convicted)
-		p.shedConvicts(r.fingerprint)
+		p.shareSuspect(r.fingerprint, SuspectConfirmed)
+		p.shedWaitingConfirmed(r.fingerprint)
 		return
 	}
 	if p.suspects.Suspect(p.now, r.fingerprint) {
-		p.share(r.fingerprint, Suspected)
+		p.shareSuspect(r.fingerprint, Suspected)
 	}
 }
 
-func (p *Pool) share(fingerprint uint64, s SuspectState) {
+func (p *Pool) shareSuspect(fingerprint uint64, s SuspectState) {
 	p.emit(ShareSuspect{Fingerprint: fingerprint, State: s, ExpiresIn: p.suspects.ExpiresIn(p.now, fingerprint)})
 }
 
-// shedConvicts answers those that wait with a convicted fingerprint at once.
-func (p *Pool) shedConvicts(fingerprint uint64) {
-	for _, w := range p.waitingInOrder() {
+// shedWaitingConfirmed answers those that wait with a convicted fingerprint at once.
+func (p *Pool) shedWaitingConfirmed(fingerprint uint64) {
+	for _, w := range p.sortedWaiters() {
 		if w.Fingerprint == fingerprint {
-			p.drop(w)
-			p.shedConvict(w)
+			p.removeWaiter(w)
+			p.shedConfirmed(w)
 		}
 	}
 }
 
-// learnSuspect takes in what another pool found out.
-func (p *Pool) learnSuspect(e SuspectShared) {
+// mergeSuspect takes in what another pool found out.
+func (p *Pool) mergeSuspect(e SuspectShared) {
 	p.suspects.Merge(p.now, e.Fingerprint, suspect.State(e.State), e.ExpiresIn)
 	if p.suspects.State(p.now, e.Fingerprint) == suspect.Convicted {
-		p.shedConvicts(e.Fingerprint)
+		p.shedWaitingConfirmed(e.Fingerprint)
 	}
 }
--- a/pool/crash_test.go
+++ b/pool/crash_test.go
@@ -10,44 +10,44 @@
 )
 
 // Guards against a second crash within seconds that is taken for another sign of the first.
-func TestAServerCrashesTwiceWithinSeconds(t *testing.T) {
+func TestSecondCrashWithinWindowConfirmsSuspect(t *testing.T) {
 	Convey("Given a server that crashed under a request, as its entry reports", t, func() {
-		r := newRig(Config{}, servers(1, 3)...)
+		r := newHarness(Config{}, servers(1, 3)...)
 		r.send(ServerHealth{Server: "s0", Incarnation: 1})
-		bad := r.grant(marked("bad", 1))
-		late := r.grant(marked("late", 2))
-		r.pass(time.Second)
-		r.end(bad, OutcomeCrashed)
-		So(grants(r.send(marked("bad2", 1))), ShouldBeEmpty)
+		bad := r.mustGrant(fingerprinted("bad", 1))
+		late := r.mustGrant(fingerprinted("late", 2))
+		r.advance(time.Second)
+		r.endRun(bad, OutcomeCrashed)
+		So(grants(r.send(fingerprinted("bad2", 1))), ShouldBeEmpty)
 
 		Convey("The suspect waits until the server is seen to run again", func() {
-			So(grants(r.pass(3*time.Second)), ShouldBeEmpty)
-			r.end(late, OutcomeCrashed) // of the first crash, too
+			So(grants(r.advance(3*time.Second)), ShouldBeEmpty)
+			r.endRun(late, OutcomeCrashed) // of the first crash, too
 			again := grants(r.send(ServerHealth{Server: "s0", Incarnation: 2}))
 			So(again, ShouldHaveLength, 1)
 
 			Convey("and a second crash within seconds convicts it, and only it", func() {
-				r.pass(500 * time.Millisecond)
-				r.end(again[0], OutcomeCrashed)
-				So(shedReason(r.send(marked("bad3", 1))), ShouldEqual, request.ReasonConvicted)
+				r.advance(500 * time.Millisecond)
+				r.endRun(again[0], OutcomeCrashed)
+				So(shedReason(r.send(fingerprinted("bad3", 1))), ShouldEqual, request.ReasonConvicted)
 				r.send(ServerHealth{Server: "s0", Incarnation: 3})
-				r.pass(time.Second)
-				So(grants(r.send(marked("late2", 2))), ShouldHaveLength, 1)
+				r.advance(time.Second)
+				So(grants(r.send(fingerprinted("late2", 2))), ShouldHaveLength, 1)
 			})
 			Convey("and so does a restart that the monitor sees first", func() {
-				r.pass(500 * time.Millisecond)
+				r.advance(500 * time.Millisecond)
 				r.send(ServerHealth{Server: "s0", Incarnation: 3})
-				So(shedReason(r.send(marked("bad3", 1))), ShouldEqual, request.ReasonConvicted)
+				So(shedReason(r.send(fingerprinted("bad3", 1))), ShouldEqual, request.ReasonConvicted)
 			})
 		})
 	})
 }
 
 // Guards against a server that gets nothing for seconds because the release of one run was lost.
-func TestLostReleaseDoesNotStopAServer(t *testing.T) {
+func TestLostReleaseDoesNotBlockServer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	newPool := func() *Pool {
-		p := New(Config{Name: "p", Epoch: 1, RunGrace: time.Second})
+		p := New(Config{Name: "p", Epoch: 1, ReleaseGrace: time.Second})
 		p.Handle(now, EntrySet{Entries: []EntryID{"e"}}, nil)
 		p.Handle(now, EntryReported{Entry: "e"}, nil)
 		p.Handle(now, ServerSet{Servers: []ServerInfo{{Name: "a", Slots: 1, Generation: "a"}, {Name: "b", Slots: 6, Generation: "b"}}}, nil)
--- a/pool/hint_test.go
+++ b/pool/hint_test.go
@@ -12,9 +12,9 @@
 )
 
 // Guards against long streams cut at their deadline at slow servers while short ones run at fast ones.
-func TestHintedLengths(t *testing.T) {
-	given := func() *rig {
-		r := newRig(Config{}, ServerInfo{Name: "fast", Generation: "fast", Slots: 1}, ServerInfo{Name: "slow", Generation: "slow", Slots: 4})
+func TestLengthHintsChooseServer(t *testing.T) {
+	newFastAndSlow := func() *harness {
+		r := newHarness(Config{}, ServerInfo{Name: "fast", Generation: "fast", Slots: 1}, ServerInfo{Name: "slow", Generation: "slow", Slots: 4})
 		for range 20 {
 			r.servers["fast"].speed.ObserveToken(1, 4*time.Millisecond, 4*time.Millisecond, score.Prior{})
 			r.servers["slow"].speed.ObserveToken(1, 40*time.Millisecond, 40*time.Millisecond, score.Prior{})
@@ -23,51 +23,51 @@
 		return r
 	}
 	hinted := func(id string, tokens int) Enqueue {
-		e := ask(id, 0)
+		e := enqueue(id, 0)
 		e.DeadlineIn, e.MaxTokens, e.ExpectedTokens = 12*time.Second, 4000, tokens
 		return e
 	}
 	Convey("Given a fast server that is full and a slow one", t, func() {
-		r := given()
-		first := r.grant(hinted("first", 1000))
+		r := newFastAndSlow()
+		first := r.mustGrant(hinted("first", 1000))
 		So(first.Server, ShouldEqual, "fast")
 		Convey("a long request waits for the fast one", func() {
 			So(grants(r.send(hinted("long", 1000))), ShouldBeEmpty)
 			Convey("a short one takes the slow one at once", func() {
-				So(r.grant(hinted("short", 50)).Server, ShouldEqual, "slow")
+				So(r.mustGrant(hinted("short", 50)).Server, ShouldEqual, "slow")
 			})
-			So(grants(r.end(first, OutcomeDone))[0].Server, ShouldEqual, "fast")
+			So(grants(r.endRun(first, OutcomeDone))[0].Server, ShouldEqual, "fast")
 		})
 	})
 }
 
-func TestHintsFollowWhatComes(t *testing.T) {
-	run := func(r *rig, id string, hint int) Grant {
-		e := ask(id, 0)
+func TestLengthHintsAreCorrected(t *testing.T) {
+	run := func(r *harness, id string, hint int) Grant {
+		e := enqueue(id, 0)
 		e.MaxTokens, e.ExpectedTokens = 4000, hint
-		return r.grant(e)
+		return r.mustGrant(e)
 	}
 	Convey("Answers half as long as their hints halve what is expected of others", t, func() {
-		r := newRig(Config{}, servers(1, 4)...)
+		r := newHarness(Config{}, servers(1, 4)...)
 		for i := range 8 {
 			g := run(r, fmt.Sprint(i), 20)
-			r.end(g, OutcomeDone) // 10 tokens
+			r.endRun(g, OutcomeDone) // 10 tokens
 		}
 		So(r.expectLength(estimate.Mix{Workspace: "w", Template: "t", Model: "m"}, 1000, 4000).Mean, ShouldEqual, 500)
 	})
 	Convey("What is still to come of an answer is sized by its hint", t, func() {
-		r := newRig(Config{}, servers(1, 4)...)
+		r := newHarness(Config{}, servers(1, 4)...)
 		g := run(r, "a", 100)
-		before := r.servers["s0"].tokens
+		before := r.servers["s0"].kvTokens
 		r.send(Progress{Request: g.Request, Grant: g.Grant, Server: g.Server, Tokens: 10, FirstToken: time.Millisecond})
-		So(r.servers["s0"].tokens, ShouldEqual, before)
+		So(r.servers["s0"].kvTokens, ShouldEqual, before)
 	})
 }
 
 // Guards against short requests that take the fast servers, which long ones need to end in time.
-func TestEasyRequestsLeaveTheFastServersFree(t *testing.T) {
-	given := func(spare bool) *rig {
-		r := newRig(Config{SpareFast: spare}, ServerInfo{Name: "fast", Generation: "fast", Slots: 4}, ServerInfo{Name: "slow", Generation: "slow", Slots: 4})
+func TestRelaxedRequestsLeaveFastServersFree(t *testing.T) {
+	newFastAndSlow := func(spare bool) *harness {
+		r := newHarness(Config{SpareFastServers: spare}, ServerInfo{Name: "fast", Generation: "fast", Slots: 4}, ServerInfo{Name: "slow", Generation: "slow", Slots: 4})
 		for range 20 {
 			r.servers["fast"].speed.ObserveToken(1, 4*time.Millisecond, 4*time.Millisecond, score.Prior{})
 			r.servers["slow"].speed.ObserveToken(1, 16*time.Millisecond, 16*time.Millisecond, score.Prior{})
@@ -75,33 +75,33 @@
 		return r
 	}
 	hinted := func(id string, tokens int) Enqueue {
-		e := ask(id, 0)
+		e := enqueue(id, 0)
 		e.DeadlineIn, e.MaxTokens, e.ExpectedTokens = 12*time.Second, 4000, tokens
 		return e
 	}
 	// short sends four short requests and counts where they go.
-	short := func(r *rig) map[string]int {
+	sendShort := func(r *harness) map[string]int {
 		at := map[string]int{}
 		for i := range 4 {
-			at[r.grant(hinted(fmt.Sprint("short", i), 20)).Server]++
+			at[r.mustGrant(hinted(fmt.Sprint("short", i), 20)).Server]++
 		}
 		return at
 	}
 	Convey("Short requests go where most slots are free, long ones where they end in time", t, func() {
-		r := given(true)
-		So(short(r), ShouldResemble, map[string]int{"fast": 2, "slow": 2})
+		r := newFastAndSlow(true)
+		So(sendShort(r), ShouldResemble, map[string]int{"fast": 2, "slow": 2})
 		for i := range 2 {
-			So(r.grant(hinted(fmt.Sprint("long", i), 2000)).Server, ShouldEqual, "fast")
+			So(r.mustGrant(hinted(fmt.Sprint("long", i), 2000)).Server, ShouldEqual, "fast")
 		}
 	})
 	Convey("Without that, they fill the fast server", t, func() {
-		So(short(given(false)), ShouldResemble, map[string]int{"fast": 4})
+		So(sendShort(newFastAndSlow(false)), ShouldResemble, map[string]int{"fast": 4})
 	})
 	Convey("One that is near its target goes where it ends first", t, func() {
-		r := given(true)
+		r := newFastAndSlow(true)
 		e := hinted("near", 20)
 		e.DeadlineIn = 400 * time.Millisecond
-		So(r.grant(hinted("other", 20)).Server, ShouldEqual, "fast")
-		So(r.grant(e).Server, ShouldEqual, "fast")
+		So(r.mustGrant(hinted("other", 20)).Server, ShouldEqual, "fast")
+		So(r.mustGrant(e).Server, ShouldEqual, "fast")
 	})
 }
--- a/pool/returning.go
+++ b/pool/late_retry.go
@@ -11,9 +11,9 @@
 	// and the time before. Callers that begin to give shorter ones count as late for
 	// no longer than two of them.
 	deadlineWindow = 5 * time.Second
-	// deadlineLeast is how many requests must have shown their deadlines before any
+	// deadlineMinSamples is how many requests must have shown their deadlines before any
 	// is judged by them.
-	deadlineLeast = 8
+	deadlineMinSamples = 8
 	// firstAttemptShare is the part of the usual deadline that a first attempt has
 	// left at the least. Callers of one mix were seen to differ by a sixth; one that
 	// was refused, waited as it was told, and comes back has less.
@@ -32,41 +32,41 @@
 
 // usualDeadline is the longest deadline of the current window and of the one before.
 type usualDeadline struct {
-	since            time.Time
-	longest, earlier time.Duration
-	seen, seenBefore int
+	windowStart              time.Time
+	longest, previousLongest time.Duration
+	samples, previousSamples int
 }
 
-// elapsed notes the deadline that a request came with, and returns for how long its
+// sinceFirstAttempt notes the deadline that a request came with, and returns for how long its
 // caller has been waiting before that, as far as can be known.
-func (d deadlines) elapsed(now time.Time, mix estimate.Mix, given time.Duration) time.Duration {
+func (d deadlines) sinceFirstAttempt(now time.Time, mix estimate.Mix, deadline time.Duration) time.Duration {
 	u := d[mix]
 	if u == nil {
 		if len(d) >= maxMixes {
 			clear(d)
 		}
-		u = &usualDeadline{since: now}
+		u = &usualDeadline{windowStart: now}
 		d[mix] = u
 	}
-	u.turn(now)
-	u.seen++
-	u.longest = max(u.longest, given)
-	usual := max(u.longest, u.earlier)
-	if u.seen+u.seenBefore < deadlineLeast || float64(given) >= firstAttemptShare*float64(usual) {
+	u.rotate(now)
+	u.samples++
+	u.longest = max(u.longest, deadline)
+	usual := max(u.longest, u.previousLongest)
+	if u.samples+u.previousSamples < deadlineMinSamples || float64(deadline) >= firstAttemptShare*float64(usual) {
 		return 0
 	}
-	return usual - given
+	return usual - deadline
 }
 
-// turn begins a new window where the current one is over.
-func (u *usualDeadline) turn(now time.Time) {
-	switch past := now.Sub(u.since); {
-	case past < deadlineWindow:
+// rotate begins a new window where the current one is over.
+func (u *usualDeadline) rotate(now time.Time) {
+	switch age := now.Sub(u.windowStart); {
+	case age < deadlineWindow:
 		return
-	case past < 2*deadlineWindow:
-		u.earlier, u.seenBefore = u.longest, u.seen
+	case age < 2*deadlineWindow:
+		u.previousLongest, u.previousSamples = u.longest, u.samples
 	default:
-		u.earlier, u.seenBefore = 0, 0
+		u.previousLongest, u.previousSamples = 0, 0
 	}
-	u.since, u.longest, u.seen = now, 0, 0
+	u.windowStart, u.longest, u.samples = now, 0, 0
 }
--- a/pool/length.go
+++ b/pool/length.go
@@ -11,31 +11,31 @@
 	return p.lengths.Expect(m, maxTokens)
 }
 
-// remaining estimates what is still to come of a run's answer.
-func (p *Pool) remaining(r *run) int {
+// remainingTokens estimates what is still to come of a run's answer.
+func (p *Pool) remainingTokens(r *run) int {
 	if r.hint > 0 {
-		return p.hints.Remaining(r.mix, r.hint, r.maxTokens, r.had)
+		return p.hints.Remaining(r.mix, r.hint, r.maxTokens, r.generated)
 	}
-	return p.lengths.Remaining(r.mix, r.maxTokens, r.had)
+	return p.lengths.Remaining(r.mix, r.maxTokens, r.generated)
 }
 
-// correctLength corrects the estimate of an answer that grows beyond it: the
+// growLength corrects the estimate of an answer that grows beyond it: the
 // memory it will need, and what its workspace is charged for.
-func (p *Pool) correctLength(r *run) {
-	rest := p.remaining(r)
-	if tokens := r.prompt + r.had + rest; tokens > r.tokens {
-		r.server.tokens += tokens - r.tokens
-		r.tokens = tokens
+func (p *Pool) growLength(r *run) {
+	rest := p.remainingTokens(r)
+	if tokens := r.promptTokens + r.generated + rest; tokens > r.kvTokens {
+		r.server.kvTokens += tokens - r.kvTokens
+		r.kvTokens = tokens
 	}
-	if grown := cost(r.uncached, r.had+rest); grown > r.cost {
+	if grown := workCost(r.uncachedTokens, r.generated+rest); grown > r.cost {
 		p.refund(r, r.cost-grown)
 		r.cost = grown
 	}
 }
 
-// learnLength corrects the workspace's charge to the true cost, and the
+// recordLength corrects the workspace's charge to the true cost, and the
 // estimate of its answers' length.
-func (p *Pool) learnLength(r *run, e Release) {
+func (p *Pool) recordLength(r *run, e Release) {
 	if r.maxTokens == 0 {
 		return
 	}
@@ -44,9 +44,9 @@
 	} else {
 		p.lengths.Observe(r.mix, e.OutputTokens)
 	}
-	computed := r.uncached
+	computed := r.uncachedTokens
 	if e.PrefillComputed > 0 {
 		computed = e.PrefillComputed
 	}
-	p.refund(r, r.cost-cost(computed, e.OutputTokens))
+	p.refund(r, r.cost-workCost(computed, e.OutputTokens))
 }
--- a/pool/patience_test.go
+++ b/pool/max_wait_test.go
@@ -11,145 +11,145 @@
 )
 
 // Guards against callers that are refused only when nobody else could serve them in time any more.
-func TestPatience(t *testing.T) {
-	full := func() *rig {
-		r := newRig(Config{Patience: 0.1}, servers(1, 1)...)
-		r.grant(ask("running", 0))
+func TestMaxWait(t *testing.T) {
+	newFullPool := func() *harness {
+		r := newHarness(Config{MaxWaitShare: 0.1}, servers(1, 1)...)
+		r.mustGrant(enqueue("running", 0))
 		return r
 	}
 	Convey("A request is shed after its part of the first-token target", t, func() {
-		r := full()
-		r.send(ask("waits", 0))
-		So(sheds(r.pass(99*time.Millisecond)), ShouldBeEmpty)
-		So(shedReason(r.pass(time.Millisecond)), ShouldEqual, request.ReasonShed)
+		r := newFullPool()
+		r.send(enqueue("waits", 0))
+		So(sheds(r.advance(99*time.Millisecond)), ShouldBeEmpty)
+		So(shedReason(r.advance(time.Millisecond)), ShouldEqual, request.ReasonShed)
 	})
 	Convey("Time that it waited at its entry counts", t, func() {
-		r := full()
-		e := ask("waits", 0)
+		r := newFullPool()
+		e := enqueue("waits", 0)
 		e.Waited, e.FirstTokenIn = 60*time.Millisecond, 940*time.Millisecond
 		r.send(e)
-		So(shedReason(r.pass(40*time.Millisecond)), ShouldEqual, request.ReasonShed)
+		So(shedReason(r.advance(40*time.Millisecond)), ShouldEqual, request.ReasonShed)
 	})
 	Convey("Without a target it is a part of the deadline", t, func() {
-		r := full()
-		e := ask("waits", 0)
+		r := newFullPool()
+		e := enqueue("waits", 0)
 		e.FirstTokenIn, e.DeadlineIn = 0, 10*time.Second
 		r.send(e)
-		So(sheds(r.pass(999*time.Millisecond)), ShouldBeEmpty)
-		So(shedReason(r.pass(time.Millisecond)), ShouldEqual, request.ReasonShed)
+		So(sheds(r.advance(999*time.Millisecond)), ShouldBeEmpty)
+		So(shedReason(r.advance(time.Millisecond)), ShouldEqual, request.ReasonShed)
 	})
 	Convey("One that was sent before waits up to its deadline", t, func() {
-		r := full()
-		e := ask("sent", 0)
+		r := newFullPool()
+		e := enqueue("sent", 0)
 		e.DeadlineIn, e.SentTo = 10*time.Second, []string{"gone"}
 		r.send(e)
-		So(sheds(r.pass(9999*time.Millisecond)), ShouldBeEmpty)
-		So(shedReason(r.pass(time.Millisecond)), ShouldEqual, request.ReasonExpired)
+		So(sheds(r.advance(9999*time.Millisecond)), ShouldBeEmpty)
+		So(shedReason(r.advance(time.Millisecond)), ShouldEqual, request.ReasonExpired)
 	})
 	Convey("Nobody is shed while a lower tier, whose patience is longer, goes on waiting", t, func() {
-		r := full()
-		low := ask("low", 2)
+		r := newFullPool()
+		low := enqueue("low", 2)
 		low.FirstTokenIn = 10 * time.Second
 		r.send(low)
-		r.send(ask("high", 1))
-		out := sheds(r.pass(100 * time.Millisecond))
+		r.send(enqueue("high", 1))
+		out := sheds(r.advance(100 * time.Millisecond))
 		So(out, ShouldHaveLength, 2)
 		So(out[0].Request, ShouldEqual, request.ID("low"))
 		So(out[1].Request, ShouldEqual, request.ID("high"))
 	})
 	Convey("One whose patience is over goes to a sibling with a free slot", t, func() {
-		r := full()
-		r.send(ask("waits", 0))
+		r := newFullPool()
+		r.send(enqueue("waits", 0))
 		r.send(Sibling{Pool: "q", Free: 1})
-		So(r.pass(100*time.Millisecond), ShouldContain, Redirect{Request: "waits", Entry: "e1", Pool: "q"})
+		So(r.advance(100*time.Millisecond), ShouldContain, Redirect{Request: "waits", Entry: "e1", Pool: "q"})
 	})
 }
 
 // Guards against requests that are refused at each little queue though slots come free every few milliseconds.
-func TestWaitingOn(t *testing.T) {
+func TestExtendedWait(t *testing.T) {
 	// paced returns a pool of one slot that grants a request each 10 ms, with
 	// one running and n waiting.
-	paced := func(n int) (*rig, Grant) {
-		r := newRig(Config{Patience: 0.1, LongPatience: 0.5}, servers(1, 1)...)
+	newPacedPool := func(n int) (*harness, Grant) {
+		r := newHarness(Config{MaxWaitShare: 0.1, ExtendedWaitShare: 0.5}, servers(1, 1)...)
 		var g Grant
 		for i := range 100 {
-			g = r.grant(ask(fmt.Sprint("before", i), 0))
+			g = r.mustGrant(enqueue(fmt.Sprint("before", i), 0))
 			r.now = r.now.Add(10 * time.Millisecond)
 			if i < 99 {
-				r.end(g, OutcomeDone)
+				r.endRun(g, OutcomeDone)
 			}
 		}
 		for i := range n {
-			r.send(ask(fmt.Sprint("w", i), 0))
+			r.send(enqueue(fmt.Sprint("w", i), 0))
 		}
 		return r, g
 	}
 	Convey("One who will have a slot soon waits on, up to the longer patience", t, func() {
-		r, _ := paced(5)
-		So(sheds(r.pass(100*time.Millisecond)), ShouldBeEmpty)
-		So(sheds(r.pass(399*time.Millisecond)), ShouldBeEmpty)
-		So(sheds(r.pass(time.Millisecond)), ShouldHaveLength, 5)
+		r, _ := newPacedPool(5)
+		So(sheds(r.advance(100*time.Millisecond)), ShouldBeEmpty)
+		So(sheds(r.advance(399*time.Millisecond)), ShouldBeEmpty)
+		So(sheds(r.advance(time.Millisecond)), ShouldHaveLength, 5)
 	})
 	Convey("The queue's end, which won't, is shed at once", t, func() {
-		r, g := paced(80)
-		shed := sheds(r.pass(100 * time.Millisecond))
+		r, g := newPacedPool(80)
+		shed := sheds(r.advance(100 * time.Millisecond))
 		So(len(shed), ShouldBeBetween, 30, 60)
 		Convey("and the others keep their order", func() {
-			So(grants(r.end(g, OutcomeDone))[0].Request, ShouldEqual, request.ID("w0"))
+			So(grants(r.endRun(g, OutcomeDone))[0].Request, ShouldEqual, request.ID("w0"))
 		})
 	})
 	Convey("Those of the tiers above count as well", t, func() {
-		r, _ := paced(0)
+		r, _ := newPacedPool(0)
 		for i := range 80 {
-			above := ask(fmt.Sprint("above", i), 0)
+			above := enqueue(fmt.Sprint("above", i), 0)
 			above.FirstTokenIn = 20 * time.Second
 			r.send(above)
 		}
-		r.send(ask("below", 1))
-		shed := sheds(r.pass(100 * time.Millisecond))
+		r.send(enqueue("below", 1))
+		shed := sheds(r.advance(100 * time.Millisecond))
 		So(shed, ShouldHaveLength, 1)
 		So(shed[0].Request, ShouldEqual, request.ID("below"))
 	})
 	Convey("Those that had their slot do not count any more", t, func() {
-		r, g := paced(0)
+		r, g := newPacedPool(0)
 		for round := range 20 {
 			for i := range 5 {
-				r.send(ask(fmt.Sprint("round", round, "-", i), 0))
+				r.send(enqueue(fmt.Sprint("round", round, "-", i), 0))
 			}
-			So(sheds(r.pass(100*time.Millisecond)), ShouldBeEmpty)
+			So(sheds(r.advance(100*time.Millisecond)), ShouldBeEmpty)
 			for range 5 {
-				g = grants(r.end(g, OutcomeDone))[0]
+				g = grants(r.endRun(g, OutcomeDone))[0]
 			}
 		}
 	})
 	Convey("Without a pace nobody waits on", t, func() {
-		r := newRig(Config{Patience: 0.1, LongPatience: 0.5}, servers(1, 1)...)
-		r.grant(ask("running", 0))
+		r := newHarness(Config{MaxWaitShare: 0.1, ExtendedWaitShare: 0.5}, servers(1, 1)...)
+		r.mustGrant(enqueue("running", 0))
 		r.now = r.now.Add(time.Minute)
-		r.send(ask("waits", 0))
-		So(sheds(r.pass(100*time.Millisecond)), ShouldHaveLength, 1)
+		r.send(enqueue("waits", 0))
+		So(sheds(r.advance(100*time.Millisecond)), ShouldHaveLength, 1)
 	})
 }
 
 // Guards against lower tiers that wait on for slots which go to those who keep coming above.
-func TestWaitingOnBelowTiersThatKeepComing(t *testing.T) {
+func TestExtendedWaitCountsArrivalsAbove(t *testing.T) {
 	// busy returns a pool of one slot that grants a request each 10 ms, nine of ten of
 	// them of the top tier, and what one more round of that does.
-	busy := func() (*rig, func() []Command) {
-		r := newRig(Config{Patience: 0.1, LongPatience: 0.5}, servers(1, 1)...)
-		g := r.grant(ask("first", 0))
+	newBusyPool := func() (*harness, func() []Command) {
+		r := newHarness(Config{MaxWaitShare: 0.1, ExtendedWaitShare: 0.5}, servers(1, 1)...)
+		g := r.mustGrant(enqueue("first", 0))
 		n := 0
 		step := func() (out []Command) {
 			n++
 			r.now = r.now.Add(10 * time.Millisecond)
 			if n%10 != 0 {
-				out = append(out, r.send(ask(fmt.Sprint("top", n), 0))...)
+				out = append(out, r.send(enqueue(fmt.Sprint("top", n), 0))...)
 			}
-			freed := r.end(g, OutcomeDone)
+			freed := r.endRun(g, OutcomeDone)
 			if granted := grants(freed); len(granted) > 0 {
 				g = granted[0]
 			} else {
-				g = r.grant(ask(fmt.Sprint("low", n), 1))
+				g = r.mustGrant(enqueue(fmt.Sprint("low", n), 1))
 			}
 			return append(out, freed...)
 		}
@@ -159,9 +159,9 @@
 		return r, step
 	}
 	Convey("Given a lower tier of which more wait than the slots that are left for it", t, func() {
-		r, step := busy()
+		r, step := newBusyPool()
 		for i := range 12 {
-			r.send(ask(fmt.Sprint("w", i), 1))
+			r.send(enqueue(fmt.Sprint("w", i), 1))
 		}
 		refused, served := 0, 0
 		count := func(out []Command) {
@@ -189,62 +189,62 @@
 }
 
 // Guards against refused callers who are all told the same short time and are refused again together.
-func TestRefusedCallersComeBackOneAfterTheOther(t *testing.T) {
+func TestRetryAfterIsSpread(t *testing.T) {
 	// refuse returns what n callers are told that are refused at one moment by a pool
 	// that grants a request each 100 ms.
-	refuse := func(n int) (told []time.Duration, r *rig) {
-		r = newRig(Config{Patience: 0.1}, servers(1, 1)...)
-		g := r.grant(ask("first", 0))
+	shedTogether := func(n int) (retryAfters []time.Duration, r *harness) {
+		r = newHarness(Config{MaxWaitShare: 0.1}, servers(1, 1)...)
+		g := r.mustGrant(enqueue("first", 0))
 		for i := range 100 {
 			r.now = r.now.Add(100 * time.Millisecond)
-			r.end(g, OutcomeDone)
-			g = r.grant(ask(fmt.Sprint("paced", i), 0))
+			r.endRun(g, OutcomeDone)
+			g = r.mustGrant(enqueue(fmt.Sprint("paced", i), 0))
 		}
 		for i := range n {
-			r.send(ask(fmt.Sprint("crowd", i), 0))
+			r.send(enqueue(fmt.Sprint("crowd", i), 0))
 		}
-		for _, s := range sheds(r.pass(100 * time.Millisecond)) {
-			told = append(told, s.RetryAfter)
+		for _, s := range sheds(r.advance(100 * time.Millisecond)) {
+			retryAfters = append(retryAfters, s.RetryAfter)
 		}
-		return told, r
+		return retryAfters, r
 	}
 	Convey("They are told times apart, as there will be room for them", t, func() {
-		told, _ := refuse(20)
-		So(told, ShouldHaveLength, 20)
-		for i := 10; i < len(told); i++ {
-			So(told[i]-told[i-10], ShouldBeGreaterThan, 0) // two seconds, but for the jitter
+		retryAfters, _ := shedTogether(20)
+		So(retryAfters, ShouldHaveLength, 20)
+		for i := 10; i < len(retryAfters); i++ {
+			So(retryAfters[i]-retryAfters[i-10], ShouldBeGreaterThan, 0) // two seconds, but for the jitter
 		}
-		So(told[19]-told[0], ShouldBeGreaterThan, 1500*time.Millisecond)
+		So(retryAfters[19]-retryAfters[0], ShouldBeGreaterThan, 1500*time.Millisecond)
 	})
 	Convey("Nobody is told more than the bound, give or take its jitter", t, func() {
-		told, _ := refuse(400)
-		for _, d := range told {
-			So(d, ShouldBeLessThanOrEqualTo, returnMost*5/4)
+		retryAfters, _ := shedTogether(400)
+		for _, d := range retryAfters {
+			So(d, ShouldBeLessThanOrEqualTo, retrySpreadMax*5/4)
 		}
 	})
 	Convey("A crowd is forgotten once its time is over", t, func() {
-		_, r := refuse(20)
+		_, r := shedTogether(20)
 		r.now = r.now.Add(time.Minute)
-		r.send(ask("later", 0))
-		So(sheds(r.pass(100 * time.Millisecond))[0].RetryAfter, ShouldBeLessThanOrEqualTo, 2*time.Second)
+		r.send(enqueue("later", 0))
+		So(sheds(r.advance(100 * time.Millisecond))[0].RetryAfter, ShouldBeLessThanOrEqualTo, 2*time.Second)
 	})
 }
 
 // Guards against requests that wait until they have no time left to use a slot or to come back.
-func TestWaitingOnLeavesTimeToComeBack(t *testing.T) {
+func TestExtendedWaitLeavesTimeToRetry(t *testing.T) {
 	Convey("Nobody waits on beyond a quarter of the deadline", t, func() {
-		r := newRig(Config{Patience: 0.1, LongPatience: 1}, servers(1, 1)...)
-		g := r.grant(ask("first", 0))
+		r := newHarness(Config{MaxWaitShare: 0.1, ExtendedWaitShare: 1}, servers(1, 1)...)
+		g := r.mustGrant(enqueue("first", 0))
 		for i := range 100 {
 			r.now = r.now.Add(10 * time.Millisecond)
-			r.end(g, OutcomeDone)
-			g = r.grant(ask(fmt.Sprint("paced", i), 0))
+			r.endRun(g, OutcomeDone)
+			g = r.mustGrant(enqueue(fmt.Sprint("paced", i), 0))
 		}
-		e := ask("tag", 0)
+		e := enqueue("tag", 0)
 		e.Template, e.FirstTokenIn, e.DeadlineIn = "tag", 2*time.Second, 3*time.Second
 		r.send(e)
-		So(sheds(r.pass(200*time.Millisecond)), ShouldBeEmpty)
-		So(sheds(r.pass(549*time.Millisecond)), ShouldBeEmpty)
-		So(sheds(r.pass(time.Millisecond)), ShouldHaveLength, 1)
+		So(sheds(r.advance(200*time.Millisecond)), ShouldBeEmpty)
+		So(sheds(r.advance(549*time.Millisecond)), ShouldBeEmpty)
+		So(sheds(r.advance(time.Millisecond)), ShouldHaveLength, 1)
 	})
 }
--- a/pool/messages.go
+++ b/pool/messages.go
@@ -97,7 +97,7 @@
 	OutcomeNotSent                      // connect failed, nothing left
 	OutcomeRefused                      // engine said it did not run it
 	OutcomeCanceled                     // caller left, run cancelled
-	OutcomeBroken                       // stream lost, run's fate unknown
+	OutcomeStreamLost                   // stream lost, run's fate unknown
 	OutcomeCrashed                      // engine lost its runs (restart seen)
 	OutcomeFailed                       // engine reported a failure
 )
@@ -176,7 +176,7 @@
 	HealthUp Health = iota
 	HealthWarming
 	HealthLeaving
-	HealthSilent
+	HealthUnresponsive
 	HealthGone
 )
 
@@ -218,7 +218,7 @@
 const (
 	SuspectCleared SuspectState = iota
 	Suspected
-	Convicted
+	SuspectConfirmed
 )
 
 // SuspectShared tells of a fingerprint learnt by another pool or owner.
@@ -283,18 +283,18 @@
 	ExpiresIn   time.Duration
 }
 
-// ServerDown tells that a server counts as down, since its connections break, or
+// BreakerChanged tells that a server counts as down, since its connections break, or
 // that it answers again. It is for the log.
-type ServerDown struct {
+type BreakerChanged struct {
 	Server string
-	Down   bool
+	Open   bool
 }
 
-func (Grant) command()        {}
-func (Shed) command()         {}
-func (Redirect) command()     {}
-func (ShareSuspect) command() {}
-func (ServerDown) command()   {}
+func (Grant) command()          {}
+func (Shed) command()           {}
+func (Redirect) command()       {}
+func (ShareSuspect) command()   {}
+func (BreakerChanged) command() {}
 
 // Summary is a pool's standing, for siblings, entries and placement.
 type Summary struct {
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -23,76 +23,76 @@
 // Pool is one pool's scheduler. It is not safe for concurrent use. Equal
 // configurations and equal events give equal commands.
 type Pool struct {
-	cfg    Config
-	random *rand.Rand
-	now    time.Time
-	out    []Command
+	cfg      Config
+	rng      *rand.Rand
+	now      time.Time
+	commands []Command
 
 	waiters
 	backends
 	runs
-	learned
-	perEvent
-
-	suspects *suspect.Register
-	siblings map[string]*sibling
-	entries  entries
-	tally    Tally
-	shares   *fairshare.Ledger
+	observations
+	scratch
+
+	suspects  *suspect.Register
+	siblings  map[string]*sibling
+	entries   entries
+	tally     Tally
+	fairShare *fairshare.Ledger
 }
 
 // waiters are the requests that wait, and what those were told that don't any more.
 type waiters struct {
-	queue    *tier.Queue[*waiter]
-	isolated *tier.Queue[*waiter] // suspects, which run alone
-	waiting  map[request.ID]*waiter
-	held     []*waiter             // of all servers, in the order in which they were held
-	waitOn   [request.MaxTiers]int // waiters beyond their shorter patience
-	passed   [request.MaxTiers]int // live ones granted since a late one, while some waited
-	// returnsUntil is when all callers that were refused will have had room.
-	returnsUntil time.Time
+	queue           *tier.Queue[*waiter]
+	isolated        *tier.Queue[*waiter] // suspects, which run alone
+	waiting         map[request.ID]*waiter
+	held            []*waiter             // of all servers, in the order in which they were held
+	extendedCount   [request.MaxTiers]int // waiters beyond their shorter patience
+	grantsSinceLate [request.MaxTiers]int // live ones granted since a late one, while some waited
+	// retryHorizon is when all callers that were refused will have had room.
+	retryHorizon time.Time
 }
 
 // backends are the backend servers, and what their caches hold.
 type backends struct {
-	servers  map[string]*server
-	order    []*server // the present servers, by name
-	byIndex  [prefix.MaxServers]*server
-	next     int // round robin's next server
-	prefixes *prefix.Index
-	alone    *server // drains for, or runs, a suspect
+	servers    map[string]*server
+	sorted     []*server // the present servers, by name
+	byPrefixID [prefix.MaxServers]*server
+	nextServer int // round robin's next server
+	prefixes   *prefix.Index
+	isolation  *server // drains for, or runs, a suspect
 }
 
 // runs are the requests that run, by grant and by request.
 type runs struct {
-	seq      uint64 // of grants
-	byGrant  map[GrantID]*run
-	granted  map[request.ID]*run
-	pending  map[uint64]*run // the run that is computing a block now
-	lostRuns int             // freed that nobody released
+	grantSeq      uint64 // of grants
+	byGrant       map[GrantID]*run
+	byRequest     map[request.ID]*run
+	computing     map[uint64]*run // the run that is computing a block now
+	reclaimedRuns int             // freeRate that nobody released
 }
 
-// learned is what the pool has seen of its callers' requests and its servers' speed.
-type learned struct {
-	lengths   *estimate.Estimator
-	hints     *estimate.Hints
-	peers     map[string]score.Prior // measured speed by generation
-	fastest   score.Prior            // the best of all servers; zero: unknown
-	measured  time.Time
-	arrivals  [request.MaxTiers]headroom.Arrivals
-	targets   [request.MaxTiers]time.Duration // first token, by tier
-	served    decay.Rate
-	pace      pace
-	deadlines deadlines
+// observations is what the pool has seen of its callers' requests and its servers' speed.
+type observations struct {
+	lengths           *estimate.Estimator
+	hints             *estimate.Hints
+	priors            map[string]score.Prior // comparedAt speed by generation
+	fastest           score.Prior            // the best of all servers; zero: unknown
+	comparedAt        time.Time
+	arrivals          [request.MaxTiers]headroom.Arrivals
+	firstTokenTargets [request.MaxTiers]time.Duration // first token, by tier
+	servedWork        decay.Rate
+	rates             tierRates
+	deadlines         deadlines
 }
 
-// perEvent is worked out anew for each event that may grant, by refresh, and scratch space.
-type perEvent struct {
-	sound bool    // a server is up that is no straggler
-	freed float64 // slots that come free a second, of so many
-	slots int
-	free  []*server
-	near  []*tier.Item[*waiter]
+// scratch is worked out anew for each event that may grant, by refresh, and scratch space.
+type scratch struct {
+	anyHealthy    bool    // a server is up that is no straggler
+	freeRate      float64 // totalSlots that come free a second, of so many
+	totalSlots    int
+	usableServers []*server
+	candidates    []*tier.Item[*waiter]
 }
 
 // New returns a pool. An unknown policy schedules as PolicyLycheekeel; check
@@ -100,8 +100,8 @@
 func New(cfg Config) *Pool {
 	cfg = cfg.withDefaults()
 	return &Pool{
-		cfg:    cfg,
-		random: cfg.random(),
+		cfg: cfg,
+		rng: cfg.newRand(),
 		waiters: waiters{
 			queue:    tier.NewQueue[*waiter](),
 			isolated: tier.NewQueue[*waiter](),
@@ -109,38 +109,38 @@
 		},
 		backends: backends{servers: make(map[string]*server), prefixes: prefix.NewIndex()},
 		runs: runs{
-			byGrant: make(map[GrantID]*run),
-			granted: make(map[request.ID]*run),
-			pending: make(map[uint64]*run),
+			byGrant:   make(map[GrantID]*run),
+			byRequest: make(map[request.ID]*run),
+			computing: make(map[uint64]*run),
 		},
-		learned: learned{
-			lengths:   estimate.New(),
-			hints:     estimate.NewHints(),
-			peers:     make(map[string]score.Prior),
-			deadlines: make(deadlines),
-			served:    decay.Rate{TimeConstant: flowTime},
-			pace:      newPace(),
+		observations: observations{
+			lengths:    estimate.New(),
+			hints:      estimate.NewHints(),
+			priors:     make(map[string]score.Prior),
+			deadlines:  make(deadlines),
+			servedWork: decay.Rate{TimeConstant: servedWorkWindow},
+			rates:      newTierRates(),
 		},
-		suspects: suspect.NewRegister(cfg.Verdict),
-		siblings: make(map[string]*sibling),
-		shares:   newShares(),
+		suspects:  suspect.NewRegister(cfg.SuspectTTL),
+		siblings:  make(map[string]*sibling),
+		fairShare: newFairShare(),
 	}
 }
 
 // Handle takes one event at the time now, and appends the commands that
 // follow from it to out. now never goes back.
 func (p *Pool) Handle(now time.Time, ev Event, out []Command) []Command {
-	p.now, p.out = now, out
-	p.take(ev)
-	p.entries.settle(now)
+	p.now, p.commands = now, out
+	p.apply(ev)
+	p.entries.updateComplete(now)
 	p.expire()
-	p.trim()
+	p.evictExcess()
 	p.schedule()
-	out, p.out = p.out, nil
+	out, p.commands = p.commands, nil
 	return out
 }
 
-func (p *Pool) take(ev Event) {
+func (p *Pool) apply(ev Event) {
 	switch e := ev.(type) {
 	case Enqueue:
 		p.enqueue(e)
@@ -165,26 +165,26 @@
 	case ServerHealth:
 		p.setHealth(e)
 	case ServerLoad:
-		p.learnLoad(e)
+		p.updateLoad(e)
 	case ServerCache:
-		p.learnCache(e)
+		p.updateCache(e)
 	case Sibling:
-		p.learnSibling(e)
+		p.updateSibling(e)
 	case SuspectShared:
-		p.learnSuspect(e)
+		p.mergeSuspect(e)
 	case Tick:
 		p.tick()
 	}
 }
 
 func (p *Pool) tick() {
-	p.measure()
-	p.watchOverdue()
-	p.freeLost()
-	p.relieve()
+	p.compareServers()
+	p.detectOverdue()
+	p.reclaimLostRuns()
+	p.redirectWhileDown()
 }
 
-func (p *Pool) emit(c Command) { p.out = append(p.out, c) }
+func (p *Pool) emit(c Command) { p.commands = append(p.commands, c) }
 
-// plain tells whether the pool schedules as a baseline does.
-func (p *Pool) plain() bool { return p.cfg.Policy != PolicyLycheekeel }
+// isBaseline tells whether the pool schedules as a baseline does.
+func (p *Pool) isBaseline() bool { return p.cfg.Policy != PolicyLycheekeel }
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func ask(id string, tier request.Tier) Enqueue {
+func enqueue(id string, tier request.Tier) Enqueue {
 	return Enqueue{
 		Request: request.ID(id), Entry: "e1", Workspace: "w", Template: "t", Model: "m", Tier: tier,
 		FirstTokenIn: time.Second, DeadlineIn: time.Minute, PromptTokens: 100, MaxTokens: 100,
@@ -46,10 +46,10 @@
 	Convey("A freed slot goes to the most urgent tier that waits", t, func() {
 		p := New(Config{Name: "p", Epoch: 1})
 		oneServer(p, 1)
-		first := grants(p.Handle(start, ask("a", 2), nil))
+		first := grants(p.Handle(start, enqueue("a", 2), nil))
 		So(first, ShouldHaveLength, 1)
-		p.Handle(start, ask("b", 1), nil)
-		p.Handle(start, ask("c", 0), nil)
+		p.Handle(start, enqueue("b", 1), nil)
+		p.Handle(start, enqueue("c", 0), nil)
 		next := grants(p.Handle(start, Release{Request: "a", Entry: "e1", Grant: first[0].Grant, Server: "s1"}, nil))
 		So(next, ShouldHaveLength, 1)
 		So(next[0].Request, ShouldEqual, request.ID("c"))
@@ -59,8 +59,8 @@
 func TestOverflowEvictsTheLowestTier(t *testing.T) {
 	Convey("A full queue sheds its lowest tier for a higher one, and nothing else", t, func() {
 		p := New(Config{Name: "p", Epoch: 1, MaxWaiting: 1})
-		So(sheds(p.Handle(start, ask("low", 1), nil)), ShouldBeEmpty)
-		So(sheds(p.Handle(start, ask("high", 0), nil))[0].Request, ShouldEqual, request.ID("low"))
-		So(sheds(p.Handle(start, ask("late", 1), nil))[0].Request, ShouldEqual, request.ID("late"))
+		So(sheds(p.Handle(start, enqueue("low", 1), nil)), ShouldBeEmpty)
+		So(sheds(p.Handle(start, enqueue("high", 0), nil))[0].Request, ShouldEqual, request.ID("low"))
+		So(sheds(p.Handle(start, enqueue("late", 1), nil))[0].Request, ShouldEqual, request.ID("late"))
 	})
 }
--- a/pool/property_test.go
+++ b/pool/property_test.go
@@ -12,140 +12,140 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// books is an independent count of what a pool was told and what it said.
-type books struct {
-	t       *rapid.T
-	p       *Pool
-	now     time.Time
-	epoch   uint64
-	n       int
-	events  []Event
-	times   []time.Time
-	said    [][]Command
-	waiting map[request.ID]Enqueue
-	running map[GrantID]Running
-	ended   []Release // to be sent again, late
-	health  map[string]Health
-	slots   map[string]int
-	leaves  map[EntryID]time.Time // when an entry left
-	starts  [propertyServers]int  // of each server
-	// patience is Config.Patience.
-	patience float64
+// model is an independent count of what a pool was told and what it said.
+type model struct {
+	t            *rapid.T
+	p            *Pool
+	now          time.Time
+	epoch        uint64
+	nextID       int
+	events       []Event
+	times        []time.Time
+	outputs      [][]Command
+	waiting      map[request.ID]Enqueue
+	running      map[GrantID]Running
+	ended        []Release // to be sent again, late
+	health       map[string]Health
+	slots        map[string]int
+	leftAt       map[EntryID]time.Time // when an entry left
+	incarnations [propertyServers]int  // of each server
+	// maxWaitShare is Config.Patience.
+	maxWaitShare float64
 }
 
 const propertyServers = 3
 
-func newBooks(t *rapid.T) *books {
-	b := &books{
-		t: t, now: start, epoch: 1, patience: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "patience"), waiting: map[request.ID]Enqueue{}, running: map[GrantID]Running{},
-		health: map[string]Health{}, slots: map[string]int{}, leaves: map[EntryID]time.Time{},
+func newModel(t *rapid.T) *model {
+	m := &model{
+		t: t, now: start, epoch: 1, maxWaitShare: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "patience"), waiting: map[request.ID]Enqueue{}, running: map[GrantID]Running{},
+		health: map[string]Health{}, slots: map[string]int{}, leftAt: map[EntryID]time.Time{},
 	}
-	b.owner()
-	return b
+	m.startOwner()
+	return m
 }
 
-func (b *books) config() Config {
-	return Config{Name: "p", Epoch: b.epoch, MaxWaiting: 8, Seed: 7, Patience: b.patience, LongPatience: 2 * b.patience}
+func (m *model) config() Config {
+	return Config{Name: "p", Epoch: m.epoch, MaxWaiting: 8, Seed: 7, MaxWaitShare: m.maxWaitShare, ExtendedWaitShare: 2 * m.maxWaitShare}
 }
 
-// owner starts a new owner of the pool that knows the servers and entries.
-func (b *books) owner() {
-	b.p = New(b.config())
-	b.events, b.times, b.said = nil, nil, nil
+// startOwner starts a new owner of the pool that knows the servers and entries.
+func (m *model) startOwner() {
+	m.p = New(m.config())
+	m.events, m.times, m.outputs = nil, nil, nil
 	for i := range propertyServers {
 		name := fmt.Sprint("s", i)
-		b.slots[name], b.health[name] = i+1, HealthUp
+		m.slots[name], m.health[name] = i+1, HealthUp
 	}
-	b.send(b.servers())
-	b.send(EntrySet{Entries: b.entries()})
+	m.send(m.servers())
+	m.send(EntrySet{Entries: m.entries()})
 }
 
-func (b *books) servers() (set ServerSet) {
-	for i, n := range b.starts {
+func (m *model) servers() (set ServerSet) {
+	for i, n := range m.incarnations {
 		name := fmt.Sprint("s", i)
-		set.Servers = append(set.Servers, ServerInfo{Name: name, Generation: "g", Slots: b.slots[name], Incarnation: fmt.Sprint(n)})
+		set.Servers = append(set.Servers, ServerInfo{Name: name, Generation: "g", Slots: m.slots[name], Incarnation: fmt.Sprint(n)})
 	}
 	return set
 }
 
-// startAgain starts a server again: what ran there has ended, and its releases come
+// restartServer starts a server again: what ran there has ended, and its releases come
 // late.
-func (b *books) startAgain(t *rapid.T) {
+func (m *model) restartServer(t *rapid.T) {
 	i := rapid.IntRange(0, propertyServers-1).Draw(t, "server")
-	b.starts[i]++
-	for _, r := range b.runsInOrder() {
+	m.incarnations[i]++
+	for _, r := range m.sortedRuns() {
 		if r.Server == fmt.Sprint("s", i) {
-			delete(b.running, r.Grant)
-			b.ended = append(b.ended, Release{Request: r.Request, Entry: r.Entry, Grant: r.Grant, Server: r.Server, Outcome: OutcomeBroken})
+			delete(m.running, r.Grant)
+			m.ended = append(m.ended, Release{Request: r.Request, Entry: r.Entry, Grant: r.Grant, Server: r.Server, Outcome: OutcomeStreamLost})
 		}
 	}
-	b.send(b.servers())
+	m.send(m.servers())
 }
 
-func (b *books) entries() []EntryID {
+func (m *model) entries() []EntryID {
 	var alive []EntryID
 	for _, e := range []EntryID{"e0", "e1"} {
-		if b.leaves[e].IsZero() {
+		if m.leftAt[e].IsZero() {
 			alive = append(alive, e)
 		}
 	}
 	return alive
 }
 
-func (b *books) send(ev Event) {
-	out := b.p.Handle(b.now, ev, nil)
-	b.events, b.times, b.said = append(b.events, ev), append(b.times, b.now), append(b.said, out)
+func (m *model) send(ev Event) {
+	out := m.p.Handle(m.now, ev, nil)
+	m.events, m.times, m.outputs = append(m.events, ev), append(m.times, m.now), append(m.outputs, out)
 	for _, c := range out {
-		b.check(c)
+		m.check(c)
 	}
 }
 
-func (b *books) check(c Command) {
+func (m *model) check(c Command) {
 	switch c := c.(type) {
 	case Grant:
-		e, ok := b.waiting[c.Request]
+		e, ok := m.waiting[c.Request]
 		if !ok || e.Entry != c.Entry {
-			b.t.Fatalf("grant of %s, which doesn't wait", c.Request)
+			m.t.Fatalf("grant of %s, which doesn't wait", c.Request)
 		}
-		if b.health[c.Server] != HealthUp {
-			b.t.Fatalf("grant on %s, which is not up", c.Server)
+		if m.health[c.Server] != HealthUp {
+			m.t.Fatalf("grant on %s, which is not up", c.Server)
 		}
-		if _, twice := b.running[c.Grant]; twice {
-			b.t.Fatalf("grant %v twice", c.Grant)
+		if _, twice := m.running[c.Grant]; twice {
+			m.t.Fatalf("grant %v twice", c.Grant)
 		}
-		delete(b.waiting, c.Request)
-		b.running[c.Grant] = Running{Entry: c.Entry, Request: c.Request, Grant: c.Grant, Server: c.Server, Workspace: e.Workspace,
+		delete(m.waiting, c.Request)
+		m.running[c.Grant] = Running{Entry: c.Entry, Request: c.Request, Grant: c.Grant, Server: c.Server, Workspace: e.Workspace,
 			Tier: e.Tier, Fingerprint: e.Fingerprint, PromptTokens: e.PromptTokens, MaxTokens: e.MaxTokens, ExpectedTokens: e.ExpectedTokens}
-		if n := b.on(c.Server); n > b.slots[c.Server] {
-			b.t.Fatalf("%d run on %s, which has %d slots", n, c.Server, b.slots[c.Server])
+		if n := m.runningOn(c.Server); n > m.slots[c.Server] {
+			m.t.Fatalf("%d run on %s, which has %d slots", n, c.Server, m.slots[c.Server])
 		}
 	case Shed:
-		e, ok := b.waiting[c.Request]
+		e, ok := m.waiting[c.Request]
 		if !ok {
-			b.t.Fatalf("shed of %s, which doesn't wait", c.Request)
+			m.t.Fatalf("shed of %s, which doesn't wait", c.Request)
 		}
-		delete(b.waiting, c.Request)
-		b.checkShed(c, e)
+		delete(m.waiting, c.Request)
+		m.checkShed(c, e)
 	}
 }
 
-func (b *books) checkShed(c Shed, e Enqueue) {
+func (m *model) checkShed(c Shed, e Enqueue) {
 	if c.RetryAfter <= 0 {
-		b.t.Fatalf("shed of %s without a time to come back", c.Request)
+		m.t.Fatalf("shed of %s without a time to come back", c.Request)
 	}
 	if c.Reason != request.ReasonShed && c.Reason != request.ReasonWorkspaceLimit {
 		return
 	}
-	for id, w := range b.waiting {
+	for id, w := range m.waiting {
 		if w.Tier > e.Tier {
-			b.t.Fatalf("%s of tier %d shed (%s) while %s of tier %d waits", c.Request, e.Tier, c.Reason, id, w.Tier)
+			m.t.Fatalf("%s of tier %d shed (%s) while %s of tier %d waits", c.Request, e.Tier, c.Reason, id, w.Tier)
 		}
 	}
 }
 
-func (b *books) on(server string) int {
+func (m *model) runningOn(server string) int {
 	n := 0
-	for _, r := range b.running {
+	for _, r := range m.running {
 		if r.Server == server {
 			n++
 		}
@@ -153,10 +153,10 @@
 	return n
 }
 
-func (b *books) enqueue(t *rapid.T) {
-	b.n++
+func (m *model) enqueue(t *rapid.T) {
+	m.nextID++
 	e := Enqueue{
-		Request: request.ID(fmt.Sprint("r", b.n)), Entry: rapid.SampledFrom(b.entries()).Draw(t, "entry"),
+		Request: request.ID(fmt.Sprint("r", m.nextID)), Entry: rapid.SampledFrom(m.entries()).Draw(t, "entry"),
 		Workspace: rapid.SampledFrom([]string{"v", "w"}).Draw(t, "workspace"), Template: "t", Model: "m",
 		Tier:         request.Tier(rapid.IntRange(0, 2).Draw(t, "tier")),
 		FirstTokenIn: time.Second, DeadlineIn: time.Duration(rapid.IntRange(1, 20).Draw(t, "deadline")) * time.Second,
@@ -167,70 +167,70 @@
 	for i := range e.PromptTokens / 64 {
 		e.Blocks = append(e.Blocks, uint64(rapid.SampledFrom([]int{1, 2}).Example(0)<<32+i+1))
 	}
-	b.waiting[e.Request] = e
-	b.send(e)
+	m.waiting[e.Request] = e
+	m.send(e)
 }
 
-func (b *books) pick(t *rapid.T) Running {
-	ids := make([]GrantID, 0, len(b.running))
-	for id := range b.running {
+func (m *model) drawRunning(t *rapid.T) Running {
+	ids := make([]GrantID, 0, len(m.running))
+	for id := range m.running {
 		ids = append(ids, id)
 	}
 	if len(ids) == 0 {
 		t.Skip()
 	}
 	slices.SortFunc(ids, func(a, c GrantID) int { return int(a.Epoch*1e6+a.Seq) - int(c.Epoch*1e6+c.Seq) })
-	return b.running[rapid.SampledFrom(ids).Draw(t, "run")]
+	return m.running[rapid.SampledFrom(ids).Draw(t, "run")]
 }
 
-func (b *books) release(t *rapid.T) {
-	r := b.pick(t)
+func (m *model) release(t *rapid.T) {
+	r := m.drawRunning(t)
 	outcome := rapid.SampledFrom([]Outcome{
-		OutcomeDone, OutcomeDone, OutcomeNotDispatched, OutcomeCanceled, OutcomeBroken, OutcomeCrashed, OutcomeFailed,
+		OutcomeDone, OutcomeDone, OutcomeNotDispatched, OutcomeCanceled, OutcomeStreamLost, OutcomeCrashed, OutcomeFailed,
 	}).Draw(t, "outcome")
 	rel := Release{Request: r.Request, Entry: r.Entry, Grant: r.Grant, Server: r.Server, Outcome: outcome,
 		FirstToken: 50 * time.Millisecond, Total: time.Second, OutputTokens: 10, PromptTokens: 100, PrefillComputed: 50}
-	delete(b.running, r.Grant)
-	b.ended = append(b.ended, rel)
-	b.send(rel)
+	delete(m.running, r.Grant)
+	m.ended = append(m.ended, rel)
+	m.send(rel)
 }
 
-// countsAgree compares the pool's counts with the books.
-func (b *books) countsAgree(t *rapid.T) {
-	sum := b.p.Summary(b.now)
-	if sum.Running != len(b.running) {
-		t.Fatalf("counts %d running, not %d", sum.Running, len(b.running))
+// checkCounts compares the pool's counts with the books.
+func (m *model) checkCounts(t *rapid.T) {
+	sum := m.p.Summary(m.now)
+	if sum.Running != len(m.running) {
+		t.Fatalf("counts %d running, not %d", sum.Running, len(m.running))
 	}
 	for _, s := range sum.Servers {
-		if s.Running != b.on(s.Name) {
-			t.Fatalf("counts %d on %s, not %d", s.Running, s.Name, b.on(s.Name))
+		if s.Running != m.runningOn(s.Name) {
+			t.Fatalf("counts %d on %s, not %d", s.Running, s.Name, m.runningOn(s.Name))
 		}
 	}
 	waiting := 0
 	for _, n := range sum.Waiting {
 		waiting += n
 	}
-	if waiting != len(b.waiting) || waiting > b.p.maxWaiting() {
-		t.Fatalf("counts %d waiting, not %d", waiting, len(b.waiting))
+	if waiting != len(m.waiting) || waiting > m.p.maxWaiting() {
+		t.Fatalf("counts %d waiting, not %d", waiting, len(m.waiting))
 	}
-	b.suspectsAlone(t)
-	for _, s := range b.p.order {
+	m.checkSuspectsIsolated(t)
+	for _, s := range m.p.sorted {
 		prefill, tokens := 0, 0
 		for _, r := range s.running {
-			tokens += r.tokens
-			if !r.first {
-				prefill += r.uncached
+			tokens += r.kvTokens
+			if !r.prefillDone {
+				prefill += r.uncachedTokens
 			}
 		}
-		if prefill != s.prefill || tokens != s.tokens || s.held != b.heldFor(s) {
+		if prefill != s.pendingPrefill || tokens != s.kvTokens || s.heldCount != m.heldFor(s) {
 			t.Fatalf("%s: books of prefill, memory or holds are off", s.info.Name)
 		}
 	}
 }
 
-func (b *books) heldFor(s *server) int {
+func (m *model) heldFor(s *server) int {
 	n := 0
-	for _, w := range b.p.held {
+	for _, w := range m.p.held {
 		if w.heldFor == s {
 			n++
 		}
@@ -238,11 +238,11 @@
 	return n
 }
 
-// suspectsAlone checks that a suspect runs alone, and one at a time.
-func (b *books) suspectsAlone(t *rapid.T) {
+// checkSuspectsIsolated checks that a suspect runs alone, and one at a time.
+func (m *model) checkSuspectsIsolated(t *rapid.T) {
 	n := 0
-	for _, r := range b.p.byGrant {
-		if !r.alone {
+	for _, r := range m.p.byGrant {
+		if !r.suspect {
 			continue
 		}
 		n++
@@ -258,134 +258,134 @@
 // Under any order of events, crashes, silence, late releases, entries that
 // leave and owner changes included, nothing is lost or granted twice, counts
 // are grants less releases, limits hold, and no tier is shed before a lower.
-func TestAnyOrderOfEvents(t *testing.T) {
+func TestInvariantsUnderAnyEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBooks(t)
+		m := newModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"enqueue":  b.enqueue,
-			"enqueue2": b.enqueue,
-			"release":  b.release,
+			"enqueue":  m.enqueue,
+			"enqueue2": m.enqueue,
+			"release":  m.release,
 			"withdraw": func(t *rapid.T) {
-				for _, w := range b.p.waitingInOrder() {
-					delete(b.waiting, w.Request)
-					b.send(Withdraw{Request: w.Request, Entry: w.Entry})
+				for _, w := range m.p.sortedWaiters() {
+					delete(m.waiting, w.Request)
+					m.send(Withdraw{Request: w.Request, Entry: w.Entry})
 					return
 				}
 			},
 			"progress": func(t *rapid.T) {
-				r := b.pick(t)
-				b.send(Progress{Request: r.Request, Grant: r.Grant, Server: r.Server, Tokens: rapid.IntRange(1, 90).Draw(t, "tokens"),
+				r := m.drawRunning(t)
+				m.send(Progress{Request: r.Request, Grant: r.Grant, Server: r.Server, Tokens: rapid.IntRange(1, 90).Draw(t, "tokens"),
 					FirstToken: time.Duration(rapid.IntRange(1, 3000).Draw(t, "first")) * time.Millisecond,
 					PerToken:   time.Duration(rapid.IntRange(0, 200).Draw(t, "per")) * time.Millisecond})
 			},
 			"late": func(t *rapid.T) {
-				if len(b.ended) > 0 {
-					b.send(rapid.SampledFrom(b.ended).Draw(t, "again"))
+				if len(m.ended) > 0 {
+					m.send(rapid.SampledFrom(m.ended).Draw(t, "again"))
 				}
 			},
 			"health": func(t *rapid.T) {
 				name := fmt.Sprint("s", rapid.IntRange(0, propertyServers-1).Draw(t, "server"))
-				b.health[name] = rapid.SampledFrom([]Health{HealthUp, HealthUp, HealthLeaving, HealthSilent, HealthGone}).Draw(t, "health")
-				b.send(ServerHealth{Server: name, Health: b.health[name], Incarnation: uint64(rapid.IntRange(1, 2).Draw(t, "incarnation"))})
+				m.health[name] = rapid.SampledFrom([]Health{HealthUp, HealthUp, HealthLeaving, HealthUnresponsive, HealthGone}).Draw(t, "health")
+				m.send(ServerHealth{Server: name, Health: m.health[name], Incarnation: uint64(rapid.IntRange(1, 2).Draw(t, "incarnation"))})
 			},
 			"time": func(t *rapid.T) {
-				b.now = b.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
-				for id, r := range b.running {
-					if left := b.leaves[r.Entry]; !left.IsZero() && b.now.Sub(left) >= lostGrace {
-						delete(b.running, id)
+				m.now = m.now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
+				for id, r := range m.running {
+					if left := m.leftAt[r.Entry]; !left.IsZero() && m.now.Sub(left) >= entryGrace {
+						delete(m.running, id)
 					}
 				}
-				b.send(Tick{})
+				m.send(Tick{})
 			},
-			"again": b.startAgain,
-			"entry": func(*rapid.T) { b.leaveOrReturn("e1") },
-			"ended": func(*rapid.T) { b.restart("e1") },
-			"owner": func(t *rapid.T) { b.changeOwner() },
-			"":      func(t *rapid.T) { b.countsAgree(t) },
+			"again": m.restartServer,
+			"entry": func(*rapid.T) { m.leaveOrReturn("e1") },
+			"ended": func(*rapid.T) { m.restartEntry("e1") },
+			"owner": func(t *rapid.T) { m.changeOwner() },
+			"":      func(t *rapid.T) { m.checkCounts(t) },
 		})
-		b.sameAgain(t)
+		m.checkDeterminism(t)
 	})
 }
 
 // leaveOrReturn lets an entry leave: what waits for it is gone at once, what it
 // runs after the grace time, unless it returns.
-func (b *books) leaveOrReturn(id EntryID) {
-	if !b.leaves[id].IsZero() {
-		delete(b.leaves, id)
-		b.send(EntrySet{Entries: b.entries()})
+func (m *model) leaveOrReturn(id EntryID) {
+	if !m.leftAt[id].IsZero() {
+		delete(m.leftAt, id)
+		m.send(EntrySet{Entries: m.entries()})
 		return
 	}
-	b.leaves[id] = b.now
-	for r, e := range b.waiting {
+	m.leftAt[id] = m.now
+	for r, e := range m.waiting {
 		if e.Entry == id {
-			delete(b.waiting, r)
+			delete(m.waiting, r)
 		}
 	}
-	b.send(EntrySet{Entries: b.entries()})
+	m.send(EntrySet{Entries: m.entries()})
 }
 
-// restart ends an entry's process: what waits for it and what it runs are gone
+// restartEntry ends an entry's process: what waits for it and what it runs are gone
 // at once, and another process takes its place.
-func (b *books) restart(id EntryID) {
-	for r, e := range b.waiting {
+func (m *model) restartEntry(id EntryID) {
+	for r, e := range m.waiting {
 		if e.Entry == id {
-			delete(b.waiting, r)
+			delete(m.waiting, r)
 		}
 	}
-	for g, r := range b.running {
+	for g, r := range m.running {
 		if r.Entry == id {
-			delete(b.running, g)
+			delete(m.running, g)
 		}
 	}
-	b.send(EntryEnded{Entry: id})
-	if b.leaves[id].IsZero() {
-		b.send(EntrySet{Entries: b.entries()})
+	m.send(EntryEnded{Entry: id})
+	if m.leftAt[id].IsZero() {
+		m.send(EntrySet{Entries: m.entries()})
 	}
 }
 
 // changeOwner starts a new owner; the entries report and ask again.
-func (b *books) changeOwner() {
-	b.epoch++
-	waiting := b.p.waitingInOrder()
-	health := b.health
-	b.health = map[string]Health{}
-	for id, r := range b.running {
-		if !b.leaves[r.Entry].IsZero() {
-			delete(b.running, id) // nobody will report it
+func (m *model) changeOwner() {
+	m.epoch++
+	waiting := m.p.sortedWaiters()
+	health := m.health
+	m.health = map[string]Health{}
+	for id, r := range m.running {
+		if !m.leftAt[r.Entry].IsZero() {
+			delete(m.running, id) // nobody will report it
 		}
 	}
-	b.owner()
-	for _, r := range b.runsInOrder() {
-		b.send(r)
+	m.startOwner()
+	for _, r := range m.sortedRuns() {
+		m.send(r)
 	}
-	for _, e := range b.entries() {
-		b.send(EntryReported{Entry: e})
+	for _, e := range m.entries() {
+		m.send(EntryReported{Entry: e})
 	}
 	for i := range propertyServers {
 		name := fmt.Sprint("s", i)
-		b.health[name] = health[name]
-		b.send(ServerHealth{Server: name, Health: health[name], Incarnation: 1})
+		m.health[name] = health[name]
+		m.send(ServerHealth{Server: name, Health: health[name], Incarnation: 1})
 	}
 	for _, w := range waiting {
-		b.send(b.waiting[w.Request])
+		m.send(m.waiting[w.Request])
 	}
 }
 
-func (b *books) runsInOrder() []Running {
+func (m *model) sortedRuns() []Running {
 	var all []Running
-	for _, r := range b.running {
+	for _, r := range m.running {
 		all = append(all, r)
 	}
 	slices.SortFunc(all, func(a, c Running) int { return int(a.Grant.Epoch*1e6+a.Grant.Seq) - int(c.Grant.Epoch*1e6+c.Grant.Seq) })
 	return all
 }
 
-// sameAgain checks that the same events give the same commands.
-func (b *books) sameAgain(t *rapid.T) {
-	p := New(b.config())
-	for i, ev := range b.events {
-		if out := p.Handle(b.times[i], ev, nil); !reflect.DeepEqual(out, b.said[i]) {
-			t.Fatalf("event %d (%T) gave %v, then %v", i, ev, b.said[i], out)
+// checkDeterminism checks that the same events give the same commands.
+func (m *model) checkDeterminism(t *rapid.T) {
+	p := New(m.config())
+	for i, ev := range m.events {
+		if out := p.Handle(m.times[i], ev, nil); !reflect.DeepEqual(out, m.outputs[i]) {
+			t.Fatalf("event %d (%T) gave %v, then %v", i, ev, m.outputs[i], out)
 		}
 	}
 }
@@ -398,7 +398,7 @@
 		oneServer(p, 1)
 		waiting := map[request.ID]request.Tier{}
 		for i, tr := range rapid.SliceOfN(rapid.IntRange(0, 5), 2, 30).Draw(t, "tiers") {
-			e := ask(fmt.Sprint("r", i), request.Tier(tr))
+			e := enqueue(fmt.Sprint("r", i), request.Tier(tr))
 			e.FirstTokenIn, e.DeadlineIn = time.Hour, time.Hour
 			e.Workspace = fmt.Sprint(i % 3)
 			waiting[e.Request] = e.Tier
--- a/pool/run.go
+++ b/pool/run.go
@@ -9,9 +9,9 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// pendingStride is how many blocks apart the prefixes that are being computed
+// computingStride is how many blocks apart the prefixes that are being computed
 // are remembered: finer would cost a map access a block for little.
-const pendingStride = 4
+const computingStride = 4
 
 // run is a grant that has not been released.
 type run struct {
@@ -20,82 +20,82 @@
 	entry       EntryID
 	server      *server
 	index       int // in server.running
-	since       time.Time
+	grantedAt   time.Time
 	tier        request.Tier
 	workspace   string
 	mix         estimate.Mix
 	fingerprint uint64
-	alone       bool // granted as a suspect
-
-	prompt, maxTokens int
-	hint              int // the caller's estimate of the answer; 0: none
-	blocks            []uint64
-	perToken          time.Duration // target
-	cost              float64       // as charged
-	deadline          time.Time
-
-	cached   int // leading blocks believed to be cached
-	uncached int // prompt tokens to compute
-	ahead    int // prefill tokens on the server before it
-	tokens   int // KV memory that it will need
-	at       int // running requests when it began
-
-	first         bool // its first token has come, or it was released
-	had           int  // tokens so far
-	prefilledThen int  // server.prefilled at its last report
-	heard         time.Time
-	withdrawn     time.Time
-	crashed       bool // its server crashed under it
+	suspect     bool // granted as a suspect
+
+	promptTokens, maxTokens int
+	hint                    int // the caller's estimate of the answer; 0: none
+	blocks                  []uint64
+	perToken                time.Duration // target
+	cost                    float64       // as charged
+	deadline                time.Time
+
+	cachedBlocks   int // leading blocks believed to be cached
+	uncachedTokens int // promptTokens tokens to compute
+	prefillAhead   int // prefill tokens on the server before it
+	kvTokens       int // KV memory that it will need
+	runningAtGrant int // running requests when it began
+
+	prefillDone       bool // its first token has come, or it was released
+	generated         int  // kvTokens so far
+	prefilledAtReport int  // server.prefilled at its last report
+	lastReport        time.Time
+	withdrawnAt       time.Time
+	crashed           bool // its server crashed under it
 }
 
-// call tells whether the run is a call to a plain service: it has no tokens.
-func (r *run) call() bool { return r.prompt == 0 && r.maxTokens == 0 }
+// isCall tells whether the run is a call to a plain service: it has no tokens.
+func (r *run) isCall() bool { return r.promptTokens == 0 && r.maxTokens == 0 }
 
 func (p *Pool) addRun(r *run) {
 	s := r.server
 	r.index = len(s.running)
 	s.running = append(s.running, r)
-	s.tokens += r.tokens
+	s.kvTokens += r.kvTokens
 	p.byGrant[r.id] = r
-	p.granted[r.request] = r
-	if r.first {
+	p.byRequest[r.request] = r
+	if r.prefillDone {
 		return
 	}
-	s.prefill += r.uncached
-	for i := pendingStride - 1; i < len(r.blocks); i += pendingStride {
-		p.pending[r.blocks[i]] = r
+	s.pendingPrefill += r.uncachedTokens
+	for i := computingStride - 1; i < len(r.blocks); i += computingStride {
+		p.computing[r.blocks[i]] = r
 	}
 }
 
 func (p *Pool) removeRun(r *run) {
-	p.prefillDone(r)
-	p.tally.ended(r, p.now)
+	p.endPrefill(r)
+	p.tally.countEnd(r, p.now)
 	s := r.server
 	last := len(s.running) - 1
 	s.running[r.index] = s.running[last]
 	s.running[r.index].index = r.index
 	s.running = slices.Delete(s.running, last, last+1)
-	s.tokens -= r.tokens
+	s.kvTokens -= r.kvTokens
 	delete(p.byGrant, r.id)
-	if p.granted[r.request] == r {
-		delete(p.granted, r.request)
+	if p.byRequest[r.request] == r {
+		delete(p.byRequest, r.request)
 	}
-	if !s.present && len(s.running) == 0 {
-		p.forgetServers()
+	if !s.configured && len(s.running) == 0 {
+		p.removeIdleServers()
 	}
 }
 
-// prefillDone takes a run's prompt off what its server still has to compute.
-func (p *Pool) prefillDone(r *run) {
-	if r.first {
+// endPrefill takes a run's prompt off what its server still has to compute.
+func (p *Pool) endPrefill(r *run) {
+	if r.prefillDone {
 		return
 	}
-	r.first = true
-	r.server.prefill -= r.uncached
-	r.server.prefilled += r.uncached
-	for i := pendingStride - 1; i < len(r.blocks); i += pendingStride {
-		if p.pending[r.blocks[i]] == r {
-			delete(p.pending, r.blocks[i])
+	r.prefillDone = true
+	r.server.pendingPrefill -= r.uncachedTokens
+	r.server.prefillTotal += r.uncachedTokens
+	for i := computingStride - 1; i < len(r.blocks); i += computingStride {
+		if p.computing[r.blocks[i]] == r {
+			delete(p.computing, r.blocks[i])
 		}
 	}
 }
@@ -105,32 +105,32 @@
 	if r == nil {
 		return
 	}
-	r.heard = p.now
+	r.lastReport = p.now
 	if e.Tokens > 0 {
-		r.server.progressed = p.now
-		p.succeeded(r.server)
+		r.server.lastProgress = p.now
+		p.serverSucceeded(r.server)
 	}
-	if p.plain() {
+	if p.isBaseline() {
 		return
 	}
-	if e.FirstToken > 0 && !r.first && !r.call() {
-		p.firstToken(r, e.FirstToken)
+	if e.FirstToken > 0 && !r.prefillDone && !r.isCall() {
+		p.recordFirstToken(r, e.FirstToken)
 	}
-	if e.PerToken > 0 && e.Tokens > r.had {
-		p.observeToken(r, e.PerToken, e.Tokens-r.had)
+	if e.PerToken > 0 && e.Tokens > r.generated {
+		p.observeToken(r, e.PerToken, e.Tokens-r.generated)
 	}
-	r.had = max(r.had, e.Tokens)
-	r.prefilledThen = r.server.prefilled
-	p.correctLength(r)
+	r.generated = max(r.generated, e.Tokens)
+	r.prefilledAtReport = r.server.prefillTotal
+	p.growLength(r)
 }
 
-// firstToken learns from a first token: the prompt is computed and cached.
-func (p *Pool) firstToken(r *run, took time.Duration) {
-	p.prefillDone(r)
-	r.prefilledThen = r.server.prefilled
-	p.observeFirst(r, took)
-	if r.server.index >= 0 && len(r.blocks) > 0 {
-		p.prefixes.Store(p.now, r.server.index, r.blocks)
+// firstTokenDue learns from a first token: the prompt is computed and cached.
+func (p *Pool) recordFirstToken(r *run, took time.Duration) {
+	p.endPrefill(r)
+	r.prefilledAtReport = r.server.prefillTotal
+	p.observeFirstToken(r, took)
+	if r.server.prefixID >= 0 && len(r.blocks) > 0 {
+		p.prefixes.Store(p.now, r.server.prefixID, r.blocks)
 	}
 }
 
@@ -143,84 +143,84 @@
 	}
 	switch e.Outcome {
 	case OutcomeDone:
-		p.succeeded(r.server)
-		r.server.failures.add(p.now, false)
-		p.learnDone(r, e)
+		p.serverSucceeded(r.server)
+		r.server.failureRate.add(p.now, false)
+		p.handleDone(r, e)
 	case OutcomeNotDispatched:
 		p.refund(r, r.cost)
 	case OutcomeNotSent, OutcomeRefused:
 		p.refund(r, r.cost)
-		p.learnRefusal(r.server, e)
+		p.handleRefusal(r.server, e)
 	case OutcomeCrashed:
-		p.lose(r)
+		p.recordLostRun(r)
 		p.serverCrashed(r.server, r)
-	case OutcomeBroken:
-		p.runBroke(r)
-		r.server.failures.add(p.now, true)
-		p.lose(r)
+	case OutcomeStreamLost:
+		p.runLost(r)
+		r.server.failureRate.add(p.now, true)
+		p.recordLostRun(r)
 	case OutcomeFailed:
 		p.runFailed(r)
-		r.server.failures.add(p.now, true)
+		r.server.failureRate.add(p.now, true)
 	}
 	p.removeRun(r)
-	if r.alone {
-		p.aloneEnded(r, e.Outcome)
+	if r.suspect {
+		p.suspectEnded(r, e.Outcome)
 	}
 }
 
-func (p *Pool) learnRefusal(s *server, e Release) {
+func (p *Pool) handleRefusal(s *server, e Release) {
 	if e.Outcome == OutcomeRefused {
-		p.heard(s)
+		p.serverAnswered(s)
 	}
 	if e.RefusedLeaving {
-		s.leavingTill = p.now.Add(leavingFor)
+		s.leavingUntil = p.now.Add(leavingTimeout)
 		return
 	}
-	p.leaveAlone(s)
+	p.pauseServer(s)
 }
 
-// learnDone learns from a whole answer.
-func (p *Pool) learnDone(r *run, e Release) {
+// handleDone learns from a whole answer.
+func (p *Pool) handleDone(r *run, e Release) {
 	s := r.server
-	s.pause, s.progressed = 0, p.now
-	p.served.Add(p.now, r.cost)
-	if p.plain() {
+	s.backoff, s.lastProgress = 0, p.now
+	p.servedWork.Add(p.now, r.cost)
+	if p.isBaseline() {
 		return
 	}
-	if r.call() {
+	if r.isCall() {
 		p.observeCall(r, e.Total)
-	} else if e.FirstToken > 0 && !r.first {
-		p.firstToken(r, e.FirstToken)
+	} else if e.FirstToken > 0 && !r.prefillDone {
+		p.recordFirstToken(r, e.FirstToken)
 	}
-	if e.OutputTokens > r.had+1 && r.had == 0 && e.Total > e.FirstToken {
+	if e.OutputTokens > r.generated+1 && r.generated == 0 && e.Total > e.FirstToken {
 		n := e.OutputTokens - 1
 		p.observeToken(r, (e.Total-e.FirstToken)/time.Duration(n), n)
 	}
 	if e.Total > 0 {
-		s.service += serviceStep * (e.Total.Seconds() - s.service)
+		s.meanService += serviceWeight * (e.Total.Seconds() - s.meanService)
 	}
-	p.learnPrefix(r, e)
-	p.learnLength(r, e)
+	p.confirmPrefix(r, e)
+	p.recordLength(r, e)
 	if p.suspects.Release(p.now, r.fingerprint) {
 		p.emit(ShareSuspect{Fingerprint: r.fingerprint, State: SuspectCleared})
 	}
 }
 
-const serviceStep = 0.1 // weight of a new service time in the mean
+const serviceWeight = 0.1 // weight of a new service time in the mean
 
-// learnPrefix compares what was believed to be cached with what was.
-func (p *Pool) learnPrefix(r *run, e Release) {
-	if r.server.index < 0 || len(r.blocks) == 0 || e.PromptTokens == 0 || e.PrefillComputed == 0 {
+// confirmPrefix compares what was believed to be cached with what was.
+func (p *Pool) confirmPrefix(r *run, e Release) {
+	if r.server.prefixID < 0 || len(r.blocks) == 0 || e.PromptTokens == 0 || e.PrefillComputed == 0 {
 		return
 	}
 	found := (e.PromptTokens - e.PrefillComputed + 1) / engine.BlockTokens
-	p.prefixes.Confirm(r.server.index, r.blocks, r.cached, found)
+	p.prefixes.Confirm(r.server.prefixID, r.blocks, r.cachedBlocks, found)
 }
 
 // refund gives a workspace back what it was charged too much; it may be
 // negative.
 func (p *Pool) refund(r *run, amount float64) {
-	if !p.plain() {
+	if !p.isBaseline() {
 		p.queue.Correct(r.tier, r.workspace, -amount)
 	}
 }
@@ -229,22 +229,22 @@
 // itself.
 func (p *Pool) adopt(e Running) {
 	e.PromptTokens, e.MaxTokens, e.ExpectedTokens = max(0, e.PromptTokens), max(0, e.MaxTokens), max(0, e.ExpectedTokens)
-	p.entryHeard(e.Entry)
+	p.markEntryAlive(e.Entry)
 	if r := p.byGrant[e.Grant]; r != nil {
-		r.heard = p.now
+		r.lastReport = p.now
 		return
 	}
 	if w := p.waiting[e.Request]; w != nil {
-		p.drop(w)
+		p.removeWaiter(w)
 	}
 	mix := estimate.Mix{Workspace: e.Workspace, Template: e.Template, Model: e.Model}
 	r := &run{
-		id: e.Grant, request: e.Request, entry: e.Entry, server: p.server(e.Server), since: p.now, heard: p.now,
+		id: e.Grant, request: e.Request, entry: e.Entry, server: p.server(e.Server), grantedAt: p.now, lastReport: p.now,
 		tier: min(e.Tier, request.MaxTiers-1), workspace: e.Workspace, mix: mix, fingerprint: e.Fingerprint,
-		prompt: e.PromptTokens, maxTokens: e.MaxTokens, hint: e.ExpectedTokens, blocks: e.Blocks, had: e.Tokens,
-		first: e.Tokens > 0, uncached: e.PromptTokens,
-		tokens: e.PromptTokens + p.expectLength(mix, e.ExpectedTokens, e.MaxTokens).High,
+		promptTokens: e.PromptTokens, maxTokens: e.MaxTokens, hint: e.ExpectedTokens, blocks: e.Blocks, generated: e.Tokens,
+		prefillDone: e.Tokens > 0, uncachedTokens: e.PromptTokens,
+		kvTokens: e.PromptTokens + p.expectLength(mix, e.ExpectedTokens, e.MaxTokens).High,
 	}
-	r.cost = cost(e.PromptTokens, e.MaxTokens)
+	r.cost = workCost(e.PromptTokens, e.MaxTokens)
 	p.addRun(r)
 }
--- a/pool/scenario_test.go
+++ b/pool/scenario_test.go
@@ -11,15 +11,15 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// rig drives a pool by hand, with a clock of its own.
-type rig struct {
+// harness drives a pool by hand, with a clock of its own.
+type harness struct {
 	*Pool
 	now time.Time
 }
 
-func newRig(cfg Config, servers ...ServerInfo) *rig {
+func newHarness(cfg Config, servers ...ServerInfo) *harness {
 	cfg.Name, cfg.Epoch = "p", 1
-	r := &rig{Pool: New(cfg), now: start}
+	r := &harness{Pool: New(cfg), now: start}
 	r.send(ServerSet{Servers: servers})
 	return r
 }
@@ -32,27 +32,27 @@
 	return all
 }
 
-func (r *rig) send(ev Event) []Command { return r.Handle(r.now, ev, nil) }
+func (r *harness) send(ev Event) []Command { return r.Handle(r.now, ev, nil) }
 
-func (r *rig) pass(d time.Duration) []Command {
+func (r *harness) advance(d time.Duration) []Command {
 	r.now = r.now.Add(d)
 	return r.send(Tick{})
 }
 
-// grant asks for a slot and returns the grant; it must come at once.
-func (r *rig) grant(e Enqueue) Grant {
+// mustGrant asks for a slot and returns the grant; it must come at once.
+func (r *harness) mustGrant(e Enqueue) Grant {
 	out := grants(r.send(e))
 	So(out, ShouldHaveLength, 1)
 	return out[0]
 }
 
-func (r *rig) end(g Grant, o Outcome) []Command {
+func (r *harness) endRun(g Grant, o Outcome) []Command {
 	return r.send(Release{Request: g.Request, Entry: g.Entry, Grant: g.Grant, Server: g.Server, Outcome: o,
 		FirstToken: 30 * time.Millisecond, Total: time.Second, OutputTokens: 10, PromptTokens: 100, PrefillComputed: 100})
 }
 
-func marked(id string, fingerprint uint64) Enqueue {
-	e := ask(id, 0)
+func fingerprinted(id string, fingerprint uint64) Enqueue {
+	e := enqueue(id, 0)
 	e.Fingerprint = fingerprint
 	return e
 }
@@ -65,87 +65,87 @@
 }
 
 // Guards against one request that crashes server after server, since its caller sends it again.
-func TestCrashingRequestIsConvicted(t *testing.T) {
+func TestCrashingRequestIsConfirmed(t *testing.T) {
 	Convey("Given a server that crashed under three requests", t, func() {
-		r := newRig(Config{}, servers(1, 3)...)
-		bad, good := r.grant(marked("bad", 1)), r.grant(marked("good", 2))
-		r.grant(marked("other", 3))
+		r := newHarness(Config{}, servers(1, 3)...)
+		bad, good := r.mustGrant(fingerprinted("bad", 1)), r.mustGrant(fingerprinted("good", 2))
+		r.mustGrant(fingerprinted("other", 3))
 		r.now = r.now.Add(time.Second)
 		out := r.send(ServerHealth{Server: "s0", Health: HealthGone, Incarnation: 1})
 		So(out, ShouldHaveLength, 3) // one ShareSuspect each
-		r.end(bad, OutcomeCrashed)
-		r.end(good, OutcomeCrashed)
+		r.endRun(bad, OutcomeCrashed)
+		r.endRun(good, OutcomeCrashed)
 		r.send(ServerSet{Servers: servers(4, 3)})
 
 		Convey("A suspect runs alone, another waits for it, others run elsewhere", func() {
-			again := r.grant(marked("bad2", 1))
-			So(r.send(marked("good2", 2)), ShouldBeEmpty)
-			innocent := r.grant(marked("new", 9))
+			again := r.mustGrant(fingerprinted("bad2", 1))
+			So(r.send(fingerprinted("good2", 2)), ShouldBeEmpty)
+			innocent := r.mustGrant(fingerprinted("new", 9))
 			So(innocent.Server, ShouldNotEqual, again.Server)
 
 			Convey("The second crash convicts it, and only it", func() {
-				out := r.end(again, OutcomeCrashed)
-				So(out[0], ShouldResemble, ShareSuspect{Fingerprint: 1, State: Convicted, ExpiresIn: defaultVerdict})
-				So(shedReason(r.send(marked("bad3", 1))), ShouldEqual, request.ReasonConvicted)
+				out := r.endRun(again, OutcomeCrashed)
+				So(out[0], ShouldResemble, ShareSuspect{Fingerprint: 1, State: SuspectConfirmed, ExpiresIn: defaultSuspectTTL})
+				So(shedReason(r.send(fingerprinted("bad3", 1))), ShouldEqual, request.ReasonConvicted)
 				So(r.suspects.State(r.now, 9), ShouldEqual, 0)
 				So(grants(out), ShouldHaveLength, 1) // good2's turn to run alone
-				cleared := r.end(grants(out)[0], OutcomeDone)
+				cleared := r.endRun(grants(out)[0], OutcomeDone)
 				So(cleared, ShouldContain, ShareSuspect{Fingerprint: 2, State: SuspectCleared})
-				So(r.grant(marked("good3", 2)).Request, ShouldEqual, request.ID("good3"))
+				So(r.mustGrant(fingerprinted("good3", 2)).Request, ShouldEqual, request.ID("good3"))
 
 				Convey("Until the verdict expires", func() {
-					r.pass(defaultVerdict + time.Second)
-					So(r.grant(marked("bad4", 1)).Request, ShouldEqual, request.ID("bad4"))
+					r.advance(defaultSuspectTTL + time.Second)
+					So(r.mustGrant(fingerprinted("bad4", 1)).Request, ShouldEqual, request.ID("bad4"))
 				})
 			})
 			Convey("One that expires in the meantime is told why", func() {
-				So(shedReason(r.pass(61*time.Second)), ShouldEqual, request.ReasonSuspectBusy)
+				So(shedReason(r.advance(61*time.Second)), ShouldEqual, request.ReasonSuspectBusy)
 			})
 		})
 		Convey("What another pool found out counts", func() {
-			r.send(SuspectShared{Fingerprint: 7, State: Convicted, ExpiresIn: time.Minute})
-			So(shedReason(r.send(marked("x", 7))), ShouldEqual, request.ReasonConvicted)
+			r.send(SuspectShared{Fingerprint: 7, State: SuspectConfirmed, ExpiresIn: time.Minute})
+			So(shedReason(r.send(fingerprinted("x", 7))), ShouldEqual, request.ReasonConvicted)
 			r.send(SuspectShared{Fingerprint: 1, State: SuspectCleared})
-			r.grant(marked("bad2", 1))
-			r.grant(marked("good3", 1)) // no suspect: both run
+			r.mustGrant(fingerprinted("bad2", 1))
+			r.mustGrant(fingerprinted("good3", 1)) // no suspect: both run
 		})
 	})
 }
 
 // Guards against a new owner that grants beside all that the old one granted.
-func TestNewOwnerCountsWhatRuns(t *testing.T) {
+func TestNewOwnerCountsAdoptedRuns(t *testing.T) {
 	Convey("Given a new owner and two entries that have not reported", t, func() {
-		r := newRig(Config{}, servers(1, 4)...)
+		r := newHarness(Config{}, servers(1, 4)...)
 		r.send(EntrySet{Entries: []EntryID{"e1", "e2"}})
-		So(grants(r.send(ask("a", 0))), ShouldBeEmpty)
+		So(grants(r.send(enqueue("a", 0))), ShouldBeEmpty)
 
 		Convey("A report opens its entry's share, less what runs", func() {
 			r.send(Running{Entry: "e1", Request: "old", Grant: GrantID{9, 9}, Server: "s0"})
 			So(grants(r.send(EntryReported{Entry: "e1"})), ShouldHaveLength, 1)
-			So(grants(r.send(ask("b", 0))), ShouldBeEmpty)
+			So(grants(r.send(enqueue("b", 0))), ShouldBeEmpty)
 			So(grants(r.send(EntryReported{Entry: "e2"})), ShouldHaveLength, 1)
 			r.send(Release{Request: "old", Entry: "e1", Grant: GrantID{9, 9}, Server: "s0"})
 			So(r.Summary(r.now).Running, ShouldEqual, 2)
 		})
 		Convey("An entry that stays silent holds nobody up for long", func() {
-			So(grants(r.pass(settleTime)), ShouldHaveLength, 1)
+			So(grants(r.advance(reportTimeout)), ShouldHaveLength, 1)
 		})
 		Convey("What an entry ran that left is freed after a grace time", func() {
 			r.send(Running{Entry: "e2", Request: "old", Grant: GrantID{9, 9}, Server: "s0"})
 			r.send(EntrySet{Entries: []EntryID{"e1"}})
 			So(r.Summary(r.now).Running, ShouldEqual, 1)
-			r.pass(lostGrace)
+			r.advance(entryGrace)
 			So(r.byGrant[GrantID{9, 9}], ShouldBeNil)
 		})
 	})
 	Convey("What an entry waits for and runs whose process has ended is freed at once", t, func() {
-		r := newRig(Config{}, servers(1, 1)...)
+		r := newHarness(Config{}, servers(1, 1)...)
 		r.send(EntrySet{Entries: []EntryID{"e1", "e2"}})
 		r.send(EntryReported{Entry: "e1"})
 		r.send(EntryReported{Entry: "e2"})
-		r.grant(ask("runs", 0))
-		r.send(ask("waits", 0))
-		other := ask("other", 1)
+		r.mustGrant(enqueue("runs", 0))
+		r.send(enqueue("waits", 0))
+		other := enqueue("other", 1)
 		other.Entry = "e2"
 		r.send(other)
 		out := grants(r.send(EntryEnded{Entry: "e1"}))
@@ -154,12 +154,12 @@
 		So(r.Summary(r.now).Waiting[0], ShouldEqual, 0)
 	})
 	Convey("A grant that was lost on the way is given again, not twice", t, func() {
-		r := newRig(Config{}, servers(1, 4)...)
-		first := r.grant(ask("a", 0))
-		So(r.grant(ask("a", 0)), ShouldResemble, first)
+		r := newHarness(Config{}, servers(1, 4)...)
+		first := r.mustGrant(enqueue("a", 0))
+		So(r.mustGrant(enqueue("a", 0)), ShouldResemble, first)
 		So(r.Summary(r.now).Running, ShouldEqual, 1)
 		r.send(Withdraw{Request: "a", Entry: "e1"})
-		r.pass(withdrawnGrace)
+		r.advance(withdrawnGrace)
 		So(r.Summary(r.now).Running, ShouldEqual, 0)
 	})
 }
@@ -167,20 +167,20 @@
 // Guards against a slow server that goes on getting its share, since its health check passes.
 func TestStragglerIsProbed(t *testing.T) {
 	Convey("Given four servers, one of them ten times slower", t, func() {
-		r := newRig(Config{}, servers(4, 2)...)
+		r := newHarness(Config{}, servers(4, 2)...)
 		slow, n := map[string]time.Duration{"s0": 10}, 0
 		round := func() map[string]int {
 			got := map[string]int{}
 			for range 6 {
 				n++
-				g := r.grant(ask(fmt.Sprint(n), 2))
+				g := r.mustGrant(enqueue(fmt.Sprint(n), 2))
 				got[g.Server]++
 				took := 40 * time.Millisecond * max(1, slow[g.Server])
 				r.now = r.now.Add(time.Millisecond)
 				r.send(Progress{Request: g.Request, Grant: g.Grant, FirstToken: took, Tokens: 1})
 				r.send(Progress{Request: g.Request, Grant: g.Grant, FirstToken: took, Tokens: 9, PerToken: took / 4})
-				r.end(g, OutcomeDone)
-				r.pass(measureEvery)
+				r.endRun(g, OutcomeDone)
+				r.advance(compareInterval)
 			}
 			return got
 		}
@@ -190,39 +190,39 @@
 		slow["s0"] = 10
 		s := r.servers["s0"]
 		for i := 0; i < 200 && !s.straggler; i++ {
-			s.speed.Overdue(0, time.Second, r.peers["g"])
-			r.judge(s)
+			s.speed.Overdue(0, time.Second, r.priors["g"])
+			r.updateStraggler(s)
 		}
 		So(s.straggler, ShouldBeTrue)
 
 		Convey("It gets no more than a probe now and then, and comes back by them", func() {
-			r.pass(10 * time.Millisecond)
+			r.advance(10 * time.Millisecond)
 			So(round()["s0"], ShouldEqual, 0)
-			r.pass(probeMin)
+			r.advance(stragglerBackoffMin)
 			So(round()["s0"], ShouldEqual, 1)
 			delete(slow, "s0")
 			for range 20 {
-				r.pass(time.Second)
+				r.advance(time.Second)
 				round()
 			}
 			So(s.straggler, ShouldBeFalse)
 		})
 	})
 	Convey("Servers that are not up get nothing", t, func() {
-		for _, h := range []Health{HealthWarming, HealthLeaving, HealthSilent, HealthGone} {
-			r := newRig(Config{}, servers(1, 2)...)
+		for _, h := range []Health{HealthWarming, HealthLeaving, HealthUnresponsive, HealthGone} {
+			r := newHarness(Config{}, servers(1, 2)...)
 			r.send(ServerHealth{Server: "s0", Health: h, Incarnation: 1})
-			So(grants(r.send(ask("a", 0))), ShouldBeEmpty)
+			So(grants(r.send(enqueue("a", 0))), ShouldBeEmpty)
 		}
-		r := newRig(Config{}, servers(1, 2)...)
-		g := r.grant(ask("a", 0))
+		r := newHarness(Config{}, servers(1, 2)...)
+		g := r.mustGrant(enqueue("a", 0))
 		r.send(Release{Request: "a", Entry: "e1", Grant: g.Grant, Server: "s0", Outcome: OutcomeRefused, RefusedLeaving: true})
-		So(grants(r.send(ask("b", 0))), ShouldBeEmpty)
+		So(grants(r.send(enqueue("b", 0))), ShouldBeEmpty)
 	})
 }
 
-func long(id string, group int) Enqueue {
-	e := ask(id, 1)
+func longPrompt(id string, group int) Enqueue {
+	e := enqueue(id, 1)
 	e.PromptTokens, e.FirstTokenIn = 4096, 5*time.Second
 	for i := range e.PromptTokens / engine.BlockTokens {
 		e.Blocks = append(e.Blocks, uint64(group)<<32+uint64(i)+1)
@@ -230,114 +230,114 @@
 	return e
 }
 
-func TestPrefixes(t *testing.T) {
+func TestPrefixAwarePlacement(t *testing.T) {
 	Convey("Given a request that computes a long prefix on one of two servers", t, func() {
-		r := newRig(Config{}, servers(2, 2)...)
-		first := r.grant(long("a", 1))
+		r := newHarness(Config{}, servers(2, 2)...)
+		first := r.mustGrant(longPrompt("a", 1))
 		Convey("Another with the same prefix is held until it is cached, then runs there", func() {
-			So(grants(r.send(long("b", 1))), ShouldBeEmpty)
-			So(r.grant(long("c", 2)).Server, ShouldNotEqual, first.Server)
+			So(grants(r.send(longPrompt("b", 1))), ShouldBeEmpty)
+			So(r.mustGrant(longPrompt("c", 2)).Server, ShouldNotEqual, first.Server)
 			r.now = r.now.Add(100 * time.Millisecond)
 			out := grants(r.send(Progress{Request: "a", Grant: first.Grant, FirstToken: 100 * time.Millisecond, Tokens: 1}))
 			So(out, ShouldHaveLength, 1)
 			So(out[0].Server, ShouldEqual, first.Server)
-			So(r.byGrant[out[0].Grant].uncached, ShouldEqual, 1)
+			So(r.byGrant[out[0].Grant].uncachedTokens, ShouldEqual, 1)
 		})
 		Convey("It is not held beyond its slack, nor for a server that is gone", func() {
-			r.send(long("b", 1))
-			So(grants(r.pass(holdMost)), ShouldHaveLength, 1)
-			r.send(long("d", 1))
+			r.send(longPrompt("b", 1))
+			So(grants(r.advance(holdMax)), ShouldHaveLength, 1)
+			r.send(longPrompt("d", 1))
 			r.send(ServerHealth{Server: first.Server, Health: HealthGone, Incarnation: 1})
-			So(r.servers[first.Server].held, ShouldEqual, 0)
+			So(r.servers[first.Server].heldCount, ShouldEqual, 0)
 		})
 		Convey("A restart forgets the prefix", func() {
 			r.send(Progress{Request: "a", Grant: first.Grant, FirstToken: 100 * time.Millisecond, Tokens: 1})
 			s := r.servers[first.Server]
-			So(r.prefixes.Cached(s.index, long("x", 1).Blocks), ShouldEqual, 64)
+			So(r.prefixes.Cached(s.prefixID, longPrompt("x", 1).Blocks), ShouldEqual, 64)
 			r.send(ServerHealth{Server: first.Server, Health: HealthUp, Incarnation: 1})
 			r.send(ServerHealth{Server: first.Server, Health: HealthUp, Incarnation: 2})
-			So(r.prefixes.Cached(s.index, long("x", 1).Blocks), ShouldEqual, 0)
+			So(r.prefixes.Cached(s.prefixID, longPrompt("x", 1).Blocks), ShouldEqual, 0)
 		})
 	})
 }
 
-func TestGivingUp(t *testing.T) {
-	full := func(cfg Config) *rig {
-		r := newRig(cfg, servers(1, 1)...)
-		r.grant(ask("running", 0))
+func TestSheddingAndRedirects(t *testing.T) {
+	full := func(cfg Config) *harness {
+		r := newHarness(cfg, servers(1, 1)...)
+		r.mustGrant(enqueue("running", 0))
 		return r
 	}
 	Convey("A request goes to a fresh sibling that has room or a lower tier waiting", t, func() {
 		r := full(Config{MaxWaiting: 1})
-		r.send(ask("waits", 1))
+		r.send(enqueue("waits", 1))
 		sibling := Sibling{Pool: "q", Age: 100 * time.Millisecond}
 		sibling.Waiting[2] = 1
 		r.send(sibling)
-		So(r.send(ask("a", 1)), ShouldContain, Redirect{Request: "a", Entry: "e1", Pool: "q"})
-		So(shedReason(r.send(ask("b", 1))), ShouldEqual, request.ReasonShed) // one report is no crowd
+		So(r.send(enqueue("a", 1)), ShouldContain, Redirect{Request: "a", Entry: "e1", Pool: "q"})
+		So(shedReason(r.send(enqueue("b", 1))), ShouldEqual, request.ReasonShed) // one report is no crowd
 		r.send(sibling)
-		again := ask("c", 1)
+		again := enqueue("c", 1)
 		again.NoRedirect = true
 		So(shedReason(r.send(again)), ShouldEqual, request.ReasonShed)
-		r.now = r.now.Add(freshSibling)
-		So(shedReason(r.send(ask("d", 1))), ShouldEqual, request.ReasonShed)
+		r.now = r.now.Add(siblingMaxAge)
+		So(shedReason(r.send(enqueue("d", 1))), ShouldEqual, request.ReasonShed)
 	})
 	Convey("While no server is up, requests go where slots are free", t, func() {
-		r := newRig(Config{}, servers(1, 1)...)
+		r := newHarness(Config{}, servers(1, 1)...)
 		r.send(ServerHealth{Server: "s0", Health: HealthGone, Incarnation: 1})
-		r.send(ask("a", 0))
-		r.send(ask("b", 1))
+		r.send(enqueue("a", 0))
+		r.send(enqueue("b", 1))
 		r.send(Sibling{Pool: "q", Free: 1})
-		So(r.pass(time.Millisecond), ShouldResemble, []Command{Redirect{Request: "a", Entry: "e1", Pool: "q"}})
+		So(r.advance(time.Millisecond), ShouldResemble, []Command{Redirect{Request: "a", Entry: "e1", Pool: "q"}})
 		So(r.Summary(r.now).Waiting[1], ShouldEqual, 1)
 	})
 	Convey("A grant that was not used costs its workspace nothing", t, func() {
-		r := newRig(Config{}, servers(1, 1)...)
+		r := newHarness(Config{}, servers(1, 1)...)
 		of := func(id, workspace string) Enqueue {
-			e := ask(id, 0)
+			e := enqueue(id, 0)
 			e.Workspace = workspace
 			return e
 		}
-		g := r.grant(of("a1", "a"))
+		g := r.mustGrant(of("a1", "a"))
 		r.send(of("b1", "b"))
 		r.send(of("a2", "a"))
-		out := grants(r.end(g, OutcomeNotDispatched))
+		out := grants(r.endRun(g, OutcomeNotDispatched))
 		So(out[0].Request, ShouldEqual, request.ID("a2"))
 	})
 	Convey("A hopeless request goes to the end of its tier and expires at its deadline only", t, func() {
 		r := full(Config{})
-		r.send(ask("old", 0))
-		r.send(ask("low", 1))
+		r.send(enqueue("old", 0))
+		r.send(enqueue("low", 1))
 		r.now = r.now.Add(2 * time.Second)
-		fresh := ask("fresh", 0)
+		fresh := enqueue("fresh", 0)
 		r.send(fresh)
 		out := grants(r.send(Release{Request: "running", Entry: "e1", Grant: GrantID{1, 1}, Outcome: OutcomeDone}))
 		So(out[0].Request, ShouldEqual, request.ID("fresh"))
-		So(shedReason(r.pass(57*time.Second)), ShouldEqual, request.Reason(""))
-		So(sheds(r.pass(time.Second)), ShouldHaveLength, 2)
+		So(shedReason(r.advance(57*time.Second)), ShouldEqual, request.Reason(""))
+		So(sheds(r.advance(time.Second)), ShouldHaveLength, 2)
 	})
 	Convey("A workspace above its bound only delays itself", t, func() {
 		r := full(Config{})
 		flood := func(id string, tier request.Tier) Enqueue {
-			e := ask(id, tier)
+			e := enqueue(id, tier)
 			e.Workspace, e.MaxWaiting = "flood", 1
 			return e
 		}
 		r.send(flood("a", 0))
 		So(shedReason(r.send(flood("b", 0))), ShouldEqual, request.ReasonWorkspaceLimit)
-		r.send(ask("low", 1))
+		r.send(enqueue("low", 1))
 		So(r.send(flood("c", 0)), ShouldBeEmpty) // a lower tier waits: it may wait too, last
-		r.send(ask("other", 0))
+		r.send(enqueue("other", 0))
 		out := grants(r.send(Release{Request: "running", Entry: "e1", Grant: GrantID{1, 1}, Outcome: OutcomeDone}))
 		So(out[0].Request, ShouldNotEqual, request.ID("c"))
 	})
 	Convey("Refused callers are told to come back at different times, later with more waiting", t, func() {
 		r := full(Config{MaxWaiting: 1})
-		r.send(ask("waits", 0))
+		r.send(enqueue("waits", 0))
 		seen := map[time.Duration]bool{}
 		for i := range 20 {
-			s := sheds(r.send(ask(fmt.Sprint(i), 0)))
-			So(s[0].RetryAfter, ShouldBeBetweenOrEqual, retryMin*3/4, retryMax*5/4)
+			s := sheds(r.send(enqueue(fmt.Sprint(i), 0)))
+			So(s[0].RetryAfter, ShouldBeBetweenOrEqual, retryAfterMin*3/4, retryAfterMax*5/4)
 			seen[s[0].RetryAfter] = true
 		}
 		So(len(seen), ShouldBeGreaterThan, 10)
@@ -347,11 +347,11 @@
 // Guards against long prompts that expire while small requests take each piece of memory that comes free.
 func TestLongPromptsDoNotStarve(t *testing.T) {
 	Convey("A request that fits nowhere lets smaller ones go first for a moment only", t, func() {
-		r := newRig(Config{}, servers(1, 50)...)
-		r.servers["s0"].kv = 10_000
+		r := newHarness(Config{}, servers(1, 50)...)
+		r.servers["s0"].kvCapacity = 10_000
 		var running []Grant
 		small := func(i int) []Command {
-			e := ask(fmt.Sprint("small", i), 1)
+			e := enqueue(fmt.Sprint("small", i), 1)
 			e.PromptTokens = 900
 			return r.send(e)
 		}
@@ -365,13 +365,13 @@
 			begin(small(i))
 		}
 		So(len(running), ShouldEqual, 9)
-		big := ask("big", 0)
+		big := enqueue("big", 0)
 		big.PromptTokens, big.FirstTokenIn = 8000, 30*time.Second
 		So(grants(r.send(big)), ShouldBeEmpty)
 		done := false
 		for i := 9; i < 60 && !done; i++ {
-			r.pass(100 * time.Millisecond)
-			out := r.end(running[0], OutcomeCanceled)
+			r.advance(100 * time.Millisecond)
+			out := r.endRun(running[0], OutcomeCanceled)
 			running = running[1:]
 			begin(append(out, small(i)...))
 			done = len(running) > 0 && running[len(running)-1].Request == "big"
@@ -383,18 +383,18 @@
 
 func TestHeadroom(t *testing.T) {
 	Convey("After a burst of a higher tier lower ones leave slots free for the next", t, func() {
-		r := newRig(Config{}, servers(1, 20)...)
-		r.servers["s0"].service = 30 // seconds: no slot comes free in time
+		r := newHarness(Config{}, servers(1, 20)...)
+		r.servers["s0"].meanService = 30 // seconds: no slot comes free in time
 		for i := range 10 {
-			r.end(r.grant(ask(fmt.Sprint("burst", i), 0)), OutcomeCanceled)
+			r.endRun(r.mustGrant(enqueue(fmt.Sprint("burst", i), 0)), OutcomeCanceled)
 		}
-		r.pass(300 * time.Millisecond)
+		r.advance(300 * time.Millisecond)
 		n := 0
 		for i := range 30 {
-			n += len(grants(r.send(ask(fmt.Sprint("low", i), 1))))
+			n += len(grants(r.send(enqueue(fmt.Sprint("low", i), 1))))
 		}
 		So(n, ShouldEqual, 16)
-		So(grants(r.send(ask("high", 0))), ShouldHaveLength, 1)
+		So(grants(r.send(enqueue("high", 0))), ShouldHaveLength, 1)
 	})
 }
 
@@ -404,18 +404,18 @@
 			PolicyRoundRobin:       {"s0", "s1", "s0", "s1"},
 			PolicyLeastOutstanding: {"s1", "s0", "s1", "s0"},
 		} {
-			r := newRig(Config{Policy: policy, MaxWaiting: 1}, servers(2, 1)...)
+			r := newHarness(Config{Policy: policy, MaxWaiting: 1}, servers(2, 1)...)
 			r.send(Running{Entry: "e1", Request: "old", Grant: GrantID{9, 9}, Server: "s0"})
 			for i, server := range want[:2] {
-				So(r.grant(ask(fmt.Sprint(i), 0)).Server, ShouldEqual, server)
+				So(r.mustGrant(enqueue(fmt.Sprint(i), 0)).Server, ShouldEqual, server)
 			}
-			So(shedReason(r.send(ask("over", 0))), ShouldEqual, request.ReasonShed)
+			So(shedReason(r.send(enqueue("over", 0))), ShouldEqual, request.ReasonShed)
 		}
-		r := newRig(Config{Policy: PolicyFIFO}, servers(1, 1)...)
-		g := r.grant(ask("a", 3))
-		r.send(ask("b", 3))
-		r.send(ask("c", 0))
-		So(grants(r.end(g, OutcomeDone))[0].Request, ShouldEqual, request.ID("b"))
+		r := newHarness(Config{Policy: PolicyFIFO}, servers(1, 1)...)
+		g := r.mustGrant(enqueue("a", 3))
+		r.send(enqueue("b", 3))
+		r.send(enqueue("c", 0))
+		So(grants(r.endRun(g, OutcomeDone))[0].Request, ShouldEqual, request.ID("b"))
 	})
 	Convey("A configuration is checked", t, func() {
 		So(Config{Name: "p"}.Validate(), ShouldBeNil)
--- a/pool/server.go
+++ b/pool/server.go
@@ -10,125 +10,125 @@
 )
 
 const (
-	// leavingFor is how long a server's own word that it leaves outweighs a
+	// leavingTimeout is how long a server's own word that it leaves outweighs a
 	// monitor that hasn't noticed.
-	leavingFor = 10 * time.Second
-	// pauseMin and pauseMax bound how long a server that couldn't be reached
+	leavingTimeout = 10 * time.Second
+	// unreachableBackoffMin and unreachableBackoffMax bound how long a server that couldn't be reached
 	// is left alone; the time doubles at each failure in a row.
-	pauseMin, pauseMax = 250 * time.Millisecond, 5 * time.Second
+	unreachableBackoffMin, unreachableBackoffMax = 250 * time.Millisecond, 5 * time.Second
 	// Bounds of the limit on tokens, in thousands.
 	kiloTokensMin, kiloTokensMax = 4, 4096
 )
 
 // server is one backend server and what the pool knows to run there.
 type server struct {
-	info        ServerInfo
-	index       int  // in the prefix index; -1: none
-	present     bool // in the newest ServerSet
-	health      Health
-	incarnation uint64
-	running     []*run
-	prefill     int // tokens of granted prompts whose first token hasn't come
-	tokens      int // KV memory that the running requests will need, in tokens
-	prefilled   int // prefill tokens computed, ever
-
-	speed    *score.Speed
-	requests limit.Law // running requests, by time between tokens
-	slotted  limit.Law // running requests, by waiting inside the engine
-	kilo     limit.Law // thousands of tokens in KV memory
-	kv       float64   // measured KV capacity in tokens; zero: unknown
-	slots    int       // as the engine itself says; zero: unknown
-	// progressed is when a run here last showed that the server works.
-	progressed time.Time
-	service    float64 // mean seconds from grant to release
-	failures   failures
-	breaker    breaker
-	held       int
-
-	ready       bool // may get grants; by refresh
-	most        int  // running requests allowed; by refresh
-	straggler   bool
-	overdue     bool
-	probeAt     time.Time
-	probeWait   time.Duration
-	leavingTill time.Time
-	pausedTill  time.Time
-	pause       time.Duration
-	crashed     time.Time // the last crash
-	back        time.Time // when it was first seen to run after that; zero: not yet
-	lost        []*run    // released as broken of late
+	info           ServerInfo
+	prefixID       int  // in the prefix index; -1: none
+	configured     bool // in the newest ServerSet
+	health         Health
+	incarnation    uint64
+	running        []*run
+	pendingPrefill int // kvTokens of granted prompts whose first token hasn't come
+	kvTokens       int // KV memory that the running requests will need, in tokens
+	prefillTotal   int // pendingPrefill tokens computed, ever
+
+	speed          *score.Speed
+	tokenRateLimit limit.Law // running requests, by time between tokens
+	queueingLimit  limit.Law // running requests, by waiting inside the engine
+	memoryLimit    limit.Law // thousands of tokens in KV memory
+	kvCapacity     float64   // measured KV capacity in tokens; zero: unknown
+	engineSlots    int       // as the engine itself says; zero: unknown
+	// lastProgress is when a run here last showed that the server works.
+	lastProgress time.Time
+	meanService  float64 // mean seconds from grant to release
+	failureRate  failureRate
+	breaker      breaker
+	heldCount    int
+
+	grantable    bool // may get grants; by refresh
+	maxRunning   int  // running requests allowed; by refresh
+	straggler    bool
+	overdue      bool
+	probeAt      time.Time
+	probeBackoff time.Duration
+	leavingUntil time.Time
+	pausedUntil  time.Time
+	backoff      time.Duration
+	crashedAt    time.Time // the last crash
+	recoveredAt  time.Time // when it was first seen to run after that; zero: not yet
+	lostRuns     []*run    // released as broken of late
 }
 
 func (p *Pool) setServers(e ServerSet) {
-	for _, s := range p.order {
-		s.present = false
+	for _, s := range p.sorted {
+		s.configured = false
 	}
-	p.order = p.order[:0]
+	p.sorted = p.sorted[:0]
 	for _, info := range e.Servers {
 		if info.Slots <= 0 {
 			info.Slots = p.cfg.DefaultSlots
 		}
 		s := p.server(info.Name)
-		if s.present {
+		if s.configured {
 			continue // named twice
 		}
-		s.present = true
+		s.configured = true
 		p.configure(s, info)
-		p.order = append(p.order, s)
+		p.sorted = append(p.sorted, s)
 	}
-	slices.SortFunc(p.order, func(a, b *server) int { return cmp.Compare(a.info.Name, b.info.Name) })
-	p.forgetServers()
+	slices.SortFunc(p.sorted, func(a, b *server) int { return cmp.Compare(a.info.Name, b.info.Name) })
+	p.removeIdleServers()
 	p.fastest = score.Prior{}
 }
 
 // configure sets what the configuration says. A changed number of slots or
 // generation starts the limits or the speed afresh.
 func (p *Pool) configure(s *server, info ServerInfo) {
-	if s.requests == nil || s.info.Slots != info.Slots {
+	if s.tokenRateLimit == nil || s.info.Slots != info.Slots {
 		bounds := limit.Bounds{Min: 1, Max: float64(info.Slots), Start: float64(info.Slots)}
-		s.requests = limit.New(p.cfg.Law, bounds)
-		s.slotted = limit.New(limit.AIMD, bounds)
-		s.kilo = limit.New(limit.AIMD, limit.Bounds{Min: kiloTokensMin, Max: kiloTokensMax, Start: kiloTokensMax})
+		s.tokenRateLimit = limit.New(p.cfg.Law, bounds)
+		s.queueingLimit = limit.New(limit.AIMD, bounds)
+		s.memoryLimit = limit.New(limit.AIMD, limit.Bounds{Min: kiloTokensMin, Max: kiloTokensMax, Start: kiloTokensMax})
 	}
 	if s.speed == nil || s.info.Generation != info.Generation {
 		s.speed = score.NewSpeed(p.prior(info.Generation))
 	}
 	if s.info.Incarnation != "" && s.info.Incarnation != info.Incarnation {
-		p.startedAgain(s)
+		p.resetIncarnation(s)
 	}
 	s.info = info
-	if s.index < 0 {
-		s.index = p.freeIndex()
-		if s.index >= 0 {
-			p.byIndex[s.index] = s
+	if s.prefixID < 0 {
+		s.prefixID = p.freePrefixID()
+		if s.prefixID >= 0 {
+			p.byPrefixID[s.prefixID] = s
 		}
 	}
 }
 
-// startedAgain forgets what was true of a server's former incarnation: what ran
+// resetIncarnation forgets what was true of a server's former incarnation: what ran
 // there has ended, what it cached is lost, and why it was left alone is over. Its
 // speed is the machine's and stays.
 //
 // What goes wrong without it: a server that crashed and is back stands idle while
 // the runs of its former incarnation count, for as long as their entries wait for
 // answers, and while it is left alone for that one's failures.
-func (p *Pool) startedAgain(s *server) {
+func (p *Pool) resetIncarnation(s *server) {
 	for len(s.running) > 0 {
 		r := s.running[len(s.running)-1]
 		p.removeRun(r)
-		if r.alone {
-			p.aloneEnded(r, OutcomeBroken)
+		if r.suspect {
+			p.suspectEnded(r, OutcomeStreamLost)
 		}
 	}
 	p.forgetCache(s)
-	s.failures, s.breaker, s.lost = failures{}, breaker{}, nil
-	s.leavingTill, s.pausedTill, s.pause = time.Time{}, time.Time{}, 0
-	s.progressed = p.now
+	s.failureRate, s.breaker, s.lostRuns = failureRate{}, breaker{}, nil
+	s.leavingUntil, s.pausedUntil, s.backoff = time.Time{}, time.Time{}, 0
+	s.lastProgress = p.now
 }
 
-func (p *Pool) freeIndex() int {
-	for i := range p.byIndex {
-		if p.byIndex[i] == nil {
+func (p *Pool) freePrefixID() int {
+	for i := range p.byPrefixID {
+		if p.byPrefixID[i] == nil {
 			return i
 		}
 	}
@@ -140,21 +140,21 @@
 func (p *Pool) server(name string) *server {
 	s := p.servers[name]
 	if s == nil {
-		s = &server{info: ServerInfo{Name: name}, index: -1}
+		s = &server{info: ServerInfo{Name: name}, prefixID: -1}
 		p.servers[name] = s
 	}
 	return s
 }
 
-// forgetServers drops servers that are gone and on which nothing runs.
-func (p *Pool) forgetServers() {
+// removeIdleServers drops servers that are gone and on which nothing runs.
+func (p *Pool) removeIdleServers() {
 	for name, s := range p.servers {
-		if s.present || len(s.running) > 0 {
+		if s.configured || len(s.running) > 0 {
 			continue
 		}
-		if s.index >= 0 {
-			p.prefixes.Forget(s.index)
-			p.byIndex[s.index] = nil
+		if s.prefixID >= 0 {
+			p.prefixes.Forget(s.prefixID)
+			p.byPrefixID[s.prefixID] = nil
 		}
 		delete(p.servers, name)
 	}
@@ -174,8 +174,8 @@
 		s.incarnation = e.Incarnation
 	}
 	if restarted || e.Health == HealthGone && was != HealthGone {
-		if restarted && !s.back.IsZero() {
-			s.crashed = time.Time{} // it was seen to run since that crash
+		if restarted && !s.recoveredAt.IsZero() {
+			s.crashedAt = time.Time{} // it was seen to run since that crash
 		}
 		p.serverCrashed(s, nil)
 	}
@@ -183,54 +183,54 @@
 		p.forgetCache(s)
 	}
 	if restarted || e.Health == HealthUp && was == HealthGone {
-		s.back = p.now
+		s.recoveredAt = p.now
 	}
 	if e.Health == HealthUp && was == HealthGone {
-		s.pausedTill, s.pause = time.Time{}, 0
+		s.pausedUntil, s.backoff = time.Time{}, 0
 	}
 }
 
 func (p *Pool) forgetCache(s *server) {
-	if s.index >= 0 {
-		p.prefixes.Forget(s.index)
+	if s.prefixID >= 0 {
+		p.prefixes.Forget(s.prefixID)
 	}
 }
 
 // up tells whether a server may get a grant at all.
 func (p *Pool) up(s *server) bool {
-	return s.present && s.health == HealthUp && !p.now.Before(s.leavingTill) && !p.now.Before(s.pausedTill)
+	return s.configured && s.health == HealthUp && !p.now.Before(s.leavingUntil) && !p.now.Before(s.pausedUntil)
 }
 
-// leaveAlone stops grants to a server that could not be reached, for longer
+// pauseServer stops grants to a server that could not be reached, for longer
 // at each failure in a row.
-func (p *Pool) leaveAlone(s *server) {
-	s.pause = min(max(2*s.pause, pauseMin), pauseMax)
-	s.pausedTill = p.now.Add(s.pause)
+func (p *Pool) pauseServer(s *server) {
+	s.backoff = min(max(2*s.backoff, unreachableBackoffMin), unreachableBackoffMax)
+	s.pausedUntil = p.now.Add(s.backoff)
 }
 
-func (p *Pool) learnCache(e ServerCache) {
+func (p *Pool) updateCache(e ServerCache) {
 	s := p.servers[e.Server]
-	if s == nil || s.index < 0 || p.plain() {
+	if s == nil || s.prefixID < 0 || p.isBaseline() {
 		return
 	}
 	if e.Gap {
-		p.prefixes.Gap(s.index)
+		p.prefixes.Gap(s.prefixID)
 	}
 	for _, ev := range e.Events {
 		if ev.Stored {
-			p.prefixes.StoreBlock(p.now, s.index, ev.Block)
+			p.prefixes.StoreBlock(p.now, s.prefixID, ev.Block)
 		} else {
-			p.prefixes.Evict(p.now, s.index, ev.Block)
+			p.prefixes.Evict(p.now, s.prefixID, ev.Block)
 		}
 	}
 }
 
-// indexSet is the servers of a list as a set of the prefix index.
-func indexSet(servers []*server) uint64 {
+// prefixSet is the servers of a list as a set of the prefix index.
+func prefixSet(servers []*server) uint64 {
 	var set uint64
 	for _, s := range servers {
-		if s.index >= 0 {
-			set |= 1 << s.index
+		if s.prefixID >= 0 {
+			set |= 1 << s.prefixID
 		}
 	}
 	return set
--- a/pool/starved.go
+++ b/pool/starved.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// leastCheap and leastCostly are the parts of the service of all tiers below which
+	// minCheapShare and minCostlyShare are the parts of the service of all tiers below which
 	// a tier of short and one of long requests gets slots out of turn.
-	leastCheap, leastCostly = 0.5, 0.35
-	// starvedShare is the largest part of the slot time that starved tiers get out of turn.
-	starvedShare = 0.1
-	// starvedCredit is how much slot time a starved tier saves up, in seconds.
-	starvedCredit = 1.0
+	minCheapShare, minCostlyShare = 0.5, 0.35
+	// starvedMaxShare is the largest part of the slot time that starved tiers get out of turn.
+	starvedMaxShare = 0.1
+	// starvedMaxCredit is how much slot time a starved tier saves up, in seconds.
+	starvedMaxCredit = 1.0
 	// starvedWindow is the time over which the service of the tiers is compared.
 	starvedWindow = 10 * time.Second
 )
 
-func newShares() *fairshare.Ledger {
+func newFairShare() *fairshare.Ledger {
 	return fairshare.New(fairshare.Config{
-		LeastCheap: leastCheap, LeastCostly: leastCostly, MaxShare: starvedShare, MaxCredit: starvedCredit, Window: starvedWindow,
+		LeastCheap: minCheapShare, LeastCostly: minCostlyShare, MaxShare: starvedMaxShare, MaxCredit: starvedMaxCredit, Window: starvedWindow,
 	})
 }
 
@@ -33,7 +33,7 @@
 // that is refused in every second while others are granted (pool_shed, pool_granted).
 func (p *Pool) scheduleStarved() {
 	for t := request.Tier(request.MaxTiers - 1); t > 0; t-- {
-		for p.queue.Waiting(t) > 0 && p.shares.Starved(p.now, t) && p.grantOutOfTurn(t) {
+		for p.queue.Waiting(t) > 0 && p.fairShare.Starved(p.now, t) && p.grantOutOfTurn(t) {
 		}
 	}
 }
@@ -41,8 +41,8 @@
 // grantOutOfTurn grants one request of a tier whose turn it is not, and reports whether
 // it did. Where a long prompt above waits for memory to come free, nobody goes before it.
 func (p *Pool) grantOutOfTurn(t request.Tier) bool {
-	servers, slots := p.usable()
-	if slots == 0 || p.inTurn(t, slots) || p.starvesAbove(t) {
+	servers, slots := p.serversWithSlots()
+	if slots == 0 || p.inTurn(t, slots) || p.memoryStarvedAbove(t) {
 		return false
 	}
 	w, o := p.pickLive(t, servers)
@@ -50,11 +50,11 @@
 		return false
 	}
 	amount := p.slotTime(w, o)
-	if !p.shares.Allows(t, amount) {
+	if !p.fairShare.Allows(t, amount) {
 		return false
 	}
-	p.shares.GrantedOutOfTurn(p.now, t, amount)
-	p.place(w, o)
+	p.fairShare.GrantedOutOfTurn(p.now, t, amount)
+	p.startRun(w, o)
 	return true
 }
 
@@ -62,7 +62,7 @@
 // and what its prompt holds the others of its server up for.
 func (p *Pool) slotTime(w *waiter, o option) float64 {
 	s := o.server
-	return (p.runTime(w, o) + time.Duration(len(s.running))*s.speed.PrefillTime(o.uncached)).Seconds()
+	return (p.runTime(w, o) + time.Duration(len(s.running))*s.speed.PrefillTime(o.uncachedTokens)).Seconds()
 }
 
 // inTurn tells whether a tier has its turn with so many slots free.
@@ -72,13 +72,13 @@
 			return false
 		}
 	}
-	return slots > p.reserve(t)
+	return slots > p.reservedSlots(t)
 }
 
-// starvesAbove tells whether a tier above t has a head that waits for memory.
-func (p *Pool) starvesAbove(t request.Tier) bool {
+// memoryStarvedAbove tells whether a tier above t has a head that waits for memory.
+func (p *Pool) memoryStarvedAbove(t request.Tier) bool {
 	for higher := request.Tier(0); higher < t; higher++ {
-		if p.starves(higher) {
+		if p.memoryStarved(higher) {
 			return true
 		}
 	}
--- a/pool/starved_test.go
+++ b/pool/starved_test.go
@@ -13,31 +13,31 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// class is a kind of request of a replayed load.
-type class struct {
+// loadClass is a kind of request of a replayed load.
+type loadClass struct {
 	tier             request.Tier
 	perSecond        float64
 	prompt, tokens   int
 	target, deadline time.Duration
-	decode           time.Duration // on an engine, once its prompt was read
+	decodeTime       time.Duration // on an engine, once its prompt was read
 }
 
-// readToken is how long an engine takes to read a token of a prompt. All that runs there
+// prefillPerToken is how long an engine takes to read a token of a prompt. All that runs there
 // waits meanwhile.
-const readToken = time.Millisecond / 56
+const prefillPerToken = time.Millisecond / 56
 
-func (c class) read() time.Duration { return time.Duration(c.prompt) * readToken }
+func (c loadClass) prefillTime() time.Duration { return time.Duration(c.prompt) * prefillPerToken }
 
 // The classes of a deployment of unlike work: large drafts, summaries of one page and
 // tags that take a slot for a twentieth of the time.
 var (
-	draft   = class{tier: 0, perSecond: 11.1, prompt: 6600, tokens: 380, target: 800 * time.Millisecond, deadline: 15 * time.Second, decode: 1400 * time.Millisecond}
-	summary = class{tier: 1, perSecond: 13.5, prompt: 690, tokens: 290, target: time.Second, deadline: 12 * time.Second, decode: 1050 * time.Millisecond}
-	tag     = class{tier: 2, perSecond: 17.6, prompt: 1860, tokens: 22, target: 1500 * time.Millisecond, deadline: 3 * time.Second, decode: 60 * time.Millisecond}
+	draft   = loadClass{tier: 0, perSecond: 11.1, prompt: 6600, tokens: 380, target: 800 * time.Millisecond, deadline: 15 * time.Second, decodeTime: 1400 * time.Millisecond}
+	summary = loadClass{tier: 1, perSecond: 13.5, prompt: 690, tokens: 290, target: time.Second, deadline: 12 * time.Second, decodeTime: 1050 * time.Millisecond}
+	tag     = loadClass{tier: 2, perSecond: 17.6, prompt: 1860, tokens: 22, target: 1500 * time.Millisecond, deadline: 3 * time.Second, decodeTime: 60 * time.Millisecond}
 )
 
-// times returns the class at a multiple of its rate.
-func (c class) times(x float64) class {
+// scaled returns the class at a multiple of its rate.
+func (c loadClass) scaled(x float64) loadClass {
 	c.perSecond *= x
 	return c
 }
@@ -45,14 +45,14 @@
 // replayLength is how long callers come; their deadlines end later.
 const replayLength = 30 * time.Second
 
-// replayed is what became of the callers of each tier.
-type replayed struct {
+// replayResult is what became of the callers of each tier.
+type replayResult struct {
 	callers, served [request.MaxTiers]float64
 	// engineTime is what the served requests of each tier took, in seconds of one engine:
 	// all of it while a prompt is read, its slot's part for the rest of the run.
 	engineTime [request.MaxTiers]float64
-	// overtaken counts the requests that were shed while one of a lower tier waited.
-	overtaken int
+	// inversions counts the requests that were shed while one of a lower tier waited.
+	inversions int
 }
 
 // engines and slots are of the pool that is replayed.
@@ -61,16 +61,16 @@
 	slots   = 8
 )
 
-// part is the part of the engines' time that the served requests of a tier took.
-func (x replayed) part(t request.Tier) float64 {
+// engineShare is the part of the engines' time that the served requests of a tier took.
+func (x replayResult) engineShare(t request.Tier) float64 {
 	return x.engineTime[t] / (engines * replayLength.Seconds())
 }
 
-// of is the part of a tier's callers that was served.
-func (x replayed) of(t request.Tier) float64 { return x.served[t] / max(1, x.callers[t]) }
+// servedShare is the part of a tier's callers that was served.
+func (x replayResult) servedShare(t request.Tier) float64 { return x.served[t] / max(1, x.callers[t]) }
 
-// all is the part of all callers that was served.
-func (x replayed) all() float64 {
+// overallServedShare is the part of all callers that was served.
+func (x replayResult) overallServedShare() float64 {
 	callers, served := 0.0, 0.0
 	for t := range x.callers {
 		callers += x.callers[t]
@@ -83,42 +83,42 @@
 // comes back once, after what it was told or a third of the time that it has.
 type replay struct {
 	*simulation
-	asked map[request.ID]*caller
-	out   replayed
-	// running is what runs on each server.
-	running map[string][]*running
+	callers map[request.ID]*caller
+	result  replayResult
+	// engineRun is what runs on each server.
+	running map[string][]*engineRun
 	// waiting counts by tier, as the pool's commands tell.
 	waiting [request.MaxTiers]int
 }
 
-// running is a run on an engine.
-type running struct {
-	grant Grant
-	by    *caller
-	began time.Time
-	ends  time.Time
+// engineRun is a run on an engine.
+type engineRun struct {
+	grant  Grant
+	caller *caller
+	began  time.Time
+	ends   time.Time
 }
 
 type caller struct {
-	class
+	loadClass
 	id       request.ID
 	deadline time.Time
-	again    bool
+	retried  bool
 }
 
-// callersComeBackIn is the largest part of its time left that a refused caller waits.
-const callersComeBackIn = 3
+// retryDivisor is the largest part of its time left that a refused caller waits.
+const retryDivisor = 3
 
-// play plays a load with shares for starved tiers.
-func play(shares *fairshare.Ledger, seed uint64, load ...class) replayed {
+// runReplay plays a load with shares for starved tiers.
+func runReplay(shares *fairshare.Ledger, seed uint64, load ...loadClass) replayResult {
 	x := &replay{
-		simulation: &simulation{r: newRig(Config{
-			Patience: 0.12, LongPatience: 1, Headroom: 0.05, RunGrace: time.Second, KeepStragglers: true, SpareFast: true,
+		simulation: &simulation{pool: newHarness(Config{
+			MaxWaitShare: 0.12, ExtendedWaitShare: 1, Headroom: 0.05, ReleaseGrace: time.Second, KeepStragglers: true, SpareFastServers: true,
 		}, servers(engines, slots)...)},
-		asked:   map[request.ID]*caller{},
-		running: map[string][]*running{},
+		callers: map[request.ID]*caller{},
+		running: map[string][]*engineRun{},
 	}
-	x.r.shares = shares
+	x.pool.fairShare = shares
 	random := rand.New(rand.NewPCG(seed, 0))
 	for _, c := range load {
 		for at := time.Duration(0); ; {
@@ -126,84 +126,84 @@
 			if at > replayLength {
 				break
 			}
-			x.out.callers[c.tier]++
-			x.at(start.Add(at), func() { x.ask(&caller{class: c, deadline: x.r.now.Add(c.deadline)}) })
+			x.result.callers[c.tier]++
+			x.at(start.Add(at), func() { x.send(&caller{loadClass: c, deadline: x.pool.now.Add(c.deadline)}) })
 		}
 	}
-	x.tick(2*replayLength, x.take)
+	x.tick(2*replayLength, x.handle)
 	x.run()
-	return x.out
+	return x.result
 }
 
-func (x *replay) ask(c *caller) {
-	c.id = request.ID(fmt.Sprint("r", len(x.asked)))
-	x.asked[c.id] = c
-	e := ask(string(c.id), c.tier)
+func (x *replay) send(c *caller) {
+	c.id = request.ID(fmt.Sprint("r", len(x.callers)))
+	x.callers[c.id] = c
+	e := enqueue(string(c.id), c.tier)
 	e.Template = fmt.Sprint(c.tier)
-	e.FirstTokenIn, e.DeadlineIn = c.target, c.deadline.Sub(x.r.now)
+	e.FirstTokenIn, e.DeadlineIn = c.target, c.deadline.Sub(x.pool.now)
 	e.PromptTokens, e.MaxTokens, e.ExpectedTokens = c.prompt, 2*c.tokens, c.tokens
 	x.waiting[c.tier]++
-	x.take(x.r.send(e))
+	x.handle(x.pool.send(e))
 }
 
-func (x *replay) take(out []Command) {
+func (x *replay) handle(out []Command) {
 	for _, command := range out {
 		switch command := command.(type) {
 		case Grant:
-			c := x.asked[command.Request]
+			c := x.callers[command.Request]
 			x.waiting[c.tier]--
 			x.begin(command, c)
 		case Shed:
-			c := x.asked[command.Request]
+			c := x.callers[command.Request]
 			x.waiting[c.tier]--
 			if command.Reason == request.ReasonShed && slices.Max(x.waiting[c.tier+1:]) > 0 {
-				x.out.overtaken++
+				x.result.inversions++
 			}
-			x.refuse(command, c)
+			x.retryOnce(command, c)
 		}
 	}
 }
 
 func (x *replay) begin(g Grant, c *caller) {
 	for _, other := range x.running[g.Server] {
-		other.ends = other.ends.Add(c.read())
+		other.ends = other.ends.Add(c.prefillTime())
 	}
-	first := c.read() + startup
-	r := &running{grant: g, by: c, began: x.r.now, ends: x.r.now.Add(first + c.decode)}
+	first := c.prefillTime() + startupTime
+	r := &engineRun{grant: g, caller: c, began: x.pool.now, ends: x.pool.now.Add(first + c.decodeTime)}
 	x.running[g.Server] = append(x.running[g.Server], r)
-	x.at(x.r.now.Add(first), func() {
-		x.take(x.r.send(Progress{Request: g.Request, Grant: g.Grant, Server: g.Server, FirstToken: first, Tokens: 1}))
+	x.at(x.pool.now.Add(first), func() {
+		x.handle(x.pool.send(Progress{Request: g.Request, Grant: g.Grant, Server: g.Server, FirstToken: first, Tokens: 1}))
 	})
 	x.at(r.ends, func() { x.end(r, first) })
 }
 
-// startup is how long an engine takes to begin with a request.
-const startup = 16 * time.Millisecond
+// startupTime is how long an engine takes to begin with a request.
+const startupTime = 16 * time.Millisecond
 
 // end ends a run, or comes back for it where others held it up.
-func (x *replay) end(r *running, first time.Duration) {
-	if r.ends.After(x.r.now) {
+func (x *replay) end(r *engineRun, first time.Duration) {
+	if r.ends.After(x.pool.now) {
 		x.at(r.ends, func() { x.end(r, first) })
 		return
 	}
-	g, c := r.grant, r.by
-	if !x.r.now.After(c.deadline) {
-		x.out.served[c.tier]++
-		x.out.engineTime[c.tier] += c.read().Seconds() + (startup+c.decode).Seconds()/slots
+	g, c := r.grant, r.caller
+	if !x.pool.now.After(c.deadline) {
+		x.result.served[c.tier]++
+		x.result.engineTime[c.tier] += c.prefillTime().Seconds() + (startupTime+c.decodeTime).Seconds()/slots
 	}
 	all := x.running[g.Server]
 	x.running[g.Server] = slices.Delete(all, slices.Index(all, r), slices.Index(all, r)+1)
-	x.take(x.r.send(Release{Request: g.Request, Entry: g.Entry, Grant: g.Grant, Server: g.Server, Outcome: OutcomeDone,
-		FirstToken: first, Total: x.r.now.Sub(r.began), OutputTokens: c.tokens, PromptTokens: c.prompt, PrefillComputed: c.prompt}))
+	x.handle(x.pool.send(Release{Request: g.Request, Entry: g.Entry, Grant: g.Grant, Server: g.Server, Outcome: OutcomeDone,
+		FirstToken: first, Total: x.pool.now.Sub(r.began), OutputTokens: c.tokens, PromptTokens: c.prompt, PrefillComputed: c.prompt}))
 }
 
-func (x *replay) refuse(s Shed, c *caller) {
-	left := c.deadline.Sub(x.r.now)
-	if c.again || left <= 0 {
+func (x *replay) retryOnce(s Shed, c *caller) {
+	left := c.deadline.Sub(x.pool.now)
+	if c.retried || left <= 0 {
 		return
 	}
-	c.again = true
-	x.at(x.r.now.Add(min(s.RetryAfter, left/callersComeBackIn)), func() { x.ask(c) })
+	c.retried = true
+	x.at(x.pool.now.Add(min(s.RetryAfter, left/retryDivisor)), func() { x.send(c) })
 }
 
 // strictOrder gives starved tiers nothing.
@@ -213,34 +213,34 @@
 const seeds = 3
 
 // longOverloads are loads beyond the slots for as long as a replay lasts.
-var longOverloads = map[string][]class{
-	"crowds of all":                           {draft.times(1.5), summary.times(1.5), tag.times(1.5)},
-	"a crowd of the middle tier":              {draft, summary.times(3), tag},
-	"a crowd of the lowest beside the others": {draft.times(1.4), summary.times(1.4), tag.times(3)},
+var longOverloads = map[string][]loadClass{
+	"crowds of all":                           {draft.scaled(1.5), summary.scaled(1.5), tag.scaled(1.5)},
+	"a crowd of the middle tier":              {draft, summary.scaled(3), tag},
+	"a crowd of the lowest beside the others": {draft.scaled(1.4), summary.scaled(1.4), tag.scaled(3)},
 }
 
 const (
-	// starved is the part of the service of all below which a tier counts as starved.
-	starved = 0.25
-	// leastOfAll is the part that each tier should have.
-	leastOfAll = 0.5
-	// mostLost is the part of the callers of a tier above that this may cost, beside
+	// starvedBelow is the part of the service of all below which a tier counts as starved.
+	starvedBelow = 0.25
+	// minRelativeService is the part that each tier should have.
+	minRelativeService = 0.5
+	// maxServiceLoss is the part of the callers of a tier above that this may cost, beside
 	// what the engines could not do meanwhile.
-	mostLost = 0.01
+	maxServiceLoss = 0.01
 )
 
 // Guards against a tier that gets nothing while those above it have more work than slots.
-func TestEachTierIsServedAQuarterAsOftenAsAll(t *testing.T) {
+func TestEachTierGetsAQuarterOfOverallService(t *testing.T) {
 	for name, load := range longOverloads {
 		Convey("In "+name+" no tier is starved, none is overtaken, and more callers are served in all", t, func() {
 			for seed := range uint64(seeds) {
-				out, strict := play(newShares(), seed, load...), play(strictOrder(), seed, load...)
-				So(strict.of(tag.tier), ShouldBeLessThan, starved*strict.all())
-				So(out.of(tag.tier), ShouldBeGreaterThanOrEqualTo, starved*out.all())
-				So(out.overtaken, ShouldEqual, 0)
-				So(out.all(), ShouldBeGreaterThan, strict.all())
-				So(out.of(draft.tier), ShouldBeGreaterThan, strict.of(draft.tier)-mostLost)
-				So(out.of(summary.tier), ShouldBeGreaterThan, strict.of(summary.tier)-starvedShare)
+				out, strict := runReplay(newFairShare(), seed, load...), runReplay(strictOrder(), seed, load...)
+				So(strict.servedShare(tag.tier), ShouldBeLessThan, starvedBelow*strict.overallServedShare())
+				So(out.servedShare(tag.tier), ShouldBeGreaterThanOrEqualTo, starvedBelow*out.overallServedShare())
+				So(out.inversions, ShouldEqual, 0)
+				So(out.overallServedShare(), ShouldBeGreaterThan, strict.overallServedShare())
+				So(out.servedShare(draft.tier), ShouldBeGreaterThan, strict.servedShare(draft.tier)-maxServiceLoss)
+				So(out.servedShare(summary.tier), ShouldBeGreaterThan, strict.servedShare(summary.tier)-starvedMaxShare)
 			}
 		})
 	}
@@ -252,11 +252,11 @@
 	for name, load := range longOverloads {
 		Convey("In "+name+" each tier is served half as often as all, and those above lose no more than it takes", t, func() {
 			for seed := range uint64(seeds) {
-				out, without := play(newShares(), seed, load...), play(newShares(), seed, load[0], load[1])
-				So(out.of(tag.tier), ShouldBeGreaterThanOrEqualTo, leastOfAll*out.all())
-				taken := out.part(tag.tier)
-				So(out.of(draft.tier), ShouldBeGreaterThan, without.of(draft.tier)-taken-mostLost)
-				So(out.of(summary.tier), ShouldBeGreaterThan, without.of(summary.tier)-taken-mostLost)
+				out, without := runReplay(newFairShare(), seed, load...), runReplay(newFairShare(), seed, load[0], load[1])
+				So(out.servedShare(tag.tier), ShouldBeGreaterThanOrEqualTo, minRelativeService*out.overallServedShare())
+				taken := out.engineShare(tag.tier)
+				So(out.servedShare(draft.tier), ShouldBeGreaterThan, without.servedShare(draft.tier)-taken-maxServiceLoss)
+				So(out.servedShare(summary.tier), ShouldBeGreaterThan, without.servedShare(summary.tier)-taken-maxServiceLoss)
 			}
 		})
 	}
@@ -264,42 +264,42 @@
 
 // Guards against a lowest tier whose work is as long as that of those above, and that
 // gets nothing, or as much as would starve them in its turn.
-func TestNoTierOfLongWorkStarves(t *testing.T) {
-	long := class{tier: 2, perSecond: 12, prompt: 1100, tokens: 170, target: 500 * time.Millisecond, deadline: 15 * time.Second, decode: 900 * time.Millisecond}
+func TestLowTierOfLongRequestsDoesNotStarve(t *testing.T) {
+	long := loadClass{tier: 2, perSecond: 12, prompt: 1100, tokens: 170, target: 500 * time.Millisecond, deadline: 15 * time.Second, decodeTime: 900 * time.Millisecond}
 	Convey("It is served a quarter as often as all, and those above lose no more than its share", t, func() {
 		for seed := range uint64(seeds) {
-			load := []class{draft.times(2.3), summary.times(5), long.times(2)}
-			out, strict := play(newShares(), seed, load...), play(strictOrder(), seed, load...)
-			So(strict.of(long.tier), ShouldBeLessThan, starved*strict.all())
-			So(out.of(long.tier), ShouldBeGreaterThanOrEqualTo, starved*out.all())
-			So(out.of(draft.tier), ShouldBeGreaterThan, strict.of(draft.tier)-starvedShare)
+			load := []loadClass{draft.scaled(2.3), summary.scaled(5), long.scaled(2)}
+			out, strict := runReplay(newFairShare(), seed, load...), runReplay(strictOrder(), seed, load...)
+			So(strict.servedShare(long.tier), ShouldBeLessThan, starvedBelow*strict.overallServedShare())
+			So(out.servedShare(long.tier), ShouldBeGreaterThanOrEqualTo, starvedBelow*out.overallServedShare())
+			So(out.servedShare(draft.tier), ShouldBeGreaterThan, strict.servedShare(draft.tier)-starvedMaxShare)
 		}
 	})
 }
 
 // Guards against starved tiers that take the memory for which a long prompt above waits.
-func TestNoStarvedTierGoesBeforeAPromptThatWaitsForMemory(t *testing.T) {
+func TestStarvedTierYieldsToPromptWaitingForMemory(t *testing.T) {
 	Convey("Given a starved tier that has saved up slot time, and a prompt that fits nowhere", t, func() {
-		r := newRig(Config{}, servers(1, 8)...)
-		r.servers["s0"].kv = 10_000
-		filler := ask("filler", 0)
+		r := newHarness(Config{}, servers(1, 8)...)
+		r.servers["s0"].kvCapacity = 10_000
+		filler := enqueue("filler", 0)
 		filler.PromptTokens = 8000
-		g := r.grant(filler)
+		g := r.mustGrant(filler)
 		r.send(Progress{Request: g.Request, Grant: g.Grant, FirstToken: 50 * time.Millisecond, Tokens: 1})
 		for range 100 {
-			r.shares.Granted(r.now, 0, 1)
-			r.shares.Refused(r.now, 2)
+			r.fairShare.Granted(r.now, 0, 1)
+			r.fairShare.Refused(r.now, 2)
 		}
-		low := ask("low", 2)
-		So(r.shares.Starved(r.now, 2), ShouldBeTrue)
+		low := enqueue("low", 2)
+		So(r.fairShare.Starved(r.now, 2), ShouldBeTrue)
 		So(grants(r.send(low)), ShouldHaveLength, 1)
 
-		big := ask("big", 0)
+		big := enqueue("big", 0)
 		big.PromptTokens, big.FirstTokenIn = 5000, 30*time.Second
 		So(grants(r.send(big)), ShouldBeEmpty)
-		r.pass(starveAfter)
+		r.advance(memoryStarveAfter)
 		low.Request = "next"
 		So(grants(r.send(low)), ShouldBeEmpty)
-		So(grants(r.end(g, OutcomeDone)), ShouldHaveLength, 2) // there is memory for both
+		So(grants(r.endRun(g, OutcomeDone)), ShouldHaveLength, 2) // there is memory for both
 	})
 }
--- a/pool/summary.go
+++ b/pool/summary.go
@@ -9,19 +9,19 @@
 // Summary tells how the pool stands.
 func (p *Pool) Summary(now time.Time) Summary {
 	p.now = now
-	sum := Summary{LostRuns: p.lostRuns, Tally: p.tally, Pool: p.cfg.Name, Running: len(p.byGrant)}
+	sum := Summary{LostRuns: p.reclaimedRuns, Tally: p.tally, Pool: p.cfg.Name, Running: len(p.byGrant)}
 	for _, w := range p.waiting {
 		sum.Waiting[w.Enqueue.Tier]++
 	}
 	for t := request.Tier(0); t < request.MaxTiers; t++ {
 		sum.ExpectedWait[t] = p.expectedWait(t)
 	}
-	for _, s := range p.order {
+	for _, s := range p.sorted {
 		n := s.info.Slots
-		if !p.plain() {
-			n = p.limit(s)
+		if !p.isBaseline() {
+			n = p.runLimit(s)
 		}
-		if p.up(s) && s != p.alone && !s.breaker.open {
+		if p.up(s) && s != p.isolation && !s.breaker.open {
 			sum.Free += max(0, n-len(s.running))
 		}
 		sum.Servers = append(sum.Servers, ServerSummary{
--- a/pool/tally.go
+++ b/pool/tally.go
@@ -33,7 +33,7 @@
 	return d
 }
 
-func (t *Tally) granted(w *waiter) {
+func (t *Tally) countGrant(w *waiter) {
 	x := &t[w.Item.Tier]
 	if w.Class >= tier.Late {
 		x.GrantedLate++
@@ -42,7 +42,7 @@
 	x.Granted++
 }
 
-func (t *Tally) refused(of request.Tier, reason request.Reason) {
+func (t *Tally) countRefusal(of request.Tier, reason request.Reason) {
 	switch reason {
 	case request.ReasonExpired:
 		t[of].Expired++
@@ -51,4 +51,4 @@
 	}
 }
 
-func (t *Tally) ended(r *run, now time.Time) { t[r.tier].SlotTime += now.Sub(r.since) }
+func (t *Tally) countEnd(r *run, now time.Time) { t[r.tier].SlotTime += now.Sub(r.grantedAt) }
