--- a/broker/load_test.go
+++ b/broker/load_test.go
@@ -22,7 +22,7 @@
 type cluster struct {
 	net      *peertest.Network
 	snapshot workspace.Live
-	views    member.Live
+	views    member.CurrentView
 	entries  map[string]*Entry
 	stop     context.CancelFunc
 	group    conc.WaitGroup
--- a/broker/world_test.go
+++ b/broker/world_test.go
@@ -43,7 +43,7 @@
 type node struct {
 	w      *world
 	name   string
-	views  member.Live
+	views  member.CurrentView
 	host   *poolhost.Host
 	entry  *Entry
 	frozen bool // a paused process: it neither ticks nor takes messages
--- a/discovery/changes_test.go
+++ b/discovery/changelog_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func listOf(m map[string]Server) []Server {
+func serversOf(m map[string]Server) []Server {
 	var out []Server
 	for _, s := range m {
 		out = append(out, s)
@@ -20,9 +20,9 @@
 // The property: whoever has the list of an earlier revision, and takes what is
 // told to have changed since, has the newest list; and what is not known any more
 // is not told as if it were.
-func TestChangesBringAnyOldListUpToDate(t *testing.T) {
+func TestDeltaUpdatesAnyOldList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var c Changes
+		var c ChangeLog
 		now := map[string]Server{}
 		history := map[Revision][]Server{}
 		for at := Revision(1); at <= 30; at++ {
@@ -34,13 +34,13 @@
 					now[id] = Server{ID: id, Slots: rapid.IntRange(1, 3).Draw(t, "slots")}
 				}
 			}
-			history[at] = listOf(now)
+			history[at] = serversOf(now)
 			if at >= 3 {
-				c.Note(listOf(now), at)
+				c.Record(serversOf(now), at)
 			}
 		}
 		for at, old := range history {
-			d, ok := c.After(at)
+			d, ok := c.Since(at)
 			if ok != (at >= 3) {
 				t.Fatalf("after %d: %v", at, ok)
 			}
@@ -49,7 +49,7 @@
 			}
 			dir, want := NewDirectory(), NewDirectory()
 			dir.Replace(time.Time{}, d.Apply(old))
-			want.Replace(time.Time{}, listOf(now))
+			want.Replace(time.Time{}, serversOf(now))
 			if fmt.Sprint(dir.Listed()) != fmt.Sprint(want.Listed()) {
 				t.Fatalf("after %d: %v, want %v", at, dir.Listed(), want.Listed())
 			}
@@ -57,22 +57,22 @@
 	})
 }
 
-func TestChangesForgetTheOldestRemovals(t *testing.T) {
+func TestChangeLogDropsOldestRemovals(t *testing.T) {
 	Convey("Who is further behind gets the whole list", t, func() {
-		var c Changes
-		c.Note(nil, 1)
-		for i := range maxRemoved + 10 {
-			c.Note([]Server{{ID: fmt.Sprint(i)}}, Revision(2+i))
+		var c ChangeLog
+		c.Record(nil, 1)
+		for i := range maxRemovals + 10 {
+			c.Record([]Server{{ID: fmt.Sprint(i)}}, Revision(2+i))
 		}
-		_, ok := c.After(5)
+		_, ok := c.Since(5)
 		So(ok, ShouldBeFalse)
-		d, ok := c.After(maxRemoved)
+		d, ok := c.Since(maxRemovals)
 		So(ok, ShouldBeTrue)
 		So(d.Changed, ShouldHaveLength, 1)
 	})
 	Convey("Before anything was noted, nothing is told", t, func() {
-		var c Changes
-		_, ok := c.After(0)
+		var c ChangeLog
+		_, ok := c.Since(0)
 		So(ok, ShouldBeFalse)
 	})
 }
--- a/discovery/directory_test.go
+++ b/discovery/directory_test.go
@@ -11,14 +11,14 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func ids(d *Directory) (out []string) {
+func serverIDs(d *Directory) (out []string) {
 	for _, s := range d.Servers() {
 		out = append(out, s.ID)
 	}
 	return out
 }
 
-func TestDirectoryFollowsTheList(t *testing.T) {
+func TestDirectoryAppliesLists(t *testing.T) {
 	Convey("Servers come, leave and go", t, func() {
 		d := NewDirectory()
 		So(d.Replace(start, []Server{{ID: "a"}, {ID: "b"}}), ShouldBeTrue)
@@ -27,37 +27,37 @@
 		So(d.Put(start, Server{ID: "b", Leaving: true}), ShouldBeTrue)
 		So(d.Put(start, Server{ID: "b"}), ShouldBeFalse) // an older copy
 		So(d.Servers()[1].Leaving, ShouldBeTrue)
-		So(d.Removed(start, "b", 0), ShouldBeTrue)
-		So(d.Removed(start, "b", 0), ShouldBeFalse)
-		So(ids(d), ShouldResemble, []string{"a"})
+		So(d.Delete(start, "b", 0), ShouldBeTrue)
+		So(d.Delete(start, "b", 0), ShouldBeFalse)
+		So(serverIDs(d), ShouldResemble, []string{"a"})
 	})
 }
 
 // Guards against requests refused for want of servers whose entries lapsed in an outage of the store.
-func TestDirectoryKeepsWhatLapsedInAnOutage(t *testing.T) {
+func TestDirectoryKeepsMissingServersAfterOutage(t *testing.T) {
 	Convey("A server that is missing after an outage is kept for the grace", t, func() {
 		d := NewDirectory()
 		d.Replace(start, []Server{{ID: "a"}, {ID: "b"}})
-		d.StoreAway()
-		back := start.Add(10 * time.Second)
-		So(d.Replace(back, []Server{{ID: "b"}}), ShouldBeTrue)
-		So(d.Replace(back, []Server{{ID: "b"}}), ShouldBeFalse)
-		So(ids(d), ShouldResemble, []string{"a", "b"})
+		d.StoreUnavailable()
+		recovered := start.Add(10 * time.Second)
+		So(d.Replace(recovered, []Server{{ID: "b"}}), ShouldBeTrue)
+		So(d.Replace(recovered, []Server{{ID: "b"}}), ShouldBeFalse)
+		So(serverIDs(d), ShouldResemble, []string{"a", "b"})
 
 		Convey("and is well when it has written again", func() {
-			d.Replace(back.Add(time.Second), []Server{{ID: "a"}, {ID: "b"}})
-			So(d.Expire(back.Add(ReturnGrace)), ShouldBeFalse)
-			So(ids(d), ShouldResemble, []string{"a", "b"})
+			d.Replace(recovered.Add(time.Second), []Server{{ID: "a"}, {ID: "b"}})
+			So(d.ExpireMissing(recovered.Add(StoreRecoveryGrace)), ShouldBeFalse)
+			So(serverIDs(d), ShouldResemble, []string{"a", "b"})
 		})
 		Convey("and is gone when it has not by then", func() {
-			So(d.Expire(back.Add(ReturnGrace-1)), ShouldBeFalse)
-			So(d.Expire(back.Add(ReturnGrace)), ShouldBeTrue)
-			So(ids(d), ShouldResemble, []string{"b"})
+			So(d.ExpireMissing(recovered.Add(StoreRecoveryGrace-1)), ShouldBeFalse)
+			So(d.ExpireMissing(recovered.Add(StoreRecoveryGrace)), ShouldBeTrue)
+			So(serverIDs(d), ShouldResemble, []string{"b"})
 		})
 		Convey("but not while the store is away again", func() {
-			d.StoreAway()
-			So(d.Expire(back.Add(time.Minute)), ShouldBeFalse)
-			So(ids(d), ShouldResemble, []string{"a", "b"})
+			d.StoreUnavailable()
+			So(d.ExpireMissing(recovered.Add(time.Minute)), ShouldBeFalse)
+			So(serverIDs(d), ShouldResemble, []string{"a", "b"})
 		})
 	})
 	// Guards against this: a server gets requests 2.1 s after it has left.
@@ -66,59 +66,59 @@
 		d.Replace(start, []Server{{ID: "a"}, {ID: "b"}})
 		_, ok := d.ExpiresIn(start)
 		So(ok, ShouldBeFalse)
-		d.StoreAway()
-		back := start.Add(10 * time.Second)
-		So(d.Replace(back, []Server{{ID: "b"}}), ShouldBeTrue)
-		So(ids(d), ShouldResemble, []string{"a", "b"})
+		d.StoreUnavailable()
+		recovered := start.Add(10 * time.Second)
+		So(d.Replace(recovered, []Server{{ID: "b"}}), ShouldBeTrue)
+		So(serverIDs(d), ShouldResemble, []string{"a", "b"})
 		So(d.Listed(), ShouldResemble, []Server{{ID: "b"}})
-		in, ok := d.ExpiresIn(back.Add(time.Second))
+		in, ok := d.ExpiresIn(recovered.Add(time.Second))
 		So(ok, ShouldBeTrue)
-		So(in, ShouldEqual, ReturnGrace-time.Second)
+		So(in, ShouldEqual, StoreRecoveryGrace-time.Second)
 	})
 	// Guards against this: a server gets requests 2.07 s after its entry was removed.
 	Convey("A server that was listed after the return and is removed then has left", t, func() {
 		d := NewDirectory()
 		d.Replace(start, []Server{{ID: "a"}, {ID: "b"}})
-		d.StoreAway()
-		back := start.Add(10 * time.Second)
-		d.Replace(back, []Server{{ID: "a"}, {ID: "b"}})
-		So(d.Removed(back.Add(time.Second), "a", 0), ShouldBeTrue)
-		So(ids(d), ShouldResemble, []string{"b"})
-		So(d.Replace(back.Add(time.Second), nil), ShouldBeTrue)
-		So(ids(d), ShouldBeEmpty)
+		d.StoreUnavailable()
+		recovered := start.Add(10 * time.Second)
+		d.Replace(recovered, []Server{{ID: "a"}, {ID: "b"}})
+		So(d.Delete(recovered.Add(time.Second), "a", 0), ShouldBeTrue)
+		So(serverIDs(d), ShouldResemble, []string{"b"})
+		So(d.Replace(recovered.Add(time.Second), nil), ShouldBeTrue)
+		So(serverIDs(d), ShouldBeEmpty)
 	})
 	// The same, where the daemon learns of the store from another one: that has
 	// no news for it until the server leaves.
 	Convey("So has one that was confirmed after the return", t, func() {
 		d := NewDirectory()
 		d.Replace(start, []Server{{ID: "a"}, {ID: "b"}})
-		d.StoreAway()
-		back := start.Add(10 * time.Second)
-		d.Confirm(back)
-		So(d.Replace(back.Add(2*time.Second), []Server{{ID: "b"}}), ShouldBeTrue)
-		So(ids(d), ShouldResemble, []string{"b"})
+		d.StoreUnavailable()
+		recovered := start.Add(10 * time.Second)
+		d.Confirm(recovered)
+		So(d.Replace(recovered.Add(2*time.Second), []Server{{ID: "b"}}), ShouldBeTrue)
+		So(serverIDs(d), ShouldResemble, []string{"b"})
 	})
 	Convey("What is missing is not confirmed", t, func() {
 		d := NewDirectory()
 		d.Replace(start, []Server{{ID: "a"}, {ID: "b"}})
-		d.StoreAway()
-		back := start.Add(10 * time.Second)
-		d.Replace(back, []Server{{ID: "b"}})
-		d.Confirm(back)
-		d.Replace(back, []Server{{ID: "b"}})
-		So(ids(d), ShouldResemble, []string{"a", "b"})
+		d.StoreUnavailable()
+		recovered := start.Add(10 * time.Second)
+		d.Replace(recovered, []Server{{ID: "b"}})
+		d.Confirm(recovered)
+		d.Replace(recovered, []Server{{ID: "b"}})
+		So(serverIDs(d), ShouldResemble, []string{"a", "b"})
 	})
 	Convey("A server that announces that it stops is leaving at once, grace or not", t, func() {
 		d := NewDirectory()
 		d.Replace(start, []Server{{ID: "a"}})
-		d.StoreAway()
+		d.StoreUnavailable()
 		So(d.Put(start, Server{ID: "a", Leaving: true}), ShouldBeTrue)
 		So(d.Servers()[0].Leaving, ShouldBeTrue)
 	})
 }
 
 // Guards against a server that started again and stays unused, since its former incarnation was leaving.
-func TestDirectoryUsesAServerThatStartsAgain(t *testing.T) {
+func TestDirectoryUsesRestartedServer(t *testing.T) {
 	leaving := func(d *Directory) bool { return d.Servers()[0].Leaving }
 	Convey("Another start is another incarnation, whatever the one before announced", t, func() {
 		d := NewDirectory()
@@ -136,7 +136,7 @@
 		Convey("and an older copy of its former incarnation changes nothing, in whatever order it comes", func() {
 			So(d.Put(start, Server{ID: "a", StartedAt: 1000, Sequence: 41, Revision: 10, Leaving: true}), ShouldBeFalse)
 			So(d.Put(start, Server{ID: "a", StartedAt: 1000, Sequence: 41, Revision: 14, Leaving: true}), ShouldBeFalse)
-			So(d.Removed(start, "a", 10), ShouldBeFalse)
+			So(d.Delete(start, "a", 10), ShouldBeFalse)
 			So(leaving(d), ShouldBeFalse)
 		})
 		Convey("and an entry without a start is of the incarnation that is known", func() {
@@ -170,51 +170,51 @@
 }
 
 // Guards against a returned server that daemons which do not read the store never hear of.
-func TestDirectoryTellsThatAServerIsListedAgain(t *testing.T) {
-	for name, back := range map[string]func(*Directory, time.Time) bool{
+func TestDirectoryReportsRelistedServer(t *testing.T) {
+	for name, recovered := range map[string]func(*Directory, time.Time) bool{
 		"in a list":  func(d *Directory, now time.Time) bool { return d.Replace(now, []Server{{ID: "a"}}) },
 		"in a watch": func(d *Directory, now time.Time) bool { return d.Put(now, Server{ID: "a"}) },
 	} {
 		Convey("A return is a change "+name, t, func() {
 			d := NewDirectory()
 			d.Replace(start, []Server{{ID: "a"}})
-			d.StoreAway()
+			d.StoreUnavailable()
 			So(d.Replace(start, nil), ShouldBeTrue)
 			So(d.Listed(), ShouldBeEmpty)
-			So(back(d, start), ShouldBeTrue)
+			So(recovered(d, start), ShouldBeTrue)
 			So(d.Listed(), ShouldHaveLength, 1)
-			So(back(d, start), ShouldBeFalse)
+			So(recovered(d, start), ShouldBeFalse)
 		})
 	}
 }
 
 // Guards against the use of a server whose entry was overwritten, and against the loss of all for one.
-func TestDirectoryDoesNotUseAMalformedEntry(t *testing.T) {
+func TestDirectoryIgnoresMalformedEntry(t *testing.T) {
 	Convey("It is not used until it is mended", t, func() {
 		d := NewDirectory()
-		sound := Server{ID: "a", StartedAt: 7, Sequence: 9, Revision: 10}
-		d.Replace(start, []Server{sound, {ID: "b"}})
-		So(d.Put(start, Server{ID: "a", Invalid: "no object", Revision: 11}), ShouldBeTrue)
-		So(d.Put(start, Server{ID: "a", Invalid: "no object", Revision: 12}), ShouldBeFalse)
-		So(ids(d), ShouldResemble, []string{"b"})
+		valid := Server{ID: "a", StartedAt: 7, Sequence: 9, Revision: 10}
+		d.Replace(start, []Server{valid, {ID: "b"}})
+		So(d.Put(start, Server{ID: "a", InvalidReason: "no object", Revision: 11}), ShouldBeTrue)
+		So(d.Put(start, Server{ID: "a", InvalidReason: "no object", Revision: 12}), ShouldBeFalse)
+		So(serverIDs(d), ShouldResemble, []string{"b"})
 		So(d.Invalid(), ShouldHaveLength, 1)
-		So(d.Put(start, sound), ShouldBeFalse) // an older copy
-		So(ids(d), ShouldResemble, []string{"b"})
-		sound.Revision = 13
-		So(d.Put(start, sound), ShouldBeTrue)
-		So(ids(d), ShouldResemble, []string{"a", "b"})
+		So(d.Put(start, valid), ShouldBeFalse) // an older copy
+		So(serverIDs(d), ShouldResemble, []string{"b"})
+		valid.Revision = 13
+		So(d.Put(start, valid), ShouldBeTrue)
+		So(serverIDs(d), ShouldResemble, []string{"a", "b"})
 	})
 	Convey("It is not used in the grace after an outage either", t, func() {
 		d := NewDirectory()
 		d.Replace(start, []Server{{ID: "a", Revision: 1}})
-		d.StoreAway()
-		d.Replace(start, []Server{{ID: "a", Invalid: "no object", Revision: 2}})
-		So(ids(d), ShouldBeEmpty)
+		d.StoreUnavailable()
+		d.Replace(start, []Server{{ID: "a", InvalidReason: "no object", Revision: 2}})
+		So(serverIDs(d), ShouldBeEmpty)
 	})
 	Convey("That it was leaving is not forgotten meanwhile", t, func() {
 		d := NewDirectory()
 		d.Put(start, Server{ID: "a", Leaving: true, Revision: 1})
-		d.Put(start, Server{ID: "a", Invalid: "no object", Revision: 2})
+		d.Put(start, Server{ID: "a", InvalidReason: "no object", Revision: 2})
 		d.Put(start, Server{ID: "a", Revision: 3})
 		So(d.Servers()[0].Leaving, ShouldBeTrue)
 	})
@@ -223,7 +223,7 @@
 // The property: whatever malformed entries lie among sound ones, and in
 // whatever order changes, lists and copies that are late come, the sound servers are
 // as if there were none.
-func TestMalformedEntriesChangeNothingForSoundOnes(t *testing.T) {
+func TestMalformedEntriesDoNotAffectValidOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		with, without := NewDirectory(), NewDirectory()
 		for at := Revision(1); at <= 40; at++ {
@@ -232,7 +232,7 @@
 				ID: id, Revision: at - Revision(rapid.IntRange(0, 3).Draw(t, "late")),
 				StartedAt: int64(rapid.IntRange(0, 3).Draw(t, "started")), Leaving: rapid.Bool().Draw(t, "leaving"),
 			}
-			malformed := Server{ID: "x" + id, Invalid: "no object", Revision: at}
+			malformed := Server{ID: "x" + id, InvalidReason: "no object", Revision: at}
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
 				with.Put(start, s)
@@ -240,8 +240,8 @@
 			case 1:
 				with.Put(start, malformed)
 			case 2:
-				with.Removed(start, id, s.Revision)
-				without.Removed(start, id, s.Revision)
+				with.Delete(start, id, s.Revision)
+				without.Delete(start, id, s.Revision)
 			case 3:
 				listed := without.Listed()
 				without.Replace(start, listed)
--- a/internal/capacity/measure_member.go
+++ b/internal/capacity/measure_member.go
@@ -42,9 +42,9 @@
 		add(seriesMemberMessages, n, c.MessagesPerSecond)
 		add(seriesMemberCPU, n, c.CPU)
 		add(seriesMemberHeap, n, c.HeapBytes)
-		add(seriesKillToDead, n, c.KillToDead.Seconds())
-		add(seriesKillToAll, n, c.KillToAll.Seconds())
-		add(seriesJoin, n, c.Join.Seconds())
+		add(seriesKillToDead, n, c.RegionDetectTime.Seconds())
+		add(seriesKillToAll, n, c.ClusterDetectTime.Seconds())
+		add(seriesJoin, n, c.JoinTime.Seconds())
 	}
 	for _, s := range []struct{ name, what, unit string }{
 		{seriesMemberBytes, "membership messages of one member, both ways, in a quiet time", "B/s"},
--- a/internal/capacity/measure_owner.go
+++ b/internal/capacity/measure_owner.go
@@ -89,7 +89,7 @@
 		in := planOf(n)
 		points = append(points, Point{float64(n), cpuPer(planRounds, func() {
 			for range planRounds {
-				placement.Steps(in, placement.Make(in).Moves)
+				placement.Steps(in, placement.ComputePlan(in).Moves)
 			}
 		})})
 	}
@@ -102,14 +102,14 @@
 	for i := range planPools {
 		name := fmt.Sprint("m", i)
 		in.Pools = append(in.Pools, placement.Pool{
-			Name: name, Region: "r", Model: name, Version: "1", Wanted: true, Demand: placement.Demand{float64(8 * i)},
+			Name: name, Region: "r", Model: name, Version: "1", Referenced: true, Demand: placement.Demand{float64(8 * i)},
 		})
 	}
 	for i := range servers {
 		name := fmt.Sprint("m", i%planPools)
 		in.Servers = append(in.Servers, placement.Server{
 			Name: fmt.Sprint("s", i), Region: "r", AvailabilityZone: fmt.Sprint("z", i%3), Generation: fmt.Sprint("g", i%2),
-			Pool: name, Slots: rigSlots, Reachable: true, Settled: true, ChecksTokens: true, Fenced: true,
+			Pool: name, Slots: rigSlots, Reachable: true, CanUnload: true, ChecksTokens: true, Fenced: true,
 			Models: []engine.LoadedModel{{Model: name, Version: "1"}},
 		})
 	}
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -321,7 +321,7 @@
 
 func (c *model) placement() Item {
 	s := c.size
-	rate := 1 / placement.RoundInterval(placement.DefaultEvery, int(s.ServersPerRegion())).Seconds()
+	rate := 1 / placement.RoundInterval(placement.DefaultInterval, int(s.ServersPerRegion())).Seconds()
 	probes := s.ServersPerRegion() * rate
 	return Item{
 		Role: RoleController, Name: "plan and look at servers", Control: true, Mechanism: "one controller a region, by lease; the interval grows with its servers",
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -40,7 +40,7 @@
 	listener, adminListener net.Listener
 
 	config    *workspace.Live
-	views     *member.Live
+	views     *member.CurrentView
 	platform  objectstore.Platform
 	transport *peer.TCP
 	members   *member.Runner
@@ -82,7 +82,7 @@
 		log:      logs.For("daemon"),
 		metrics:  metrics.New(),
 		config:   &workspace.Live{},
-		views:    &member.Live{},
+		views:    &member.CurrentView{},
 		drain:    make(chan struct{}),
 	}
 	if err := d.listen(); err != nil {
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -26,7 +26,7 @@
 		},
 		Seeds: d.settings.Peer.Seeds,
 	}, member.RunnerOptions{
-		Transport: d.transport, Live: d.views, Registry: d.metrics, Hints: d.peerHints,
+		Transport: d.transport, View: d.views, Registry: d.metrics, VMAddresses: d.peerHints,
 	})
 	return errors.Wrap(err, "membership")
 }
--- a/internal/gateway/asker.go
+++ b/internal/gateway/asker.go
@@ -42,7 +42,7 @@
 type asker struct {
 	state     *state
 	transport peer.Transport
-	views     *member.Live
+	views     *member.CurrentView
 	// joined is closed when views can be gone by.
 	joined <-chan struct{}
 	// next is how many readers have been passed over because they could not
@@ -52,7 +52,7 @@
 	heard atomic.Int64
 }
 
-func newAsker(s *state, t peer.Transport, views *member.Live, joined <-chan struct{}) *asker {
+func newAsker(s *state, t peer.Transport, views *member.CurrentView, joined <-chan struct{}) *asker {
 	a := &asker{state: s, transport: t, views: views, joined: joined}
 	t.Handle(peer.TypeSync, a.answer)
 	return a
--- a/internal/gateway/deciders.go
+++ b/internal/gateway/deciders.go
@@ -15,7 +15,7 @@
 type deciders struct {
 	state  *state
 	bounds rollout.Bounds
-	views  *member.Live
+	views  *member.CurrentView
 	log    *logrus.Entry
 
 	mu  sync.Mutex
@@ -30,7 +30,7 @@
 	writing bool
 }
 
-func newDeciders(s *state, b rollout.Bounds, views *member.Live, log *logrus.Entry) *deciders {
+func newDeciders(s *state, b rollout.Bounds, views *member.CurrentView, log *logrus.Entry) *deciders {
 	return &deciders{state: s, bounds: b, views: views, log: log, all: map[rollout.ID]*deciding{}}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,7 +55,7 @@
 
 	routes  *route.Live
 	pools   *workspace.Live
-	views   *member.Live
+	views   *member.CurrentView
 	state   *state
 	ledger  *quota.Ledger
 	forward *forward.Server
@@ -78,7 +78,7 @@
 func New(s Settings, p Platform, m *metrics.Registry) (*Gateway, error) {
 	g := &Gateway{
 		settings: s, platform: p, log: logs.For("gateway"), metrics: m,
-		started: time.Now(), routes: &route.Live{}, pools: &workspace.Live{}, views: &member.Live{},
+		started: time.Now(), routes: &route.Live{}, pools: &workspace.Live{}, views: &member.CurrentView{},
 	}
 	debug.SetMemoryLimit(int64(s.Limits.MemoryMB * 1e6 * memoryShare))
 	g.budgets = newBudgets(s.Bounds)
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -37,7 +37,7 @@
 	members := zoned(map[string]int{"a": n})
 	all, nets = map[string]*asker{}, map[string]*askNet{}
 	for _, m := range members {
-		views := &member.Live{}
+		views := &member.CurrentView{}
 		views.Store(member.NewView(m.Name, members))
 		net := &askNet{postbox: newPostbox(), self: m.Name, known: all}
 		s := configuredState()
--- a/internal/gateway/outcomes_test.go
+++ b/internal/gateway/outcomes_test.go
@@ -45,7 +45,7 @@
 		}
 		late := toV2(85, rollout.Running)
 		s.putRollout(late, 90)
-		d := newDeciders(s, rollout.Bounds{}, &member.Live{}, logs.For("test"))
+		d := newDeciders(s, rollout.Bounds{}, &member.CurrentView{}, logs.For("test"))
 		Convey("who decides late finds it, and goes by it", func() {
 			late.State = rollout.Succeeded
 			d.writeOutcome(context.Background(), late)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -48,7 +48,7 @@
 			Weight: s.Limits.weight(),
 		},
 		Seeds: s.Seeds,
-	}, member.RunnerOptions{Transport: g.transport, Live: g.views, Registry: g.metrics})
+	}, member.RunnerOptions{Transport: g.transport, View: g.views, Registry: g.metrics})
 	if err != nil {
 		return errors.Wrap(err, "membership")
 	}
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -38,7 +38,7 @@
 	exchange  *quota.Exchange
 	budgets   *budgets
 	transport peer.Transport
-	views     *member.Live
+	views     *member.CurrentView
 	log       *logrus.Entry
 
 	mu      sync.Mutex
@@ -53,7 +53,7 @@
 	hubs    map[string]bool
 }
 
-func newQuotas(l *quota.Ledger, b *budgets, t peer.Transport, views *member.Live, now func() time.Time) *quotas {
+func newQuotas(l *quota.Ledger, b *budgets, t peer.Transport, views *member.CurrentView, now func() time.Time) *quotas {
 	q := &quotas{
 		ledger: l, exchange: quota.NewExchange(l, now, uint64(now().UnixNano())),
 		budgets: b, transport: t, views: views, log: logs.For("quotas"), sharers: newSharers(),
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -61,7 +61,7 @@
 	stopped := func() time.Time { return time.Unix(1000, 0) }
 	ledger := quota.NewLedger(stopped, daemonsAssumed, quota.Tolerance{})
 	ledger.Prepare([]*route.Workspace{{Name: "w", Quota: route.Quota{PerSecond: 100, Burst: 1000}}})
-	views := &member.Live{}
+	views := &member.CurrentView{}
 	views.Store(member.NewView(self, members))
 	box := newPostbox()
 	return newQuotas(ledger, newBudgets(BoundsSettings{}), box, views, stopped), box
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -262,7 +262,7 @@
 // runExpiry ends the grace of missing servers in time until ctx ends.
 func (r *reader) runExpiry(ctx context.Context) {
 	for ctx.Err() == nil {
-		delay := discovery.ReturnGrace / 4
+		delay := discovery.StoreRecoveryGrace / 4
 		if in, ok := r.state.expireServers(); ok {
 			delay = min(delay, in+time.Millisecond)
 		}
@@ -275,7 +275,7 @@
 func (r *reader) decode(o objectstore.Object) discovery.Server {
 	server, err := r.state.platform.DecodeServer(o.Name, o.Value)
 	if err != nil {
-		server = discovery.Server{ID: o.Name, Invalid: err.Error()}
+		server = discovery.Server{ID: o.Name, InvalidReason: err.Error()}
 	}
 	server.Revision = discovery.Revision(o.Version)
 	return server
--- a/internal/gateway/reader_test.go
+++ b/internal/gateway/reader_test.go
@@ -86,7 +86,7 @@
 // Guards against this: 195 daemons that start together make 1,500 calls of the store before they serve anybody.
 func TestCallsOfTheStoreAtAStart(t *testing.T) {
 	Convey("Given a daemon that is alone in its view", t, func() {
-		views := &member.Live{}
+		views := &member.CurrentView{}
 		views.Store(member.NewView("a1", zoned(map[string]int{"a": 1})))
 		joined := make(chan struct{})
 		s := configuredState()
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -53,7 +53,7 @@
 	// What follows is set once the daemon has joined the others.
 	region    string
 	transport peer.Transport
-	views     *member.Live
+	views     *member.CurrentView
 	owner     func(service, region string) (string, bool)
 	deciders  *deciders
 	started   uint64
@@ -96,7 +96,7 @@
 }
 
 // join makes the parts that act together with the other daemons.
-func (r *rollouts) join(region string, t peer.Transport, views *member.Live, owner func(service, region string) (string, bool)) {
+func (r *rollouts) join(region string, t peer.Transport, views *member.CurrentView, owner func(service, region string) (string, bool)) {
 	r.region, r.transport, r.views, r.owner = region, t, views, owner
 	r.started = uint64(time.Now().UnixNano())
 	r.deciders = newDeciders(r.state, r.bounds, views, r.log)
--- a/internal/gateway/serverlog.go
+++ b/internal/gateway/serverlog.go
@@ -43,12 +43,12 @@
 func (s *state) logInvalid(entries []discovery.Server) {
 	now := make(map[string]string, len(entries))
 	for _, x := range entries {
-		now[x.ID] = x.Invalid
-		if s.invalid[x.ID] == x.Invalid {
+		now[x.ID] = x.InvalidReason
+		if s.invalid[x.ID] == x.InvalidReason {
 			continue
 		}
 		s.invalidEntries.Add(1)
-		s.log.WithFields(logrus.Fields{"server": x.ID, "reason": x.Invalid, "revision": x.Revision}).Warn("Server's entry is malformed.")
+		s.log.WithFields(logrus.Fields{"server": x.ID, "reason": x.InvalidReason, "revision": x.Revision}).Warn("Server's entry is malformed.")
 	}
 	s.invalid = now
 }
--- a/internal/gateway/serverlog_test.go
+++ b/internal/gateway/serverlog_test.go
@@ -32,9 +32,9 @@
 		So(told(a), ShouldResemble, []string{"Server has started again."})
 		a.Leaving = true
 		So(told(a), ShouldResemble, []string{"Server is leaving."})
-		So(told(discovery.Server{ID: "a", Invalid: "no object"}), ShouldResemble, []string{"Server is gone.", "Server's entry is malformed."})
-		So(told(discovery.Server{ID: "a", Invalid: "no object"}), ShouldBeEmpty)
-		So(told(discovery.Server{ID: "a", Invalid: "state is unknown"}), ShouldResemble, []string{"Server's entry is malformed."})
+		So(told(discovery.Server{ID: "a", InvalidReason: "no object"}), ShouldResemble, []string{"Server is gone.", "Server's entry is malformed."})
+		So(told(discovery.Server{ID: "a", InvalidReason: "no object"}), ShouldBeEmpty)
+		So(told(discovery.Server{ID: "a", InvalidReason: "state is unknown"}), ShouldResemble, []string{"Server's entry is malformed."})
 		So(s.invalidEntries.Value(), ShouldEqual, 2)
 	})
 }
--- a/internal/gateway/sync.go
+++ b/internal/gateway/sync.go
@@ -48,7 +48,7 @@
 	// when the directory is.
 	config          objectstore.Object
 	serversRevision objectstore.Version
-	changes         discovery.Changes
+	changes         discovery.ChangeLog
 	rollouts        knownRollouts
 	poolGone        poolGone
 	// canaries returns the servers of a new version that get canaries now.
@@ -121,7 +121,7 @@
 func (s *state) replaceServers(listed []discovery.Server, as objectstore.Version) {
 	s.updateServers(as, func(now time.Time) bool {
 		changed := s.directory.Replace(now, listed)
-		return s.directory.Expire(now) || changed
+		return s.directory.ExpireMissing(now) || changed
 	})
 }
 
@@ -144,7 +144,7 @@
 	}
 	s.applyServers(as, func(now time.Time) bool {
 		changed := s.directory.Replace(now, listed)
-		return s.directory.Expire(now) || changed
+		return s.directory.ExpireMissing(now) || changed
 	})
 	s.serversRevision = max(s.serversRevision, as)
 }
@@ -156,7 +156,7 @@
 
 // removeServer takes the removal of an entry at a revision.
 func (s *state) removeServer(id string, at, as objectstore.Version) {
-	s.updateServers(as, func(now time.Time) bool { return s.directory.Removed(now, id, discovery.Revision(at)) })
+	s.updateServers(as, func(now time.Time) bool { return s.directory.Delete(now, id, discovery.Revision(at)) })
 }
 
 // updateServers changes the directory unless what it has is newer, and the
@@ -176,7 +176,7 @@
 		return
 	}
 	s.serversRevision = as
-	s.changes.Note(s.directory.Listed(), discovery.Revision(as))
+	s.changes.Record(s.directory.Listed(), discovery.Revision(as))
 	s.rebuildSoon()
 	s.signal()
 }
@@ -207,7 +207,7 @@
 func (s *state) expireServers() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.directory.Expire(time.Now()) {
+	if s.directory.ExpireMissing(time.Now()) {
 		s.rebuild()
 		s.signal()
 	}
@@ -228,7 +228,7 @@
 func (s *state) storeAway() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.directory.StoreAway()
+	s.directory.StoreUnavailable()
 }
 
 // rebuild makes the pools' snapshot from the table and the directory; it is
--- a/internal/gateway/teller.go
+++ b/internal/gateway/teller.go
@@ -63,7 +63,7 @@
 	m.ServersRevision = uint64(s.serversRevision)
 	if m.ServersRevision > q.ServersRevision {
 		m.ServersTold = true
-		if d, ok := s.changes.After(discovery.Revision(q.ServersRevision)); ok && q.ServersRevision > 0 && q.Changes {
+		if d, ok := s.changes.Since(discovery.Revision(q.ServersRevision)); ok && q.ServersRevision > 0 && q.Changes {
 			m.ServersBase, m.Servers, m.Removed = q.ServersRevision, serversToWire(d.Changed), d.Removed
 		} else {
 			m.Servers = serversToWire(s.directory.Listed())
@@ -82,7 +82,7 @@
 		out = append(out, &wire.Server{
 			Id: x.ID, Service: x.Service, Address: x.Address, AvailabilityZone: x.AvailabilityZone,
 			Slots: uint32(x.Slots), Leaving: x.Leaving, StartedAtMs: x.StartedAt,
-			Sequence: x.Sequence, Revision: uint64(x.Revision), Invalid: x.Invalid,
+			Sequence: x.Sequence, Revision: uint64(x.Revision), Invalid: x.InvalidReason,
 			Version: x.Version, Cold: x.Cold,
 		})
 	}
@@ -95,7 +95,7 @@
 		out = append(out, discovery.Server{
 			ID: x.Id, Service: x.Service, Address: x.Address, AvailabilityZone: x.AvailabilityZone,
 			Slots: int(x.Slots), Leaving: x.Leaving, StartedAt: x.StartedAtMs,
-			Sequence: x.Sequence, Revision: discovery.Revision(x.Revision), Invalid: x.Invalid,
+			Sequence: x.Sequence, Revision: discovery.Revision(x.Revision), InvalidReason: x.Invalid,
 			Version: x.Version, Cold: x.Cold,
 		})
 	}
--- a/internal/poolhost/config.go
+++ b/internal/poolhost/config.go
@@ -82,7 +82,7 @@
 	Snapshots *workspace.Live
 	// Views is the membership in force; nil where this daemon is alone and
 	// owns every pool.
-	Views *member.Live
+	Views *member.CurrentView
 	// Transport reaches the other daemons; nil where this daemon is alone.
 	Transport peer.Transport
 	// Engines dials model engines for load reports and cache events; nil:
--- a/member/config.go
+++ b/member/config.go
@@ -39,44 +39,44 @@
 
 // Bounds that make the cost of a member constant, however many there are.
 const (
-	// rings is how many members one member probes at regular intervals, and
+	// probeRingCount is how many members one member probes at regular intervals, and
 	// by how many it is probed.
-	rings = 6
-	// helpers are asked to probe a member that did not answer.
-	helpers = 3
-	// syncEvery is how many probe intervals lie between two comparisons of
+	probeRingCount = 6
+	// indirectProbeCount are asked to probe a member that did not answer.
+	indirectProbeCount = 3
+	// probesPerSync is how many probe intervals lie between two comparisons of
 	// the whole view with a random member.
-	syncEvery = 20
-	// syncEveryYoung takes its place in the first youngTime of a member, which
+	probesPerSync = 20
+	// probesPerStartupSync takes its place in the first startupPeriod of a member, which
 	// was told of its own region only.
-	syncEveryYoung = 3
-	// updatesPerMessage bounds the news on one message.
-	updatesPerMessage = 6
-	// sendFactor times log10(members) is how often each member passes one
+	probesPerStartupSync = 3
+	// maxUpdatesPerMessage bounds the news on one message.
+	maxUpdatesPerMessage = 6
+	// retransmitMultiplier times log10(members) is how often each member passes one
 	// piece of news on; what is missed all the same, comparing views brings.
-	sendFactor = 4
-	// pushTo is how many members are told fresh news at once.
-	pushTo = 2
-	// maxVerify bounds the probes that verify other members' suspicions.
-	maxVerify = 8
+	retransmitMultiplier = 4
+	// pushFanout is how many members are told fresh news at once.
+	pushFanout = 2
+	// maxVerifyProbes bounds the probes that verify other members' suspicions.
+	maxVerifyProbes = 8
 	// maxRelays bounds the probes done for others.
 	maxRelays = 64
-	// confirmations shorten a suspicion to SuspicionMin.
-	confirmations = 2
-	// maxHealth bounds how much slower a member judges that hears nothing.
-	maxHealth = 3
-	// recordsPerMessage bounds a message of a view's comparison.
-	recordsPerMessage = 200
+	// suspicionConfirmations shorten a suspicion to SuspicionMin.
+	suspicionConfirmations = 2
+	// maxLocalHealth bounds how much slower a member judges that hears nothing.
+	maxLocalHealth = 3
+	// maxRecordsPerMessage bounds a message of a view's comparison.
+	maxRecordsPerMessage = 200
 )
 
-// youngTime is how long a member compares views more often after its start.
-const youngTime = 15 * time.Second
+// startupPeriod is how long a member compares views more often after its start.
+const startupPeriod = 15 * time.Second
 
-// aloneInterval is how often a member that knows nobody asks a seed.
-const aloneInterval = 500 * time.Millisecond
+// joinRetryInterval is how often a member that knows nobody asks a seed.
+const joinRetryInterval = 500 * time.Millisecond
 
-// seedInterval is how often a seed that is not among the members is asked.
-const seedInterval = 3 * time.Second
+// seedContactInterval is how often a seed that is not among the members is asked.
+const seedContactInterval = 3 * time.Second
 
 // reprobeInterval is how often a suspected member is probed again, so that it
 // learns of the suspicion.
--- a/member/joined_test.go
+++ b/member/joined_test.go
@@ -17,35 +17,35 @@
 		for _, d := range c.Nodes[:8] {
 			d.Start()
 		}
-		_, ok := c.RunUntil(healLimit, func() bool { return len(c.Nodes[0].View.Members) == 8 })
+		_, ok := c.RunUntil(convergeTimeout, func() bool { return len(c.Nodes[0].View.Members) == 8 })
 		So(ok, ShouldBeTrue)
-		late := c.Nodes[8]
+		joiner := c.Nodes[8]
 
 		Convey("it has joined when it knows them", func() {
-			late.Start()
-			So(late.Machine.Joined(), ShouldBeFalse)
-			_, ok := c.RunUntil(healLimit, late.Machine.Joined)
+			joiner.Start()
+			So(joiner.Machine.Joined(), ShouldBeFalse)
+			_, ok := c.RunUntil(convergeTimeout, joiner.Machine.Joined)
 			So(ok, ShouldBeTrue)
-			So(len(late.View.Members), ShouldEqual, 9)
+			So(len(joiner.View.Members), ShouldEqual, 9)
 		})
 		Convey("it goes on alone when nobody answers for a while", func() {
 			for _, d := range c.Nodes[:8] {
 				d.Kill()
 			}
-			late.Start()
-			took, ok := c.RunUntil(healLimit, late.Machine.Joined)
+			joiner.Start()
+			elapsed, ok := c.RunUntil(convergeTimeout, joiner.Machine.Joined)
 			So(ok, ShouldBeTrue)
-			So(took, ShouldBeBetweenOrEqual, member.JoinPatience-member.TickInterval, member.JoinPatience+member.TickInterval)
+			So(elapsed, ShouldBeBetweenOrEqual, member.JoinTimeout-member.TickInterval, member.JoinTimeout+member.TickInterval)
 		})
 	})
 	for name, c := range map[string]struct {
-		seeds, list []string
-		joined      bool
+		seeds, vmList []string
+		joined        bool
 	}{
 		"nobody to ask":               {joined: true},
-		"itself only":                 {seeds: []string{"10.0.0.1:1"}, list: []string{"10.0.0.1:1"}, joined: true},
+		"itself only":                 {seeds: []string{"10.0.0.1:1"}, vmList: []string{"10.0.0.1:1"}, joined: true},
 		"a seed":                      {seeds: []string{"10.0.0.2:1"}},
-		"a VM of the platform's list": {list: []string{"10.0.0.1:1", "10.0.0.2:1"}},
+		"a VM of the platform's list": {vmList: []string{"10.0.0.1:1", "10.0.0.2:1"}},
 	} {
 		Convey("Given a member with "+name, t, func() {
 			now := time.Unix(1000, 0)
@@ -56,9 +56,9 @@
 			So(err, ShouldBeNil)
 			m.Tick(now)
 			So(m.Joined(), ShouldBeFalse) // the list is not there yet
-			m.Hints(c.list)
+			m.SetCandidates(c.vmList)
 			So(m.Joined(), ShouldEqual, c.joined)
-			m.Tick(now.Add(member.JoinPatience))
+			m.Tick(now.Add(member.JoinTimeout))
 			So(m.Joined(), ShouldBeTrue)
 		})
 	}
--- a/member/machine.go
+++ b/member/machine.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Out is a message to send. Members without a name yet are peer.ByAddress.
-type Out struct {
+// Outgoing is a message to send. Members without a name yet are peer.ByAddress.
+type Outgoing struct {
 	To      peer.Name
 	Type    peer.Type
 	Payload []byte
@@ -18,55 +18,55 @@
 
 // Stats counts what the machine did, since its start.
 type Stats struct {
-	Probes, ProbeFailures, IndirectSaved       uint64
-	Suspicions, Refutations, Deaths, OwnPauses uint64
-	Syncs, SyncDifferences, BadMessages        uint64
+	Probes, ProbeFailures, IndirectAcks          uint64
+	Suspicions, Refutations, Deaths, LocalPauses uint64
+	Syncs, SyncDifferences, InvalidMessages      uint64
 }
 
 // Machine is membership as a pure state machine: events go in with the time,
 // messages to send come out. One goroutine at a time uses it. Runner connects
 // it to a peer.Transport.
 type Machine struct {
-	cfg   Config
-	rand  *rand.Rand
-	self  Member
-	table map[string]*entry
-	stats Stats
+	cfg     Config
+	rand    *rand.Rand
+	self    Member
+	members map[string]*memberEntry
+	stats   Stats
 
 	started  time.Time
 	now      time.Time
 	lastTick time.Time
-	out      []Out
+	outgoing []Outgoing
 	changed  bool // the view differs from the last one published
 
-	seq         uint64
-	probes      map[uint64]*probe
-	byTarget    map[string]*probe
-	relays      map[uint64]relay
-	verify      []string // members to probe because of what others say
-	order       []string // members still to probe in this round
-	ring        []string // the members that this one probes
-	ringStale   bool
-	health      int // 0: fine; more: this member itself seems slow or cut off
-	nextProbe   time.Time
-	untilSync   int
-	syncTurn    int
-	nextCompare time.Time
-	nextSeek    time.Time
-
-	news    []*update
-	fresh   bool // news came in since the last push
-	joining joining
-	hinted  map[string]struct{}
-	hints   []string // addresses not tried yet
+	seq             uint64
+	probes          map[uint64]*probe
+	probeByTarget   map[string]*probe
+	relays          map[uint64]relay
+	verifyQueue     []string // members to probe because of what others say
+	probeQueue      []string // members still to probe in this round
+	targets         []string // the members that this one probes
+	targetsStale    bool
+	localHealth     int // 0: fine; more: this member itself seems slow or cut off
+	nextProbe       time.Time
+	probesUntilSync int
+	syncPartnerKind int
+	nextRecordSync  time.Time
+	nextSeedContact time.Time
+
+	broadcasts       []*broadcast
+	hasNewBroadcasts bool // broadcasts came in since the last push
+	joinState        joinState
+	vmListHosts      map[string]struct{}
+	candidates       []string // addresses not tried yet
 }
 
-// entry is what is known of another member.
-type entry struct {
+// memberEntry is what is known of another member.
+type memberEntry struct {
 	Member
-	since     time.Time // when State was last changed
-	failedAt  time.Time // the end of the last own probe that failed
-	suspicion *suspicion
+	stateChangedAt   time.Time // when State was last changed
+	lastProbeFailure time.Time // the end of the last own probe that failed
+	suspicion        *suspicion
 }
 
 // NewMachine returns a machine that knows nobody but its seeds.
@@ -77,111 +77,111 @@
 	}
 	m := &Machine{
 		cfg: cfg, rand: r, self: cfg.Self, started: now, now: now, lastTick: now, changed: true,
-		table: map[string]*entry{}, probes: map[uint64]*probe{}, byTarget: map[string]*probe{},
-		relays: map[uint64]relay{}, hinted: map[string]struct{}{},
-		joining:   joining{started: now},
-		nextProbe: now, nextSeek: now, untilSync: r.IntN(syncEveryYoung), ringStale: true,
+		members: map[string]*memberEntry{}, probes: map[uint64]*probe{}, probeByTarget: map[string]*probe{},
+		relays: map[uint64]relay{}, vmListHosts: map[string]struct{}{},
+		joinState: joinState{started: now},
+		nextProbe: now, nextSeedContact: now, probesUntilSync: r.IntN(probesPerStartupSync), targetsStale: true,
 	}
 	m.self.State = Alive
-	m.announceSelf()
-	m.hints = append(m.hints, cfg.Seeds...)
+	m.broadcastSelf()
+	m.candidates = append(m.candidates, cfg.Seeds...)
 	return m, nil
 }
 
 // Tick does what is due; call it every TickInterval.
-func (m *Machine) Tick(now time.Time) []Out {
+func (m *Machine) Tick(now time.Time) []Outgoing {
 	m.now = now
 	if now.Sub(m.lastTick) > m.cfg.PauseGap {
-		m.forgiveAfterPause()
+		m.resetAfterPause()
 	}
 	m.lastTick = now
 	m.expireProbes()
-	m.judgeSuspects()
-	m.expireTombstones()
+	m.expireSuspicions()
+	m.removeExpiredTombstones()
 	m.startProbes()
-	m.seek()
-	m.tryHints()
-	m.push()
-	return m.take()
+	m.contactSeeds()
+	m.joinCandidates()
+	m.pushBroadcasts()
+	return m.takeOutgoing()
 }
 
 // Receive handles a peer's message.
-func (m *Machine) Receive(now time.Time, from peer.Name, t peer.Type, payload []byte) []Out {
+func (m *Machine) Receive(now time.Time, from peer.Name, t peer.Type, payload []byte) []Outgoing {
 	m.now = now
 	var msg wire.Message
 	if err := proto.Unmarshal(payload, &msg); err != nil {
-		m.stats.BadMessages++
+		m.stats.InvalidMessages++
 		return nil
 	}
 	for _, r := range msg.Updates {
-		m.apply(r, from)
+		m.applyRecord(r, from)
 	}
 	switch t {
 	case peer.TypeMemberProbe:
 		m.send(from, peer.TypeMemberAck, &wire.Message{Seq: msg.Seq})
 	case peer.TypeMemberAsk:
-		m.relayProbe(from, &msg)
+		m.startRelay(from, &msg)
 	case peer.TypeMemberAck:
-		m.acked(from, &msg)
+		m.handleAck(from, &msg)
 	case peer.TypeMemberGossip:
 		if msg.Sync != nil {
-			m.sync(from, msg.Sync)
+			m.handleSync(from, msg.Sync)
 		}
 	}
 	m.checkSender(from, &msg)
-	return m.take()
+	return m.takeOutgoing()
 }
 
 // PeerDown tells that the connection to a peer broke, or that a message could
 // not be sent. It is a hint: the peer is probed on a new connection.
-func (m *Machine) PeerDown(now time.Time, of peer.Name) []Out {
+func (m *Machine) PeerDown(now time.Time, peerName peer.Name) []Outgoing {
 	m.now = now
-	name := string(of)
-	m.relaysDown(name)
-	m.helperDown(name)
-	e, known := m.table[name]
-	if p, ok := m.byTarget[name]; ok {
-		m.connectionDown(p)
+	name := string(peerName)
+	m.failRelaysTo(name)
+	m.markHelperDown(name)
+	e, known := m.members[name]
+	if p, ok := m.probeByTarget[name]; ok {
+		m.retryProbe(p)
 	} else if known {
-		m.doubt(e)
+		m.probeAfterDisconnect(e)
 	}
-	return m.take()
+	return m.takeOutgoing()
 }
 
-// doubt probes a member whose connection broke; one of another region that
+// probeAfterDisconnect probes a member whose connection broke; one of another region that
 // the platform's list has not either is forgotten.
-func (m *Machine) doubt(e *entry) {
-	if e.State == Dead || m.now.Sub(e.failedAt) < reprobeInterval {
+func (m *Machine) probeAfterDisconnect(e *memberEntry) {
+	if e.State == Dead || m.now.Sub(e.lastProbeFailure) < reprobeInterval {
 		return
 	}
 	if e.Region == m.self.Region {
 		m.startProbe(e.Name)
 		return
 	}
-	if _, listed := m.hinted[host(e.Address)]; !listed && len(m.hinted) > 0 {
-		m.setDead(e)
+	if _, listed := m.vmListHosts[host(e.Address)]; !listed && len(m.vmListHosts) > 0 {
+		m.markDead(e)
 	}
 }
 
 // Leave announces that this member takes no more pools.
-func (m *Machine) Leave(now time.Time) []Out {
+func (m *Machine) Leave(now time.Time) []Outgoing {
 	m.now = now
 	m.self.State = Leaving
 	m.self.Incarnation++
-	m.announceSelf()
-	m.push()
-	return m.take()
+	m.broadcastSelf()
+	m.pushBroadcasts()
+	return m.takeOutgoing()
 }
 
-// Goodbye announces that this member stops now. No more ticks may follow.
-func (m *Machine) Goodbye(now time.Time) []Out {
+// Shutdown announces that this member stops now. No more ticks may follow.
+func (m *Machine) Shutdown(now time.Time) []Outgoing {
 	m.now = now
 	m.self.State = Dead
-	m.announceSelf()
-	for _, name := range m.pick(len(m.table), m.pushable) {
+	m.broadcastSelf()
+	for _, name := range m.pickRandom(len(m.members), m.isProbeTarget) {
 		m.send(peer.Name(name), peer.TypeMemberGossip, &wire.Message{})
 	}
-	return m.take()
+	return m.takeOutgoing()
 }
 
 // Stats returns the counters.
@@ -193,22 +193,22 @@
 		return nil
 	}
 	m.changed = false
-	members := make([]Member, 0, len(m.table)+1)
+	members := make([]Member, 0, len(m.members)+1)
 	members = append(members, m.self)
-	for _, e := range m.table {
+	for _, e := range m.members {
 		members = append(members, e.Member)
 	}
 	return NewView(m.self.Name, members)
 }
 
-// forgiveAfterPause takes back what this member holds against others: while
+// resetAfterPause takes back what this member holds against others: while
 // it was paused, it is itself that did not answer and did not hear.
-func (m *Machine) forgiveAfterPause() {
-	m.stats.OwnPauses++
+func (m *Machine) resetAfterPause() {
+	m.stats.LocalPauses++
 	m.probes = map[uint64]*probe{}
-	m.byTarget = map[string]*probe{}
+	m.probeByTarget = map[string]*probe{}
 	m.relays = map[uint64]relay{}
-	for _, e := range m.table {
+	for _, e := range m.members {
 		if e.suspicion != nil {
 			e.suspicion.started = m.now
 			e.suspicion.verified = false
@@ -221,20 +221,20 @@
 func (m *Machine) send(to peer.Name, t peer.Type, msg *wire.Message) {
 	msg.Incarnation = m.self.Incarnation
 	msg.State = wire.State(m.self.State)
-	if e, ok := m.table[string(to)]; ok && (e.State == Suspect || e.State == Dead) {
+	if e, ok := m.members[string(to)]; ok && (e.State == Suspect || e.State == Dead) {
 		msg.Updates = append(msg.Updates, e.record(m.self.Name))
 	}
-	msg.Updates = m.appendNews(msg.Updates)
+	msg.Updates = m.appendBroadcasts(msg.Updates)
 	b, err := proto.Marshal(msg)
 	if err != nil {
-		m.stats.BadMessages++
+		m.stats.InvalidMessages++
 		return
 	}
-	m.out = append(m.out, Out{To: to, Type: t, Payload: b})
+	m.outgoing = append(m.outgoing, Outgoing{To: to, Type: t, Payload: b})
 }
 
-func (m *Machine) take() []Out {
-	out := m.out
-	m.out = nil
+func (m *Machine) takeOutgoing() []Outgoing {
+	out := m.outgoing
+	m.outgoing = nil
 	return out
 }
--- a/member/machine_test.go
+++ b/member/machine_test.go
@@ -10,35 +10,35 @@
 	"pgregory.net/rapid"
 )
 
-// healLimit is within what virtual time a cluster without faults must agree.
-const healLimit = 2 * time.Minute
+// convergeTimeout is within what virtual time a cluster without faults must agree.
+const convergeTimeout = 2 * time.Minute
 
-// started returns a cluster whose members all know each other.
-func started(n, regions int) *membertest.Cluster {
+// newConvergedCluster returns a cluster whose members all know each other.
+func newConvergedCluster(n, regions int) *membertest.Cluster {
 	c := membertest.New(n, regions, 1)
 	c.StartAll()
 	c.Run(time.Second)
-	_, ok := c.RunUntil(healLimit, c.Converged)
+	_, ok := c.RunUntil(convergeTimeout, c.Converged)
 	So(ok, ShouldBeTrue)
 	c.Run(30 * time.Second)
 	return c
 }
 
-// state is what one member believes of another.
-func state(c *membertest.Cluster, at, of int) member.State {
+// believedState is what one member believes of another.
+func believedState(c *membertest.Cluster, at, of int) member.State {
 	m, _ := c.Nodes[at].View.Get(c.Nodes[of].Name)
 	return m.State
 }
 
-// everBelieved runs the cluster and counts, over all pairs of running
+// countBeliefs runs the cluster and counts, over all pairs of running
 // members and all ticks, how often one believed the other in the state.
-func everBelieved(c *membertest.Cluster, d time.Duration, s member.State) int {
+func countBeliefs(c *membertest.Cluster, d time.Duration, s member.State) int {
 	n := 0
 	for end := c.Now().Add(d); c.Now().Before(end); {
 		c.Run(member.TickInterval)
 		for i, a := range c.Nodes {
 			for j, b := range c.Nodes {
-				if i != j && a.Running() && b.Running() && state(c, i, j) == s {
+				if i != j && a.Running() && b.Running() && believedState(c, i, j) == s {
 					n++
 				}
 			}
@@ -47,103 +47,103 @@
 	return n
 }
 
-func TestDeathIsNoticed(t *testing.T) {
+func TestFailureDetection(t *testing.T) {
 	// Guards against this: pools without an owner; entries wait for grants.
-	for name, end := range map[string]func(*membertest.Node){"killed": (*membertest.Node).Kill, "vanished": (*membertest.Node).Freeze} {
+	for name, end := range map[string]func(*membertest.Node){"killed": (*membertest.Node).Kill, "vanished": (*membertest.Node).Pause} {
 		for _, n := range []int{2, 3, 9, 40} {
 			Convey("A "+name+" member is believed dead by everybody soon", t, func() {
-				c := started(n, 1)
+				c := newConvergedCluster(n, 1)
 				end(c.Nodes[n-1])
-				took, ok := c.RunUntil(healLimit, c.Converged)
+				elapsed, ok := c.RunUntil(convergeTimeout, c.Converged)
 				So(ok, ShouldBeTrue)
 				limit := 8 * time.Second
 				if name == "killed" {
 					limit = 2500 * time.Millisecond // leaves the new owner its share of 3 s
 				}
-				So(took, ShouldBeLessThan, limit)
+				So(elapsed, ShouldBeLessThan, limit)
 			})
 		}
 	}
 	Convey("Two of three that die at once are noticed by the third", t, func() {
-		c := started(3, 1)
+		c := newConvergedCluster(3, 1)
 		c.Nodes[0].Kill()
 		c.Nodes[1].Kill()
-		_, ok := c.RunUntil(healLimit, c.Converged)
+		_, ok := c.RunUntil(convergeTimeout, c.Converged)
 		So(ok, ShouldBeTrue)
 	})
 }
 
-func TestCutLinkIsNoDeath(t *testing.T) {
+func TestBrokenLinkMarksNobodyDead(t *testing.T) {
 	// Guards against this: pools move although every daemon is alive.
 	Convey("Members behind a cut link stay alive for everybody", t, func() {
 		for _, both := range []bool{false, true} {
-			c := started(7, 1) // few enough that all probe each other
-			c.Cut(1, 2)
+			c := newConvergedCluster(7, 1) // few enough that all probe each other
+			c.BlockLink(1, 2)
 			if both {
-				c.Cut(2, 1)
+				c.BlockLink(2, 1)
 			}
-			So(everBelieved(c, time.Minute, member.Dead), ShouldEqual, 0)
-			So(c.Nodes[1].Machine.Stats().IndirectSaved+c.Nodes[2].Machine.Stats().IndirectSaved, ShouldBeGreaterThan, 0)
+			So(countBeliefs(c, time.Minute, member.Dead), ShouldEqual, 0)
+			So(c.Nodes[1].Machine.Stats().IndirectAcks+c.Nodes[2].Machine.Stats().IndirectAcks, ShouldBeGreaterThan, 0)
 		}
 	})
 }
 
-func TestPausedMemberBlamesNobody(t *testing.T) {
+func TestPausedMemberMarksNobodyDead(t *testing.T) {
 	// Guards against this: after one VM's pause the whole cluster is believed dead.
 	Convey("A member that wakes from a pause convicts nobody and is taken back", t, func() {
 		for _, pause := range []time.Duration{2 * time.Second, 30 * time.Second} {
-			c := started(9, 1)
-			c.Nodes[4].Freeze()
+			c := newConvergedCluster(9, 1)
+			c.Nodes[4].Pause()
 			c.Run(pause)
-			c.Nodes[4].Thaw()
+			c.Nodes[4].Resume()
 			deaths := c.Nodes[4].Machine.Stats().Deaths
-			_, ok := c.RunUntil(healLimit, c.Converged)
+			_, ok := c.RunUntil(convergeTimeout, c.Converged)
 			So(ok, ShouldBeTrue)
-			So(everBelieved(c, 30*time.Second, member.Dead), ShouldEqual, 0)
+			So(countBeliefs(c, 30*time.Second, member.Dead), ShouldEqual, 0)
 			So(c.Nodes[4].Machine.Stats().Deaths, ShouldEqual, deaths)
-			So(c.Nodes[4].Machine.Stats().OwnPauses, ShouldEqual, 1)
+			So(c.Nodes[4].Machine.Stats().LocalPauses, ShouldEqual, 1)
 		}
 	})
 }
 
-func TestIsolatedMemberConvincesNobody(t *testing.T) {
+func TestIsolatedMemberMarksNobodyDeadElsewhere(t *testing.T) {
 	// Guards against this: one daemon's return makes all pools move, twice.
 	Convey("What an isolated member believes is not believed by the others", t, func() {
-		c := started(9, 1)
+		c := newConvergedCluster(9, 1)
 		c.Isolate(func(d *membertest.Node) bool { return d == c.Nodes[3] })
 		c.Run(time.Minute)
-		So(state(c, 3, 4), ShouldEqual, member.Dead)
-		So(state(c, 4, 3), ShouldEqual, member.Dead)
+		So(believedState(c, 3, 4), ShouldEqual, member.Dead)
+		So(believedState(c, 4, 3), ShouldEqual, member.Dead)
 		c.Heal()
-		wrong := 0
+		falseDeaths := 0
 		for range 300 {
 			c.Run(member.TickInterval)
 			for i := range 9 {
 				for j := range 9 {
-					if i != 3 && j != 3 && i != j && state(c, i, j) == member.Dead {
-						wrong++
+					if i != 3 && j != 3 && i != j && believedState(c, i, j) == member.Dead {
+						falseDeaths++
 					}
 				}
 			}
 		}
-		So(wrong, ShouldEqual, 0)
-		_, ok := c.RunUntil(healLimit, c.Converged)
+		So(falseDeaths, ShouldEqual, 0)
+		_, ok := c.RunUntil(convergeTimeout, c.Converged)
 		So(ok, ShouldBeTrue)
 	})
 }
 
-func TestRegionsLoseEachOther(t *testing.T) {
+func TestRegionPartitionKeepsMembers(t *testing.T) {
 	// Guards against this: every pool of a region changes owner when a cable is cut.
 	Convey("Members of a region that is cut off are kept as they were", t, func() {
-		c := started(24, 3)
+		c := newConvergedCluster(24, 3)
 		c.Isolate(func(d *membertest.Node) bool { return d.Region == "region-1" })
-		So(everBelieved(c, 5*time.Minute, member.Dead), ShouldEqual, 0)
+		So(countBeliefs(c, 5*time.Minute, member.Dead), ShouldEqual, 0)
 		c.Nodes[0].Kill() // region-0 learns, region-1 can't yet
 		c.Run(time.Minute)
-		So(state(c, 3, 0), ShouldEqual, member.Dead)
-		So(state(c, 1, 0), ShouldEqual, member.Alive)
+		So(believedState(c, 3, 0), ShouldEqual, member.Dead)
+		So(believedState(c, 1, 0), ShouldEqual, member.Alive)
 		c.Heal()
-		_, ok := c.RunUntil(healLimit, c.Converged)
+		_, ok := c.RunUntil(convergeTimeout, c.Converged)
 		So(ok, ShouldBeTrue)
 	})
 }
@@ -151,21 +151,21 @@
 func TestRestartAndLeave(t *testing.T) {
 	// Guards against this: a restarted daemon gets no pools, or a leaving one gets some.
 	Convey("A restarted member is believed alive again in its new life", t, func() {
-		c := started(9, 1)
+		c := newConvergedCluster(9, 1)
 		c.Nodes[2].Kill()
 		c.Run(10 * time.Second)
 		c.Nodes[2].Start()
-		took, ok := c.RunUntil(healLimit, c.Converged)
+		elapsed, ok := c.RunUntil(convergeTimeout, c.Converged)
 		So(ok, ShouldBeTrue)
-		So(took, ShouldBeLessThan, 10*time.Second)
+		So(elapsed, ShouldBeLessThan, 10*time.Second)
 		c.Nodes[2].Kill()
 		c.Nodes[2].StartWithIncarnation(1)
 		c.Run(5 * time.Second)
 		So(c.Converged(), ShouldBeTrue)
-		So(everBelieved(c, 30*time.Second, member.Dead), ShouldEqual, 0)
+		So(countBeliefs(c, 30*time.Second, member.Dead), ShouldEqual, 0)
 	})
 	Convey("A leaving member is known as such within two seconds and owns nothing", t, func() {
-		c := started(9, 1)
+		c := newConvergedCluster(9, 1)
 		owner, _ := c.Nodes[0].View.Owner("pool", "region-0")
 		leaving := 0
 		for i, d := range c.Nodes {
@@ -177,7 +177,7 @@
 		_, ok := c.RunUntil(2*time.Second, func() bool {
 			for i, d := range c.Nodes {
 				next, _ := d.View.Owner("pool", "region-0")
-				if next.Name == owner.Name || (i != leaving && state(c, i, leaving) != member.Leaving) {
+				if next.Name == owner.Name || (i != leaving && believedState(c, i, leaving) != member.Leaving) {
 					return false
 				}
 			}
@@ -208,14 +208,14 @@
 				d.Kill()
 				d.Start()
 			case 2:
-				d.Freeze()
+				d.Pause()
 			case 3:
-				d.Thaw()
+				d.Resume()
 			case 4:
-				c.Cut(pick("from"), pick("to"))
+				c.BlockLink(pick("from"), pick("to"))
 			case 5:
-				one := c.Nodes[pick("isolated")]
-				c.Isolate(func(x *membertest.Node) bool { return x == one })
+				isolated := c.Nodes[pick("isolated")]
+				c.Isolate(func(x *membertest.Node) bool { return x == isolated })
 			case 6:
 				c.Heal()
 			}
@@ -223,10 +223,10 @@
 		}
 		c.Heal()
 		for _, d := range c.Nodes {
-			d.Thaw()
+			d.Resume()
 			d.Start()
 		}
-		if _, ok := c.RunUntil(healLimit, c.Converged); !ok {
+		if _, ok := c.RunUntil(convergeTimeout, c.Converged); !ok {
 			t.Fatal("views differ from the running members")
 		}
 	})
--- a/member/membertest/cluster.go
+++ b/member/membertest/cluster.go
@@ -17,22 +17,22 @@
 const (
 	sameRegionLatency  = 2 * time.Millisecond
 	otherRegionLatency = 20 * time.Millisecond
-	// noticeSilence is after how long the transport gives up a connection on
+	// silenceTimeout is after how long the transport gives up a connection on
 	// which messages vanish.
-	noticeSilence = time.Second
+	silenceTimeout = time.Second
 )
 
 // Cluster is a set of members on one network. It is used by one goroutine.
 type Cluster struct {
 	Nodes []*Node
 
-	now    time.Time
-	rand   *rand.Rand
-	events events
-	seq    uint64
-	cut    map[[2]int]bool // messages from the first to the second vanish
-	byName map[peer.Name]*Node
-	byAddr map[string]*Node
+	now     time.Time
+	rand    *rand.Rand
+	events  eventQueue
+	seq     uint64
+	blocked map[[2]int]bool // messages from the first to the second vanish
+	byName  map[peer.Name]*Node
+	byAddr  map[string]*Node
 }
 
 // Node is one member. Counters hold what it sent and received.
@@ -44,27 +44,27 @@
 
 	MessagesIn, MessagesOut, BytesIn, BytesOut uint64
 
-	c       *Cluster
-	index   int
-	address string
-	zone    string
-	life    int // counts starts; zero and Machine nil: never started
-	killed  bool
-	frozen  bool
-	held    []func() // what arrives at a frozen member
+	cluster    *Cluster
+	index      int
+	address    string
+	zone       string
+	startCount int // counts starts; zero and Machine nil: never started
+	killed     bool
+	paused     bool
+	deferred   []func() // what arrives at a frozen member
 }
 
 // New returns a cluster of n members, spread evenly over the regions, none of
 // which is started yet. All know the first three members' addresses as seeds.
 func New(n, regions int, seed uint64) *Cluster {
 	c := &Cluster{
-		now:  time.Unix(1_000_000, 0),
-		rand: rand.New(rand.NewPCG(seed, seed)),
-		cut:  map[[2]int]bool{}, byName: map[peer.Name]*Node{}, byAddr: map[string]*Node{},
+		now:     time.Unix(1_000_000, 0),
+		rand:    rand.New(rand.NewPCG(seed, seed)),
+		blocked: map[[2]int]bool{}, byName: map[peer.Name]*Node{}, byAddr: map[string]*Node{},
 	}
 	for i := range n {
 		d := &Node{
-			c: c, index: i, Name: fmt.Sprintf("entry-%03d", i), killed: true,
+			cluster: c, index: i, Name: fmt.Sprintf("entry-%03d", i), killed: true,
 			Region: fmt.Sprintf("region-%d", i%regions), zone: fmt.Sprintf("zone-%d", i%(regions*3)),
 			address: fmt.Sprintf("10.0.%d.%d:7400", i/250, i%250),
 		}
@@ -81,12 +81,12 @@
 // StartAll starts every member within one second.
 func (c *Cluster) StartAll() {
 	for _, d := range c.Nodes {
-		c.after(time.Duration(c.rand.Int64N(int64(time.Second))), d.Start)
+		c.schedule(time.Duration(c.rand.Int64N(int64(time.Second))), d.Start)
 	}
 }
 
 // Start starts a member that is not running, as a new process.
-func (d *Node) Start() { d.StartWithIncarnation(uint64(d.c.now.UnixMilli())) }
+func (d *Node) Start() { d.StartWithIncarnation(uint64(d.cluster.now.UnixMilli())) }
 
 // StartWithIncarnation is Start on a VM whose clock is wrong.
 func (d *Node) StartWithIncarnation(incarnation uint64) {
@@ -99,49 +99,49 @@
 			Region: d.Region, AvailabilityZone: d.zone, ProtocolVersion: peer.NewestVersion,
 		},
 	}
-	for _, s := range d.c.Nodes[:min(3, len(d.c.Nodes))] {
+	for _, s := range d.cluster.Nodes[:min(3, len(d.cluster.Nodes))] {
 		cfg.Seeds = append(cfg.Seeds, s.address)
 	}
-	m, err := member.NewMachine(cfg, d.c.now, rand.New(rand.NewPCG(d.c.rand.Uint64(), 0)))
+	m, err := member.NewMachine(cfg, d.cluster.now, rand.New(rand.NewPCG(d.cluster.rand.Uint64(), 0)))
 	if err != nil {
 		panic(err) // the configuration is made right here
 	}
-	d.Machine, d.killed, d.frozen, d.held = m, false, false, nil
-	d.life++
-	d.tick(d.life)
+	d.Machine, d.killed, d.paused, d.deferred = m, false, false, nil
+	d.startCount++
+	d.tick(d.startCount)
 }
 
 // Kill ends the process; its connections are reset.
 func (d *Node) Kill() {
 	d.killed = true
-	for _, o := range d.c.Nodes {
+	for _, o := range d.cluster.Nodes {
 		if o != d && !o.killed {
-			d.c.peerDown(o, peer.Name(d.Name), d.c.latency(d, o))
+			d.cluster.peerDown(o, peer.Name(d.Name), d.cluster.latency(d, o))
 		}
 	}
 }
 
-// Freeze stops the process without ending it; its connections stay.
-func (d *Node) Freeze() { d.frozen = true }
+// Pause stops the process without ending it; its connections stay.
+func (d *Node) Pause() { d.paused = true }
 
-// Thaw lets it go on; what arrived meanwhile is handled first.
-func (d *Node) Thaw() {
-	d.frozen = false
-	held := d.held
-	d.held = nil
-	for _, f := range held {
+// Resume lets it go on; what arrived meanwhile is handled first.
+func (d *Node) Resume() {
+	d.paused = false
+	deferred := d.deferred
+	d.deferred = nil
+	for _, f := range deferred {
 		f()
 	}
 }
 
 // Leave makes the member announce that it leaves.
-func (d *Node) Leave() { d.emit(d.Machine.Leave(d.c.now)) }
+func (d *Node) Leave() { d.emit(d.Machine.Leave(d.cluster.now)) }
 
 // Running tells whether the member runs and is not frozen.
-func (d *Node) Running() bool { return !d.killed && !d.frozen }
+func (d *Node) Running() bool { return !d.killed && !d.paused }
 
-// Cut makes messages from one member to the other vanish.
-func (c *Cluster) Cut(from, to int) { c.cut[[2]int{from, to}] = true }
+// BlockLink makes messages from one member to the other vanish.
+func (c *Cluster) BlockLink(from, to int) { c.blocked[[2]int{from, to}] = true }
 
 // Isolate makes all messages between the members that are in the set and the
 // others vanish.
@@ -149,14 +149,14 @@
 	for _, a := range c.Nodes {
 		for _, b := range c.Nodes {
 			if in(a) != in(b) {
-				c.Cut(a.index, b.index)
+				c.BlockLink(a.index, b.index)
 			}
 		}
 	}
 }
 
 // Heal takes back all cuts.
-func (c *Cluster) Heal() { clear(c.cut) }
+func (c *Cluster) Heal() { clear(c.blocked) }
 
 // Run lets virtual time pass.
 func (c *Cluster) Run(d time.Duration) {
@@ -164,7 +164,7 @@
 	for len(c.events) > 0 && !c.events[0].at.After(end) {
 		e := heap.Pop(&c.events).(event)
 		c.now = e.at
-		e.do()
+		e.run()
 	}
 	c.now = end
 }
@@ -172,21 +172,21 @@
 // RunUntil runs in steps until the condition holds and returns how long it
 // took; false if it did not within the limit.
 func (c *Cluster) RunUntil(limit time.Duration, cond func() bool) (time.Duration, bool) {
-	began := c.now
+	start := c.now
 	for !cond() {
-		if c.now.Sub(began) >= limit {
+		if c.now.Sub(start) >= limit {
 			return limit, false
 		}
 		c.Run(member.TickInterval)
 	}
-	return c.now.Sub(began), true
+	return c.now.Sub(start), true
 }
 
 // Converged tells whether every running member believes every running member
 // alive or leaving, and nobody else but dead.
 func (c *Cluster) Converged() bool {
 	for _, d := range c.Nodes {
-		if d.Running() && !d.sees(c.Nodes) {
+		if d.Running() && !d.hasCorrectView(c.Nodes) {
 			return false
 		}
 	}
@@ -202,14 +202,14 @@
 		}
 	}
 	for _, d := range nodes {
-		if d.Running() && !d.sees(nodes) {
+		if d.Running() && !d.hasCorrectView(nodes) {
 			return false
 		}
 	}
 	return true
 }
 
-func (d *Node) sees(nodes []*Node) bool {
+func (d *Node) hasCorrectView(nodes []*Node) bool {
 	for _, o := range nodes {
 		m, known := d.View.Get(o.Name)
 		live := known && (m.State == member.Alive || m.State == member.Leaving)
@@ -222,69 +222,69 @@
 }
 
 // tick calls the machine at its interval for as long as this life lasts.
-func (d *Node) tick(life int) {
-	if d.killed || d.life != life {
+func (d *Node) tick(startCount int) {
+	if d.killed || d.startCount != startCount {
 		return
 	}
-	if !d.frozen {
-		d.emit(d.Machine.Tick(d.c.now))
+	if !d.paused {
+		d.emit(d.Machine.Tick(d.cluster.now))
 	}
-	d.c.after(member.TickInterval, func() { d.tick(life) })
+	d.cluster.schedule(member.TickInterval, func() { d.tick(startCount) })
 }
 
 // emit publishes the view and sends messages.
-func (d *Node) emit(outs []member.Out) {
+func (d *Node) emit(outgoing []member.Outgoing) {
 	if v := d.Machine.View(); v != nil {
 		d.View = v
 	}
-	for _, o := range outs {
+	for _, o := range outgoing {
 		d.send(o)
 	}
 }
 
-func (d *Node) send(o member.Out) {
-	to := d.c.byName[o.To]
+func (d *Node) send(o member.Outgoing) {
+	to := d.cluster.byName[o.To]
 	if a, ok := o.To.Address(); ok {
-		to = d.c.byAddr[a]
+		to = d.cluster.byAddr[a]
 	}
 	if to == nil || to == d {
 		return
 	}
 	if to.killed {
-		d.c.peerDown(d, o.To, d.c.latency(d, to))
+		d.cluster.peerDown(d, o.To, d.cluster.latency(d, to))
 		return
 	}
 	d.MessagesOut++
 	d.BytesOut += uint64(len(o.Payload))
-	if d.c.cut[[2]int{d.index, to.index}] {
-		d.c.peerDown(d, o.To, noticeSilence)
+	if d.cluster.blocked[[2]int{d.index, to.index}] {
+		d.cluster.peerDown(d, o.To, silenceTimeout)
 		return
 	}
-	from, life := peer.Name(d.Name), to.life
-	d.c.after(d.c.latency(d, to), func() {
-		to.arrive(life, func() {
+	from, startCount := peer.Name(d.Name), to.startCount
+	d.cluster.schedule(d.cluster.latency(d, to), func() {
+		to.deliver(startCount, func() {
 			to.MessagesIn++
 			to.BytesIn += uint64(len(o.Payload))
-			to.emit(to.Machine.Receive(d.c.now, from, o.Type, o.Payload))
+			to.emit(to.Machine.Receive(d.cluster.now, from, o.Type, o.Payload))
 		})
 	})
 }
 
-// arrive handles something now, after the thaw, or never if the member died.
-func (d *Node) arrive(life int, f func()) {
+// deliver handles something now, after the thaw, or never if the member died.
+func (d *Node) deliver(startCount int, f func()) {
 	switch {
-	case d.killed || d.life != life:
-	case d.frozen:
-		d.held = append(d.held, f)
+	case d.killed || d.startCount != startCount:
+	case d.paused:
+		d.deferred = append(d.deferred, f)
 	default:
 		f()
 	}
 }
 
-func (c *Cluster) peerDown(at *Node, of peer.Name, after time.Duration) {
-	life := at.life
-	c.after(after, func() {
-		at.arrive(life, func() { at.emit(at.Machine.PeerDown(c.now, of)) })
+func (c *Cluster) peerDown(at *Node, name peer.Name, after time.Duration) {
+	startCount := at.startCount
+	c.schedule(after, func() {
+		at.deliver(startCount, func() { at.emit(at.Machine.PeerDown(c.now, name)) })
 	})
 }
 
@@ -296,30 +296,30 @@
 	return base/2 + time.Duration(c.rand.Int64N(int64(base)))
 }
 
-func (c *Cluster) after(d time.Duration, f func()) {
+func (c *Cluster) schedule(d time.Duration, f func()) {
 	c.seq++
-	heap.Push(&c.events, event{at: c.now.Add(d), seq: c.seq, do: f})
+	heap.Push(&c.events, event{at: c.now.Add(d), seq: c.seq, run: f})
 }
 
 // event is something due at a virtual time; seq orders events of one instant.
 type event struct {
 	at  time.Time
 	seq uint64
-	do  func()
+	run func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	if !e[i].at.Equal(e[j].at) {
 		return e[i].at.Before(e[j].at)
 	}
 	return e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	old := *e
 	last := old[len(old)-1]
 	*e = old[:len(old)-1]
--- a/member/membertest/measure.go
+++ b/member/membertest/measure.go
@@ -12,28 +12,28 @@
 // pays most. Bytes are encoded messages, both ways, without the transport's
 // framing, encryption and dials; CPU is the machine and its encoding alone.
 type Cost struct {
-	Members             int           `json:"members"`
-	Regions             int           `json:"regions"`
-	Simulated           time.Duration `json:"simulated_ns"`
-	MessagesPerSecond   float64       `json:"messages_per_second"`
-	BytesPerSecond      float64       `json:"bytes_per_second"`
-	WorstMessagesSecond float64       `json:"worst_messages_per_second"`
-	WorstBytesPerSecond float64       `json:"worst_bytes_per_second"`
+	Members                int           `json:"members"`
+	Regions                int           `json:"regions"`
+	Simulated              time.Duration `json:"simulated_ns"`
+	MessagesPerSecond      float64       `json:"messages_per_second"`
+	BytesPerSecond         float64       `json:"bytes_per_second"`
+	WorstMessagesPerSecond float64       `json:"worst_messages_per_second"`
+	WorstBytesPerSecond    float64       `json:"worst_bytes_per_second"`
 	// CPU is seconds of one core per second of a member's life.
 	CPU float64 `json:"cpu"`
 	// HeapBytes is the heap per member.
 	HeapBytes float64 `json:"heap_bytes"`
-	// KillToDead is how long after a kill its whole region believed the member
-	// dead, KillToAll everybody; Join is from a restart until everybody knew.
-	KillToDead time.Duration `json:"kill_to_dead_ns"`
-	KillToAll  time.Duration `json:"kill_to_all_ns"`
-	Join       time.Duration `json:"join_ns"`
+	// RegionDetectTime is how long after a kill its whole region believed the member
+	// dead, ClusterDetectTime everybody; Join is from a restart until everybody knew.
+	RegionDetectTime  time.Duration `json:"kill_to_dead_ns"`
+	ClusterDetectTime time.Duration `json:"kill_to_all_ns"`
+	JoinTime          time.Duration `json:"join_ns"`
 }
 
 // Limits of a measurement's phases, in virtual time.
 const (
-	convergeLimit = 2 * time.Minute
-	settleTime    = 4 * time.Minute // until the news of the joins has died out
+	convergeTimeout = 2 * time.Minute
+	settleTime      = 4 * time.Minute // until the news of the joins has died out
 )
 
 // Measure starts n members in as many regions, lets them settle, measures the
@@ -43,7 +43,7 @@
 	c := New(n, regions, seed)
 	c.StartAll()
 	c.Run(time.Second)
-	if _, ok := c.RunUntil(convergeLimit, c.Converged); !ok {
+	if _, ok := c.RunUntil(convergeTimeout, c.Converged); !ok {
 		return Cost{}, errors.Errorf("%d members did not find each other", n)
 	}
 	c.Run(settleTime)
@@ -55,19 +55,19 @@
 	cost.CPU = (cpuTime() - cpu).Seconds() / simulated.Seconds() / float64(n)
 	c.addTraffic(&cost)
 
-	victim := c.Nodes[n-1]
-	victim.Kill()
-	region, ok := c.RunUntil(convergeLimit, func() bool { return c.RegionConverged(victim.Region) })
+	killed := c.Nodes[n-1]
+	killed.Kill()
+	region, ok := c.RunUntil(convergeTimeout, func() bool { return c.RegionConverged(killed.Region) })
 	if !ok {
 		return cost, errors.New("a killed member was not noticed in its region")
 	}
-	rest, ok := c.RunUntil(convergeLimit, c.Converged)
+	rest, ok := c.RunUntil(convergeTimeout, c.Converged)
 	if !ok {
 		return cost, errors.New("a killed member was not noticed by all")
 	}
-	cost.KillToDead, cost.KillToAll = region, region+rest
-	victim.Start()
-	if cost.Join, ok = c.RunUntil(convergeLimit, c.Converged); !ok {
+	cost.RegionDetectTime, cost.ClusterDetectTime = region, region+rest
+	killed.Start()
+	if cost.JoinTime, ok = c.RunUntil(convergeTimeout, c.Converged); !ok {
 		return cost, errors.New("a restarted member was not noticed by all")
 	}
 	return cost, nil
@@ -86,7 +86,7 @@
 		bytes := float64(d.BytesIn+d.BytesOut) / seconds
 		cost.MessagesPerSecond += messages / n
 		cost.BytesPerSecond += bytes / n
-		cost.WorstMessagesSecond = max(cost.WorstMessagesSecond, messages)
+		cost.WorstMessagesPerSecond = max(cost.WorstMessagesPerSecond, messages)
 		cost.WorstBytesPerSecond = max(cost.WorstBytesPerSecond, bytes)
 	}
 }
--- a/member/membertest/measure_test.go
+++ b/member/membertest/measure_test.go
@@ -7,9 +7,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// bytesBound is membership's share of a node's 4 KB/s for control, before
+// maxBytesPerSecond is membership's share of a node's 4 KB/s for control, before
 // the transport adds its own.
-const bytesBound = 1000
+const maxBytesPerSecond = 1000
 
 func TestMeasure(t *testing.T) {
 	Convey("The traffic of a quiet cluster doesn't grow with its size", t, func() {
@@ -19,12 +19,12 @@
 		So(err, ShouldBeNil)
 		So(small.MessagesPerSecond, ShouldBeGreaterThan, 1)
 		So(large.BytesPerSecond, ShouldBeLessThan, 2*small.BytesPerSecond)
-		So(large.WorstBytesPerSecond, ShouldBeLessThan, bytesBound)
+		So(large.WorstBytesPerSecond, ShouldBeLessThan, maxBytesPerSecond)
 		Convey("and the same seed gives the same run", func() {
-			again, err := Measure(10, 1, 30*time.Second, 1)
+			repeated, err := Measure(10, 1, 30*time.Second, 1)
 			So(err, ShouldBeNil)
-			So(again.BytesPerSecond, ShouldEqual, small.BytesPerSecond)
-			So(again.KillToDead, ShouldEqual, small.KillToDead)
+			So(repeated.BytesPerSecond, ShouldEqual, small.BytesPerSecond)
+			So(repeated.RegionDetectTime, ShouldEqual, small.RegionDetectTime)
 		})
 	})
 }
@@ -32,11 +32,11 @@
 func TestMeasureIncidents(t *testing.T) {
 	// Guards against this: after a zone's or a region's failure the members disagree.
 	Convey("Members agree again after many fail at once", t, func() {
-		found, err := MeasureIncidents(30, 2, 1)
+		incidents, err := MeasureIncidents(30, 2, 1)
 		So(err, ShouldBeNil)
-		So(len(found), ShouldEqual, 4)
-		for _, in := range found {
-			So(in.Lost, ShouldBeGreaterThan, 0)
+		So(len(incidents), ShouldEqual, 4)
+		for _, in := range incidents {
+			So(in.FailedMembers, ShouldBeGreaterThan, 0)
 			So(in.WorstBytes, ShouldBeGreaterThanOrEqualTo, in.MeanBytes)
 		}
 	})
--- a/member/membertest/tcp.go
+++ b/member/membertest/tcp.go
@@ -16,7 +16,7 @@
 type Daemon struct {
 	Transport *peer.TCP
 	Runner    *member.Runner
-	Live      *member.Live
+	View      *member.CurrentView
 	Registry  *metrics.Registry
 }
 
@@ -25,7 +25,7 @@
 
 // StartDaemon starts a daemon that asks the seeds for members.
 func StartDaemon(name, region string, seeds []string) (*Daemon, error) {
-	d := &Daemon{Live: &member.Live{}, Registry: metrics.New()}
+	d := &Daemon{View: &member.CurrentView{}, Registry: metrics.New()}
 	var err error
 	d.Transport, err = peer.NewTCP(peer.Options{
 		Name: peer.Name(name), Listen: "127.0.0.1:0", Keys: [][]byte{clusterKey}, Registry: d.Registry,
@@ -38,7 +38,7 @@
 		Region: region, AvailabilityZone: region + "-a", ProtocolVersion: peer.NewestVersion,
 	}
 	d.Runner, err = member.NewRunner(member.Config{Self: self, Seeds: seeds},
-		member.RunnerOptions{Transport: d.Transport, Live: d.Live, Registry: d.Registry})
+		member.RunnerOptions{Transport: d.Transport, View: d.View, Registry: d.Registry})
 	if err != nil {
 		d.Transport.Close()
 		return nil, err
@@ -51,10 +51,10 @@
 // Address is where the daemon listens.
 func (d *Daemon) Address() string { return d.Transport.Addr().String() }
 
-// Knows counts the members that the daemon believes to be in a state.
-func (d *Daemon) Knows(s member.State) int {
+// CountInState counts the members that the daemon believes to be in a state.
+func (d *Daemon) CountInState(s member.State) int {
 	n := 0
-	for _, m := range d.Live.Load().Members {
+	for _, m := range d.View.Load().Members {
 		if m.State == s {
 			n++
 		}
@@ -111,17 +111,17 @@
 	}
 	time.Sleep(settle)
 	for _, d := range daemons {
-		if d.Knows(member.Alive) != n {
-			return TCPCost{}, errors.Errorf("a daemon knows %d of %d", d.Knows(member.Alive), n)
+		if d.CountInState(member.Alive) != n {
+			return TCPCost{}, errors.Errorf("a daemon knows %d of %d", d.CountInState(member.Alive), n)
 		}
 	}
 	cost := TCPCost{Members: n, Measured: measured}
-	bytesBefore, dialsBefore := totals(daemons)
+	bytesBefore, dialsBefore := sumCounters(daemons)
 	cpu := cpuTime()
 	time.Sleep(measured)
 	perMember := measured.Seconds() * float64(n)
 	cost.CPU = (cpuTime() - cpu).Seconds() / perMember
-	bytesAfter, dialsAfter := totals(daemons)
+	bytesAfter, dialsAfter := sumCounters(daemons)
 	cost.BytesPerSecond = float64(bytesAfter-bytesBefore) / perMember
 	cost.DialsPerSecond = float64(dialsAfter-dialsBefore) / perMember
 	for _, d := range daemons {
@@ -131,7 +131,7 @@
 	return cost, nil
 }
 
-func totals(daemons []*Daemon) (wire, dials int64) {
+func sumCounters(daemons []*Daemon) (wire, dials int64) {
 	for _, d := range daemons {
 		wire += d.wireBytes()
 		dials += d.Registry.Counter("peer", "dials").Value()
--- a/member/runner.go
+++ b/member/runner.go
@@ -13,23 +13,23 @@
 	"github.com/sourcegraph/conc"
 )
 
-// DefaultHintInterval is how often the VM list is asked for addresses: every
+// DefaultVMListInterval is how often the VM list is asked for addresses: every
 // call counts against the platform's rates, and gossip finds most members.
-const DefaultHintInterval = time.Minute
+const DefaultVMListInterval = time.Minute
 
-// hintTimeout bounds one look at the VM list.
-const hintTimeout = 5 * time.Second
+// vmListTimeout bounds one look at the VM list.
+const vmListTimeout = 5 * time.Second
 
 // RunnerOptions connect membership with the rest of the daemon.
 type RunnerOptions struct {
 	Transport peer.Transport
-	// Live receives every new view.
-	Live     *Live
+	// View receives every new view.
+	View     *CurrentView
 	Registry *metrics.Registry
-	// Hints returns the peer addresses (IP:port) that the platform's VM list
+	// VMAddresses returns the peer addresses (IP:port) that the platform's VM list
 	// gives; nil: none. An error is logged and changes nothing.
-	Hints        func(context.Context) ([]string, error)
-	HintInterval time.Duration
+	VMAddresses    func(context.Context) ([]string, error)
+	VMListInterval time.Duration
 }
 
 // Runner runs a Machine in real time over a transport. It is safe for
@@ -41,11 +41,11 @@
 	cancel context.CancelFunc
 	group  conc.WaitGroup
 
-	mu      sync.Mutex
-	machine *Machine
-	stopped bool
-	met     bool // joined is closed
-	joined  chan struct{}
+	mu           sync.Mutex
+	machine      *Machine
+	closed       bool
+	joinedClosed bool // joined is closed
+	joined       chan struct{}
 }
 
 // NewRunner registers membership's handlers; call it before the transport
@@ -55,23 +55,23 @@
 	if err != nil {
 		return nil, err
 	}
-	if opts.HintInterval == 0 {
-		opts.HintInterval = DefaultHintInterval
+	if opts.VMListInterval == 0 {
+		opts.VMListInterval = DefaultVMListInterval
 	}
 	r := &Runner{opts: opts, log: logs.For("member"), machine: m, joined: make(chan struct{})}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
-	r.opts.Live.Store(m.View())
+	r.opts.View.Store(m.View())
 	for _, t := range []peer.Type{peer.TypeMemberProbe, peer.TypeMemberAsk, peer.TypeMemberAck, peer.TypeMemberGossip} {
 		opts.Transport.Handle(t, func(_ context.Context, from peer.Name, payload []byte) ([]byte, error) {
-			r.do(func(now time.Time) []Out { return m.Receive(now, from, t, payload) })
+			r.handleEvent(func(now time.Time) []Outgoing { return m.Receive(now, from, t, payload) })
 			return nil, nil
 		})
 	}
-	opts.Transport.OnDown(func(of peer.Name) {
-		r.do(func(now time.Time) []Out { return m.PeerDown(now, of) })
+	opts.Transport.OnDown(func(name peer.Name) {
+		r.handleEvent(func(now time.Time) []Outgoing { return m.PeerDown(now, name) })
 	})
 	if opts.Registry != nil {
-		r.publish(opts.Registry)
+		r.registerMetrics(opts.Registry)
 	}
 	return r, nil
 }
@@ -79,69 +79,69 @@
 // Start begins to probe and to look for members.
 func (r *Runner) Start() {
 	r.group.Go(r.tickLoop)
-	if r.opts.Hints != nil {
-		r.group.Go(r.hintLoop)
+	if r.opts.VMAddresses != nil {
+		r.group.Go(r.vmListLoop)
 	} else {
-		r.do(func(time.Time) []Out { r.machine.Hints(nil); return nil })
+		r.handleEvent(func(time.Time) []Outgoing { r.machine.SetCandidates(nil); return nil })
 	}
 }
 
 // Joined is closed when the view can be gone by: this daemon has met others,
-// or has found after JoinPatience at the latest that nobody answers.
+// or has found after JoinTimeout at the latest that nobody answers.
 func (r *Runner) Joined() <-chan struct{} { return r.joined }
 
 // Leave announces that this daemon takes no more pools; it goes on taking
 // part. Call it at the first sign of leaving, e.g. SIGTERM.
-func (r *Runner) Leave() { r.do(r.machine.Leave) }
+func (r *Runner) Leave() { r.handleEvent(r.machine.Leave) }
 
 // Close says goodbye and stops. The transport must still run.
 func (r *Runner) Close() {
 	r.cancel()
 	r.group.Wait()
-	r.do(r.machine.Goodbye)
+	r.handleEvent(r.machine.Shutdown)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stopped = true
+	r.closed = true
 }
 
-// do feeds one event to the machine, publishes the view and sends what comes
+// handleEvent feeds one event to the machine, publishes the view and sends what comes
 // out. A message that can't be sent is an event of its own.
-func (r *Runner) do(event func(time.Time) []Out) {
+func (r *Runner) handleEvent(event func(time.Time) []Outgoing) {
 	r.mu.Lock()
-	if r.stopped {
+	if r.closed {
 		r.mu.Unlock()
 		return
 	}
-	outs := event(time.Now())
+	outgoing := event(time.Now())
 	if v := r.machine.View(); v != nil {
-		r.show(v)
+		r.publishView(v)
 	}
-	if !r.met && r.machine.Joined() {
-		r.met = true
+	if !r.joinedClosed && r.machine.Joined() {
+		r.joinedClosed = true
 		close(r.joined)
 	}
 	r.mu.Unlock()
-	for _, o := range outs {
+	for _, o := range outgoing {
 		if err := r.opts.Transport.Send(o.To, o.Type, o.Payload); err != nil {
-			r.do(func(now time.Time) []Out { return r.machine.PeerDown(now, o.To) })
+			r.handleEvent(func(now time.Time) []Outgoing { return r.machine.PeerDown(now, o.To) })
 		}
 	}
 }
 
-// show logs what changed, tells the transport new addresses and puts the view
+// publishView logs what changed, tells the transport new addresses and puts the view
 // in force.
-func (r *Runner) show(v *View) {
-	old := r.opts.Live.Load()
+func (r *Runner) publishView(v *View) {
+	old := r.opts.View.Load()
 	for _, m := range v.Members {
-		was, known := old.Get(m.Name)
-		if m.Name != v.Self && (!known || was.Address != m.Address) {
+		prev, known := old.Get(m.Name)
+		if m.Name != v.Self && (!known || prev.Address != m.Address) {
 			r.opts.Transport.SetAddress(peer.Name(m.Name), m.Address)
 		}
-		if !known || was.State != m.State || was.Incarnation != m.Incarnation {
+		if !known || prev.State != m.State || prev.Incarnation != m.Incarnation {
 			r.log.WithField("of", m.Name).WithField("incarnation", m.Incarnation).Info("member " + m.State.String())
 		}
 	}
-	r.opts.Live.Store(v)
+	r.opts.View.Store(v)
 }
 
 func (r *Runner) tickLoop() {
@@ -152,24 +152,24 @@
 		case <-r.ctx.Done():
 			return
 		case <-t.C:
-			r.do(r.machine.Tick)
+			r.handleEvent(r.machine.Tick)
 		}
 	}
 }
 
-// hintLoop asks the VM list at the start and then at jittered intervals.
-func (r *Runner) hintLoop() {
+// vmListLoop asks the VM list at the start and then at jittered intervals.
+func (r *Runner) vmListLoop() {
 	for {
-		ctx, cancel := context.WithTimeout(r.ctx, hintTimeout)
-		addresses, err := r.opts.Hints(ctx)
+		ctx, cancel := context.WithTimeout(r.ctx, vmListTimeout)
+		addresses, err := r.opts.VMAddresses(ctx)
 		cancel()
 		switch {
 		case err == nil:
-			r.do(func(time.Time) []Out { r.machine.Hints(addresses); return nil })
+			r.handleEvent(func(time.Time) []Outgoing { r.machine.SetCandidates(addresses); return nil })
 		case r.ctx.Err() == nil:
 			r.log.WithError(err).Warn("no hints from the VM list")
 		}
-		wait := r.opts.HintInterval/2 + rand.N(r.opts.HintInterval)
+		wait := r.opts.VMListInterval/2 + rand.N(r.opts.VMListInterval)
 		select {
 		case <-r.ctx.Done():
 			return
@@ -178,25 +178,25 @@
 	}
 }
 
-// publish shows the machine's counters and the members by state.
-func (r *Runner) publish(reg *metrics.Registry) {
+// registerMetrics shows the machine's counters and the members by state.
+func (r *Runner) registerMetrics(reg *metrics.Registry) {
 	const group = "member"
 	for name, read := range map[string]func(Stats) uint64{
 		"probes":           func(s Stats) uint64 { return s.Probes },
 		"probe_failures":   func(s Stats) uint64 { return s.ProbeFailures },
-		"indirect_saved":   func(s Stats) uint64 { return s.IndirectSaved },
+		"indirect_saved":   func(s Stats) uint64 { return s.IndirectAcks },
 		"suspicions":       func(s Stats) uint64 { return s.Suspicions },
 		"refutations":      func(s Stats) uint64 { return s.Refutations },
 		"deaths":           func(s Stats) uint64 { return s.Deaths },
-		"own_pauses":       func(s Stats) uint64 { return s.OwnPauses },
+		"own_pauses":       func(s Stats) uint64 { return s.LocalPauses },
 		"syncs":            func(s Stats) uint64 { return s.Syncs },
 		"sync_differences": func(s Stats) uint64 { return s.SyncDifferences },
-		"bad_messages":     func(s Stats) uint64 { return s.BadMessages },
+		"bad_messages":     func(s Stats) uint64 { return s.InvalidMessages },
 	} {
 		reg.Gauge(group, name, func() any { return read(r.stats()) })
 	}
 	for _, s := range []State{Alive, Suspect, Leaving, Dead} {
-		reg.Gauge(group, "members_"+s.String(), func() any { return r.opts.Live.Load().count(s) })
+		reg.Gauge(group, "members_"+s.String(), func() any { return r.opts.View.Load().countInState(s) })
 	}
 }
 
--- a/member/runner_test.go
+++ b/member/runner_test.go
@@ -10,13 +10,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// patience bounds every wait for something that must happen in real time.
-const patience = 30 * time.Second
+// eventuallyTimeout bounds every wait for something that must happen in real time.
+const eventuallyTimeout = 30 * time.Second
 
 func eventually(cond func() bool) bool {
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
-	end := time.After(patience)
+	end := time.After(eventuallyTimeout)
 	for !cond() {
 		select {
 		case <-tick.C:
@@ -27,7 +27,7 @@
 	return true
 }
 
-func TestDaemonsOverTCP(t *testing.T) {
+func TestRunnersOverTCP(t *testing.T) {
 	// Guards against this: members never meet, or a dead one keeps its pools.
 	Convey("Given five daemons on real connections", t, func() {
 		const n = 5
@@ -39,30 +39,30 @@
 			daemons = append(daemons, d)
 			seeds = append(seeds, d.Address())
 		}
-		all := func(s member.State, want int) func() bool {
+		allCount := func(s member.State, want int) func() bool {
 			return func() bool {
 				for _, d := range daemons {
-					if d.Knows(s) != want {
+					if d.CountInState(s) != want {
 						return false
 					}
 				}
 				return true
 			}
 		}
-		So(eventually(all(member.Alive, n)), ShouldBeTrue)
+		So(eventually(allCount(member.Alive, n)), ShouldBeTrue)
 
 		daemons[1].Runner.Leave()
-		So(eventually(all(member.Leaving, 1)), ShouldBeTrue)
-		gone := daemons[n-1]
+		So(eventually(allCount(member.Leaving, 1)), ShouldBeTrue)
+		killed := daemons[n-1]
 		daemons = daemons[:n-1]
-		gone.Transport.Close() // as when its process is killed
-		So(eventually(all(member.Dead, 1)), ShouldBeTrue)
-		again, err := membertest.StartDaemon(fmt.Sprintf("entry-%d", n-1), "region", seeds[:3])
+		killed.Transport.Close() // as when its process is killed
+		So(eventually(allCount(member.Dead, 1)), ShouldBeTrue)
+		restarted, err := membertest.StartDaemon(fmt.Sprintf("entry-%d", n-1), "region", seeds[:3])
 		So(err, ShouldBeNil)
-		daemons = append(daemons, again)
-		So(eventually(all(member.Dead, 0)), ShouldBeTrue)
-		So(eventually(all(member.Alive, n-1)), ShouldBeTrue)
-		gone.Runner.Close()
+		daemons = append(daemons, restarted)
+		So(eventually(allCount(member.Dead, 0)), ShouldBeTrue)
+		So(eventually(allCount(member.Alive, n-1)), ShouldBeTrue)
+		killed.Runner.Close()
 		for _, d := range daemons {
 			d.Close()
 		}
--- a/member/suspicion.go
+++ b/member/suspicion.go
@@ -7,8 +7,8 @@
 
 // suspicion is the time in which a member may refute before it is convicted.
 type suspicion struct {
-	started time.Time
-	by      map[string]struct{} // members whose own probes failed
+	started    time.Time
+	suspectors map[string]struct{} // members whose own probes failed
 	// verified: this member's own probe failed since the suspicion began.
 	verified bool
 }
@@ -17,45 +17,45 @@
 // suspected from here: when regions lose each other for minutes, each would
 // bury the other and both would have to be revived afterwards. Pools are
 // owned within a region, so nothing is lost by keeping the last news of it.
-func (m *Machine) suspect(e *entry, by string) {
+func (m *Machine) suspect(e *memberEntry, suspector string) {
 	if e.Region != m.self.Region || e.State == Dead || e.State == Leaving {
 		return
 	}
 	if e.suspicion == nil {
-		e.suspicion = &suspicion{started: m.now, by: map[string]struct{}{}}
+		e.suspicion = &suspicion{started: m.now, suspectors: map[string]struct{}{}}
 		e.State = Suspect
-		e.since = m.now
+		e.stateChangedAt = m.now
 		m.stats.Suspicions++
 		m.changed = true
 	}
 	s := e.suspicion
-	if by == m.self.Name {
+	if suspector == m.self.Name {
 		s.verified = true
 	}
-	if _, known := s.by[by]; !known && len(s.by) <= confirmations {
-		s.by[by] = struct{}{}
-		m.tell(e.record(by))
+	if _, known := s.suspectors[suspector]; !known && len(s.suspectors) <= suspicionConfirmations {
+		s.suspectors[suspector] = struct{}{}
+		m.queueBroadcast(e.record(suspector))
 	}
 	if !s.verified {
-		m.verifyLater(e.Name)
+		m.queueVerifyProbe(e.Name)
 	}
 }
 
-// judgeSuspects convicts the suspects whose time is over, each only after an
+// expireSuspicions convicts the suspects whose time is over, each only after an
 // own probe of it failed; the others are probed again.
-func (m *Machine) judgeSuspects() {
-	for _, name := range m.names(func(e *entry) bool { return e.suspicion != nil }) {
-		e := m.table[name]
+func (m *Machine) expireSuspicions() {
+	for _, name := range m.sortedNames(func(e *memberEntry) bool { return e.suspicion != nil }) {
+		e := m.members[name]
 		s := e.suspicion
-		over := m.now.Sub(s.started) >= m.suspicionTimeout(s, e)
+		expired := m.now.Sub(s.started) >= m.suspicionTimeout(s, e)
 		switch {
-		case over && s.verified:
-			m.setDead(e)
+		case expired && s.verified:
+			m.markDead(e)
 			if s.suspectedBy(m.self.Name) {
-				m.pushToRegions()
+				m.pushToOtherRegions()
 			}
-		case !s.verified || (s.suspectedBy(m.self.Name) && m.now.Sub(e.failedAt) >= reprobeInterval):
-			m.verifyLater(name)
+		case !s.verified || (s.suspectedBy(m.self.Name) && m.now.Sub(e.lastProbeFailure) >= reprobeInterval):
+			m.queueVerifyProbe(name)
 		}
 	}
 }
@@ -63,26 +63,26 @@
 // suspectedBy tells whether a member is among the first few suspectors, which
 // alone go on probing.
 func (s *suspicion) suspectedBy(name string) bool {
-	_, ok := s.by[name]
+	_, ok := s.suspectors[name]
 	return ok
 }
 
 // suspicionTimeout falls from SuspicionMax to SuspicionMin as more members
 // confirm, and grows when this member itself seems slow or cut off.
-func (m *Machine) suspicionTimeout(s *suspicion, e *entry) time.Duration {
-	others := m.count(func(o *entry) bool { return o != e && o.State == Alive && o.Region == m.self.Region })
-	needed := min(confirmations, others)
+func (m *Machine) suspicionTimeout(s *suspicion, e *memberEntry) time.Duration {
+	others := m.count(func(o *memberEntry) bool { return o != e && o.State == Alive && o.Region == m.self.Region })
+	needed := min(suspicionConfirmations, others)
 	low, high := m.cfg.SuspicionMin, m.cfg.SuspicionMax
 	timeout := low
 	if needed > 0 {
-		have := min(len(s.by)-1, needed)
-		part := math.Log(float64(have+1)) / math.Log(float64(needed+1))
-		timeout = high - time.Duration(float64(high-low)*part)
+		confirmed := min(len(s.suspectors)-1, needed)
+		fraction := math.Log(float64(confirmed+1)) / math.Log(float64(needed+1))
+		timeout = high - time.Duration(float64(high-low)*fraction)
 	}
-	return timeout * time.Duration(1+m.health)
+	return timeout * time.Duration(1+m.localHealth)
 }
 
-// worse and better keep the score of this member's own health.
-func (m *Machine) worse() { m.health = min(maxHealth, m.health+1) }
+// degradeHealth and better keep the score of this member's own health.
+func (m *Machine) degradeHealth() { m.localHealth = min(maxLocalHealth, m.localHealth+1) }
 
-func (m *Machine) better() { m.health = max(0, m.health-1) }
+func (m *Machine) improveHealth() { m.localHealth = max(0, m.localHealth-1) }
--- a/member/table.go
+++ b/member/table.go
@@ -8,69 +8,69 @@
 	"github.com/lycheekeel/lycheekeel/member/wire"
 )
 
-// apply takes another member's word. A larger incarnation, which only the
+// applyRecord takes another member's word. A larger incarnation, which only the
 // member itself makes, always wins; at the same one the worse state does. A
 // death in the own region is verified before it is believed, because the
 // one that tells may itself have been cut off.
-func (m *Machine) apply(r *wire.Record, from peer.Name) {
+func (m *Machine) applyRecord(r *wire.Record, from peer.Name) {
 	if r.Name == m.self.Name {
 		m.refute(r)
 		return
 	}
-	e, known := m.table[r.Name]
+	e, known := m.members[r.Name]
 	switch {
 	case r.Name == "" || r.State > wire.State_STATE_DEAD:
-		m.stats.BadMessages++
+		m.stats.InvalidMessages++
 	case !known:
-		m.insert(r)
+		m.addMember(r)
 	case r.Incarnation > e.Incarnation:
-		m.renew(e, r, from)
+		m.applyNewerIncarnation(e, r, from)
 	case r.Incarnation == e.Incarnation:
-		m.worsen(e, r, from)
+		m.applySameIncarnation(e, r, from)
 	}
 }
 
-// insert adds a member. An unknown dead one is not added: tombstones would
+// addMember adds a member. An unknown dead one is not added: tombstones would
 // otherwise be handed round for ever.
-func (m *Machine) insert(r *wire.Record) {
+func (m *Machine) addMember(r *wire.Record) {
 	if r.State == wire.State_STATE_DEAD {
 		return
 	}
-	e := &entry{Member: memberOf(r), since: m.now}
+	e := &memberEntry{Member: memberFromRecord(r), stateChangedAt: m.now}
 	suspected := e.State == Suspect
 	if suspected {
 		e.State = Alive
 	}
-	m.table[r.Name] = e
+	m.members[r.Name] = e
 	m.membersChanged()
-	m.tell(e.record(""))
+	m.queueBroadcast(e.record(""))
 	if suspected {
 		m.suspect(e, r.Suspector)
 	}
 }
 
-// renew takes a record of a larger incarnation.
-func (m *Machine) renew(e *entry, r *wire.Record, from peer.Name) {
-	was := e.State
-	e.Member = memberOf(r)
+// applyNewerIncarnation takes a record of a larger incarnation.
+func (m *Machine) applyNewerIncarnation(e *memberEntry, r *wire.Record, from peer.Name) {
+	prevState := e.State
+	e.Member = memberFromRecord(r)
 	e.suspicion = nil
-	e.failedAt = time.Time{}
-	e.since = m.now
+	e.lastProbeFailure = time.Time{}
+	e.stateChangedAt = m.now
 	if e.State == Suspect || e.State == Dead {
 		e.State = Alive
-		if was == Dead && r.State == wire.State_STATE_DEAD {
+		if prevState == Dead && r.State == wire.State_STATE_DEAD {
 			e.State = Dead
 		}
 	}
 	m.membersChanged()
-	m.tell(e.record(""))
+	m.queueBroadcast(e.record(""))
 	if r.State == wire.State_STATE_SUSPECT || r.State == wire.State_STATE_DEAD {
-		m.worsen(e, r, from)
+		m.applySameIncarnation(e, r, from)
 	}
 }
 
-// worsen takes a record of the same incarnation.
-func (m *Machine) worsen(e *entry, r *wire.Record, from peer.Name) {
+// applySameIncarnation takes a record of the same incarnation.
+func (m *Machine) applySameIncarnation(e *memberEntry, r *wire.Record, from peer.Name) {
 	switch State(r.State) {
 	case Alive:
 	case Suspect:
@@ -79,17 +79,17 @@
 		if e.State == Alive || e.State == Suspect {
 			e.State = Leaving
 			e.suspicion = nil
-			e.since = m.now
+			e.stateChangedAt = m.now
 			m.membersChanged()
-			m.tell(e.record(""))
+			m.queueBroadcast(e.record(""))
 		}
 	case Dead:
 		switch {
 		case e.State == Dead:
 		case string(from) == e.Name || e.Region != m.self.Region:
-			m.setDead(e)
+			m.markDead(e)
 		case e.State == Leaving:
-			m.verifyLater(e.Name)
+			m.queueVerifyProbe(e.Name)
 		default:
 			m.suspect(e, r.Suspector)
 		}
@@ -99,27 +99,27 @@
 // refute answers a record about this member itself: an earlier life's, or a
 // suspicion, is overruled by a larger incarnation.
 func (m *Machine) refute(r *wire.Record) {
-	accused := r.State == wire.State_STATE_SUSPECT || r.State == wire.State_STATE_DEAD
-	same := r.Incarnation == m.self.Incarnation
-	if r.Incarnation < m.self.Incarnation || (same && !accused) {
+	suspectedOrDead := r.State == wire.State_STATE_SUSPECT || r.State == wire.State_STATE_DEAD
+	sameIncarnation := r.Incarnation == m.self.Incarnation
+	if r.Incarnation < m.self.Incarnation || (sameIncarnation && !suspectedOrDead) {
 		return
 	}
 	m.self.Incarnation = r.Incarnation + 1
 	m.stats.Refutations++
-	if accused {
-		m.worse()
+	if suspectedOrDead {
+		m.degradeHealth()
 	}
-	m.announceSelf()
+	m.broadcastSelf()
 }
 
 // checkSender compares the sender's own word with what is known of it.
 func (m *Machine) checkSender(from peer.Name, msg *wire.Message) {
-	e, known := m.table[string(from)]
+	e, known := m.members[string(from)]
 	switch {
 	case msg.State == wire.State_STATE_DEAD:
 	case !known || msg.Incarnation > e.Incarnation:
 		// Its record is missing here: comparing views brings it.
-		if msg.Sync == nil && m.mayCompare() {
+		if msg.Sync == nil && m.allowRecordSync() {
 			m.startSync(from)
 		}
 	case e.State == Dead:
@@ -128,60 +128,60 @@
 	}
 }
 
-// setDead convicts a member.
-func (m *Machine) setDead(e *entry) {
+// markDead convicts a member.
+func (m *Machine) markDead(e *memberEntry) {
 	e.State = Dead
-	e.since = m.now
+	e.stateChangedAt = m.now
 	e.suspicion = nil
 	m.stats.Deaths++
-	if p, ok := m.byTarget[e.Name]; ok {
+	if p, ok := m.probeByTarget[e.Name]; ok {
 		m.endProbe(p)
 	}
 	m.membersChanged()
-	m.tell(e.record(m.self.Name))
+	m.queueBroadcast(e.record(m.self.Name))
 }
 
-// expireTombstones forgets members that have been dead for long: stale gossip
+// removeExpiredTombstones forgets members that have been dead for long: stale gossip
 // of them has died out by then.
-func (m *Machine) expireTombstones() {
-	for name, e := range m.table {
-		if e.State == Dead && m.now.Sub(e.since) > m.cfg.Tombstone {
-			delete(m.table, name)
+func (m *Machine) removeExpiredTombstones() {
+	for name, e := range m.members {
+		if e.State == Dead && m.now.Sub(e.stateChangedAt) > m.cfg.Tombstone {
+			delete(m.members, name)
 			m.membersChanged()
 		}
 	}
 }
 
-// announceSelf tells this member's own record.
-func (m *Machine) announceSelf() {
+// broadcastSelf tells this member's own record.
+func (m *Machine) broadcastSelf() {
 	m.changed = true
-	m.tell(m.selfRecord())
+	m.queueBroadcast(m.selfRecord())
 }
 
 func (m *Machine) membersChanged() {
 	m.changed = true
-	m.ringStale = true
+	m.targetsStale = true
 }
 
 func (m *Machine) selfRecord() *wire.Record {
-	e := entry{Member: m.self}
+	e := memberEntry{Member: m.self}
 	return e.record("")
 }
 
-// live members are those not believed dead, this one not counted.
-func (m *Machine) live(e *entry) bool { return e.State != Dead }
+// isLive members are those not believed dead, this one not counted.
+func (m *Machine) isLive(e *memberEntry) bool { return e.State != Dead }
 
-func (m *Machine) sameRegionLive(e *entry) bool {
+func (m *Machine) isLiveSameRegion(e *memberEntry) bool {
 	return e.State != Dead && e.Region == m.self.Region
 }
 
-func (m *Machine) otherRegionLive(e *entry) bool {
+func (m *Machine) isLiveOtherRegion(e *memberEntry) bool {
 	return e.State != Dead && e.Region != m.self.Region
 }
 
-func (m *Machine) count(ok func(*entry) bool) int {
+func (m *Machine) count(ok func(*memberEntry) bool) int {
 	n := 0
-	for _, e := range m.table {
+	for _, e := range m.members {
 		if ok(e) {
 			n++
 		}
@@ -189,14 +189,14 @@
 	return n
 }
 
-// pick returns up to n random members that satisfy a condition.
-func (m *Machine) pick(n int, ok func(*entry) bool) []string {
-	names := m.names(ok)
+// pickRandom returns up to n random members that satisfy a condition.
+func (m *Machine) pickRandom(n int, ok func(*memberEntry) bool) []string {
+	names := m.sortedNames(ok)
 	m.rand.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	return names[:min(n, len(names))]
 }
 
-func memberOf(r *wire.Record) Member {
+func memberFromRecord(r *wire.Record) Member {
 	return Member{
 		Name: r.Name, Incarnation: r.Incarnation, Address: r.Address, Region: r.Region,
 		AvailabilityZone: r.AvailabilityZone, State: State(r.State), ProtocolVersion: r.ProtocolVersion, Weight: r.Weight,
@@ -205,7 +205,7 @@
 
 // record is the entry as told to others; suspector is who holds it against
 // the member, empty when nobody does.
-func (e *entry) record(suspector string) *wire.Record {
+func (e *memberEntry) record(suspector string) *wire.Record {
 	return &wire.Record{
 		Name: e.Name, Incarnation: e.Incarnation, State: wire.State(e.State), Address: e.Address,
 		Region: e.Region, AvailabilityZone: e.AvailabilityZone, ProtocolVersion: e.ProtocolVersion, Weight: e.Weight,
--- a/member/view.go
+++ b/member/view.go
@@ -53,47 +53,47 @@
 	Weight uint32
 }
 
-// weightUnit is the Weight of an ordinary VM.
-const weightUnit = 1000
+// defaultWeight is the Weight of an ordinary VM.
+const defaultWeight = 1000
 
-// ownerBias is the power of the weight by which pools go to strong VMs. With
+// weightExponent is the power of the weight by which pools go to strong VMs. With
 // 66 VMs of weight 19 beside 6 of 800, a plain share would leave a pool on a
 // weak one in 1 of 5 cases; squared it is 1 of 150.
-const ownerBias = 2
+const weightExponent = 2
 
-// share is a member's share in what members divide among themselves.
-func (m Member) share() float64 {
+// rendezvousWeight is a member's share in what members divide among themselves.
+func (m Member) rendezvousWeight() float64 {
 	w := m.Weight
 	if w == 0 {
-		w = weightUnit
+		w = defaultWeight
 	}
-	return math.Pow(float64(w)/weightUnit, ownerBias)
+	return math.Pow(float64(w)/defaultWeight, weightExponent)
 }
 
 // Score is the member's rendezvous weight for a key: the highest one takes it,
 // so a change of one member moves only what it had or gets.
 func (m Member) Score(key string) float64 {
 	u := (float64(hash(key, m.Name)) + 0.5) / (1 << 64)
-	return -m.share() / math.Log(u)
+	return -m.rendezvousWeight() / math.Log(u)
 }
 
 // View is an immutable picture of the members, sorted by name.
 type View struct {
 	Self    string
 	Members []Member
-	// owners remembers the owner of each pool that was asked for: to find it takes a
+	// ownerCache remembers the owner of each pool that was asked for: to find it takes a
 	// logarithm for each member, and all pools are asked for several times a second.
-	owners *sync.Map
+	ownerCache *sync.Map
 }
 
-// owned is a pool of a region.
-type owned struct{ pool, region string }
+// ownerKey is a pool of a region.
+type ownerKey struct{ pool, region string }
 
-// Live holds the view in force. Load is one atomic read.
-type Live struct{ p atomic.Pointer[View] }
+// CurrentView holds the view in force. Load is one atomic read.
+type CurrentView struct{ p atomic.Pointer[View] }
 
 // Load returns the view in force; never nil.
-func (l *Live) Load() *View {
+func (l *CurrentView) Load() *View {
 	if v := l.p.Load(); v != nil {
 		return v
 	}
@@ -101,12 +101,12 @@
 }
 
 // Store puts a view in force.
-func (l *Live) Store(v *View) { l.p.Store(v) }
+func (l *CurrentView) Store(v *View) { l.p.Store(v) }
 
 // NewView returns a view of the members, which it sorts.
 func NewView(self string, members []Member) *View {
 	sort.Slice(members, func(i, j int) bool { return members[i].Name < members[j].Name })
-	return &View{Self: self, Members: members, owners: &sync.Map{}}
+	return &View{Self: self, Members: members, ownerCache: &sync.Map{}}
 }
 
 // Get returns a member by name.
@@ -118,8 +118,8 @@
 	return Member{}, false
 }
 
-// count returns how many members are in a state.
-func (v *View) count(s State) int {
+// countInState returns how many members are in a state.
+func (v *View) countInState(s State) int {
 	n := 0
 	for _, m := range v.Members {
 		if m.State == s {
@@ -133,20 +133,20 @@
 // region's members that are alive or only suspected, so that a change of one
 // member moves only that member's pools. False where the region has none.
 func (v *View) Owner(pool, region string) (Member, bool) {
-	if v.owners == nil {
-		return v.findOwner(pool, region)
+	if v.ownerCache == nil {
+		return v.computeOwner(pool, region)
 	}
-	key := owned{pool, region}
-	if known, ok := v.owners.Load(key); ok {
-		m := known.(Member)
+	key := ownerKey{pool, region}
+	if cached, ok := v.ownerCache.Load(key); ok {
+		m := cached.(Member)
 		return m, m.Name != ""
 	}
-	m, found := v.findOwner(pool, region)
-	v.owners.Store(key, m)
+	m, found := v.computeOwner(pool, region)
+	v.ownerCache.Store(key, m)
 	return m, found
 }
 
-func (v *View) findOwner(pool, region string) (Member, bool) {
+func (v *View) computeOwner(pool, region string) (Member, bool) {
 	var best Member
 	var bestScore float64
 	found := false
--- a/placement/controller.go
+++ b/placement/controller.go
@@ -18,27 +18,27 @@
 
 // Defaults of Options.
 const (
-	DefaultEvery       = 2 * time.Second
-	DefaultSettle      = 30 * time.Second
-	DefaultRepeat      = 5 * time.Second
-	DefaultCallTimeout = 2 * time.Second
-	DefaultMaxMoves    = 4
+	DefaultInterval      = 2 * time.Second
+	DefaultUnloadDelay   = 30 * time.Second
+	DefaultRetryInterval = 5 * time.Second
+	DefaultCallTimeout   = 2 * time.Second
+	DefaultMaxMoves      = 4
 )
 
 // The counters of metric group "placement".
 const (
-	metricGroup     = "placement"
-	countRounds     = "rounds"
-	countSkipped    = "rounds_skipped"
-	countLoads      = "orders_load"
-	countUnloads    = "orders_unload"
-	countAsserts    = "orders_assert"
-	countAssigned   = "assignments"
-	countStale      = "orders_refused_stale"
-	countOrderError = "orders_failed"
-	countStoreError = "store_errors"
-	countWeights    = "loads_put_off"
-	countLeaseLost  = "lease_lost"
+	metricGroup        = "placement"
+	countRounds        = "rounds"
+	countRoundsFailed  = "rounds_skipped"
+	countLoads         = "orders_load"
+	countUnloads       = "orders_unload"
+	countFences        = "orders_assert"
+	countAssignments   = "assignments"
+	countStaleOrders   = "orders_refused_stale"
+	countOrderErrors   = "orders_failed"
+	countStoreErrors   = "store_errors"
+	countLoadsDeferred = "loads_put_off"
+	countLeasesLost    = "lease_lost"
 )
 
 // Demand is how many requests of each tier run or wait at a pool.
@@ -57,10 +57,10 @@
 	// Demand returns the demand by pool. Pools that it does not name keep the
 	// demand last seen.
 	Demand func(context.Context) map[string]Demand
-	// Every is how often it looks; Settle is how long a server must have
+	// Interval is how often it looks; Settle is how long a server must have
 	// served its pool before other models are unloaded; Repeat is how long an
 	// order may take to show before it is given again.
-	Every, Settle, Repeat time.Duration
+	Interval, UnloadDelay, RetryInterval time.Duration
 	// CallTimeout bounds each call to an engine or the store.
 	CallTimeout time.Duration
 	MaxMoves    int
@@ -68,9 +68,9 @@
 }
 
 func (o Options) withDefaults() Options {
-	setDefault(&o.Every, DefaultEvery)
-	setDefault(&o.Settle, DefaultSettle)
-	setDefault(&o.Repeat, DefaultRepeat)
+	setDefault(&o.Interval, DefaultInterval)
+	setDefault(&o.UnloadDelay, DefaultUnloadDelay)
+	setDefault(&o.RetryInterval, DefaultRetryInterval)
 	setDefault(&o.CallTimeout, DefaultCallTimeout)
 	if o.MaxMoves == 0 {
 		o.MaxMoves = DefaultMaxMoves
@@ -99,17 +99,17 @@
 // and for engines that ignore tokens the successor has waited out the lease
 // plus a margin, and gives its orders again whenever a server differs.
 type Controller struct {
-	o   Options
-	log *logrus.Entry
+	opts Options
+	log  *logrus.Entry
 
 	// Of the present lease, used by one goroutine.
-	lease   Lease
-	ordered map[Step]time.Time
-	serves  map[string]service
-	demand  map[string]Demand
-	seen    map[string]*sight // by server
-	fenced  map[string]uint64 // server -> incarnation that got the token
-	started bool              // the plan was written under this lease
+	lease        Lease
+	orderedAt    map[Step]time.Time
+	assignments  map[string]assignment
+	demand       map[string]Demand
+	observations map[string]*observation // by server
+	fenced       map[string]uint64       // server -> incarnation that got the token
+	planWritten  bool                    // the plan was written under this lease
 }
 
 // Lease is what a controller needs of its lease.
@@ -118,8 +118,8 @@
 	Lost() <-chan struct{}
 }
 
-// service is the pool that a server serves, and since when as far as known.
-type service struct {
+// assignment is the pool that a server serves, and since when as far as known.
+type assignment struct {
 	pool  string
 	since time.Time
 }
@@ -127,40 +127,40 @@
 // NewController returns a controller; Run starts it.
 func NewController(o Options) *Controller {
 	o = o.withDefaults()
-	return &Controller{o: o, log: logs.For("placement").WithField("region", o.Region)}
+	return &Controller{opts: o, log: logs.For("placement").WithField("region", o.Region)}
 }
 
 // Run waits for the lease, controls while it is held, and again, until the
 // context ends. It then releases the lease.
 func (c *Controller) Run(ctx context.Context) error {
 	for {
-		l, err := c.o.Elector.Acquire(ctx)
+		l, err := c.opts.Elector.Acquire(ctx)
 		if err != nil {
 			return err
 		}
-		c.lead(ctx, l)
+		c.runWithLease(ctx, l)
 		if ctx.Err() == nil {
-			c.count(countLeaseLost)
+			c.count(countLeasesLost)
 			continue
 		}
-		releasing, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.o.CallTimeout)
+		releaseCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.opts.CallTimeout)
 		defer cancel()
-		return l.Release(releasing)
+		return l.Release(releaseCtx)
 	}
 }
 
-// lead does round after round until the lease is lost or the context ends.
-func (c *Controller) lead(ctx context.Context, l Lease) {
-	c.lease, c.started = l, false
-	c.ordered, c.serves = map[Step]time.Time{}, map[string]service{}
+// runWithLease does round after round until the lease is lost or the context ends.
+func (c *Controller) runWithLease(ctx context.Context, l Lease) {
+	c.lease, c.planWritten = l, false
+	c.orderedAt, c.assignments = map[Step]time.Time{}, map[string]assignment{}
 	c.demand = map[string]Demand{}
-	c.seen, c.fenced = map[string]*sight{}, map[string]uint64{}
+	c.observations, c.fenced = map[string]*observation{}, map[string]uint64{}
 	for {
-		if err := c.round(ctx); err != nil {
-			c.count(countSkipped)
+		if err := c.runRound(ctx); err != nil {
+			c.count(countRoundsFailed)
 			c.log.WithError(err).Warn("Round not finished.")
 		}
-		wait := time.NewTimer(RoundInterval(c.o.Every, len(c.seen)))
+		wait := time.NewTimer(RoundInterval(c.opts.Interval, len(c.observations)))
 		select {
 		case <-wait.C:
 		case <-l.Lost():
@@ -173,22 +173,22 @@
 	}
 }
 
-// lookBudget is the time that each server adds to the interval of rounds: a
+// intervalPerServer is the time that each server adds to the interval of rounds: a
 // controller looks at no more than ten servers a second.
-const lookBudget = 100 * time.Millisecond
+const intervalPerServer = 100 * time.Millisecond
 
 // RoundInterval returns how long a controller waits between two rounds. Each
 // round looks at every server; at a fixed interval, the looks of a controller
 // of 217 servers would take 28 KB a second, seven times what all control on a
 // node may.
-func RoundInterval(every time.Duration, servers int) time.Duration {
-	return max(every, time.Duration(servers)*lookBudget)
+func RoundInterval(interval time.Duration, servers int) time.Duration {
+	return max(interval, time.Duration(servers)*intervalPerServer)
 }
 
-// round observes, plans, records the plan and acts.
-func (c *Controller) round(ctx context.Context) error {
+// runRound observes, plans, records the plan and acts.
+func (c *Controller) runRound(ctx context.Context) error {
 	c.count(countRounds)
-	snapshot := c.o.Config()
+	snapshot := c.opts.Config()
 	if snapshot == nil {
 		return errors.New("no configuration yet")
 	}
@@ -197,15 +197,15 @@
 		return err
 	}
 	in, addresses := c.observe(ctx, snapshot)
-	if cutOff(in.Servers) {
+	if mostUnreachable(in.Servers) {
 		return errors.New("most servers are out of reach, moving none")
 	}
 	in.Moves = stored.Moves
-	plan := Make(in)
+	plan := ComputePlan(in)
 	if err := c.writePlan(ctx, stored, plan.Moves); err != nil {
 		return err
 	}
-	return c.act(ctx, Steps(in, plan.Moves), addresses)
+	return c.execute(ctx, Steps(in, plan.Moves), addresses)
 }
 
-func (c *Controller) count(name string) { c.o.Metrics.Counter(metricGroup, name).Add(1) }
+func (c *Controller) count(name string) { c.opts.Metrics.Counter(metricGroup, name).Add(1) }
--- a/placement/observe.go
+++ b/placement/observe.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// maxProbes bounds the engines asked at once.
-	maxProbes = 32
-	// missesUnreachable is how many probes in a row a server must miss.
-	missesUnreachable = 3
-	// demandWeight is the newest demand's share in the smoothed one; demand
+	// maxConcurrentProbes bounds the engines asked at once.
+	maxConcurrentProbes = 32
+	// unreachableAfterMisses is how many probes in a row a server must miss.
+	unreachableAfterMisses = 3
+	// demandEWMAWeight is the newest demand's share in the smoothed one; demand
 	// over some rounds decides, not one burst.
-	demandWeight = 0.2
+	demandEWMAWeight = 0.2
 )
 
 // observe returns the region as it is now, and the servers' addresses.
 func (c *Controller) observe(ctx context.Context, snapshot *workspace.Snapshot) (Input, map[string]string) {
-	in := Input{MaxMoves: c.o.MaxMoves}
+	in := Input{MaxMoves: c.opts.MaxMoves}
 	addresses := map[string]string{}
-	c.smooth(c.o.Demand(ctx))
-	wanted := wantedVersions(snapshot)
+	c.smoothDemand(c.opts.Demand(ctx))
+	referenced := referencedVersions(snapshot)
 	var specs []workspace.BackendServer
 	for _, name := range sortedPools(snapshot) {
 		p := snapshot.Pools[name]
-		if p.Region != c.o.Region || p.Service != "" {
+		if p.Region != c.opts.Region || p.Service != "" {
 			continue
 		}
 		in.Pools = append(in.Pools, Pool{
 			Name: p.Name, Region: p.Region, Model: p.Model, Version: p.Version, Min: p.MinServers,
 			Max:    cmp.Or(p.MaxServers, workspace.MaxPoolServers),
-			Demand: c.demand[p.Name], Wanted: wanted[[2]string{p.Model, p.Version}],
+			Demand: c.demand[p.Name], Referenced: referenced[[2]string{p.Model, p.Version}],
 		})
 		for _, s := range p.Servers {
 			s.Pool = p.Name
@@ -50,8 +50,8 @@
 	return in, addresses
 }
 
-// wantedVersions are the model versions that some workspace resolves to.
-func wantedVersions(s *workspace.Snapshot) map[[2]string]bool {
+// referencedVersions are the model versions that some workspace resolves to.
+func referencedVersions(s *workspace.Snapshot) map[[2]string]bool {
 	out := map[[2]string]bool{}
 	for _, w := range s.Workspaces {
 		for _, m := range w.Models {
@@ -70,92 +70,92 @@
 	return names
 }
 
-// smooth takes the newest demand into the smoothed one.
-func (c *Controller) smooth(newest map[string]Demand) {
+// smoothDemand takes the newest demand into the smoothed one.
+func (c *Controller) smoothDemand(newest map[string]Demand) {
 	for name, d := range newest {
-		was, known := c.demand[name]
+		previous, known := c.demand[name]
 		for t := range d {
 			if known {
-				d[t] = was[t] + demandWeight*(d[t]-was[t])
+				d[t] = previous[t] + demandEWMAWeight*(d[t]-previous[t])
 			}
 		}
 		c.demand[name] = d
 	}
 }
 
-// sight is what the controller last heard of a server.
-type sight struct {
-	report engine.LoadReport
-	misses int // probes without an answer since
-	heard  bool
+// observation is what the controller last heard of a server.
+type observation struct {
+	report   engine.LoadReport
+	misses   int // probes without an answer since
+	answered bool
 }
 
-// take takes in a probe's result and tells whether the server counts as
+// update takes in a probe's result and tells whether the server counts as
 // reachable. Until several probes in a row were missed, what it last said
 // holds: otherwise one slow answer would move servers between pools.
-func (s *sight) take(r engine.LoadReport, err error) bool {
+func (s *observation) update(r engine.LoadReport, err error) bool {
 	if err == nil {
-		*s = sight{report: r, heard: true}
+		*s = observation{report: r, answered: true}
 		return true
 	}
 	s.misses++
-	return s.heard && s.misses < missesUnreachable
+	return s.answered && s.misses < unreachableAfterMisses
 }
 
 // probe asks every engine for its load report.
 func (c *Controller) probe(ctx context.Context, specs []workspace.BackendServer) []Server {
 	reports := make([]engine.LoadReport, len(specs))
 	errs := make([]error, len(specs))
-	group := pool.New().WithMaxGoroutines(maxProbes)
+	group := pool.New().WithMaxGoroutines(maxConcurrentProbes)
 	for i, s := range specs {
 		group.Go(func() {
-			ctx, cancel := context.WithTimeout(ctx, c.o.CallTimeout)
+			ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 			defer cancel()
-			reports[i], errs[i] = c.o.Engines.Engine(s.Address).Load(ctx)
+			reports[i], errs[i] = c.opts.Engines.Engine(s.Address).Load(ctx)
 		})
 	}
 	group.Wait()
 	var out []Server
 	for i, s := range specs {
-		seen := c.seen[s.Name]
-		if seen == nil {
-			seen = &sight{}
-			c.seen[s.Name] = seen
+		observed := c.observations[s.Name]
+		if observed == nil {
+			observed = &observation{}
+			c.observations[s.Name] = observed
 		}
-		reachable := seen.take(reports[i], errs[i])
-		r := seen.report
+		reachable := observed.update(reports[i], errs[i])
+		r := observed.report
 		fenced, known := c.fenced[s.Name]
 		out = append(out, Server{
 			Name: s.Name, Region: s.Region, AvailabilityZone: s.AvailabilityZone, Generation: s.Generation,
 			Pool: s.Pool, Slots: cmp.Or(s.Slots, r.Slots), Reachable: reachable, Leaving: s.Leaving || r.Leaving,
-			Warming: r.Warming, Models: r.Models, Settled: c.settled(s.Name, s.Pool),
+			Warming: r.Warming, Models: r.Models, CanUnload: c.canUnload(s.Name, s.Pool),
 			ChecksTokens: s.ChecksTokens, Fenced: known && fenced == r.Incarnation,
 		})
 	}
 	return out
 }
 
-// cutOff tells whether most servers are out of reach: rather the controller
+// mostUnreachable tells whether most servers are out of reach: rather the controller
 // itself is, and what it sees is no ground for moves.
-func cutOff(servers []Server) bool {
-	lost := 0
+func mostUnreachable(servers []Server) bool {
+	unreachable := 0
 	for _, s := range servers {
 		if !s.Reachable {
-			lost++
+			unreachable++
 		}
 	}
-	return 2*lost > len(servers)
+	return 2*unreachable > len(servers)
 }
 
-// settled tells whether the server has served the pool for the settle time,
+// canUnload tells whether the server has served the pool for the settle time,
 // as far as this controller has seen, by CLOCK_MONOTONIC.
-func (c *Controller) settled(server, pool string) bool {
-	was, known := c.serves[server]
-	if !known || was.pool != pool {
-		c.serves[server] = service{pool: pool, since: time.Now()}
+func (c *Controller) canUnload(server, pool string) bool {
+	previous, known := c.assignments[server]
+	if !known || previous.pool != pool {
+		c.assignments[server] = assignment{pool: pool, since: time.Now()}
 		return false
 	}
-	return time.Since(was.since) >= c.o.Settle
+	return time.Since(previous.since) >= c.opts.UnloadDelay
 }
 
 // DemandOf turns a pool's waiting requests by tier and its running ones into
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -20,9 +20,9 @@
 	Min, Max int
 	// Demand is how many requests run or wait at once, by tier.
 	Demand [request.MaxTiers]float64
-	// Wanted is false where no template asks for the version any more. Such a
+	// Referenced is false where no template asks for the version any more. Such a
 	// pool's demand is planned at the wanted versions of its model.
-	Wanted bool
+	Referenced bool
 }
 
 // Server is a model engine as it was last seen.
@@ -39,9 +39,9 @@
 	// Warming: it is loading something and serves nothing meanwhile.
 	Warming bool
 	Models  []engine.LoadedModel
-	// Settled: it has served its pool for so long that nothing of an earlier
+	// CanUnload: it has served its pool for so long that nothing of an earlier
 	// pool's can still be on its way to it.
-	Settled bool
+	CanUnload bool
 	// ChecksTokens: it refuses orders with older fencing tokens than it has
 	// seen. Fenced: it has seen the present one since it started.
 	ChecksTokens bool
@@ -57,7 +57,7 @@
 
 func (s *Server) usable() bool { return s.Reachable && !s.Leaving }
 
-func (s *Server) warm(p *Pool) bool {
+func (s *Server) isWarm(p *Pool) bool {
 	return s.Pool == p.Name && s.usable() && !s.Warming && s.holds(p)
 }
 
@@ -93,31 +93,31 @@
 	in      Input
 	pools   map[string]*Pool
 	servers map[string]*Server
-	moving  map[string]Move // by server
+	moves   map[string]Move // by server
 	plan    Plan
 
 	// Counts kept up to date, so that choosing a server costs no pass over
 	// all of them. Servers count where they move to.
-	count      map[string]int      // servers of a pool
-	alike      map[group]int       // servers of a pool in one zone or generation
-	warm       map[string]int      // a pool's warm servers that are not moving
-	modelMoves map[modelRegion]int // moves away from a model's pools
+	count       map[string]int      // servers of a pool
+	spreadCount map[spreadKey]int   // servers of a pool in one zone or generation
+	warm        map[string]int      // a pool's warm servers that are not moving
+	modelMoves  map[modelRegion]int // moves away from a model's pools
 }
 
-// group is a pool's servers in one AvailabilityZone or of one generation.
-type group struct{ pool, zone, generation string }
+// spreadKey is a pool's servers in one AvailabilityZone or of one generation.
+type spreadKey struct{ pool, zone, generation string }
 
 // modelRegion is a model in a region, whatever its version.
 type modelRegion struct{ model, region string }
 
-// Make makes the next plan. It is pure; the same input gives the same plan.
+// ComputePlan makes the next plan. It is pure; the same input gives the same plan.
 // It keeps moves that still make sense, never takes a pool's last warm server,
 // and lets one warm server of a model be on its way at a time, so that a
 // rollout over N servers keeps N-1 warm.
-func Make(in Input) Plan {
+func ComputePlan(in Input) Plan {
 	p := &planner{
 		in: in, pools: map[string]*Pool{}, servers: map[string]*Server{},
-		moving: map[string]Move{}, count: map[string]int{}, alike: map[group]int{},
+		moves: map[string]Move{}, count: map[string]int{}, spreadCount: map[spreadKey]int{},
 		warm: map[string]int{}, modelMoves: map[modelRegion]int{},
 	}
 	for i := range in.Pools {
@@ -128,57 +128,57 @@
 	}
 	p.plan.Targets = targets(in.Pools, in.Servers)
 	for i := range in.Servers {
-		p.settle(&in.Servers[i], in.Servers[i].Pool, 1)
+		p.addCount(&in.Servers[i], in.Servers[i].Pool, 1)
 	}
-	p.keep()
-	for _, to := range p.short() {
-		for p.count[to.Name] < p.plan.Targets[to.Name] && p.add(to) {
+	p.keepMoves()
+	for _, to := range p.poolsBelowTarget() {
+		for p.count[to.Name] < p.plan.Targets[to.Name] && p.addMove(to) {
 		}
 	}
 	return p.plan
 }
 
-// settle counts a server in a pool, or with n = -1 no more.
-func (p *planner) settle(s *Server, pool string, n int) {
+// addCount counts a server in a pool, or with n = -1 no more.
+func (p *planner) addCount(s *Server, pool string, n int) {
 	if !s.usable() {
 		return
 	}
 	p.count[pool] += n
-	p.alike[group{pool: pool, zone: s.AvailabilityZone}] += n
-	p.alike[group{pool: pool, generation: s.Generation}] += n
-	if in := p.pools[pool]; in != nil && s.warm(in) {
+	p.spreadCount[spreadKey{pool: pool, zone: s.AvailabilityZone}] += n
+	p.spreadCount[spreadKey{pool: pool, generation: s.Generation}] += n
+	if servingPool := p.pools[pool]; servingPool != nil && s.isWarm(servingPool) {
 		p.warm[pool] += n
 	}
 }
 
-// move puts a server on its way.
-func (p *planner) move(s *Server, m Move) {
-	p.settle(s, s.Pool, -1)
-	p.settle(s, m.To, 1)
+// startMove puts a server on its way.
+func (p *planner) startMove(s *Server, m Move) {
+	p.addCount(s, s.Pool, -1)
+	p.addCount(s, m.To, 1)
 	if from := p.pools[m.From]; from != nil {
 		p.modelMoves[modelRegion{from.Model, from.Region}]++
 	}
-	p.moving[s.Name] = m
+	p.moves[s.Name] = m
 	p.plan.Moves = append(p.plan.Moves, m)
 }
 
-// keep takes over the moves that are not done and can still be done. A move
+// keepMoves takes over the moves that are not done and can still be done. A move
 // is dropped when its server has become its old pool's last warm one.
-func (p *planner) keep() {
+func (p *planner) keepMoves() {
 	for _, m := range p.in.Moves {
 		s, to := p.servers[m.Server], p.pools[m.To]
 		switch {
 		case s == nil || to == nil || !s.usable() || s.Region != to.Region:
 		case s.Pool == m.To && s.holds(to):
-		case p.lastWarm(s):
+		case p.isLastWarm(s):
 		default:
-			p.move(s, m)
+			p.startMove(s, m)
 		}
 	}
 }
 
-// short returns the pools below their target, most urgent demand first.
-func (p *planner) short() []*Pool {
+// poolsBelowTarget returns the pools below their target, most urgent demand first.
+func (p *planner) poolsBelowTarget() []*Pool {
 	var out []*Pool
 	for _, pool := range byUrgency(p.in.Pools) {
 		if p.count[pool.Name] < p.plan.Targets[pool.Name] {
@@ -188,29 +188,29 @@
 	return out
 }
 
-// add starts the best move to the pool; false where there is none.
-func (p *planner) add(to *Pool) bool {
+// addMove starts the best move to the pool; false where there is none.
+func (p *planner) addMove(to *Pool) bool {
 	if p.in.MaxMoves > 0 && len(p.plan.Moves) >= p.in.MaxMoves {
 		return false
 	}
 	var best *Server
 	for i := range p.in.Servers {
 		s := &p.in.Servers[i]
-		if p.movable(s, to) && (best == nil || p.better(s, best, to)) {
+		if p.canMove(s, to) && (best == nil || p.preferred(s, best, to)) {
 			best = s
 		}
 	}
 	if best == nil {
 		return false
 	}
-	p.move(best, Move{Server: best.Name, From: best.Pool, To: to.Name})
+	p.startMove(best, Move{Server: best.Name, From: best.Pool, To: to.Name})
 	return true
 }
 
-// movable tells whether taking the server does no harm: its pool has more
+// canMove tells whether taking the server does no harm: its pool has more
 // than its target, and stays warm.
-func (p *planner) movable(s *Server, to *Pool) bool {
-	if _, moves := p.moving[s.Name]; moves || !s.usable() || s.Warming || s.Region != to.Region || s.Pool == to.Name {
+func (p *planner) canMove(s *Server, to *Pool) bool {
+	if _, moving := p.moves[s.Name]; moving || !s.usable() || s.Warming || s.Region != to.Region || s.Pool == to.Name {
 		return false
 	}
 	from := p.pools[s.Pool]
@@ -220,36 +220,36 @@
 	if p.count[from.Name] <= p.plan.Targets[from.Name] {
 		return false
 	}
-	return !s.warm(from) || !p.lastWarm(s) && !p.modelOnItsWay(from)
+	return !s.isWarm(from) || !p.isLastWarm(s) && !p.modelMoving(from)
 }
 
-// lastWarm tells whether the server is the last warm one of its pool.
-func (p *planner) lastWarm(s *Server) bool {
+// isLastWarm tells whether the server is the last warm one of its pool.
+func (p *planner) isLastWarm(s *Server) bool {
 	pool := p.pools[s.Pool]
-	return pool != nil && s.warm(pool) && p.warm[s.Pool] <= 1
+	return pool != nil && s.isWarm(pool) && p.warm[s.Pool] <= 1
 }
 
-// modelOnItsWay tells whether a server that served any version of the pool's
+// modelMoving tells whether a server that served any version of the pool's
 // model in its region is being moved.
-func (p *planner) modelOnItsWay(pool *Pool) bool {
+func (p *planner) modelMoving(pool *Pool) bool {
 	return p.modelMoves[modelRegion{pool.Model, pool.Region}] > 0
 }
 
-// better orders candidates for a pool: one that holds the model already needs
+// preferred orders candidates for a pool: one that holds the model already needs
 // no load; then one that spreads the pool over AvailabilityZones, then over
 // generations; then one of the donor with most to spare; then by name.
-func (p *planner) better(a, b *Server, to *Pool) bool {
-	holds := func(s *Server) int {
+func (p *planner) preferred(a, b *Server, to *Pool) bool {
+	needsLoad := func(s *Server) int {
 		if s.holds(to) {
 			return 0
 		}
 		return 1
 	}
-	zone := func(s *Server) int { return p.alike[group{pool: to.Name, zone: s.AvailabilityZone}] }
-	generation := func(s *Server) int { return p.alike[group{pool: to.Name, generation: s.Generation}] }
-	spare := func(s *Server) int { return p.plan.Targets[s.Pool] - p.count[s.Pool] }
+	sameZone := func(s *Server) int { return p.spreadCount[spreadKey{pool: to.Name, zone: s.AvailabilityZone}] }
+	sameGeneration := func(s *Server) int { return p.spreadCount[spreadKey{pool: to.Name, generation: s.Generation}] }
+	deficit := func(s *Server) int { return p.plan.Targets[s.Pool] - p.count[s.Pool] }
 	return cmp.Or(
-		cmp.Compare(holds(a), holds(b)), cmp.Compare(zone(a), zone(b)),
-		cmp.Compare(generation(a), generation(b)), cmp.Compare(spare(a), spare(b)), cmp.Compare(a.Name, b.Name),
+		cmp.Compare(needsLoad(a), needsLoad(b)), cmp.Compare(sameZone(a), sameZone(b)),
+		cmp.Compare(sameGeneration(a), sameGeneration(b)), cmp.Compare(deficit(a), deficit(b)), cmp.Compare(a.Name, b.Name),
 	) < 0
 }
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -11,13 +11,13 @@
 	"github.com/lycheekeel/lycheekeel/placement"
 )
 
-func inputGen() *rapid.Generator[placement.Input] {
+func genInput() *rapid.Generator[placement.Input] {
 	return rapid.Custom(func(t *rapid.T) placement.Input {
 		in := placement.Input{MaxMoves: rapid.IntRange(0, 3).Draw(t, "max_moves")}
 		for i := range rapid.IntRange(1, 5).Draw(t, "pools") {
 			p := placement.Pool{
 				Name: fmt.Sprintf("p%d", i), Region: "r", Model: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "model"),
-				Version: fmt.Sprint(i), Min: rapid.IntRange(0, 3).Draw(t, "min"), Wanted: rapid.Bool().Draw(t, "wanted"),
+				Version: fmt.Sprint(i), Min: rapid.IntRange(0, 3).Draw(t, "min"), Referenced: rapid.Bool().Draw(t, "wanted"),
 			}
 			for tier := range 3 {
 				p.Demand[tier] = float64(rapid.SampledFrom([]int{0, 0, 8, 60}).Draw(t, "demand"))
@@ -27,7 +27,7 @@
 		for i := range rapid.IntRange(1, 16).Draw(t, "servers") {
 			p := rapid.SampledFrom(in.Pools).Draw(t, "pool")
 			s := placement.Server{
-				Name: fmt.Sprintf("s%02d", i), Region: "r", Pool: p.Name, Slots: 8, Settled: true,
+				Name: fmt.Sprintf("s%02d", i), Region: "r", Pool: p.Name, Slots: 8, CanUnload: true,
 				AvailabilityZone: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "zone"),
 				Generation:       rapid.SampledFrom([]string{"g1", "g2"}).Draw(t, "generation"),
 				Reachable:        rapid.IntRange(0, 9).Draw(t, "reachable") > 0,
@@ -62,20 +62,20 @@
 	return byPool, byModel
 }
 
-// obey does the steps as engines and the store would: a load makes a server
+// applySteps does the steps as engines and the store would: a load makes a server
 // warm up for a round.
-func obey(in *placement.Input, steps []placement.Step) {
+func applySteps(in *placement.Input, steps []placement.Step) {
 	for i := range in.Servers {
 		in.Servers[i].Warming = false
 	}
-	for _, st := range steps {
-		i := slices.IndexFunc(in.Servers, func(s placement.Server) bool { return s.Name == st.Server })
-		s, m := &in.Servers[i], engine.LoadedModel{Model: st.Model, Version: st.Version}
-		switch st.Kind {
+	for _, step := range steps {
+		i := slices.IndexFunc(in.Servers, func(s placement.Server) bool { return s.Name == step.Server })
+		s, m := &in.Servers[i], engine.LoadedModel{Model: step.Model, Version: step.Version}
+		switch step.Kind {
 		case placement.StepLoad:
 			s.Models, s.Warming = append(slices.Clone(s.Models), m), true
 		case placement.StepAssign:
-			s.Pool = st.Pool
+			s.Pool = step.Pool
 		case placement.StepUnload:
 			s.Models = slices.DeleteFunc(slices.Clone(s.Models), func(x engine.LoadedModel) bool { return x == m })
 		}
@@ -85,18 +85,18 @@
 // Guards against this: a pool has no server although it had one, or servers go back and forth for ever.
 func TestPlanKeepsPoolsWarmAndConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		in := inputGen().Draw(rt, "input")
+		in := genInput().Draw(rt, "input")
 		poolWarm, _ := warm(in)
 		var plan placement.Plan
 		for range 8*len(in.Servers) + 8 {
-			plan = placement.Make(in)
+			plan = placement.ComputePlan(in)
 			if in.MaxMoves > 0 && len(plan.Moves) > in.MaxMoves {
 				rt.Fatalf("%d moves at once", len(plan.Moves))
 			}
 			checkDonors(rt, in, plan)
 			steps := placement.Steps(in, plan.Moves)
 			in.Moves = plan.Moves
-			obey(&in, steps)
+			applySteps(&in, steps)
 			byPool, _ := warm(in)
 			for p := range poolWarm {
 				if byPool[p] == 0 {
@@ -110,31 +110,31 @@
 		if n := len(placement.Steps(in, plan.Moves)); n > 0 || len(plan.Moves) > 0 {
 			rt.Fatalf("no end: %d steps, moves %+v", n, plan.Moves)
 		}
-		checkEnd(rt, in, plan)
+		checkFinalState(rt, in, plan)
 	})
 }
 
 // checkDonors: a new move leaves the pool that it takes from at its target.
 func checkDonors(rt *rapid.T, in placement.Input, plan placement.Plan) {
-	left := map[string]int{}
+	remaining := map[string]int{}
 	for _, s := range in.Servers {
 		moves := slices.ContainsFunc(plan.Moves, func(m placement.Move) bool { return m.Server == s.Name })
 		if usable(s) && !moves {
-			left[s.Pool]++
+			remaining[s.Pool]++
 		}
 	}
 	for _, m := range plan.Moves {
-		left[m.To]++
+		remaining[m.To]++
 	}
 	for _, m := range plan.Moves {
-		if !slices.Contains(in.Moves, m) && left[m.From] < plan.Targets[m.From] {
-			rt.Fatalf("%s left with %d of %d", m.From, left[m.From], plan.Targets[m.From])
+		if !slices.Contains(in.Moves, m) && remaining[m.From] < plan.Targets[m.From] {
+			rt.Fatalf("%s left with %d of %d", m.From, remaining[m.From], plan.Targets[m.From])
 		}
 	}
 }
 
-// checkEnd: a pool below its target means that nobody can spare a server.
-func checkEnd(rt *rapid.T, in placement.Input, plan placement.Plan) {
+// checkFinalState: a pool below its target means that nobody can spare a server.
+func checkFinalState(rt *rapid.T, in placement.Input, plan placement.Plan) {
 	count := map[string]int{}
 	for _, s := range in.Servers {
 		if usable(s) {
@@ -155,11 +155,11 @@
 	}
 }
 
-func fleet(n int, pool, model, version string) []placement.Server {
+func newServers(n int, pool, model, version string) []placement.Server {
 	var out []placement.Server
 	for i := range n {
 		out = append(out, placement.Server{
-			Name: fmt.Sprintf("s%d", i), Region: "r", Pool: pool, Slots: 8, Reachable: true, Settled: true,
+			Name: fmt.Sprintf("s%d", i), Region: "r", Pool: pool, Slots: 8, Reachable: true, CanUnload: true,
 			AvailabilityZone: fmt.Sprint("z", i/2), Models: []engine.LoadedModel{{Model: model, Version: version}},
 		})
 	}
@@ -168,15 +168,15 @@
 
 // Guards against this: goodput falls during the rollout of a new version.
 func TestRolloutKeepsAllButOneWarm(t *testing.T) {
-	in := placement.Input{Servers: fleet(6, "old", "m", "1"), Pools: []placement.Pool{
+	in := placement.Input{Servers: newServers(6, "old", "m", "1"), Pools: []placement.Pool{
 		{Name: "old", Region: "r", Model: "m", Version: "1", Demand: [8]float64{40}},
-		{Name: "new", Region: "r", Model: "m", Version: "2", Wanted: true},
+		{Name: "new", Region: "r", Model: "m", Version: "2", Referenced: true},
 	}}
 	for round := 0; ; round++ {
-		plan := placement.Make(in)
+		plan := placement.ComputePlan(in)
 		steps := placement.Steps(in, plan.Moves)
 		in.Moves = plan.Moves
-		obey(&in, steps)
+		applySteps(&in, steps)
 		byPool, byModel := warm(in)
 		if byModel["m"] < 5 || byPool["old"] < 1 {
 			t.Fatalf("round %d: %d of 6 warm", round, byModel["m"])
@@ -195,16 +195,16 @@
 
 // The urgent pool's shortage goes first, and its new servers are spread over
 // AvailabilityZones.
-func TestUrgentDemandGetsServersSpread(t *testing.T) {
-	in := placement.Input{Servers: fleet(6, "tags", "t", "1"), Pools: []placement.Pool{
-		{Name: "tags", Region: "r", Model: "t", Version: "1", Wanted: true, Demand: [8]float64{0, 0, 100}},
-		{Name: "offers", Region: "r", Model: "o", Version: "1", Wanted: true, Demand: [8]float64{20}},
+func TestUrgentDemandGetsSpreadServers(t *testing.T) {
+	in := placement.Input{Servers: newServers(6, "tags", "t", "1"), Pools: []placement.Pool{
+		{Name: "tags", Region: "r", Model: "t", Version: "1", Referenced: true, Demand: [8]float64{0, 0, 100}},
+		{Name: "offers", Region: "r", Model: "o", Version: "1", Referenced: true, Demand: [8]float64{20}},
 	}}
 	for range 40 {
-		plan := placement.Make(in)
+		plan := placement.ComputePlan(in)
 		steps := placement.Steps(in, plan.Moves)
 		in.Moves = plan.Moves
-		obey(&in, steps)
+		applySteps(&in, steps)
 	}
 	zones := map[string]bool{}
 	for _, s := range in.Servers {
@@ -223,13 +223,13 @@
 	var in placement.Input
 	for i := range 22 {
 		m := fmt.Sprint("m", i)
-		in.Pools = append(in.Pools, placement.Pool{Name: m, Region: "r", Model: m, Version: "1", Wanted: true, Demand: [8]float64{float64(8 * i)}})
-		for j, s := range fleet(10, m, m, "1") {
+		in.Pools = append(in.Pools, placement.Pool{Name: m, Region: "r", Model: m, Version: "1", Referenced: true, Demand: [8]float64{float64(8 * i)}})
+		for j, s := range newServers(10, m, m, "1") {
 			s.Name = fmt.Sprintf("%s-%d", m, j)
 			in.Servers = append(in.Servers, s)
 		}
 	}
 	for b.Loop() {
-		placement.Steps(in, placement.Make(in).Moves)
+		placement.Steps(in, placement.ComputePlan(in).Moves)
 	}
 }
--- a/placement/step.go
+++ b/placement/step.go
@@ -11,10 +11,10 @@
 	StepLoad StepKind = "load"
 	// StepAssign writes that the server serves the pool: it is warm.
 	StepAssign StepKind = "assign"
-	// StepAssert orders a server that checks tokens to hold what it holds, so
+	// StepFence orders a server that checks tokens to hold what it holds, so
 	// that it learns the present token and refuses an earlier controller's
 	// order that is still on its way.
-	StepAssert StepKind = "assert"
+	StepFence StepKind = "assert"
 	// StepUnload orders the server to unload the model version.
 	StepUnload StepKind = "unload"
 )
@@ -40,36 +40,36 @@
 	for i := range in.Pools {
 		pools[in.Pools[i].Name] = &in.Pools[i]
 	}
-	to := map[string]string{}
+	destination := map[string]string{}
 	for _, m := range moves {
-		to[m.Server] = m.To
+		destination[m.Server] = m.To
 	}
 	var out []Step
 	for i := range in.Servers {
 		s := &in.Servers[i]
-		wish, moves := to[s.Name]
+		poolName, moves := destination[s.Name]
 		if !moves {
-			wish = s.Pool
+			poolName = s.Pool
 		}
-		p := pools[wish]
+		p := pools[poolName]
 		if p == nil || !s.usable() || s.Warming {
 			continue
 		}
-		out = append(out, steps(s, p)...)
+		out = append(out, serverSteps(s, p)...)
 	}
 	return out
 }
 
-// steps returns what one server needs to serve the pool.
-func steps(s *Server, p *Pool) []Step {
+// serverSteps returns what one server needs to serve the pool.
+func serverSteps(s *Server, p *Pool) []Step {
 	switch {
 	case !s.holds(p):
 		return []Step{{Kind: StepLoad, Server: s.Name, Model: p.Model, Version: p.Version}}
 	case s.ChecksTokens && !s.Fenced:
-		return []Step{{Kind: StepAssert, Server: s.Name, Model: p.Model, Version: p.Version}}
+		return []Step{{Kind: StepFence, Server: s.Name, Model: p.Model, Version: p.Version}}
 	case s.Pool != p.Name:
 		return []Step{{Kind: StepAssign, Server: s.Name, Pool: p.Name}}
-	case !s.Settled:
+	case !s.CanUnload:
 		return nil
 	}
 	var out []Step
--- a/placement/target.go
+++ b/placement/target.go
@@ -16,22 +16,22 @@
 // that nobody needs have no target; they stay where they are.
 func targets(pools []Pool, servers []Server) map[string]int {
 	out := map[string]int{}
-	pools = shifted(pools)
+	pools = redistributeDemand(pools)
 	for _, region := range regions(pools) {
 		free, slots := capacity(region, servers)
-		var here []Pool
+		var regional []Pool
 		for _, p := range byUrgency(pools) {
 			if p.Region == region {
-				here = append(here, p)
+				regional = append(regional, p)
 			}
 		}
-		for _, p := range here {
-			n := min(floor(p, servers), free)
+		for _, p := range regional {
+			n := min(minServers(p, servers), free)
 			out[p.Name] = n
 			free -= n
 		}
 		for tier := range request.MaxTiers {
-			for free > 0 && raise(here, tier, slots, out) {
+			for free > 0 && addServer(regional, tier, slots, out) {
 				free--
 			}
 		}
@@ -39,10 +39,10 @@
 	return out
 }
 
-// floor is what a pool gets whatever its demand. An unwanted version keeps one
+// minServers is what a pool gets whatever its demand. An unwanted version keeps one
 // server while it has any, for requests that still name it.
-func floor(p Pool, servers []Server) int {
-	if p.Wanted {
+func minServers(p Pool, servers []Server) int {
+	if p.Referenced {
 		return max(1, p.Min)
 	}
 	if slices.ContainsFunc(servers, func(s Server) bool { return s.Pool == p.Name }) {
@@ -51,10 +51,10 @@
 	return 0
 }
 
-// raise gives one more server to the pool that falls short most, counting
+// addServer gives one more server to the pool that falls short most, counting
 // demand up to the tier; false where none does.
-func raise(pools []Pool, tier int, slots float64, out map[string]int) bool {
-	worst, at := 0.0, ""
+func addServer(pools []Pool, tier int, slots float64, out map[string]int) bool {
+	maxDeficit, neediest := 0.0, ""
 	for _, p := range pools {
 		if p.Max > 0 && out[p.Name] >= p.Max {
 			continue
@@ -63,38 +63,38 @@
 		for _, d := range p.Demand[:tier+1] {
 			demand += d
 		}
-		if short := demand/slots - float64(out[p.Name]); short > worst {
-			worst, at = short, p.Name
+		if deficit := demand/slots - float64(out[p.Name]); deficit > maxDeficit {
+			maxDeficit, neediest = deficit, p.Name
 		}
 	}
-	if at == "" {
+	if neediest == "" {
 		return false
 	}
-	out[at]++
+	out[neediest]++
 	return true
 }
 
-// shifted moves the demand of unwanted versions to the wanted ones of the
+// redistributeDemand moves the demand of unwanted versions to the wanted ones of the
 // same model and region. Where there is none, the version stays wanted.
-func shifted(pools []Pool) []Pool {
+func redistributeDemand(pools []Pool) []Pool {
 	out := slices.Clone(pools)
 	for i := range out {
-		if out[i].Wanted {
+		if out[i].Referenced {
 			continue
 		}
-		var heirs []*Pool
+		var successors []*Pool
 		for j := range out {
-			if out[j].Wanted && out[j].Model == out[i].Model && out[j].Region == out[i].Region && pools[j].Wanted {
-				heirs = append(heirs, &out[j])
+			if out[j].Referenced && out[j].Model == out[i].Model && out[j].Region == out[i].Region && pools[j].Referenced {
+				successors = append(successors, &out[j])
 			}
 		}
-		if len(heirs) == 0 {
-			out[i].Wanted = true
+		if len(successors) == 0 {
+			out[i].Referenced = true
 			continue
 		}
-		for _, h := range heirs {
+		for _, successor := range successors {
 			for t, d := range out[i].Demand {
-				h.Demand[t] += d / float64(len(heirs))
+				successor.Demand[t] += d / float64(len(successors))
 			}
 		}
 		out[i].Demand = [request.MaxTiers]float64{}
--- a/revision/revisiontest/cluster.go
+++ b/revision/revisiontest/cluster.go
@@ -34,7 +34,7 @@
 	Network *peertest.Network
 	Members []*Member
 
-	view   member.Live
+	view   member.CurrentView
 	timing revision.Timing
 }
 
