--- a/fairshare/fairshare.go
+++ b/fairshare/fairshare.go
@@ -14,16 +14,16 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// forgotten is the number of refusals, fading, below which a tier counts as not refused.
-const forgotten = 0.05
+// minRefusals is the number of refusals, fading, below which a tier counts as not refused.
+const minRefusals = 0.05
 
 // Config is how much starved tiers get.
 type Config struct {
-	// LeastCheap and LeastCostly are the parts of the service of all tiers together below
-	// which a tier is starved: LeastCheap where its requests take next to nothing beside
-	// those of others, LeastCostly where they take as much or more. A cheap one costs the
+	// MinRatioCheap and MinRatioCostly are the parts of the service of all tiers together below
+	// which a tier is starved: MinRatioCheap where its requests take next to nothing beside
+	// those of others, MinRatioCostly where they take as much or more. A cheap one costs the
 	// tiers above a part of a request, a costly one a whole one.
-	LeastCheap, LeastCostly float64
+	MinRatioCheap, MinRatioCostly float64
 	// MaxShare is the largest part of what is granted in turn that starved tiers together
 	// get out of turn. A tier of which nothing is served gets all of it, one that is
 	// nearly served as often as it should proportionally less, so that service settles
@@ -39,19 +39,19 @@
 type Ledger struct {
 	cfg   Config
 	tiers [request.MaxTiers]account
-	all   account
+	total account
 }
 
 // account is one tier's, or that of all.
 type account struct {
-	served, refused decay.Rate // requests
-	amount          decay.Rate // granted
-	credit          float64
+	grants, refusals decay.Rate // requests
+	amountGranted    decay.Rate // granted
+	credit           float64
 }
 
 // New returns a ledger that has seen nothing.
 func New(cfg Config) *Ledger {
-	l := &Ledger{cfg: cfg, all: newAccount(cfg.Window)}
+	l := &Ledger{cfg: cfg, total: newAccount(cfg.Window)}
 	for t := range l.tiers {
 		l.tiers[t] = newAccount(cfg.Window)
 	}
@@ -60,40 +60,40 @@
 
 func newAccount(window time.Duration) account {
 	r := decay.Rate{TimeConstant: window}
-	return account{served: r, refused: r, amount: r}
+	return account{grants: r, refusals: r, amountGranted: r}
 }
 
-// Granted tells of a grant in turn. The starved tiers get their parts of its amount.
-func (l *Ledger) Granted(now time.Time, t request.Tier, amount float64) {
-	l.serve(now, t, amount)
+// RecordGrant tells of a grant in turn. The starved tiers get their parts of its amount.
+func (l *Ledger) RecordGrant(now time.Time, t request.Tier, amount float64) {
+	l.recordGrant(now, t, amount)
 	deficits, sum := l.deficits(now)
 	for i, d := range deficits {
-		x := &l.tiers[i]
-		x.credit = min(l.cfg.MaxCredit, x.credit+l.cfg.MaxShare*amount*d/max(1, sum))
+		a := &l.tiers[i]
+		a.credit = min(l.cfg.MaxCredit, a.credit+l.cfg.MaxShare*amount*d/max(1, sum))
 	}
 }
 
-// GrantedOutOfTurn tells of a grant that Allows allowed.
-func (l *Ledger) GrantedOutOfTurn(now time.Time, t request.Tier, amount float64) {
-	l.serve(now, t, amount)
+// RecordOutOfTurn tells of a grant that Allows allowed.
+func (l *Ledger) RecordOutOfTurn(now time.Time, t request.Tier, amount float64) {
+	l.recordGrant(now, t, amount)
 	l.tiers[t].credit -= amount
 }
 
-func (l *Ledger) serve(now time.Time, t request.Tier, amount float64) {
-	for _, x := range []*account{&l.tiers[t], &l.all} {
-		x.served.Add(now, 1)
-		x.amount.Add(now, amount)
+func (l *Ledger) recordGrant(now time.Time, t request.Tier, amount float64) {
+	for _, a := range []*account{&l.tiers[t], &l.total} {
+		a.grants.Add(now, 1)
+		a.amountGranted.Add(now, amount)
 	}
 }
 
-// Refused tells that a request was given up for want of room.
-func (l *Ledger) Refused(now time.Time, t request.Tier) {
-	l.tiers[t].refused.Add(now, 1)
-	l.all.refused.Add(now, 1)
+// RecordRefusal tells that a request was given up for want of room.
+func (l *Ledger) RecordRefusal(now time.Time, t request.Tier) {
+	l.tiers[t].refusals.Add(now, 1)
+	l.total.refusals.Add(now, 1)
 }
 
-// Starved tells whether a tier may be granted anything out of turn.
-func (l *Ledger) Starved(now time.Time, t request.Tier) bool {
+// IsStarved tells whether a tier may be granted anything out of turn.
+func (l *Ledger) IsStarved(now time.Time, t request.Tier) bool {
 	return l.tiers[t].credit > 0 && l.deficit(now, t) > 0
 }
 
@@ -115,41 +115,41 @@
 // deficit is how far a tier is from the service that it should have at the least: 1
 // where nothing of it is served, 0 where it has that service or nothing of it was refused.
 func (l *Ledger) deficit(now time.Time, t request.Tier) float64 {
-	x := &l.tiers[t]
-	if x.refused.PerSecond(now)*l.cfg.Window.Seconds() < forgotten {
+	a := &l.tiers[t]
+	if a.refusals.PerSecond(now)*l.cfg.Window.Seconds() < minRefusals {
 		return 0
 	}
-	least := l.least(now, x) * l.all.service(now)
-	if least <= 0 {
+	minRatio := l.minGrantRatio(now, a) * l.total.grantRatio(now)
+	if minRatio <= 0 {
 		return 0
 	}
-	return max(0, 1-x.service(now)/least)
+	return max(0, 1-a.grantRatio(now)/minRatio)
 }
 
-// least is the part of the service of all that a tier should have, by what its requests
+// minGrantRatio is the part of the service of all that a tier should have, by what its requests
 // take beside the mean.
-func (l *Ledger) least(now time.Time, x *account) float64 {
-	mean := l.all.mean(now)
+func (l *Ledger) minGrantRatio(now time.Time, a *account) float64 {
+	mean := l.total.meanAmount(now)
 	if mean <= 0 {
-		return l.cfg.LeastCostly
+		return l.cfg.MinRatioCostly
 	}
-	return l.cfg.LeastCheap - (l.cfg.LeastCheap-l.cfg.LeastCostly)*min(1, x.mean(now)/mean)
+	return l.cfg.MinRatioCheap - (l.cfg.MinRatioCheap-l.cfg.MinRatioCostly)*min(1, a.meanAmount(now)/mean)
 }
 
-// service is the part of the requests that was granted.
-func (x *account) service(now time.Time) float64 {
-	served := x.served.PerSecond(now)
-	if served <= 0 {
+// grantRatio is the part of the requests that was granted.
+func (a *account) grantRatio(now time.Time) float64 {
+	grants := a.grants.PerSecond(now)
+	if grants <= 0 {
 		return 0
 	}
-	return served / (served + x.refused.PerSecond(now))
+	return grants / (grants + a.refusals.PerSecond(now))
 }
 
-// mean is what a request took; 0 where none was granted.
-func (x *account) mean(now time.Time) float64 {
-	served := x.served.PerSecond(now)
-	if served <= 0 {
+// meanAmount is what a request took; 0 where none was granted.
+func (a *account) meanAmount(now time.Time) float64 {
+	grants := a.grants.PerSecond(now)
+	if grants <= 0 {
 		return 0
 	}
-	return x.amount.PerSecond(now) / served
+	return a.amountGranted.PerSecond(now) / grants
 }
--- a/internal/decay/decay.go
+++ b/internal/decay/decay.go
@@ -13,25 +13,25 @@
 	// TimeConstant is how fast it fades: what is older than that counts for little.
 	TimeConstant time.Duration
 
-	amount float64
-	at     time.Time
+	amount    float64
+	updatedAt time.Time
 }
 
 // Add adds an amount.
 func (r *Rate) Add(now time.Time, amount float64) {
-	r.fade(now)
+	r.decay(now)
 	r.amount += amount
 }
 
 // PerSecond returns the rate.
 func (r *Rate) PerSecond(now time.Time) float64 {
-	r.fade(now)
+	r.decay(now)
 	return r.amount / r.TimeConstant.Seconds()
 }
 
-func (r *Rate) fade(now time.Time) {
-	if !r.at.IsZero() {
-		r.amount *= math.Exp(-float64(now.Sub(r.at)) / float64(r.TimeConstant))
+func (r *Rate) decay(now time.Time) {
+	if !r.updatedAt.IsZero() {
+		r.amount *= math.Exp(-float64(now.Sub(r.updatedAt)) / float64(r.TimeConstant))
 	}
-	r.at = now
+	r.updatedAt = now
 }
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -26,7 +26,7 @@
 	snapshot *workspace.Snapshot
 	space    *workspace.Resolved
 	spec     *request.Spec
-	life     request.Life
+	life     request.Lifecycle
 	body     *reservation
 	held     claim.Claim // nil: none
 	claimSum claim.Hash
--- a/internal/experiment/rollouts.go
+++ b/internal/experiment/rollouts.go
@@ -96,25 +96,25 @@
 	return &rolloutPlay{
 		setting: s, c: c, random: random, decider: rollout.NewDecider(o, s.Bounds, time.Time{}.Add(time.Hour)),
 		recorder: rollout.NewRecorder(), budget: rollout.NewBudget(s.Bounds.CanaryShare(), s.Bounds, 1, 0),
-		plan: rollout.Plan{Share: s.Bounds.CanaryShare()},
+		plan: rollout.Plan{CanaryShare: s.Bounds.CanaryShare()},
 	}
 }
 
 // run plays until the decision, and returns it with when it came.
 func (p *rolloutPlay) run() (rollout.Decision, time.Duration) {
 	slots := p.setting.Servers * 8
-	facts := rollout.Facts{
+	facts := rollout.ServiceStatus{
 		Daemons: 1, StableServers: p.setting.Servers, NewServers: p.setting.Servers, WarmServers: p.setting.Servers,
 		StableSlots: slots, NewSlots: slots,
 	}
-	start := p.decider.Known()
+	start := p.decider.KnownAt()
 	for number, at := uint64(1), time.Duration(0); at < p.setting.Duration; number, at = number+1, at+rolloutStep {
 		for i := range int(float64(p.c.Rate) * rolloutStep.Seconds()) {
 			p.request(at, time.Duration(float64(i)/float64(p.c.Rate)*float64(time.Second)))
 		}
-		p.decider.Take(start.Add(at), rollout.Report{Reporter: "vm", Incarnation: 1, Number: number, Cells: p.recorder.Untold(false)})
+		p.decider.AddReport(start.Add(at), rollout.Report{Reporter: "vm", Incarnation: 1, Number: number, Cells: p.recorder.TakeChanged(false)})
 		p.plan = p.decider.Tick(start.Add(at), facts)
-		p.budget.SetShare(p.plan.Share)
+		p.budget.SetShare(p.plan.CanaryShare)
 		if v := p.decider.Decision(); v.State != rollout.Running {
 			return v, at
 		}
@@ -125,25 +125,25 @@
 // request sends one request, so long after the plan.
 func (p *rolloutPlay) request(at, since time.Duration) {
 	canary := p.plan.AllToNew(rolloutRoute, since) || p.plan.HasCanaries() && p.budget.Take()
-	p.budget.Sent()
+	p.budget.RecordSent()
 	took := time.Duration(float64(callMedian) * math.Exp(callSpread*p.random.NormFloat64()))
-	run := rollout.Run{Route: rolloutRoute, Server: "stable", Canary: canary, First: took, Whole: took}
+	run := rollout.Run{Route: rolloutRoute, Server: "stable", Canary: canary, FirstEvent: took, Total: took}
 	fails := p.setting.StableFails
 	if canary {
 		p.exposed++
-		run.Server = "new-" + strconv.Itoa(p.random.IntN(rollout.CanaryServers(p.plan.Share, p.setting.Servers, p.setting.Servers)))
+		run.Server = "new-" + strconv.Itoa(p.random.IntN(rollout.CanaryServers(p.plan.CanaryShare, p.setting.Servers, p.setting.Servers)))
 		if at >= p.c.From && (!p.c.UnderLoad || p.loaded(since)) {
 			fails = max(fails, p.c.Fails)
 			if p.random.Float64() < p.c.Slow && (!p.c.SlowServer || run.Server == "new-0") {
-				run.First = time.Duration(p.c.Factor * float64(took))
-				run.Whole = run.First
+				run.FirstEvent = time.Duration(p.c.Factor * float64(took))
+				run.Total = run.FirstEvent
 			}
 		}
 	}
 	if p.random.Float64() < fails {
-		run.Ending = rollout.Failed
+		run.Outcome = rollout.Failed
 	}
-	p.recorder.Record(run, p.plan.Routes[rolloutRoute].Limit)
+	p.recorder.Record(run, p.plan.Routes[rolloutRoute].Slow)
 }
 
 // usualLoad is the part of a stable server's load from which on a new one counts as loaded.
@@ -154,8 +154,8 @@
 	if p.plan.AllToNew(rolloutRoute, since) {
 		return true
 	}
-	used := rollout.CanaryServers(p.plan.Share, p.setting.Servers, p.setting.Servers)
-	return p.plan.Share*float64(p.setting.Servers) >= usualLoad*float64(used)
+	used := rollout.CanaryServers(p.plan.CanaryShare, p.setting.Servers, p.setting.Servers)
+	return p.plan.CanaryShare*float64(p.setting.Servers) >= usualLoad*float64(used)
 }
 
 // RolloutCases are versions that are bad in the ways that versions are known to be,
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -82,7 +82,7 @@
 
 // worthAnother decides whether a failed run is repeated at another server.
 func (x *exchange) worthAnother(status int) bool {
-	return status != fasthttp.StatusGatewayTimeout && x.attempts.Left() && x.ctx.Err() == nil &&
+	return status != fasthttp.StatusGatewayTimeout && x.attempts.CanSend() && x.ctx.Err() == nil &&
 		x.server.deps.Budget(x.service).Take()
 }
 
--- a/internal/forward/canary.go
+++ b/internal/forward/canary.go
@@ -89,8 +89,8 @@
 	}
 	out := rollout.Run{Route: x.route.Name, Server: g.grant.Server().Name, Canary: x.canary.version != ""}
 	g.ended = func(outcome pool.Outcome) {
-		out.Ending, out.Whole = endingOf(outcome), time.Since(g.sent)
-		out.First, out.Pace = g.times(out.Whole)
+		out.Outcome, out.Total = endingOf(outcome), time.Since(g.sent)
+		out.FirstEvent, out.PerToken = g.times(out.Total)
 		r.Ended(x.service, out)
 	}
 }
@@ -108,7 +108,7 @@
 	return first, pace
 }
 
-func endingOf(o pool.Outcome) rollout.Ending {
+func endingOf(o pool.Outcome) rollout.Outcome {
 	switch o {
 	case pool.OutcomeDone:
 		return rollout.Answered
--- a/internal/forward/canary_test.go
+++ b/internal/forward/canary_test.go
@@ -67,11 +67,11 @@
 }
 
 // endings returns how the runs ended, in order.
-func (f *fakeRollouts) endings() (out []rollout.Ending) {
+func (f *fakeRollouts) endings() (out []rollout.Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.ended {
-		out = append(out, r.Ending)
+		out = append(out, r.Outcome)
 	}
 	return out
 }
@@ -100,7 +100,7 @@
 		So(f.canaryRuns(), ShouldResemble, []bool{true, false})
 		So(f.sent, ShouldEqual, 2)
 		So(f.first, ShouldEqual, 1)
-		So(f.endings(), ShouldResemble, []rollout.Ending{rollout.Failed, rollout.Answered})
+		So(f.endings(), ShouldResemble, []rollout.Outcome{rollout.Failed, rollout.Answered})
 	})
 	Convey("One that may not be repeated ends with the failure", t, func() {
 		r := newRig(t, newBackend(t, fails))
@@ -117,7 +117,7 @@
 		r := newRig(t, newBackend(t, refuses), newBackend(t, cuts), newBackend(t, sound))
 		f := r.withRollouts(true)
 		So(r.call("POST", "/again/", "a", "", "x").status, ShouldEqual, 200)
-		So(f.endings(), ShouldResemble, []rollout.Ending{rollout.Broken, rollout.Answered})
+		So(f.endings(), ShouldResemble, []rollout.Outcome{rollout.Broken, rollout.Answered})
 		So(f.canaryRuns(), ShouldResemble, []bool{false, false}) // the first send was the canary
 		So(f.first, ShouldEqual, 1)
 		So(f.noSlot, ShouldEqual, 0)
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -74,7 +74,7 @@
 	}
 	x.out = x.server.newOutbound(x.http, x.workspaceName())
 	x.out.deadline = x.received.Add(x.spec.Targets.Deadline)
-	x.server.deps.Budget(x.service).Request()
+	x.server.deps.Budget(x.service).RecordRequest()
 	x.open()
 	err := x.forward()
 	if err != nil && x.passFailure() {
@@ -104,7 +104,7 @@
 	if x.table == nil {
 		return request.Refuse(request.ReasonNoConfiguration, "no configuration is in force yet").WithRetryAfter(retrySoon)
 	}
-	if len(x.http.Request.Body()) > x.table.Limits.BodyBytes && x.table.Limits.BodyBytes > 0 {
+	if len(x.http.Request.Body()) > x.table.Limits.MaxBodyBytes && x.table.Limits.MaxBodyBytes > 0 {
 		return request.Refuse(request.ReasonBodyTooLarge, "body of %d bytes", len(x.http.Request.Body()))
 	}
 	path, _, _ := strings.Cut(string(x.http.Request.Header.RequestURI()), "?")
@@ -168,7 +168,7 @@
 	} else {
 		x.spec.Service = x.service
 	}
-	x.attempts = request.Attempts{Repeatable: x.route.Repeatable(), Most: x.route.MaxAttempts}
+	x.attempts = request.Attempts{Repeatable: x.route.Repeatable(), Max: x.route.MaxAttempts}
 	x.demand = broker.Demand{Spec: x.spec}
 }
 
--- a/internal/forward/hedge.go
+++ b/internal/forward/hedge.go
@@ -161,7 +161,7 @@
 
 // boundSilence makes the stream's silence show while another server could go on.
 func (s *stream) boundSilence() {
-	if s.x.attempts.Left() {
+	if s.x.attempts.CanSend() {
 		s.events.from.conn.SetSilence(streamSilence)
 	}
 }
@@ -182,7 +182,7 @@
 // reserve gets a slot for a second send beside the run of a silent stream, and takes its
 // retry; nil where either is not to be had, or where the key was withdrawn meanwhile.
 func (x *exchange) reserve(silent *run) broker.Grant {
-	if !x.attempts.Left() || x.stillAuthorized() != nil {
+	if !x.attempts.CanSend() || x.stillAuthorized() != nil {
 		return nil
 	}
 	x.demandAnother(silent)
--- a/internal/forward/rig_test.go
+++ b/internal/forward/rig_test.go
@@ -281,10 +281,10 @@
 			r("/once/", route.NonIdempotent, 1, false), r("/again/", route.Idempotent, 2, false),
 			r("/stream/", route.Stream, 1, false), r("/resume/", route.Stream, 3, true), public,
 		},
-		Services: []route.Service{{Name: "svc", EventTokens: 5}},
-		Limits:   route.Limits{BodyBytes: 1 << 20},
+		Services: []route.Service{{Name: "svc", TokensPerEvent: 5}},
+		Limits:   route.Limits{MaxBodyBytes: 1 << 20},
 		Workspaces: []route.Workspace{{
-			Name: "space", Keys: []string{testKey}, Quota: route.Quota{PerSecond: 1000, Burst: 1000, Tokens: true, PlainTokens: 7},
+			Name: "space", Keys: []string{testKey}, Quota: route.Quota{PerSecond: 1000, Burst: 1000, Tokens: true, DefaultTokens: 7},
 		}},
 	}
 }
@@ -344,7 +344,7 @@
 	if findings != nil {
 		r.tb.Fatal(findings)
 	}
-	r.routes.Offer(table)
+	r.routes.Update(table)
 }
 
 // caller is one connection of a caller.
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -84,7 +84,7 @@
 		return x.denied
 	case x.ctx.Err() != nil:
 		return x.waitEnded(x.ctx.Err())
-	case !x.attempts.Left():
+	case !x.attempts.CanSend():
 		return x.outcome(request.ReasonEngineLost, "the answer was lost: %v", err)
 	case x.attempts.Sends() > 0 && !errors.Is(err, engine.ErrNotSent) && !x.server.deps.Budget(x.service).Take():
 		x.server.count.budgetDenied.Add(1)
@@ -180,7 +180,7 @@
 		return x.lostRun(g, err)
 	}
 	if !g.sent.IsZero() {
-		x.attempts.GiveBack()
+		x.attempts.Undo()
 	}
 	if x.ctx.Err() != nil || x.denied != nil {
 		g.grant.Return()
@@ -210,7 +210,7 @@
 
 // notExecuted ends a send that the server did not run.
 func (x *exchange) notExecuted(g *run, r *reply) error {
-	x.attempts.GiveBack()
+	x.attempts.Undo()
 	status := r.header.StatusCode()
 	if _, err := r.all(); err != nil {
 		r.ended = false
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -145,8 +145,8 @@
 
 // eventTokens returns how many tokens one event holds.
 func (x *exchange) eventTokens() int {
-	if s := x.table.Services[x.service]; s != nil && s.EventTokens > 0 {
-		return s.EventTokens
+	if s := x.table.Services[x.service]; s != nil && s.TokensPerEvent > 0 {
+		return s.TokensPerEvent
 	}
 	return 1
 }
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -216,7 +216,7 @@
 	}
 	Convey("Without a retry the rest is waited for", t, func() {
 		r := newRig(t, newBackend(t, pausing))
-		r.budget.Bound(0)
+		r.budget.SetBurst(0)
 		got := r.call("POST", "/resume/", "1", "", "x")
 		So(got.body, ShouldEqual, eventsOf(1, 6))
 		So(got.whole, ShouldBeTrue)
--- a/internal/gateway/asker_test.go
+++ b/internal/gateway/asker_test.go
@@ -72,12 +72,12 @@
 
 func configuredState() *state {
 	s := emptyState()
-	s.routes.Offer(&route.Table{Version: 1, Services: map[string]*route.Service{"app": {}}})
+	s.routes.Update(&route.Table{Version: 1, Services: map[string]*route.Service{"app": {}}})
 	return s
 }
 
 func emptyState() *state {
-	ledger := quota.NewLedger(time.Now, 1, quota.Tolerance{})
+	ledger := quota.NewLimiter(time.Now, 1, quota.Tolerance{})
 	return newState(Platform{}, "r", &route.Live{}, &workspace.Live{}, ledger, func(map[string]string) {}, metrics.New())
 }
 
--- a/internal/gateway/budgets.go
+++ b/internal/gateway/budgets.go
@@ -40,7 +40,7 @@
 	}
 	// A process that has just started does not know how many share the slack.
 	fresh := retry.NewBudget(b.bounds.RetryRatio*retryRatioShare, 1)
-	fresh.Bound(b.burst())
+	fresh.SetBurst(b.burst())
 	x, _ := b.service.LoadOrStore(service, fresh)
 	return x.(*retry.Budget)
 }
@@ -61,7 +61,7 @@
 	}
 	burst := b.burst()
 	b.service.Range(func(_, x any) bool {
-		x.(*retry.Budget).Bound(burst)
+		x.(*retry.Budget).SetBurst(burst)
 		return true
 	})
 }
--- a/internal/gateway/budgets_test.go
+++ b/internal/gateway/budgets_test.go
@@ -9,7 +9,7 @@
 // saved returns how many retries a budget gives when all that can be is saved.
 func saved(b *budgets) int {
 	for range 10_000 {
-		b.of("llm").Request()
+		b.of("llm").RecordRequest()
 	}
 	n := 0
 	for b.of("llm").Take() {
--- a/internal/gateway/deciders.go
+++ b/internal/gateway/deciders.go
@@ -48,7 +48,7 @@
 // take takes a report; one of a rollout that is not known here is dropped.
 func (d *deciders) take(ctx context.Context, id rollout.ID, report rollout.Report) {
 	r, known := d.state.rollout(id.Service)
-	if !known || r.ID != id || !r.Runs() {
+	if !known || r.ID != id || !r.InProgress() {
 		return
 	}
 	d.mu.Lock()
@@ -62,7 +62,7 @@
 		}
 	}
 	x.SetRollout(r)
-	x.Take(time.Now(), report)
+	x.AddReport(time.Now(), report)
 }
 
 // plan returns the plan as of now; false: there is none, or its decider has stopped.
@@ -74,7 +74,7 @@
 		return rollout.Plan{}, false
 	}
 	p, age := x.plan, time.Since(x.at)
-	p.StopIn -= age
+	p.StableStopIn -= age
 	p.SpikeIn -= age
 	return p, true
 }
@@ -103,7 +103,7 @@
 	return x.plan
 }
 
-func (d *deciders) logDecision(id rollout.ID, x rollout.Decision, f rollout.Facts) {
+func (d *deciders) logDecision(id rollout.ID, x rollout.Decision, f rollout.ServiceStatus) {
 	d.log.WithFields(logrus.Fields{
 		"service": id.Service, "to": id.To, "outcome": x.State.String(), "reason": x.Reason, "route": x.Route,
 		"new_runs": x.Canary.Runs, "new_failed": x.Canary.Failed, "new_broken": x.Canary.Broken, "new_slow": x.Canary.Slow,
--- a/internal/gateway/division_test.go
+++ b/internal/gateway/division_test.go
@@ -119,13 +119,13 @@
 	Convey("A report and a plan, too", t, func() {
 		id := rollout.ID{Service: "app", To: "v2", Created: 7}
 		r := rollout.Report{Reporter: "a", Incarnation: 3, Number: 4, Age: 1_500_000_000, Cells: map[rollout.Key]rollout.Cell{
-			{Route: "/r/"}: {Counts: rollout.Counts{Runs: 9, Failed: 1, Broken: 2, Slow: 3}, First: rollout.Times{10: 2}, Pace: rollout.Times{3: 1}, Whole: rollout.Times{70: 4}},
+			{Route: "/r/"}: {Counts: rollout.Counts{Runs: 9, Failed: 1, Broken: 2, Slow: 3}, FirstEvent: rollout.Times{10: 2}, PerToken: rollout.Times{3: 1}, Total: rollout.Times{70: 4}},
 		}}
 		gotID, got := reportOf(reportToWire(id, r), "a")
 		So(gotID, ShouldResemble, id)
 		So(got, ShouldResemble, r)
-		p := rollout.Plan{Phase: rollout.PhaseCutover, Share: 0.06, Open: true, StopIn: 900_000_000, SpikeIn: 2_000_000, SpikeFor: 400_000_000,
-			Routes: map[string]rollout.RoutePlan{"/r/": {Limit: rollout.Limit{First: 70_000_000, Pace: 3_000_000}, Lead: 500_000_000}}}
+		p := rollout.Plan{Phase: rollout.PhaseCutover, CanaryShare: 0.06, OpenAll: true, StableStopIn: 900_000_000, SpikeIn: 2_000_000, SpikeFor: 400_000_000,
+			Routes: map[string]rollout.RoutePlan{"/r/": {Slow: rollout.SlowThreshold{FirstEvent: 70_000_000, PerToken: 3_000_000}, Lead: 500_000_000}}}
 		So(planOf(planToWire(p)), ShouldResemble, p)
 	})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -57,7 +57,7 @@
 	pools   *workspace.Live
 	views   *member.CurrentView
 	state   *state
-	ledger  *quota.Ledger
+	ledger  *quota.Limiter
 	forward *forward.Server
 
 	// The parts below exist once the cluster key is known.
@@ -82,7 +82,7 @@
 	}
 	debug.SetMemoryLimit(int64(s.Limits.MemoryMB * 1e6 * memoryShare))
 	g.budgets = newBudgets(s.Bounds)
-	g.ledger = quota.NewLedger(time.Now, g.daemonsAtFirst(), quota.Tolerance{
+	g.ledger = quota.NewLimiter(time.Now, g.daemonsAtFirst(), quota.Tolerance{
 		Window: seconds(s.Bounds.QuotaWindowS), Over: s.Bounds.QuotaOver, Slack: s.Bounds.QuotaSlack,
 	})
 	servers := forward.NewServers(httpconn.Settings{})
--- a/internal/gateway/knownrollouts.go
+++ b/internal/gateway/knownrollouts.go
@@ -127,7 +127,7 @@
 // running tells whether a rollout has no outcome yet.
 func (k *knownRollouts) running() bool {
 	for _, r := range k.all {
-		if r.Runs() {
+		if r.InProgress() {
 			return true
 		}
 	}
@@ -163,7 +163,7 @@
 		return
 	}
 	for _, x := range unfit {
-		s.rollouts.of(x.Service).Reject(x.Version)
+		s.rollouts.of(x.Service).MarkUnfit(x.Version)
 	}
 	waited := s.rollouts.unvetted()
 	news := s.rollouts.all.Replace(all)
@@ -221,10 +221,10 @@
 }
 
 // facts returns what a rollout's decision needs to know of a service's servers.
-func (s *state) facts(service string) rollout.Facts {
+func (s *state) facts(service string) rollout.ServiceStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var f rollout.Facts
+	var f rollout.ServiceStatus
 	to := s.rollouts.all[service].To
 	for _, x := range s.directory.Servers() {
 		if x.Service != service || x.Leaving {
@@ -236,7 +236,7 @@
 			f.StableServers++
 			f.StableSlots += x.Slots
 		default:
-			f.Serving = arm == rollout.Stable
+			f.ServedBefore = arm == rollout.Stable
 			f.NewServers++
 			f.NewSlots += x.Slots
 			if !x.Cold {
--- a/internal/gateway/outcomes.go
+++ b/internal/gateway/outcomes.go
@@ -15,12 +15,12 @@
 // first that it runs, later its outcome. The mutex is held, the call is made without it.
 func (d *deciders) write(ctx context.Context, x *deciding, decided rollout.Decision) {
 	r := x.Rollout()
-	if x.writing || !r.Runs() || decided.State == rollout.Running && r.Acknowledged {
+	if x.writing || !r.InProgress() || decided.State == rollout.Running && r.Acknowledged {
 		return
 	}
 	r.State = decided.State
 	x.writing = true
-	known, first := x.Known(), !r.Acknowledged
+	known, first := x.KnownAt(), !r.Acknowledged
 	go func() {
 		d.writeOutcome(ctx, r)
 		if first {
--- a/internal/gateway/pacer_test.go
+++ b/internal/gateway/pacer_test.go
@@ -46,8 +46,8 @@
 		routes := &route.Live{}
 		table, findings := route.Compile("test", route.Document{Version: 1, Services: []route.Service{{Name: "app"}}})
 		So(findings, ShouldBeNil)
-		routes.Offer(table)
-		s := newState(Platform{}, "r", routes, pools, quota.NewLedger(time.Now, 1, quota.Tolerance{}), func(map[string]string) {}, metrics.New())
+		routes.Update(table)
+		s := newState(Platform{}, "r", routes, pools, quota.NewLimiter(time.Now, 1, quota.Tolerance{}), func(map[string]string) {}, metrics.New())
 		const servers, rounds = 2 * pacedFrom, 5
 		revision := uint64(0)
 		for round := range rounds {
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -21,10 +21,10 @@
 	// let through meanwhile goes beyond the quota.
 	tellEvery = 80 * time.Millisecond
 	// askEvery is how often a daemon that lets nothing through asks what the
-	// others do. It is far below quota.SilentAfter.
+	// others do. It is far below quota.SilenceTimeout.
 	askEvery = 3 * tellEvery
 	// tellAllEvery is how often hubs tell each other all, so that a lost
-	// message counts for no longer. It is below quota.SilentAfter.
+	// message counts for no longer. It is below quota.SilenceTimeout.
 	tellAllEvery = 500 * time.Millisecond
 	// hubTimeout is how long a daemon waits for a hub's answer before it goes to
 	// another: five answers of it in a row are missing by then.
@@ -34,7 +34,7 @@
 // quotas tells the other daemons what was let through of the quotas, by way of
 // a hub, and is one itself for the daemons that report to it.
 type quotas struct {
-	ledger    *quota.Ledger
+	ledger    *quota.Limiter
 	exchange  *quota.Exchange
 	budgets   *budgets
 	transport peer.Transport
@@ -53,7 +53,7 @@
 	hubs    map[string]bool
 }
 
-func newQuotas(l *quota.Ledger, b *budgets, t peer.Transport, views *member.CurrentView, now func() time.Time) *quotas {
+func newQuotas(l *quota.Limiter, b *budgets, t peer.Transport, views *member.CurrentView, now func() time.Time) *quotas {
 	q := &quotas{
 		ledger: l, exchange: quota.NewExchange(l, now, uint64(now().UnixNano())),
 		budgets: b, transport: t, views: views, log: logs.For("quotas"), sharers: newSharers(),
@@ -85,9 +85,9 @@
 	if len(q.others) == 0 || q.ledger.Empty() {
 		return
 	}
-	if q.route.candidates[q.at] == q.view.Self || q.exchange.Led() {
+	if q.route.candidates[q.at] == q.view.Self || q.exchange.HasReporters() {
 		q.asked = time.Time{}
-		q.exchange.Lead()
+		q.exchange.ActAsHub()
 		q.tellHubs(now)
 		return
 	}
@@ -105,7 +105,7 @@
 		q.view = view
 		q.route, q.at = routeToHub(view), 0
 	}
-	q.ledger.Members(q.others)
+	q.ledger.SetMembers(q.others)
 	q.budgets.share(len(q.others) + 1)
 }
 
@@ -119,16 +119,16 @@
 		q.log.WithFields(logrus.Fields{"hub": q.route.candidates[q.at], "before": was}).Info("Hub of the quotas does not answer.")
 		return
 	}
-	if q.asked.IsZero() && !q.ledger.Untold() && now.Sub(q.sent) < askEvery {
+	if q.asked.IsZero() && !q.ledger.HasUnreported() && now.Sub(q.sent) < askEvery {
 		return
 	}
-	b := q.exchange.Batch()
+	b := q.exchange.NextBatch()
 	q.sent = now
 	if q.asked.IsZero() {
 		q.asked = now
 	}
 	q.send(q.route.candidates[q.at], peer.TypeQuotaBatch, &wire.QuotaBatch{
-		Incarnation: b.Incarnation, Number: b.Number, Uses: usesToWire(b.Uses), Hub: b.Hub, Version: b.Version, Behind: b.Behind,
+		Incarnation: b.Incarnation, Number: b.Number, Uses: usesToWire(b.Usage), Hub: b.Hub, Version: b.Version, Behind: b.Incomplete,
 	})
 }
 
@@ -136,7 +136,7 @@
 // of the view, and those that are hubs by their own.
 func (q *quotas) tellHubs(now time.Time) {
 	targets := map[string]bool{}
-	for _, name := range append(q.exchange.Hubs(), q.route.hubs...) {
+	for _, name := range append(q.exchange.LiveHubs(), q.route.hubs...) {
 		targets[name] = name != q.view.Self
 	}
 	all := now.Sub(q.told) >= tellAllEvery
@@ -147,13 +147,13 @@
 	if all {
 		q.told = now
 	}
-	g := q.exchange.Group(all)
-	if len(g.Uses) == 0 && !all {
+	g := q.exchange.NextHubReport(all)
+	if len(g.Usage) == 0 && !all {
 		return
 	}
 	m := &wire.QuotaGroup{
-		Incarnation: g.Incarnation, Sequence: g.Sequence, Complete: g.Complete, Uses: usesToWire(g.Uses),
-		Levels: usesToWire(g.Levels), Daemons: g.Daemons, Silent: g.Silent, AgeMs: inMs(g.Age), RunningMs: inMs(g.Running),
+		Incarnation: g.Incarnation, Sequence: g.Sequence, Complete: g.Complete, Uses: usesToWire(g.Usage),
+		Levels: usesToWire(g.Levels), Daemons: g.Daemons, Silent: g.Silent, AgeMs: inMs(g.Age), RunningMs: inMs(g.Uptime),
 	}
 	for name, other := range targets {
 		if other {
@@ -181,8 +181,8 @@
 	if err := proto.Unmarshal(payload, &m); err != nil {
 		return nil, err
 	}
-	a := q.exchange.Report(string(from), quota.Batch{
-		Incarnation: m.Incarnation, Number: m.Number, Uses: usesOf(m.Uses), Hub: m.Hub, Version: m.Version, Behind: m.Behind,
+	a := q.exchange.HandleBatch(string(from), quota.Batch{
+		Incarnation: m.Incarnation, Number: m.Number, Usage: usesOf(m.Uses), Hub: m.Hub, Version: m.Version, Incomplete: m.Behind,
 	})
 	q.send(string(from), peer.TypeQuotaAnswer, &wire.QuotaAnswer{
 		Hub: a.Hub, Version: a.Version, Number: a.Number,
@@ -199,7 +199,7 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	acknowledged := q.exchange.Learn(quota.Answer{
+	acknowledged := q.exchange.HandleAnswer(quota.Answer{
 		Hub: m.Hub, Version: m.Version, Number: m.Number, Others: usesOf(m.Others), Levels: usesOf(m.Levels),
 		Silent: m.Silent, Age: milliseconds(m.AgeMs),
 	}, q.others)
@@ -214,14 +214,14 @@
 	if err := proto.Unmarshal(payload, &m); err != nil {
 		return nil, err
 	}
-	q.exchange.TakeGroup(string(from), quota.Group{
-		Incarnation: m.Incarnation, Sequence: m.Sequence, Complete: m.Complete, Uses: usesOf(m.Uses),
-		Levels: usesOf(m.Levels), Daemons: m.Daemons, Silent: m.Silent, Age: milliseconds(m.AgeMs), Running: milliseconds(m.RunningMs),
+	q.exchange.HandleHubReport(string(from), quota.HubReport{
+		Incarnation: m.Incarnation, Sequence: m.Sequence, Complete: m.Complete, Usage: usesOf(m.Uses),
+		Levels: usesOf(m.Levels), Daemons: m.Daemons, Silent: m.Silent, Age: milliseconds(m.AgeMs), Uptime: milliseconds(m.RunningMs),
 	})
 	return nil, nil
 }
 
-func usesToWire(uses []quota.Use) []*wire.Use {
+func usesToWire(uses []quota.Usage) []*wire.Use {
 	out := make([]*wire.Use, 0, len(uses))
 	for _, u := range uses {
 		out = append(out, &wire.Use{Workspace: u.Workspace, Amount: u.Amount})
@@ -229,10 +229,10 @@
 	return out
 }
 
-func usesOf(uses []*wire.Use) []quota.Use {
-	out := make([]quota.Use, 0, len(uses))
+func usesOf(uses []*wire.Use) []quota.Usage {
+	out := make([]quota.Usage, 0, len(uses))
 	for _, u := range uses {
-		out = append(out, quota.Use{Workspace: u.Workspace, Amount: u.Amount})
+		out = append(out, quota.Usage{Workspace: u.Workspace, Amount: u.Amount})
 	}
 	return out
 }
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -59,8 +59,8 @@
 // quotasOf returns a daemon's part and what it sends.
 func quotasOf(self string, members []member.Member) (*quotas, *postbox) {
 	stopped := func() time.Time { return time.Unix(1000, 0) }
-	ledger := quota.NewLedger(stopped, daemonsAssumed, quota.Tolerance{})
-	ledger.Prepare([]*route.Workspace{{Name: "w", Quota: route.Quota{PerSecond: 100, Burst: 1000}}})
+	ledger := quota.NewLimiter(stopped, daemonsAssumed, quota.Tolerance{})
+	ledger.AddWorkspaces([]*route.Workspace{{Name: "w", Quota: route.Quota{PerSecond: 100, Burst: 1000}}})
 	views := &member.CurrentView{}
 	views.Store(member.NewView(self, members))
 	box := newPostbox()
@@ -106,7 +106,7 @@
 			So(hub.ledger.Share(), ShouldEqual, 1)
 			So(other.ledger.Share(), ShouldEqual, 1)
 			before := hub.ledger.Levels()[0].Amount
-			hub.exchange.Report("a3", quota.Batch{Number: 1, Uses: []quota.Use{{Workspace: "w", Amount: 70}}})
+			hub.exchange.HandleBatch("a3", quota.Batch{Number: 1, Usage: []quota.Usage{{Workspace: "w", Amount: 70}}})
 			exchange()
 			for _, q := range []*quotas{hub, other} {
 				So(q.ledger.Levels()[0].Amount, ShouldAlmostEqual, before-70, 1e-6)
--- a/internal/gateway/rolloutrecord.go
+++ b/internal/gateway/rolloutrecord.go
@@ -77,6 +77,6 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if x := d.all[id]; x != nil {
-		x.KnownSince(known)
+		x.ObserveKnownAt(known)
 	}
 }
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -122,7 +122,7 @@
 	before, changed := *r.active.Load(), false
 	now := map[string]*participation{}
 	for _, x := range r.state.allRollouts() {
-		if !x.Runs() {
+		if !x.InProgress() {
 			continue
 		}
 		t := before[x.Service]
@@ -181,7 +181,7 @@
 	t.toldTo = to
 	return rollout.Report{
 		Reporter: r.views.Load().Self, Incarnation: r.started, Number: t.number, Age: time.Since(t.known),
-		Cells: t.recorder.Untold(all),
+		Cells: t.recorder.TakeChanged(all),
 	}
 }
 
@@ -190,7 +190,7 @@
 	report := r.report(t, to)
 	plan, err := r.call(ctx, t.id, report, to)
 	if err != nil {
-		t.recorder.Lost(report.Cells)
+		t.recorder.MarkChanged(report.Cells)
 		r.log.WithFields(logrus.Fields{"service": service, "of": to}).WithError(err).Debug("Plan of the rollout not heard.")
 		return
 	}
@@ -218,12 +218,12 @@
 // hear goes by a plan from now on.
 func (r *rollouts) hear(service string, t *participation, p rollout.Plan) {
 	before := t.plan.Swap(&heardPlan{p, time.Now()})
-	t.budget.SetShare(p.Share)
+	t.budget.SetShare(p.CanaryShare)
 	if before == nil || before.Phase != p.Phase {
-		r.log.WithFields(logrus.Fields{"service": service, "to": t.id.To, "phase": p.Phase.String(), "share": p.Share}).
+		r.log.WithFields(logrus.Fields{"service": service, "to": t.id.To, "phase": p.Phase.String(), "share": p.CanaryShare}).
 			Info("Rollout has another phase.")
 	}
-	if before == nil || before.Open != p.Open {
+	if before == nil || before.OpenAll != p.OpenAll {
 		r.state.rebuildPools()
 	}
 }
@@ -270,7 +270,7 @@
 		return false
 	}
 	if first {
-		t.budget.Sent()
+		t.budget.RecordSent()
 	}
 	return true
 }
@@ -281,17 +281,17 @@
 	if t == nil {
 		return
 	}
-	var limit rollout.Limit
+	var limit rollout.SlowThreshold
 	if heard := t.plan.Load(); heard != nil {
-		limit = heard.Routes[run.Route].Limit
+		limit = heard.Routes[run.Route].Slow
 	}
 	if run.Canary {
-		r.countCanary(run.Ending)
+		r.countCanary(run.Outcome)
 	}
 	t.recorder.Record(run, limit)
 }
 
-func (r *rollouts) countCanary(e rollout.Ending) {
+func (r *rollouts) countCanary(e rollout.Outcome) {
 	switch e {
 	case rollout.Failed, rollout.Broken:
 		r.count.failed.Add(1)
@@ -307,7 +307,7 @@
 	if t == nil {
 		return nil
 	}
-	if heard := t.plan.Load(); heard != nil && heard.Open {
+	if heard := t.plan.Load(); heard != nil && heard.OpenAll {
 		return servers
 	}
 	warm := slices.DeleteFunc(slices.Clone(servers), func(s discovery.Server) bool { return s.Cold })
--- a/internal/gateway/rolloutwire.go
+++ b/internal/gateway/rolloutwire.go
@@ -38,7 +38,7 @@
 	for key, c := range r.Cells {
 		m.Cells = append(m.Cells, &wire.RolloutCell{
 			Route: key.Route, Server: key.Server, Runs: c.Runs, Failed: c.Failed, Broken: c.Broken, Slow: c.Slow,
-			First: timesToWire(c.First), Pace: timesToWire(c.Pace), Whole: timesToWire(c.Whole),
+			First: timesToWire(c.FirstEvent), Pace: timesToWire(c.PerToken), Whole: timesToWire(c.Total),
 		})
 	}
 	return m
@@ -51,8 +51,8 @@
 	}
 	for _, c := range m.Cells {
 		r.Cells[rollout.Key{Route: c.Route, Server: c.Server}] = rollout.Cell{
-			Counts: rollout.Counts{Runs: c.Runs, Failed: c.Failed, Broken: c.Broken, Slow: c.Slow},
-			First:  timesOf(c.First), Pace: timesOf(c.Pace), Whole: timesOf(c.Whole),
+			Counts:     rollout.Counts{Runs: c.Runs, Failed: c.Failed, Broken: c.Broken, Slow: c.Slow},
+			FirstEvent: timesOf(c.First), PerToken: timesOf(c.Pace), Total: timesOf(c.Whole),
 		}
 	}
 	return rollout.ID{Service: m.Service, To: m.To, Created: m.Created}, r
@@ -83,12 +83,12 @@
 
 func planToWire(p rollout.Plan) *wire.RolloutPlan {
 	m := &wire.RolloutPlan{
-		Phase: uint32(p.Phase), Share: p.Share, Open: p.Open, StopInMs: inMs(p.StopIn),
+		Phase: uint32(p.Phase), Share: p.CanaryShare, Open: p.OpenAll, StopInMs: inMs(p.StableStopIn),
 		SpikeInMs: inMs(p.SpikeIn), SpikeMs: inMs(p.SpikeFor),
 	}
 	for name, r := range p.Routes {
 		m.Routes = append(m.Routes, &wire.RolloutRoute{
-			Route: name, SlowFirstMs: inMs(r.Limit.First), SlowPaceMs: inMs(r.Limit.Pace), LeadMs: inMs(r.Lead),
+			Route: name, SlowFirstMs: inMs(r.Slow.FirstEvent), SlowPaceMs: inMs(r.Slow.PerToken), LeadMs: inMs(r.Lead),
 		})
 	}
 	return m
@@ -96,12 +96,12 @@
 
 func planOf(m *wire.RolloutPlan) rollout.Plan {
 	p := rollout.Plan{
-		Phase: rollout.Phase(m.Phase), Share: m.Share, Open: m.Open, StopIn: milliseconds(m.StopInMs),
+		Phase: rollout.Phase(m.Phase), CanaryShare: m.Share, OpenAll: m.Open, StableStopIn: milliseconds(m.StopInMs),
 		SpikeIn: milliseconds(m.SpikeInMs), SpikeFor: milliseconds(m.SpikeMs), Routes: make(map[string]rollout.RoutePlan, len(m.Routes)),
 	}
 	for _, r := range m.Routes {
 		p.Routes[r.Route] = rollout.RoutePlan{
-			Limit: rollout.Limit{First: milliseconds(r.SlowFirstMs), Pace: milliseconds(r.SlowPaceMs)}, Lead: milliseconds(r.LeadMs),
+			Slow: rollout.SlowThreshold{FirstEvent: milliseconds(r.SlowFirstMs), PerToken: milliseconds(r.SlowPaceMs)}, Lead: milliseconds(r.LeadMs),
 		}
 	}
 	return p
--- a/internal/gateway/sync.go
+++ b/internal/gateway/sync.go
@@ -26,7 +26,7 @@
 	region   string
 	routes   *route.Live
 	pools    *workspace.Live
-	ledger   *quota.Ledger
+	ledger   *quota.Limiter
 	servers  func(map[string]string) // told which incarnation is at each address
 	log      *logrus.Entry
 	latency  latencies
@@ -71,7 +71,7 @@
 	return !u.leaving && (u.arm == rollout.Stable || canary && u.arm == rollout.Canary)
 }
 
-func newState(p Platform, region string, routes *route.Live, pools *workspace.Live, ledger *quota.Ledger, servers func(map[string]string), m *metrics.Registry) *state {
+func newState(p Platform, region string, routes *route.Live, pools *workspace.Live, ledger *quota.Limiter, servers func(map[string]string), m *metrics.Registry) *state {
 	return &state{
 		platform: p, region: region, routes: routes, pools: pools, ledger: ledger, servers: servers,
 		configFresh: revision.NewFreshness(), serversFresh: revision.NewFreshness(), rolloutsFresh: revision.NewFreshness(),
@@ -108,9 +108,9 @@
 		return false
 	}
 	s.config = o
-	if s.routes.Offer(table) {
+	if s.routes.Update(table) {
 		s.log.WithField("version", table.Version).WithField("revision", o.Version).Info("Configuration in force.")
-		s.ledger.Prepare(table.Workspaces)
+		s.ledger.AddWorkspaces(table.Workspaces)
 		s.rebuild()
 	}
 	s.signal()
--- a/pool/admission.go
+++ b/pool/admission.go
@@ -240,7 +240,7 @@
 func (p *Pool) shed(e *Enqueue, reason request.Reason, retry time.Duration) {
 	p.tally.countRefusal(e.Tier, reason)
 	if reason == request.ReasonShed || reason == request.ReasonExpired {
-		p.fairShare.Refused(p.now, e.Tier)
+		p.fairShare.RecordRefusal(p.now, e.Tier)
 	}
 	p.emit(Shed{Request: e.Request, Entry: e.Entry, Reason: reason, RetryAfter: p.jitterRetryAfter(retry)})
 }
--- a/pool/schedule.go
+++ b/pool/schedule.go
@@ -270,7 +270,7 @@
 
 // grant gives a waiting request a slot in turn.
 func (p *Pool) grant(w *waiter, o option) {
-	p.fairShare.Granted(p.now, w.Item.Tier, p.slotTime(w, o))
+	p.fairShare.RecordGrant(p.now, w.Item.Tier, p.slotTime(w, o))
 	p.startRun(w, o)
 }
 
--- a/pool/starved.go
+++ b/pool/starved.go
@@ -21,7 +21,7 @@
 
 func newFairShare() *fairshare.Ledger {
 	return fairshare.New(fairshare.Config{
-		LeastCheap: minCheapShare, LeastCostly: minCostlyShare, MaxShare: starvedMaxShare, MaxCredit: starvedMaxCredit, Window: starvedWindow,
+		MinRatioCheap: minCheapShare, MinRatioCostly: minCostlyShare, MaxShare: starvedMaxShare, MaxCredit: starvedMaxCredit, Window: starvedWindow,
 	})
 }
 
@@ -33,7 +33,7 @@
 // that is refused in every second while others are granted (pool_shed, pool_granted).
 func (p *Pool) scheduleStarved() {
 	for t := request.Tier(request.MaxTiers - 1); t > 0; t-- {
-		for p.queue.Waiting(t) > 0 && p.fairShare.Starved(p.now, t) && p.grantOutOfTurn(t) {
+		for p.queue.Waiting(t) > 0 && p.fairShare.IsStarved(p.now, t) && p.grantOutOfTurn(t) {
 		}
 	}
 }
@@ -53,7 +53,7 @@
 	if !p.fairShare.Allows(t, amount) {
 		return false
 	}
-	p.fairShare.GrantedOutOfTurn(p.now, t, amount)
+	p.fairShare.RecordOutOfTurn(p.now, t, amount)
 	p.startRun(w, o)
 	return true
 }
--- a/pool/starved_test.go
+++ b/pool/starved_test.go
@@ -287,11 +287,11 @@
 		g := r.mustGrant(filler)
 		r.send(Progress{Request: g.Request, Grant: g.Grant, FirstToken: 50 * time.Millisecond, Tokens: 1})
 		for range 100 {
-			r.fairShare.Granted(r.now, 0, 1)
-			r.fairShare.Refused(r.now, 2)
+			r.fairShare.RecordGrant(r.now, 0, 1)
+			r.fairShare.RecordRefusal(r.now, 2)
 		}
 		low := enqueue("low", 2)
-		So(r.fairShare.Starved(r.now, 2), ShouldBeTrue)
+		So(r.fairShare.IsStarved(r.now, 2), ShouldBeTrue)
 		So(grants(r.send(low)), ShouldHaveLength, 1)
 
 		big := enqueue("big", 0)
--- a/quota/exchange.go
+++ b/quota/exchange.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Batch is what one daemon has let through since the batch before.
+// NextBatch is what one daemon has let through since the batch before.
 type Batch struct {
 	// Incarnation is of the daemon's process.
 	Incarnation uint64
 	// Number counts the daemon's batches. One that was not acknowledged is sent
 	// again as it was.
 	Number uint64
-	Uses   []Use
+	Usage  []Usage
 	// Hub and Version tell which answer the daemon has; zero: none that is of
 	// use.
 	Hub, Version uint64
-	// Behind is set where the daemon has let more through than its batches tell,
+	// Incomplete is set where the daemon has let more through than its batches tell,
 	// because this one is sent again.
-	Behind bool
+	Incomplete bool
 }
 
 // Answer is what a hub tells a daemon that has sent it a batch.
@@ -32,33 +32,33 @@
 	Number uint64
 	// Others is what all other daemons have let through since the hub's start,
 	// where that has changed since the batch's Version.
-	Others []Use
+	Others []Usage
 	// Levels are the hub's own buckets, for a daemon that has no answer of it.
-	Levels []Use
+	Levels []Usage
 	// Silent are the daemons that the hub has not heard of lately, and Age is how old
 	// its signs of the others are at most.
 	Silent []string
 	Age    time.Duration
 }
 
-// Group is what the daemons that report to one hub have let through since its
+// HubReport is what the daemons that report to one hub have let through since its
 // start. Hubs tell it each other.
-type Group struct {
+type HubReport struct {
 	Incarnation uint64 // of the hub's process
 	Sequence    uint64
 	// Complete is set where Uses are all of them, not only those that changed.
 	Complete bool
-	Uses     []Use
+	Usage    []Usage
 	// Levels are the hub's own buckets that have settled, told where Uses are complete.
-	Levels []Use
+	Levels []Usage
 	// Daemons are those that report to the hub, told where Uses are complete.
 	Daemons []string
 	// Silent are those of them that the hub has not heard of lately, and Age is how
 	// old its signs of the others are at most.
 	Silent []string
 	Age    time.Duration
-	// Running is how long the hub's process has run; 0: it does not say.
-	Running time.Duration
+	// Uptime is how long the hub's process has run; 0: it does not say.
+	Uptime time.Duration
 }
 
 // Exchange is a daemon's part in telling what was let through: it reports to a
@@ -77,28 +77,28 @@
 type Exchange struct {
 	mu          sync.Mutex
 	now         func() time.Time
-	began       time.Time
-	ledger      *Ledger
+	startedAt   time.Time
+	limiter     *Limiter
 	incarnation uint64
 
 	// Towards this daemon's hub.
-	unacknowledged *Batch
-	number         uint64
-	hub, version   uint64
-	others         map[string]float64
-	answered       time.Time
+	unacked                    *Batch
+	batchNumber                uint64
+	hubIncarnation, hubVersion uint64
+	othersUsage                map[string]float64
+	answeredAt                 time.Time
 
 	// As a hub. alone is what it counted lately while it heard no other one.
-	leading  bool
-	alone    map[string]*recent
-	totals   map[string]*total
-	changes  uint64
-	levelled uint64 // the change at which the levels last changed otherwise than by uses
-	group    map[string]float64
-	untold   map[string]bool
-	sequence uint64
-	reports  map[string]*report
-	groups   map[string]*groupState
+	isHub          bool
+	isolatedUsage  map[string]*slidingSum
+	totals         map[string]*total
+	totalsVersion  uint64
+	levelsVersion  uint64 // the change at which the levels last changed otherwise than by uses
+	groupUsage     map[string]float64
+	changedInGroup map[string]bool
+	sequence       uint64
+	reporters      map[string]*reporter
+	peerHubs       map[string]*peerHub
 }
 
 // total is what all daemons that this hub knows of have let through of a
@@ -108,279 +108,279 @@
 	version uint64
 }
 
-// report is what a hub has of one daemon that reports to it.
-type report struct {
+// reporter is what a hub has of one daemon that reports to it.
+type reporter struct {
 	incarnation, number uint64
 	used                map[string]float64
-	heard               time.Time
+	lastHeard           time.Time
 }
 
-// groupState is what a hub has of another hub.
-type groupState struct {
+// peerHub is what a hub has of another hub.
+type peerHub struct {
 	incarnation, sequence uint64
 	used                  map[string]float64
-	heard                 time.Time
+	lastHeard             time.Time
 	daemons               []string // that report to it
 }
 
 // NewExchange returns the exchange of a ledger. incarnation is of this
 // process.
-func NewExchange(l *Ledger, now func() time.Time, incarnation uint64) *Exchange {
+func NewExchange(l *Limiter, now func() time.Time, incarnation uint64) *Exchange {
 	return &Exchange{
-		now: now, began: now(), ledger: l, incarnation: incarnation, others: map[string]float64{}, alone: map[string]*recent{},
-		totals: map[string]*total{}, group: map[string]float64{}, untold: map[string]bool{},
-		reports: map[string]*report{}, groups: map[string]*groupState{},
+		now: now, startedAt: now(), limiter: l, incarnation: incarnation, othersUsage: map[string]float64{}, isolatedUsage: map[string]*slidingSum{},
+		totals: map[string]*total{}, groupUsage: map[string]float64{}, changedInGroup: map[string]bool{},
+		reporters: map[string]*reporter{}, peerHubs: map[string]*peerHub{},
 	}
 }
 
-// Batch returns what to report to a hub now: the batch that was not
+// NextBatch returns what to report to a hub now: the batch that was not
 // acknowledged, or a new one.
-func (e *Exchange) Batch() Batch {
+func (e *Exchange) NextBatch() Batch {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leading = false
-	if e.unacknowledged == nil {
-		e.number++
-		e.unacknowledged = &Batch{Incarnation: e.incarnation, Number: e.number, Uses: e.ledger.Pending()}
-		if len(e.hubs()) == 0 {
-			e.unacknowledged.Uses = append(e.unacknowledged.Uses, e.unheardOf()...)
-			clear(e.alone)
+	e.isHub = false
+	if e.unacked == nil {
+		e.batchNumber++
+		e.unacked = &Batch{Incarnation: e.incarnation, Number: e.batchNumber, Usage: e.limiter.TakeUnreported()}
+		if len(e.liveHubs()) == 0 {
+			e.unacked.Usage = append(e.unacked.Usage, e.recentIsolatedUsage()...)
+			clear(e.isolatedUsage)
 		}
 	}
-	b := *e.unacknowledged
-	b.Behind = e.ledger.Untold()
-	if e.now().Sub(e.answered) <= doubtAfter {
-		b.Hub, b.Version = e.hub, e.version
+	b := *e.unacked
+	b.Incomplete = e.limiter.HasUnreported()
+	if e.now().Sub(e.answeredAt) <= suspectTimeout {
+		b.Hub, b.Version = e.hubIncarnation, e.hubVersion
 	}
 	return b
 }
 
-// Learn takes a hub's answer, with the signs of the other daemons in it, and tells whether
+// HandleAnswer takes a hub's answer, with the signs of the other daemons in it, and tells whether
 // it acknowledges the batch.
-func (e *Exchange) Learn(a Answer, daemons []string) bool {
+func (e *Exchange) HandleAnswer(a Answer, daemons []string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.unacknowledged == nil || a.Number != e.unacknowledged.Number {
+	if e.unacked == nil || a.Number != e.unacked.Number {
 		return false // of an earlier batch, or of one that was sent twice
 	}
-	e.unacknowledged = nil
+	e.unacked = nil
 	// A hub tells its levels to whoever said that it has no answer of it. By
 	// the time, an answer that took long would be neither adopted nor counted.
-	follows := a.Hub == e.hub && len(a.Levels) == 0
-	e.heard(daemons, a.Silent, a.Age)
-	if !follows {
-		e.others = map[string]float64{}
-		e.ledger.Adopt(a.Levels)
+	sameHub := a.Hub == e.hubIncarnation && len(a.Levels) == 0
+	e.recordHeartbeats(daemons, a.Silent, a.Age)
+	if !sameHub {
+		e.othersUsage = map[string]float64{}
+		e.limiter.AdoptLevels(a.Levels)
 	}
-	if news := grown(e.others, a.Others); follows {
-		e.ledger.Spend(news)
-		e.addTotals(news)
+	if added := increments(e.othersUsage, a.Others); sameHub {
+		e.limiter.DeductRemote(added)
+		e.addToTotals(added)
 	}
-	e.hub, e.version, e.answered = a.Hub, a.Version, e.now()
+	e.hubIncarnation, e.hubVersion, e.answeredAt = a.Hub, a.Version, e.now()
 	return true
 }
 
-// Lead counts what this daemon itself has let through, in place of a report: it
+// ActAsHub counts what this daemon itself has let through, in place of a report: it
 // is a hub.
-func (e *Exchange) Lead() {
+func (e *Exchange) ActAsHub() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leading = true
-	uses := e.ledger.Pending()
-	if b := e.unacknowledged; b != nil { // for a hub that is none any more
-		uses = append(uses, b.Uses...)
-		e.unacknowledged = nil
+	e.isHub = true
+	usage := e.limiter.TakeUnreported()
+	if b := e.unacked; b != nil { // for a hub that is none any more
+		usage = append(usage, b.Usage...)
+		e.unacked = nil
 	}
-	e.addGroup(uses)
-	e.unheard(uses)
-	if len(uses) > 0 {
-		e.number++ // a hub that gets the next batch sees that it misses one
+	e.addToGroup(usage)
+	e.recordIsolated(usage)
+	if len(usage) > 0 {
+		e.batchNumber++ // a hub that gets the next batch sees that it misses one
 	}
 }
 
-// unheard remembers uses where no other hub hears of them.
-func (e *Exchange) unheard(uses []Use) {
-	if len(e.hubs()) > 0 {
+// recordIsolated remembers uses where no other hub hears of them.
+func (e *Exchange) recordIsolated(usage []Usage) {
+	if len(e.liveHubs()) > 0 {
 		return
 	}
-	for _, u := range uses {
-		if e.alone[u.Workspace] == nil {
-			e.alone[u.Workspace] = &recent{}
+	for _, u := range usage {
+		if e.isolatedUsage[u.Workspace] == nil {
+			e.isolatedUsage[u.Workspace] = &slidingSum{}
 		}
-		e.alone[u.Workspace].add(e.now(), u.Amount)
+		e.isolatedUsage[u.Workspace].add(e.now(), u.Amount)
 	}
 }
 
-// unheardOf returns what was counted lately while no other hub was heard.
-func (e *Exchange) unheardOf() []Use {
-	var out []Use
-	for name, r := range e.alone {
-		if amount := r.since(e.now(), SilentAfter); amount != 0 {
-			out = append(out, Use{name, amount})
+// recentIsolatedUsage returns what was counted lately while no other hub was heard.
+func (e *Exchange) recentIsolatedUsage() []Usage {
+	var out []Usage
+	for name, r := range e.isolatedUsage {
+		if amount := r.sum(e.now(), SilenceTimeout); amount != 0 {
+			out = append(out, Usage{name, amount})
 		} else {
-			delete(e.alone, name)
+			delete(e.isolatedUsage, name)
 		}
 	}
 	return out
 }
 
-// Led tells whether daemons have reported here lately.
-func (e *Exchange) Led() bool {
+// HasReporters tells whether daemons have reported here lately.
+func (e *Exchange) HasReporters() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, r := range e.reports {
-		if e.now().Sub(r.heard) <= SilentAfter {
+	for _, r := range e.reporters {
+		if e.now().Sub(r.lastHeard) <= SilenceTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// Report takes a daemon's batch.
-func (e *Exchange) Report(from string, b Batch) Answer {
+// HandleBatch takes a daemon's batch.
+func (e *Exchange) HandleBatch(from string, b Batch) Answer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r := e.reports[from]
+	r := e.reporters[from]
 	known := r != nil && r.incarnation == b.Incarnation
 	if !known {
-		r = &report{incarnation: b.Incarnation, used: map[string]float64{}}
-		e.reports[from] = r
+		r = &reporter{incarnation: b.Incarnation, used: map[string]float64{}}
+		e.reporters[from] = r
 		b.Hub = 0 // what it has of an earlier report is not known here
 	}
-	r.heard = e.now()
+	r.lastHeard = e.now()
 	// Batches between were told to another hub, whose word may not have come.
-	allTold := b.Number <= r.number+1 && (known || len(e.ledger.Unmet([]string{from})) > 0)
-	uses := b.Uses
+	usageKnown := b.Number <= r.number+1 && (known || len(e.limiter.NeverHeard([]string{from})) > 0)
+	usage := b.Usage
 	if b.Number > r.number {
 		r.number = b.Number
-		for _, u := range uses {
+		for _, u := range usage {
 			r.used[u.Workspace] += u.Amount
 		}
-		e.addGroup(uses)
-		e.unheard(uses)
+		e.addToGroup(usage)
+		e.recordIsolated(usage)
 	} else {
-		uses = nil
+		usage = nil
 	}
-	if allTold && !b.Behind {
-		e.told([]string{from}, uses, 0)
+	if usageKnown && !b.Incomplete {
+		e.recordReports([]string{from}, usage, 0)
 	} else {
-		e.ledger.Spend(uses)
+		e.limiter.DeductRemote(usage)
 	}
-	if !allTold {
-		e.ledger.Alive(from, 0)
+	if !usageKnown {
+		e.limiter.RecordHeartbeat(from, 0)
 	}
 	return e.answer(r, b)
 }
 
 // answer tells what the others than r let through that is newer than the
 // batch tells.
-func (e *Exchange) answer(r *report, b Batch) Answer {
-	a := Answer{Hub: e.incarnation, Version: e.changes, Number: b.Number}
-	a.Age, a.Silent = e.ledger.Signs()
+func (e *Exchange) answer(r *reporter, b Batch) Answer {
+	a := Answer{Hub: e.incarnation, Version: e.totalsVersion, Number: b.Number}
+	a.Age, a.Silent = e.limiter.HeartbeatStatus()
 	since := b.Version
-	if b.Hub != e.incarnation || since < e.levelled {
+	if b.Hub != e.incarnation || since < e.levelsVersion {
 		since = 0
-		a.Levels = e.ledger.Levels()
+		a.Levels = e.limiter.Levels()
 	}
 	for name, t := range e.totals {
 		if t.version > since {
-			a.Others = append(a.Others, Use{name, t.used - r.used[name]})
+			a.Others = append(a.Others, Usage{name, t.used - r.used[name]})
 		}
 	}
 	return a
 }
 
-// Group returns what to tell the other hubs: all, or what has changed since
+// HubReport returns what to tell the other hubs: all, or what has changed since
 // the last call.
-func (e *Exchange) Group(all bool) Group {
+func (e *Exchange) NextHubReport(complete bool) HubReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sequence++
-	g := Group{Incarnation: e.incarnation, Sequence: e.sequence, Complete: all, Running: e.now().Sub(e.began)}
-	for name, used := range e.group {
-		if all || e.untold[name] {
-			g.Uses = append(g.Uses, Use{name, used})
+	report := HubReport{Incarnation: e.incarnation, Sequence: e.sequence, Complete: complete, Uptime: e.now().Sub(e.startedAt)}
+	for name, used := range e.groupUsage {
+		if complete || e.changedInGroup[name] {
+			report.Usage = append(report.Usage, Usage{name, used})
 		}
 	}
-	clear(e.untold)
-	if all {
-		g.Levels = e.ledger.SettledLevels()
+	clear(e.changedInGroup)
+	if complete {
+		report.Levels = e.limiter.SettledLevels()
 	}
-	for name, r := range e.reports {
-		if all {
-			g.Daemons = append(g.Daemons, name)
+	for name, r := range e.reporters {
+		if complete {
+			report.Daemons = append(report.Daemons, name)
 		}
-		if age := e.now().Sub(r.heard); age > quietAfter {
-			g.Silent = append(g.Silent, name)
+		if age := e.now().Sub(r.lastHeard); age > maxRelayedAge {
+			report.Silent = append(report.Silent, name)
 		} else {
-			g.Age = max(g.Age, age)
+			report.Age = max(report.Age, age)
 		}
 	}
-	return g
+	return report
 }
 
-// TakeGroup takes what another hub tells. The first complete word of a hub says where its
+// HandleHubReport takes what another hub tells. The first complete word of a hub says where its
 // counts stand, and its levels tell of what was counted before.
-func (e *Exchange) TakeGroup(from string, g Group) {
+func (e *Exchange) HandleHubReport(from string, report HubReport) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.leading {
+	if !e.isHub {
 		return // its hub tells the same
 	}
-	s := e.groups[from]
-	known := s != nil && s.incarnation == g.Incarnation
-	if known && g.Sequence <= s.sequence {
+	hub := e.peerHubs[from]
+	known := hub != nil && hub.incarnation == report.Incarnation
+	if known && report.Sequence <= hub.sequence {
 		return
 	}
-	wasSilent := known && e.now().Sub(s.heard) > SilentAfter
-	if (!known || wasSilent) && !g.Complete {
+	wasSilent := known && e.now().Sub(hub.lastHeard) > SilenceTimeout
+	if (!known || wasSilent) && !report.Complete {
 		return
 	}
 	if !known {
-		s = &groupState{incarnation: g.Incarnation, used: map[string]float64{}}
-		e.groups[from] = s
+		hub = &peerHub{incarnation: report.Incarnation, used: map[string]float64{}}
+		e.peerHubs[from] = hub
 	}
-	s.sequence, s.heard = g.Sequence, e.now()
-	news := grown(s.used, g.Uses)
+	hub.sequence, hub.lastHeard = report.Sequence, e.now()
+	added := increments(hub.used, report.Usage)
 	switch {
-	case !known && g.Running > 0 && g.Running <= SilentAfter:
+	case !known && report.Uptime > 0 && report.Uptime <= SilenceTimeout:
 		// All that its daemons have let through since they started is in its uses.
-		e.addTotals(news)
-		e.told(e.ledger.Unmet(slices.Concat(g.Daemons, []string{from})), news, g.Age)
+		e.addToTotals(added)
+		e.recordReports(e.limiter.NeverHeard(slices.Concat(report.Daemons, []string{from})), added, report.Age)
 	case !known:
-		e.ledger.AtMost(g.Levels)
-		e.tellLevels()
+		e.limiter.CapLevels(report.Levels)
+		e.resendLevels()
 	default:
 		// Its counts hold what those let through that were its daemons before.
 		// Others may have reported elsewhere.
-		e.addTotals(news)
-		e.told(except(slices.Concat(s.daemons, []string{from}), g.Silent), news, g.Age)
+		e.addToTotals(added)
+		e.recordReports(except(slices.Concat(hub.daemons, []string{from}), report.Silent), added, report.Age)
 	}
-	if g.Complete {
-		s.daemons = g.Daemons
+	if report.Complete {
+		hub.daemons = report.Daemons
 	}
-	e.heard(slices.Concat(s.daemons, []string{from}), g.Silent, g.Age)
+	e.recordHeartbeats(slices.Concat(hub.daemons, []string{from}), report.Silent, report.Age)
 }
 
-// heard takes signs of daemons but the silent ones.
-func (e *Exchange) heard(daemons, silent []string, age time.Duration) {
+// lastHeard takes signs of daemons but the silent ones.
+func (e *Exchange) recordHeartbeats(daemons, silent []string, age time.Duration) {
 	for _, name := range except(daemons, silent) {
-		e.ledger.Alive(name, age)
+		e.limiter.RecordHeartbeat(name, age)
 	}
 }
 
-// told takes signs of daemons that have let uses through and no more. Where any had been
+// recordReports takes signs of daemons that have let uses through and no more. Where any had been
 // silent, those that report here can't know what has returned.
-func (e *Exchange) told(daemons []string, uses []Use, age time.Duration) {
-	if e.ledger.Told(daemons, uses, age) {
-		e.tellLevels()
+func (e *Exchange) recordReports(daemons []string, usage []Usage, age time.Duration) {
+	if e.limiter.RecordReport(daemons, usage, age) {
+		e.resendLevels()
 	}
 }
 
-// tellLevels makes the next answers tell the levels.
-func (e *Exchange) tellLevels() {
-	e.changes++
-	e.levelled = e.changes
+// resendLevels makes the next answers tell the levels.
+func (e *Exchange) resendLevels() {
+	e.totalsVersion++
+	e.levelsVersion = e.totalsVersion
 }
 
 // except returns the names that are not among others.
@@ -388,55 +388,55 @@
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool { return slices.Contains(others, name) })
 }
 
-// Hubs returns the hubs that were heard lately.
-func (e *Exchange) Hubs() []string {
+// LiveHubs returns the hubs that were heard lately.
+func (e *Exchange) LiveHubs() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.hubs()
+	return e.liveHubs()
 }
 
-func (e *Exchange) hubs() []string {
+func (e *Exchange) liveHubs() []string {
 	var out []string
-	for name, s := range e.groups {
-		if e.now().Sub(s.heard) <= SilentAfter {
+	for name, hub := range e.peerHubs {
+		if e.now().Sub(hub.lastHeard) <= SilenceTimeout {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// grown takes counts that were told, and returns by how much they exceed those
+// increments takes counts that were told, and returns by how much they exceed those
 // known before.
-func grown(known map[string]float64, told []Use) []Use {
-	out := make([]Use, 0, len(told))
-	for _, u := range told {
-		out = append(out, Use{u.Workspace, u.Amount - known[u.Workspace]})
+func increments(known map[string]float64, reported []Usage) []Usage {
+	out := make([]Usage, 0, len(reported))
+	for _, u := range reported {
+		out = append(out, Usage{u.Workspace, u.Amount - known[u.Workspace]})
 		known[u.Workspace] = u.Amount
 	}
 	return out
 }
 
-// addGroup counts what daemons of this hub let through.
-func (e *Exchange) addGroup(uses []Use) {
-	for _, u := range uses {
-		e.group[u.Workspace] += u.Amount
-		e.untold[u.Workspace] = true
+// addToGroup counts what daemons of this hub let through.
+func (e *Exchange) addToGroup(usage []Usage) {
+	for _, u := range usage {
+		e.groupUsage[u.Workspace] += u.Amount
+		e.changedInGroup[u.Workspace] = true
 	}
-	e.addTotals(uses)
+	e.addToTotals(usage)
 }
 
-func (e *Exchange) addTotals(uses []Use) {
-	if len(uses) == 0 {
+func (e *Exchange) addToTotals(usage []Usage) {
+	if len(usage) == 0 {
 		return
 	}
-	e.changes++
-	for _, u := range uses {
+	e.totalsVersion++
+	for _, u := range usage {
 		t := e.totals[u.Workspace]
 		if t == nil {
 			t = &total{}
 			e.totals[u.Workspace] = t
 		}
 		t.used += u.Amount
-		t.version = e.changes
+		t.version = e.totalsVersion
 	}
 }
--- a/request/attempts.go
+++ b/request/attempts.go
@@ -10,41 +10,41 @@
 type Attempts struct {
 	// Repeatable requests may be begun by up to Most servers, others by one.
 	Repeatable bool
-	Most       int
+	Max        int
 
-	begun int
-	sends int
+	started int
+	sends   int
 }
 
-// Left tells whether the request may be sent.
-func (a *Attempts) Left() bool {
-	if a.begun == 0 {
+// CanSend tells whether the request may be sent.
+func (a *Attempts) CanSend() bool {
+	if a.started == 0 {
 		return true
 	}
-	return a.Repeatable && a.begun < a.Most
+	return a.Repeatable && a.started < a.Max
 }
 
 // Take takes an attempt, before the first byte of a send can leave. It
 // returns ErrNoDispatchRight where none is left.
 func (a *Attempts) Take() error {
-	if !a.Left() {
+	if !a.CanSend() {
 		return ErrNoDispatchRight
 	}
-	a.begun++
+	a.started++
 	a.sends++
 	return nil
 }
 
-// GiveBack undoes the last Take: no byte left, or the server said that it did
+// Undo undoes the last Take: no byte left, or the server said that it did
 // not and will not run the request.
-func (a *Attempts) GiveBack() { a.begun-- }
+func (a *Attempts) Undo() { a.started-- }
 
 // Sends returns how many attempts were taken, given back or not.
 func (a *Attempts) Sends() int { return a.sends }
 
 // NotRun tells what is known of whether the request ran.
 func (a *Attempts) NotRun() NotRun {
-	if a.begun == 0 {
+	if a.started == 0 {
 		return NotRunTrue
 	}
 	return RanUnknown
--- a/request/life.go
+++ b/request/lifecycle.go
@@ -36,23 +36,23 @@
 // ErrBadTransition reports a step that a request's life does not allow.
 var ErrBadTransition = errors.New("transition not allowed")
 
-// Life is the state machine of one request. All its methods are safe for
+// Lifecycle is the state machine of one request. All its methods are safe for
 // concurrent use. The zero value is Received.
 //
 // What goes wrong without it: two paths (a late grant and a degraded-mode
 // grant, say) each send the same request. One would notice two runs of one
 // request in the engines' logs. Every path must win TakeDispatchRight, a
 // single compare-and-swap, so the second one fails.
-type Life struct {
+type Lifecycle struct {
 	state atomic.Uint32
 }
 
 // State returns the current state.
-func (l *Life) State() State { return State(l.state.Load()) }
+func (l *Lifecycle) State() State { return State(l.state.Load()) }
 
 // Advance moves from one state to another. It returns ErrBadTransition when
 // the life is not in from, or when the step is not allowed.
-func (l *Life) Advance(from, to State) error {
+func (l *Lifecycle) Advance(from, to State) error {
 	if !allowed(from, to) {
 		return errors.Wrapf(ErrBadTransition, "%s to %s", from, to)
 	}
@@ -64,7 +64,7 @@
 
 // TakeDispatchRight takes the one right to dispatch. After it returned nil,
 // it returns ErrNoDispatchRight to every other call.
-func (l *Life) TakeDispatchRight() error {
+func (l *Lifecycle) TakeDispatchRight() error {
 	for _, from := range []State{Granted, Claimed} {
 		if l.state.CompareAndSwap(uint32(from), uint32(Dispatched)) {
 			return nil
@@ -75,7 +75,7 @@
 
 // End ends the life from any state and returns the state it was in. Only the
 // first call returns true.
-func (l *Life) End() (State, bool) {
+func (l *Lifecycle) End() (State, bool) {
 	was := State(l.state.Swap(uint32(Ended)))
 	return was, was != Ended
 }
--- a/request/life_test.go
+++ b/request/lifecycle_test.go
@@ -15,38 +15,38 @@
 func TestOnlyOnePathTakesTheDispatchRight(t *testing.T) {
 	Convey("of many paths that race, one wins", t, func() {
 		for range 200 {
-			var life Life
-			So(life.Advance(Received, Queued), ShouldBeNil)
-			So(life.Advance(Queued, Granted), ShouldBeNil)
-			var wins atomic.Int32
+			var lc Lifecycle
+			So(lc.Advance(Received, Queued), ShouldBeNil)
+			So(lc.Advance(Queued, Granted), ShouldBeNil)
+			var winners atomic.Int32
 			var wg conc.WaitGroup
 			for range 8 {
 				wg.Go(func() {
-					if life.TakeDispatchRight() == nil {
-						wins.Add(1)
+					if lc.TakeDispatchRight() == nil {
+						winners.Add(1)
 					}
 				})
 			}
 			wg.Wait()
-			So(wins.Load(), ShouldEqual, 1)
+			So(winners.Load(), ShouldEqual, 1)
 		}
 	})
 }
 
-func TestLifeAllowsAtMostOneDispatchInAnyOrderOfSteps(t *testing.T) {
+func TestLifecycleAllowsAtMostOneDispatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var life Life
+		var lc Lifecycle
 		dispatches, ended := 0, false
 		t.Repeat(map[string]func(*rapid.T){
 			"advance": func(t *rapid.T) {
 				from := State(rapid.IntRange(int(Received), int(Ended)).Draw(t, "from"))
 				to := State(rapid.IntRange(int(Received), int(Ended)).Draw(t, "to"))
-				if life.Advance(from, to) == nil && (to == Dispatched || to == Ended) {
+				if lc.Advance(from, to) == nil && (to == Dispatched || to == Ended) {
 					t.Fatalf("advance reached %s", to)
 				}
 			},
 			"dispatch": func(t *rapid.T) {
-				if life.TakeDispatchRight() != nil {
+				if lc.TakeDispatchRight() != nil {
 					return
 				}
 				if dispatches++; dispatches > 1 || ended {
@@ -54,7 +54,7 @@
 				}
 			},
 			"end": func(t *rapid.T) {
-				if _, first := life.End(); first == ended {
+				if _, first := lc.End(); first == ended {
 					t.Fatalf("End returned %v after ended=%v", first, ended)
 				}
 				ended = true
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -14,40 +14,40 @@
 //
 // It is safe for concurrent use.
 type Budget struct {
-	mu    sync.Mutex
-	earn  float64
-	most  float64
-	saved float64
+	mu     sync.Mutex
+	ratio  float64
+	burst  float64
+	tokens float64
 }
 
 // NewBudget returns a budget in which each request earns ratio retries, and
 // at most burst are saved up. It starts full.
 func NewBudget(ratio, burst float64) *Budget {
-	return &Budget{earn: ratio, most: burst, saved: burst}
+	return &Budget{ratio: ratio, burst: burst, tokens: burst}
 }
 
-// Request counts a caller's request.
-func (b *Budget) Request() {
+// RecordRequest counts a caller's request.
+func (b *Budget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(b.most, b.saved+b.earn)
+	b.tokens = min(b.burst, b.tokens+b.ratio)
 }
 
 // Take takes one retry and reports whether there was one.
 func (b *Budget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.saved < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.saved--
+	b.tokens--
 	return true
 }
 
-// Bound changes how much can be saved up.
-func (b *Budget) Bound(burst float64) {
+// SetBurst changes how much can be saved up.
+func (b *Budget) SetBurst(burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.most = burst
-	b.saved = min(b.saved, burst)
+	b.burst = burst
+	b.tokens = min(b.tokens, burst)
 }
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -13,14 +13,14 @@
 		So(b.Take(), ShouldBeTrue)
 		So(b.Take(), ShouldBeTrue)
 		So(b.Take(), ShouldBeFalse)
-		b.Request()
+		b.RecordRequest()
 		So(b.Take(), ShouldBeFalse)
-		b.Request()
+		b.RecordRequest()
 		So(b.Take(), ShouldBeTrue)
 		for range 100 {
-			b.Request()
+			b.RecordRequest()
 		}
-		b.Bound(1)
+		b.SetBurst(1)
 		So(b.Take(), ShouldBeTrue)
 		So(b.Take(), ShouldBeFalse)
 	})
@@ -28,7 +28,7 @@
 
 // In any span the retries are at most the share of that span's requests plus
 // what can be saved up, whatever came before.
-func TestBudgetBoundsEverySpan(t *testing.T) {
+func TestBudgetBoundsEveryInterval(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ratio := rapid.Float64Range(0, 1).Draw(t, "ratio")
 		burst := rapid.Float64Range(0, 10).Draw(t, "burst")
@@ -39,7 +39,7 @@
 		for i, request := range steps {
 			switch {
 			case request:
-				b.Request()
+				b.RecordRequest()
 			case b.Take() && i >= from:
 				retries++
 			}
--- a/rollout/analyze.go
+++ b/rollout/analyze.go
@@ -10,8 +10,8 @@
 	if len(d.pending) == 0 {
 		return
 	}
-	canary, stable := d.split()
-	d.remember(stable)
+	canary, stable := d.splitByVersion()
+	d.recordBaseline(stable)
 	baselines := map[string]Counts{}
 	sums := map[string]Counts{}
 	for route, servers := range canary {
@@ -23,13 +23,13 @@
 	}
 	canary[allRoutes] = sums
 	for route, servers := range canary {
-		d.test(route, servers, baselines[route])
+		d.updateTests(route, servers, baselines[route])
 	}
 }
 
-// split divides what was added by version: by route and server of the new one, by route
+// splitByVersion divides what was added by version: by route and server of the new one, by route
 // of the stable one.
-func (d *Decider) split() (canary map[string]map[string]Counts, stable map[string]Counts) {
+func (d *Decider) splitByVersion() (canary map[string]map[string]Counts, stable map[string]Counts) {
 	canary, stable = map[string]map[string]Counts{}, map[string]Counts{}
 	for key, added := range d.pending {
 		if key.Server == "" {
@@ -39,53 +39,53 @@
 		if canary[key.Route] == nil {
 			canary[key.Route] = map[string]Counts{}
 		}
-		added.Broken = d.brokenOnce(key.Server, added.Broken)
+		added.Broken = d.limitBroken(key.Server, added.Broken)
 		canary[key.Route][key.Server] = added
 	}
 	clear(d.pending)
 	return canary, stable
 }
 
-// brokenOnce counts the broken answers of a server as one in brokenEvery.
-func (d *Decider) brokenOnce(server string, broken uint64) uint64 {
-	if broken == 0 || d.now.Sub(d.broken[server]) < brokenEvery {
+// limitBroken counts the broken answers of a server as one in brokenInterval.
+func (d *Decider) limitBroken(server string, broken uint64) uint64 {
+	if broken == 0 || d.now.Sub(d.lastBroken[server]) < brokenInterval {
 		return 0
 	}
-	d.broken[server] = d.now
+	d.lastBroken[server] = d.now
 	return 1
 }
 
-// test takes the answers of an interval on a route into its tests. Servers that are cold
+// updateTests takes the answers of an interval on a route into its tests. Servers that are cold
 // are slow for another reason than their version.
-func (d *Decider) test(route string, servers map[string]Counts, baseline Counts) {
-	failed, slow := map[string]answers{}, map[string]answers{}
+func (d *Decider) updateTests(route string, servers map[string]Counts, baseline Counts) {
+	failed, slow := map[string]sample{}, map[string]sample{}
 	for server, c := range servers {
-		failed[server] = answers{float64(c.Runs), float64(c.Failed + c.Broken)}
-		slow[server] = answers{float64(c.Runs), float64(c.Slow)}
+		failed[server] = sample{float64(c.Runs), float64(c.Failed + c.Broken)}
+		slow[server] = sample{float64(c.Runs), float64(c.Slow)}
 	}
-	given := float64(baseline.Runs)
-	d.testOf(testKey{route, failures}).add(failed, answers{given, float64(baseline.Failed + baseline.Broken)})
-	if d.warm {
-		d.testOf(testKey{route, slowness}).add(slow, answers{given, float64(baseline.Slow)})
+	total := float64(baseline.Runs)
+	d.testFor(testKey{route, failures}).add(failed, sample{total, float64(baseline.Failed + baseline.Broken)})
+	if d.hasWarmServers {
+		d.testFor(testKey{route, slowness}).add(slow, sample{total, float64(baseline.Slow)})
 	}
 }
 
-func (d *Decider) testOf(key testKey) *test {
+func (d *Decider) testFor(key testKey) *sequentialTest {
 	if d.tests[key] == nil {
-		d.tests[key] = &test{}
+		d.tests[key] = &sequentialTest{}
 	}
 	return d.tests[key]
 }
 
-// remember keeps what the stable version answered of late; from the cutover on what it
+// recordBaseline keeps what the stable version answered of late; from the cutover on what it
 // answered before that, when it still had the traffic.
-func (d *Decider) remember(stable map[string]Counts) {
-	if d.cutover {
+func (d *Decider) recordBaseline(stable map[string]Counts) {
+	if d.cutoverBegun {
 		return
 	}
-	d.recent = append(d.recent, interval{d.now, stable})
-	for len(d.recent) > 1 && d.now.Sub(d.recent[0].at) > baselineTime {
-		d.recent = d.recent[1:]
+	d.baselines = append(d.baselines, baselineInterval{d.now, stable})
+	for len(d.baselines) > 1 && d.now.Sub(d.baselines[0].at) > baselineWindow {
+		d.baselines = d.baselines[1:]
 	}
 }
 
@@ -95,15 +95,15 @@
 // What goes wrong without the latter: a version that turns bad when it gets the whole
 // traffic has nothing to be compared with, and is promoted.
 func (d *Decider) baseline(stable Counts, route string, servers map[string]Counts) Counts {
-	given := 0.0
+	total := 0.0
 	for _, c := range servers {
-		given += float64(c.Runs)
+		total += float64(c.Runs)
 	}
-	if float64(stable.Runs) >= baselineLeast*given {
+	if float64(stable.Runs) >= minBaselineRatio*total {
 		return stable
 	}
 	var all Counts
-	for _, i := range d.recent {
+	for _, i := range d.baselines {
 		all = all.plus(i.stable[route])
 	}
 	return all
--- a/rollout/budget.go
+++ b/rollout/budget.go
@@ -15,8 +15,8 @@
 	// nothing better is known. The rest is for the cutover, during which the new version
 	// gets more.
 	canaryShare = 0.6
-	// canarySlack is the part of the slack that the daemons may save up together.
-	canarySlack = 0.5
+	// canarySlackShare is the part of the slack that the daemons may save up together.
+	canarySlackShare = 0.5
 )
 
 // CanaryShare returns the usual part of the requests that are canaries.
@@ -37,9 +37,9 @@
 
 // NewBudget returns a budget of a share. Chance, below 1, is drawn at random: it spreads
 // over time the first canaries of daemons that start together.
-func NewBudget(share float64, b Bounds, daemons int, chance float64) *Budget {
-	part := canarySlack * b.Slack / float64(max(1, daemons))
-	return &Budget{share: share, credit: chance * min(1, 2*part)}
+func NewBudget(share float64, b Bounds, daemons int, initialFill float64) *Budget {
+	slackPerDaemon := canarySlackShare * b.Slack / float64(max(1, daemons))
+	return &Budget{share: share, credit: initialFill * min(1, 2*slackPerDaemon)}
 }
 
 // SetShare changes the share of the requests to come.
@@ -49,8 +49,8 @@
 	b.share = share
 }
 
-// Sent counts a request that was sent to the service.
-func (b *Budget) Sent() {
+// RecordSent counts a request that was sent to the service.
+func (b *Budget) RecordSent() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.credit = min(b.credit+b.share, maxCredit)
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -25,12 +25,12 @@
 // Plan is how a daemon divides its requests from now on.
 type Plan struct {
 	Phase Phase
-	// Share of the requests are canaries.
-	Share float64
-	// Open is set where all servers of the new version are used, not a few.
-	Open bool
-	// StopIn is when the stable servers stop; it counts from PhaseCutover on.
-	StopIn time.Duration
+	// CanaryShare of the requests are canaries.
+	CanaryShare float64
+	// OpenAll is set where all servers of the new version are used, not a few.
+	OpenAll bool
+	// StableStopIn is when the stable servers stop; it counts from PhaseCutover on.
+	StableStopIn time.Duration
 	// SpikeIn is when all requests go to the new version, for SpikeFor; 0: never.
 	SpikeIn, SpikeFor time.Duration
 	Routes            map[string]RoutePlan
@@ -38,7 +38,7 @@
 
 // RoutePlan is what the stable version's answers tell of a route.
 type RoutePlan struct {
-	Limit Limit
+	Slow SlowThreshold
 	// Lead is how long before the stable servers stop a request must not be sent to
 	// them any more: it would be cut.
 	Lead time.Duration
@@ -51,7 +51,7 @@
 	case PhasePromote:
 		return true
 	case PhaseCutover:
-		return p.StopIn-since <= p.Routes[route].Lead
+		return p.StableStopIn-since <= p.Routes[route].Lead
 	case PhaseCanary:
 		return p.SpikeFor > 0 && since >= p.SpikeIn && since < p.SpikeIn+p.SpikeFor
 	default:
@@ -62,8 +62,8 @@
 // HasCanaries tells whether a share of the requests are canaries.
 func (p *Plan) HasCanaries() bool { return p.Phase == PhaseCanary || p.Phase == PhaseCutover }
 
-// longest returns the longest lead of any route.
-func (p *Plan) longest() time.Duration {
+// longestLead returns the longest lead of any route.
+func (p *Plan) longestLead() time.Duration {
 	var longest time.Duration
 	for _, r := range p.Routes {
 		longest = max(longest, r.Lead)
@@ -71,13 +71,13 @@
 	return longest
 }
 
-// fewest servers of the new version get canaries at the least, so that one that is bad
+// minCanaryServers servers of the new version get canaries at the least, so that one that is bad
 // alone doesn't speak for the version.
-const fewest = 3
+const minCanaryServers = 3
 
 // CanaryServers returns how many of the new version's servers get canaries while not all
 // are open: so many that each has about the load of a stable one. A version that is bad
 // under load alone would pass where a share of the requests is spread over all.
 func CanaryServers(share float64, stable, new int) int {
-	return min(new, max(fewest, int(share*float64(stable)+0.5)))
+	return min(new, max(minCanaryServers, int(share*float64(stable)+0.5)))
 }
--- a/rollout/evidence.go
+++ b/rollout/recorder.go
@@ -9,24 +9,24 @@
 
 // Run is how one request went that was sent to a server.
 type Run struct {
-	Route  string
-	Server string
-	Canary bool
-	Ending Ending
-	// First is the time to the first event, or to the whole answer of a plain
+	Route   string
+	Server  string
+	Canary  bool
+	Outcome Outcome
+	// FirstEvent is the time to the first event, or to the whole answer of a plain
 	// service; Pace the mean time for each further token, 0: none. Of an abandoned
 	// run they are what it had taken by then.
-	First, Pace time.Duration
-	// Whole is the time of the whole run.
-	Whole time.Duration
+	FirstEvent, PerToken time.Duration
+	// Total is the time of the whole run.
+	Total time.Duration
 }
 
-// Ending is how a run ended.
-type Ending uint8
+// Outcome is how a run ended.
+type Outcome uint8
 
 // The endings.
 const (
-	Answered Ending = iota
+	Answered Outcome = iota
 	// Failed runs brought the server's own word that it failed.
 	Failed
 	// Broken runs brought no whole answer.
@@ -60,18 +60,18 @@
 // Cell is a cell's counts with, for the stable version, the times of its runs.
 type Cell struct {
 	Counts
-	First, Pace, Whole Times
+	FirstEvent, PerToken, Total Times
 }
 
 const (
-	// longestTime bounds a measured time.
-	longestTime = 10 * time.Minute
-	// timesDigits is the precision of Times: within a tenth.
-	timesDigits = 1
+	// maxRunTime bounds a measured time.
+	maxRunTime = 10 * time.Minute
+	// histogramDigits is the precision of Times: within a tenth.
+	histogramDigits = 1
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, longestTime.Microseconds(), timesDigits)
+	return hdrhistogram.New(1, maxRunTime.Microseconds(), histogramDigits)
 }
 
 // timesOf returns what a histogram holds; nil: there is none.
@@ -80,9 +80,9 @@
 		return nil
 	}
 	t := Times{}
-	for _, bar := range h.Distribution() {
-		if bar.Count > 0 {
-			t[bar.To] = bar.Count
+	for _, bucket := range h.Distribution() {
+		if bucket.Count > 0 {
+			t[bucket.To] = bucket.Count
 		}
 	}
 	return t
@@ -98,32 +98,32 @@
 	return h
 }
 
-// recorded is a cell while it is counted.
-type recorded struct {
-	counts             Counts
-	first, pace, whole *hdrhistogram.Histogram
-	changed            bool
+// cellRecord is a cell while it is counted.
+type cellRecord struct {
+	counts                      Counts
+	firstEvent, perToken, total *hdrhistogram.Histogram
+	changed                     bool
 }
 
-func (c *recorded) cell() Cell {
-	return Cell{Counts: c.counts, First: timesOf(c.first), Pace: timesOf(c.pace), Whole: timesOf(c.whole)}
+func (c *cellRecord) cell() Cell {
+	return Cell{Counts: c.counts, FirstEvent: timesOf(c.firstEvent), PerToken: timesOf(c.perToken), Total: timesOf(c.total)}
 }
 
 // Recorder counts what one daemon sees of a rollout. It is safe for concurrent use.
 type Recorder struct {
 	mu    sync.Mutex
-	cells map[Key]*recorded
+	cells map[Key]*cellRecord
 }
 
 // NewRecorder returns a recorder that has seen nothing.
 func NewRecorder() *Recorder {
-	return &Recorder{cells: map[Key]*recorded{}}
+	return &Recorder{cells: map[Key]*cellRecord{}}
 }
 
 // Record takes how a run went. Limit is what is slow on its route.
-func (r *Recorder) Record(run Run, limit Limit) {
-	slow := limit.exceeded(run)
-	if run.Ending == Abandoned && !slow {
+func (r *Recorder) Record(run Run, threshold SlowThreshold) {
+	slow := threshold.exceededBy(run)
+	if run.Outcome == Abandoned && !slow {
 		return // it tells nothing of the server
 	}
 	key := Key{Route: run.Route}
@@ -132,46 +132,46 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.count(key, run, slow)
+	r.countRun(key, run, slow)
 }
 
-func (r *Recorder) count(key Key, run Run, slow bool) {
+func (r *Recorder) countRun(key Key, run Run, slow bool) {
 	c := r.cells[key]
 	if c == nil {
-		c = &recorded{}
+		c = &cellRecord{}
 		r.cells[key] = c
 	}
 	c.changed = true
 	c.counts.Runs++
 	switch {
-	case run.Ending == Failed:
+	case run.Outcome == Failed:
 		c.counts.Failed++
-	case run.Ending == Broken:
+	case run.Outcome == Broken:
 		c.counts.Broken++
 	case slow:
 		c.counts.Slow++
 	}
-	if run.Canary || run.Ending != Answered {
+	if run.Canary || run.Outcome != Answered {
 		return
 	}
-	count(&c.first, run.First)
-	count(&c.whole, run.Whole)
-	if run.Pace > 0 {
-		count(&c.pace, run.Pace)
+	recordTime(&c.firstEvent, run.FirstEvent)
+	recordTime(&c.total, run.Total)
+	if run.PerToken > 0 {
+		recordTime(&c.perToken, run.PerToken)
 	}
 }
 
-// count counts a duration in a histogram, which is made at the first one.
-func count(h **hdrhistogram.Histogram, d time.Duration) {
+// recordTime counts a duration in a histogram, which is made at the first one.
+func recordTime(h **hdrhistogram.Histogram, d time.Duration) {
 	if *h == nil {
 		*h = newHistogram()
 	}
-	_ = (*h).RecordValue(min(max(d.Microseconds(), 1), longestTime.Microseconds())) // it is in range
+	_ = (*h).RecordValue(min(max(d.Microseconds(), 1), maxRunTime.Microseconds())) // it is in range
 }
 
-// Untold returns the cells that have changed since they were told, and marks them
+// TakeChanged returns the cells that have changed since they were told, and marks them
 // as told. All asks for every cell: another daemon decides now.
-func (r *Recorder) Untold(all bool) map[Key]Cell {
+func (r *Recorder) TakeChanged(all bool) map[Key]Cell {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := map[Key]Cell{}
@@ -184,8 +184,8 @@
 	return out
 }
 
-// Lost marks cells as not told: their report was not answered.
-func (r *Recorder) Lost(cells map[Key]Cell) {
+// MarkChanged marks cells as not told: their report was not answered.
+func (r *Recorder) MarkChanged(cells map[Key]Cell) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for key := range cells {
@@ -193,31 +193,31 @@
 	}
 }
 
-// Limit is what counts as slow on a route; zero: unknown yet.
-type Limit struct{ First, Pace time.Duration }
+// SlowThreshold is what counts as slow on a route; zero: unknown yet.
+type SlowThreshold struct{ FirstEvent, PerToken time.Duration }
 
-// exceeded tells whether a run was slow. One that was abandoned counts by what it had
+// exceededBy tells whether a run was slow. One that was abandoned counts by what it had
 // taken: a caller who gave up waiting for a slow server would go unseen otherwise.
-func (l Limit) exceeded(run Run) bool {
-	return l.First > 0 && run.First > l.First || l.Pace > 0 && run.Pace > l.Pace
+func (t SlowThreshold) exceededBy(run Run) bool {
+	return t.FirstEvent > 0 && run.FirstEvent > t.FirstEvent || t.PerToken > 0 && run.PerToken > t.PerToken
 }
 
 const (
-	// slowMedian and slowTail are by how much a time must exceed the median, and the
+	// slowMedianFactor and slowTailFactor are by how much a time must exceed the median, and the
 	// 95th percentile, of the stable version to be slow. Bad versions are several times
 	// slower; servers of one version differ by up to four times, which the tail has.
-	slowMedian, slowTail = 2.5, 1.25
-	tailQuantile         = 95
-	// leastTimes is how many times make a limit.
-	leastTimes = 20
+	slowMedianFactor, slowTailFactor = 2.5, 1.25
+	tailPercentile                   = 95
+	// minSamples is how many times make a limit.
+	minSamples = 20
 )
 
-// slowAbove returns the time above which a run is slow, by the stable version's times.
-func slowAbove(t Times) time.Duration {
+// slowThreshold returns the time above which a run is slow, by the stable version's times.
+func slowThreshold(t Times) time.Duration {
 	h := t.histogram()
-	if h.TotalCount() < leastTimes {
+	if h.TotalCount() < minSamples {
 		return 0
 	}
-	median, tail := h.ValueAtQuantile(50), h.ValueAtQuantile(tailQuantile)
-	return time.Duration(max(slowMedian*float64(median), slowTail*float64(tail))) * time.Microsecond
+	median, tail := h.ValueAtQuantile(50), h.ValueAtQuantile(tailPercentile)
+	return time.Duration(max(slowMedianFactor*float64(median), slowTailFactor*float64(tail))) * time.Microsecond
 }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -53,11 +53,11 @@
 	Unreadable bool
 }
 
-// Runs tells whether the rollout has no outcome yet.
-func (r Rollout) Runs() bool { return r.State == Running && !r.Unreadable }
+// InProgress tells whether the rollout has no outcome yet.
+func (r Rollout) InProgress() bool { return r.State == Running && !r.Unreadable }
 
-// followedBy returns which of two readings of a rollout holds.
-func (r Rollout) followedBy(next Rollout) Rollout {
+// latest returns which of two readings of a rollout holds.
+func (r Rollout) latest(next Rollout) Rollout {
 	if next.Created == r.Created && next.Revision < r.Revision {
 		return r
 	}
@@ -72,7 +72,7 @@
 func (s Set) Put(next Rollout) bool {
 	known, ok := s[next.Service]
 	if ok {
-		next = known.followedBy(next)
+		next = known.latest(next)
 	}
 	s[next.Service] = next
 	return !ok || next != known
@@ -80,17 +80,17 @@
 
 // Replace takes a reading of all rollouts, and reports whether it is news.
 func (s Set) Replace(all []Rollout) bool {
-	there := make(map[string]bool, len(all))
-	news := false
+	present := make(map[string]bool, len(all))
+	changed := false
 	for _, next := range all {
-		there[next.Service] = true
-		news = s.Put(next) || news
+		present[next.Service] = true
+		changed = s.Put(next) || changed
 	}
 	for service := range s {
-		if !there[service] {
+		if !present[service] {
 			delete(s, service)
-			news = true
+			changed = true
 		}
 	}
-	return news
+	return changed
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -13,17 +13,17 @@
 
 func anyVetted(string) bool { return true }
 
-func requested(state State) *Rollout {
+func testRollout(state State) *Rollout {
 	return &Rollout{ID: ID{Service: "llm", To: "v2", Created: 7}, Duration: 12 * time.Second, Revision: 9, State: state}
 }
 
 func TestArms(t *testing.T) {
 	both := []string{"v1", "v2"}
-	never := func(string) bool { return false }
+	noneVetted := func(string) bool { return false }
 	Convey("Without a rollout every version serves, once the rollouts are known", t, func() {
 		v := NewVersions()
-		So(v.Arms(nil, []string{"v1"}, never), ShouldResemble, map[string]Arm{"v1": Stable})
-		So(v.Arms(nil, both, never), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Off})
+		So(v.Arms(nil, []string{"v1"}, noneVetted), ShouldResemble, map[string]Arm{"v1": Stable})
+		So(v.Arms(nil, both, noneVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Off})
 		So(v.Arms(nil, both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Stable})
 	})
 	Convey("A running rollout makes its version the canary, an outcome settles both", t, func() {
@@ -32,88 +32,88 @@
 			if remembers {
 				v.Arms(nil, []string{"v1"}, anyVetted)
 			}
-			So(v.Arms(requested(Running), both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Canary})
-			So(v.Arms(requested(RolledBack), both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Off})
-			So(v.Arms(requested(Succeeded), both, anyVetted), ShouldResemble, map[string]Arm{"v1": Off, "v2": Stable})
+			So(v.Arms(testRollout(Running), both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Canary})
+			So(v.Arms(testRollout(RolledBack), both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Off})
+			So(v.Arms(testRollout(Succeeded), both, anyVetted), ShouldResemble, map[string]Arm{"v1": Off, "v2": Stable})
 		}
 	})
 	Convey("A daemon that has just started knows an outcome from the store", t, func() {
-		So(NewVersions().Arms(requested(RolledBack), both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Off})
-		So(NewVersions().Arms(requested(Succeeded), both, anyVetted)["v2"], ShouldEqual, Stable)
+		So(NewVersions().Arms(testRollout(RolledBack), both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Off})
+		So(NewVersions().Arms(testRollout(Succeeded), both, anyVetted)["v2"], ShouldEqual, Stable)
 	})
 	Convey("A version that served before its rollout goes on serving", t, func() {
 		v := NewVersions()
 		v.Arms(nil, both, anyVetted)
-		So(v.Arms(requested(Running), both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Stable})
+		So(v.Arms(testRollout(Running), both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Stable})
 	})
 	// Guards against this: a service has no server left.
 	Convey("A version that served before its rollout serves on when that is rolled back", t, func() {
 		v := NewVersions()
 		v.Arms(nil, []string{"v2"}, anyVetted)
-		So(v.Arms(requested(Running), []string{"v2"}, anyVetted), ShouldResemble, map[string]Arm{"v2": Stable})
-		So(v.Arms(requested(RolledBack), []string{"v2"}, anyVetted), ShouldResemble, map[string]Arm{"v2": Stable})
+		So(v.Arms(testRollout(Running), []string{"v2"}, anyVetted), ShouldResemble, map[string]Arm{"v2": Stable})
+		So(v.Arms(testRollout(RolledBack), []string{"v2"}, anyVetted), ShouldResemble, map[string]Arm{"v2": Stable})
 	})
 	// Guards against this: the servers of a rollout that was withdrawn serve everybody.
 	Convey("A canary does not serve when its rollout is withdrawn", t, func() {
 		v := NewVersions()
 		v.Arms(nil, []string{"v1"}, anyVetted)
-		v.Arms(requested(Running), both, anyVetted)
+		v.Arms(testRollout(Running), both, anyVetted)
 		So(v.Arms(nil, both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Off})
 	})
 	// Guards against this: the servers of a rollout that was withdrawn serve the callers of one daemon.
 	Convey("nor where a daemon never saw the rollout, but was told that its version is unfit", t, func() {
-		saw, hears := NewVersions(), NewVersions()
-		saw.Arms(nil, []string{"v1"}, anyVetted)
-		saw.Arms(requested(Running), both, anyVetted)
-		hears.Arms(nil, []string{"v1"}, anyVetted)
-		So(saw.Unfit(), ShouldResemble, []string{"v2"})
-		hears.Reject("v2")
-		hears.Arms(nil, []string{"v1"}, anyVetted) // its servers are told after that
-		So(hears.Arms(nil, both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Off})
+		witness, informed := NewVersions(), NewVersions()
+		witness.Arms(nil, []string{"v1"}, anyVetted)
+		witness.Arms(testRollout(Running), both, anyVetted)
+		informed.Arms(nil, []string{"v1"}, anyVetted)
+		So(witness.Unfit(), ShouldResemble, []string{"v2"})
+		informed.MarkUnfit("v2")
+		informed.Arms(nil, []string{"v1"}, anyVetted) // its servers are told after that
+		So(informed.Arms(nil, both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Off})
 	})
 	// Guards against this: after a rollout each later release makes the service smaller, until the last server of the promoted version is gone.
 	Convey("After an outcome a release brings further versions into use, beside the promoted one", t, func() {
 		for _, remembers := range []bool{true, false} {
 			v := NewVersions()
 			if remembers {
-				v.Arms(requested(Running), both, anyVetted)
-				v.Arms(requested(Succeeded), both, anyVetted)
+				v.Arms(testRollout(Running), both, anyVetted)
+				v.Arms(testRollout(Succeeded), both, anyVetted)
 			}
-			So(v.Arms(requested(Succeeded), []string{"v2", "v3"}, anyVetted), ShouldResemble, map[string]Arm{"v2": Stable, "v3": Stable})
-			So(v.Arms(requested(Succeeded), []string{"v3"}, anyVetted), ShouldResemble, map[string]Arm{"v3": Stable})
+			So(v.Arms(testRollout(Succeeded), []string{"v2", "v3"}, anyVetted), ShouldResemble, map[string]Arm{"v2": Stable, "v3": Stable})
+			So(v.Arms(testRollout(Succeeded), []string{"v3"}, anyVetted), ShouldResemble, map[string]Arm{"v3": Stable})
 		}
 	})
 	Convey("A replaced version may come back when its servers were gone", t, func() {
 		v := NewVersions()
-		v.Arms(requested(Running), both, anyVetted)
-		v.Arms(requested(Succeeded), both, anyVetted)
-		v.Arms(requested(Succeeded), []string{"v2"}, anyVetted)
-		So(v.Arms(requested(Succeeded), both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Stable})
-		back := &Rollout{ID: ID{Service: "llm", To: "v1", Created: 30}, State: Running}
-		v.Arms(requested(Succeeded), []string{"v2"}, anyVetted)
-		So(v.Arms(back, both, anyVetted), ShouldResemble, map[string]Arm{"v1": Canary, "v2": Stable})
+		v.Arms(testRollout(Running), both, anyVetted)
+		v.Arms(testRollout(Succeeded), both, anyVetted)
+		v.Arms(testRollout(Succeeded), []string{"v2"}, anyVetted)
+		So(v.Arms(testRollout(Succeeded), both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Stable})
+		reverted := &Rollout{ID: ID{Service: "llm", To: "v1", Created: 30}, State: Running}
+		v.Arms(testRollout(Succeeded), []string{"v2"}, anyVetted)
+		So(v.Arms(reverted, both, anyVetted), ShouldResemble, map[string]Arm{"v1": Canary, "v2": Stable})
 	})
 }
 
 func TestSet(t *testing.T) {
 	Convey("A late reading does not take an outcome back", t, func() {
 		s := Set{}
-		So(s.Put(*requested(Running)), ShouldBeTrue)
-		done := *requested(RolledBack)
+		So(s.Put(*testRollout(Running)), ShouldBeTrue)
+		done := *testRollout(RolledBack)
 		done.Revision = 12
 		So(s.Put(done), ShouldBeTrue)
-		So(s.Put(*requested(Running)), ShouldBeFalse)
-		So(s.Replace([]Rollout{*requested(Running)}), ShouldBeFalse)
+		So(s.Put(*testRollout(Running)), ShouldBeFalse)
+		So(s.Replace([]Rollout{*testRollout(Running)}), ShouldBeFalse)
 		So(s["llm"].State, ShouldEqual, RolledBack)
 		So(s.Replace(nil), ShouldBeTrue)
 		So(len(s), ShouldEqual, 0)
 	})
 	Convey("A rollout that is requested again is another one", t, func() {
 		s := Set{}
-		done := *requested(RolledBack)
+		done := *testRollout(RolledBack)
 		done.Revision = 12
 		s.Put(done)
-		again := *requested(Running)
+		again := *testRollout(Running)
 		again.Created, again.Revision = 20, 20
 		So(s.Put(again), ShouldBeTrue)
 		So(s["llm"].State, ShouldEqual, Running)
@@ -121,7 +121,7 @@
 }
 
 // Guards against this: a canary gets several times its share.
-func TestBudgetStaysInItsBound(t *testing.T) {
+func TestCanaryBudgetStaysWithinItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := Bounds{Share: rapid.Float64Range(0.01, 0.5).Draw(t, "share"), Slack: rapid.Float64Range(0, 100).Draw(t, "slack")}
 		daemons := rapid.IntRange(1, 400).Draw(t, "daemons")
@@ -136,46 +136,46 @@
 			if rapid.IntRange(0, 9).Draw(t, "refused") > 6 && !canary {
 				continue
 			}
-			b.Sent()
+			b.RecordSent()
 			sent++
 			if canary {
 				canaries++
 			}
 		}
-		if most := bounds.Share*float64(sent) + bounds.Slack; float64(canaries) > most+1 {
-			t.Fatalf("%d of %d requests were canaries, bound %v", canaries, sent, most)
+		if bound := bounds.Share*float64(sent) + bounds.Slack; float64(canaries) > bound+1 {
+			t.Fatalf("%d of %d requests were canaries, bound %v", canaries, sent, bound)
 		}
 	})
 }
 
-func TestReportsThatComeTwiceOrLateCountOnce(t *testing.T) {
+func TestDuplicateAndLateReportsCountOnce(t *testing.T) {
 	Convey("Counts are merged, whatever the order of the reports", t, func() {
-		d := NewDecider(*requested(Running), Bounds{Share: 0.1, Slack: 50}, start)
+		d := NewDecider(*testRollout(Running), Bounds{Share: 0.1, Slack: 50}, start)
 		key := Key{Route: "/r/", Server: "new-1"}
 		report := func(number, runs uint64) Report {
 			return Report{Reporter: "a", Incarnation: 1, Number: number, Cells: map[Key]Cell{key: {Counts: Counts{Runs: runs}}}}
 		}
-		d.Take(start, report(1, 10))
-		d.Take(start, report(3, 30))
-		d.Take(start, report(2, 20))
-		d.Take(start, report(3, 30))
+		d.AddReport(start, report(1, 10))
+		d.AddReport(start, report(3, 30))
+		d.AddReport(start, report(2, 20))
+		d.AddReport(start, report(3, 30))
 		canary, _ := d.totals(allRoutes)
 		So(canary.Runs, ShouldEqual, 30)
 		again := report(1, 5)
 		again.Incarnation = 2
-		d.Take(start, again)
+		d.AddReport(start, again)
 		canary, _ = d.totals(allRoutes)
 		So(canary.Runs, ShouldEqual, 35)
 	})
 }
 
-// failing tells how many in a hundred answers fail at a time after the request.
-type failing func(at time.Duration) int
+// failureRate tells how many in a hundred answers fail at a time after the request.
+type failureRate func(at time.Duration) int
 
-func always(n int) failing { return func(time.Duration) int { return n } }
+func constantRate(n int) failureRate { return func(time.Duration) int { return n } }
 
-// from fails n in a hundred from a time on, and one before.
-func from(start time.Duration, n int) failing {
+// risingRate fails n in a hundred from a time on, and one before.
+func risingRate(start time.Duration, n int) failureRate {
 	return func(at time.Duration) int {
 		if at > start {
 			return n
@@ -184,40 +184,40 @@
 	}
 }
 
-// play plays a rollout of 12 s in intervals of 200 ms, in which the new version gets what
+// simulate plays a rollout of 12 s in intervals of 200 ms, in which the new version gets what
 // the plan says, with answers of 30 ms. It returns the decision, how many requests the new
 // version had got by then, and when it came.
-func play(seed int, new, stable failing, rate int) (Decision, int, time.Duration) {
-	return playLong(seed, new, stable, rate, 30*time.Millisecond)
+func simulate(seed int, new, stable failureRate, rate int) (Decision, int, time.Duration) {
+	return simulateWithLength(seed, new, stable, rate, 30*time.Millisecond)
 }
 
-// playLong is play with answers of a length.
-func playLong(seed int, new, stable failing, rate int, whole time.Duration) (Decision, int, time.Duration) {
-	d := NewDecider(*requested(Running), Bounds{Share: 0.1, Slack: 50}, start)
-	facts := Facts{Daemons: 1, StableServers: 60, NewServers: 60, WarmServers: 60, StableSlots: 540, NewSlots: 540}
+// simulateWithLength is play with answers of a length.
+func simulateWithLength(seed int, new, stable failureRate, rate int, runTime time.Duration) (Decision, int, time.Duration) {
+	d := NewDecider(*testRollout(Running), Bounds{Share: 0.1, Slack: 50}, start)
+	status := ServiceStatus{Daemons: 1, StableServers: 60, NewServers: 60, WarmServers: 60, StableSlots: 540, NewSlots: 540}
 	random := newRandom(seed)
 	cells := map[Key]Cell{}
-	exposed, debt := 0, 0.0
-	plan := Plan{Share: 0.06}
+	exposed, credit := 0, 0.0
+	plan := Plan{CanaryShare: 0.06}
 	const step = 200 * time.Millisecond
 	for at := time.Duration(0); at < 12*time.Second; at += step {
 		for range rate / 5 {
-			debt += plan.Share
-			canary := plan.AllToNew("/r/", 0) || debt >= 1
-			key, failing := Key{Route: "/r/"}, stable(at)
+			credit += plan.CanaryShare
+			canary := plan.AllToNew("/r/", 0) || credit >= 1
+			key, percent := Key{Route: "/r/"}, stable(at)
 			if canary {
-				debt = max(0, debt-1)
+				credit = max(0, credit-1)
 				exposed++
 				key.Server = fmt.Sprint("new-", random.IntN(4))
-				failing = new(at)
+				percent = new(at)
 			}
 			c := cells[key]
 			c.Runs++
-			if random.IntN(100) < failing {
+			if random.IntN(100) < percent {
 				c.Failed++
 			}
 			if key.Server == "" {
-				c.Whole = Times{whole.Microseconds(): int64(c.Runs)}
+				c.Total = Times{runTime.Microseconds(): int64(c.Runs)}
 			}
 			cells[key] = c
 		}
@@ -225,8 +225,8 @@
 		for k, c := range cells {
 			copied[k] = c
 		}
-		d.Take(start.Add(at), Report{Reporter: "a", Incarnation: 1, Number: uint64(at/step) + 1, Age: at, Cells: copied})
-		plan = d.Tick(start.Add(at), facts)
+		d.AddReport(start.Add(at), Report{Reporter: "a", Incarnation: 1, Number: uint64(at/step) + 1, Age: at, Cells: copied})
+		plan = d.Tick(start.Add(at), status)
 		if d.Decision().State != Running {
 			return d.Decision(), exposed, at
 		}
@@ -237,7 +237,7 @@
 func TestDecisions(t *testing.T) {
 	Convey("A good version is promoted before the deadline, whatever both fail alike", t, func() {
 		for seed := range 200 {
-			v, _, at := play(seed, always(seed%15), always(seed%15), 200)
+			v, _, at := simulate(seed, constantRate(seed%15), constantRate(seed%15), 200)
 			So(v.State, ShouldEqual, Succeeded)
 			So(at, ShouldBeLessThan, 12*time.Second)
 		}
@@ -245,8 +245,8 @@
 	// Guards against this: a bad version gets all the traffic.
 	Convey("A version that fails a fifth or more of its answers is rolled back, within the bound", t, func() {
 		for seed := range 100 {
-			for _, failing := range []int{20, 50, 100} {
-				v, exposed, _ := play(seed, always(failing), always(1), 200)
+			for _, percent := range []int{20, 50, 100} {
+				v, exposed, _ := simulate(seed, constantRate(percent), constantRate(1), 200)
 				So(v.State, ShouldEqual, RolledBack)
 				So(v.Reason, ShouldEqual, ReasonFailures)
 				So(exposed, ShouldBeLessThan, 200*12/10+50)
@@ -255,7 +255,7 @@
 	})
 	Convey("One that turns bad later is rolled back, too", t, func() {
 		for seed := range 100 {
-			d, exposed, at := play(seed, from(6*time.Second, 50), always(1), 200)
+			d, exposed, at := simulate(seed, risingRate(6*time.Second, 50), constantRate(1), 200)
 			So(d.State, ShouldEqual, RolledBack)
 			So(at, ShouldBeGreaterThan, 6*time.Second)
 			So(exposed, ShouldBeLessThan, 200*12/10+50)
@@ -264,7 +264,7 @@
 	// Guards against this: a bad version is promoted unseen.
 	Convey("Where answers last for seconds there are canaries all the same", t, func() {
 		for seed := range 100 {
-			d, exposed, at := playLong(seed, from(4*time.Second, 50), always(1), 400, 4*time.Second)
+			d, exposed, at := simulateWithLength(seed, risingRate(4*time.Second, 50), constantRate(1), 400, 4*time.Second)
 			So(d.Reason, ShouldEqual, ReasonFailures)
 			So(at, ShouldBeLessThan, 9*time.Second) // before any cutover
 			So(exposed, ShouldBeLessThan, 400*12/10+50)
@@ -278,7 +278,7 @@
 				}
 				return 2
 			}
-			v, _, _ := play(seed, burst, burst, 200)
+			v, _, _ := simulate(seed, burst, burst, 200)
 			So(v.State, ShouldEqual, Succeeded)
 		}
 	})
--- a/rollout/versions.go
+++ b/rollout/versions.go
@@ -23,10 +23,10 @@
 // release replaces servers one by one, and they must serve; those of a rollout that was
 // withdrawn or promoted past them stay for a while, and must not.
 type Versions struct {
-	fit     map[string]bool // by version; absent: not judged yet
-	present []string        // as of the last call of Arms
-	// promoted is the last rollout whose version was promoted.
-	promoted ID
+	fit         map[string]bool // by version; absent: not judged yet
+	lastPresent []string        // as of the last call of Arms
+	// lastPromoted is the last rollout whose version was promoted.
+	lastPromoted ID
 }
 
 // NewVersions returns a memory without any version.
@@ -37,16 +37,16 @@
 // servers of the version were there already. A version whose servers are all gone is
 // forgotten: it may come back by a release.
 func (v *Versions) Arms(r *Rollout, present []string, vetted func(version string) bool) map[string]Arm {
-	for _, version := range v.present {
+	for _, version := range v.lastPresent {
 		if !slices.Contains(present, version) {
 			delete(v.fit, version)
 		}
 	}
-	v.present = slices.Clone(present)
-	if r != nil && r.State == Succeeded && r.ID != v.promoted {
+	v.lastPresent = slices.Clone(present)
+	if r != nil && r.State == Succeeded && r.ID != v.lastPromoted {
 		v.promote(r.ID)
 	}
-	hold := r != nil && r.Unreadable && v.serves()
+	hold := r != nil && r.Unreadable && v.hasFit()
 	arms := make(map[string]Arm, len(present))
 	for _, version := range present {
 		arms[version] = v.arm(r, version, len(present) == 1 || vetted(version) && !hold)
@@ -66,14 +66,14 @@
 	return out
 }
 
-// Reject takes it from another daemon that a version must not serve. What goes wrong
+// MarkUnfit takes it from another daemon that a version must not serve. What goes wrong
 // without it: a daemon that has started since a rollout was withdrawn, or heard of nothing
 // before, takes its servers for a release's.
-func (v *Versions) Reject(version string) { v.fit[version] = false }
+func (v *Versions) MarkUnfit(version string) { v.fit[version] = false }
 
-// serves tells whether a fit version is there. New ones may wait then: it is not known
+// hasFit tells whether a fit version is there. New ones may wait then: it is not known
 // which of them an unreadable rollout would make the canary.
-func (v *Versions) serves() bool {
+func (v *Versions) hasFit() bool {
 	for _, fit := range v.fit {
 		if fit {
 			return true
@@ -85,7 +85,7 @@
 // promote makes the version that a rollout moved to the only fit one of those known: the
 // servers of the others stop. Versions that come later are a release's.
 func (v *Versions) promote(id ID) {
-	v.promoted = id
+	v.lastPromoted = id
 	for version := range v.fit {
 		v.fit[version] = false
 	}
--- a/route/route.go
+++ b/route/route.go
@@ -58,12 +58,12 @@
 }
 
 // Pick returns the service for a request; roll is uniform in [0,1).
-func (r *Route) Pick(roll float64) string {
+func (r *Route) Pick(u float64) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
 	}
-	at := roll * float64(total)
+	at := u * float64(total)
 	for _, t := range r.Targets {
 		at -= float64(t.Weight)
 		if at < 0 {
@@ -76,8 +76,8 @@
 // Service is a set of backend servers that are alike but for their speed.
 type Service struct {
 	Name string
-	// EventTokens is how many tokens one event of an engine's stream holds.
-	EventTokens int
+	// TokensPerEvent is how many tokens one event of an engine's stream holds.
+	TokensPerEvent int
 }
 
 // Workspace is one client organisation: its keys, rank and quota.
@@ -96,26 +96,26 @@
 	PerSecond float64
 	Burst     float64
 	Tokens    bool
-	// PlainTokens is what a request counts that names no tokens.
-	PlainTokens int
+	// DefaultTokens is what a request counts that names no tokens.
+	DefaultTokens int
 }
 
 // Cost returns what a request uses of the quota; tokens is what the
 // request says of itself, zero if nothing.
-func (a Quota) Cost(tokens int) float64 {
+func (q Quota) Cost(tokens int) float64 {
 	switch {
-	case !a.Tokens:
+	case !q.Tokens:
 		return 1
 	case tokens > 0:
 		return float64(tokens)
 	default:
-		return float64(a.PlainTokens)
+		return float64(q.DefaultTokens)
 	}
 }
 
 // Limits bound what a caller may send.
 type Limits struct {
-	BodyBytes int // zero: no bound
+	MaxBodyBytes int // zero: no bound
 }
 
 // Document is one version of the whole configuration.
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -9,7 +9,7 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-func document(version uint64) Document {
+func testDocument(version uint64) Document {
 	return Document{
 		Version:  version,
 		Services: []Service{{Name: "llm"}, {Name: "app"}},
@@ -23,7 +23,7 @@
 
 func TestLookup(t *testing.T) {
 	Convey("The longest prefix that begins the path wins, on its host alone", t, func() {
-		table, findings := Compile("config/main", document(1))
+		table, findings := Compile("config/main", testDocument(1))
 		So(findings, ShouldBeEmpty)
 		for path, name := range map[string]string{"/x/": "wide", "/x/a": "wide", "/x/y/": "narrow", "/x/y/z": "narrow", "/x/y": "wide"} {
 			So(table.Lookup("a.example", path).Name, ShouldEqual, name)
@@ -35,7 +35,7 @@
 		So(table.ByKey(""), ShouldBeNil)
 	})
 	Convey("Requests are shared among services by weight", t, func() {
-		table, _ := Compile("config/main", document(1))
+		table, _ := Compile("config/main", testDocument(1))
 		r := table.Lookup("a.example", "/x/y/")
 		So(r.Pick(0), ShouldEqual, "llm")
 		So(r.Pick(0.89), ShouldEqual, "llm")
@@ -43,7 +43,7 @@
 		So(r.Pick(1), ShouldEqual, "app")
 	})
 	Convey("Everything wrong is reported together", t, func() {
-		d := document(1)
+		d := testDocument(1)
 		d.Routes[0].Prefix, d.Routes[0].Timeout = "x", 0
 		d.Routes[1].Targets = []Target{{"none", -1}}
 		d.Workspaces = append(d.Workspaces, Workspace{Name: "other", Keys: []string{"k1"}})
@@ -57,11 +57,11 @@
 func TestLiveNeverGoesBack(t *testing.T) {
 	Convey("An older or equal version is not put in force", t, func() {
 		var l Live
-		newer, _ := Compile("config/main", document(7))
-		older, _ := Compile("config/main", document(6))
-		So(l.Offer(newer), ShouldBeTrue)
-		So(l.Offer(older), ShouldBeFalse)
-		So(l.Offer(newer), ShouldBeFalse)
+		newer, _ := Compile("config/main", testDocument(7))
+		older, _ := Compile("config/main", testDocument(6))
+		So(l.Update(newer), ShouldBeTrue)
+		So(l.Update(older), ShouldBeFalse)
+		So(l.Update(newer), ShouldBeFalse)
 		So(l.Load().Version, ShouldEqual, 7)
 	})
 }
@@ -78,15 +78,15 @@
 func TestQuotaCost(t *testing.T) {
 	Convey("A request costs its tokens, the plain figure, or one", t, func() {
 		So(Quota{}.Cost(500), ShouldEqual, 1)
-		So(Quota{Tokens: true, PlainTokens: 200}.Cost(0), ShouldEqual, 200)
-		So(Quota{Tokens: true, PlainTokens: 200}.Cost(500), ShouldEqual, 500)
+		So(Quota{Tokens: true, DefaultTokens: 200}.Cost(0), ShouldEqual, 200)
+		So(Quota{Tokens: true, DefaultTokens: 200}.Cost(500), ShouldEqual, 500)
 	})
 }
 
 func TestTiers(t *testing.T) {
 	Convey("A workspace's rank goes before the route's, which decides among equals", t, func() {
 		first, second := request.Tier(0), request.Tier(1)
-		d := document(1)
+		d := testDocument(1)
 		d.Routes[0].Tier, d.Routes[1].Tier = 0, 2
 		d.Workspaces = []Workspace{{Name: "first", Tier: &first}, {Name: "second", Tier: &second}, {Name: "none"}}
 		table, _ := Compile("config/main", d)
--- a/route/table.go
+++ b/route/table.go
@@ -20,11 +20,11 @@
 
 	byHost map[string][]*Route // longest prefix first
 	byKey  map[string]*Workspace
-	ranks  map[rank]request.Tier
+	tiers  map[priority]request.Tier
 }
 
-// rank orders requests: first by their workspace, then by their route.
-type rank struct{ workspace, route request.Tier }
+// priority orders requests: first by their workspace, then by their route.
+type priority struct{ workspace, route request.Tier }
 
 // Compile checks a document and returns its table. Findings without a table
 // mean that the document can't be put in force at all; file names the
@@ -47,7 +47,7 @@
 	if c.findings != nil {
 		return nil, c.findings
 	}
-	c.rank()
+	c.assignTiers()
 	for _, routes := range c.table.byHost {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
@@ -71,13 +71,13 @@
 // Tier returns the tier of a workspace's requests on a route; w is nil where
 // the route needs no key. The workspace's rank goes first, the route's decides
 // among equals.
-func (t *Table) Tier(w *Workspace, r *Route) request.Tier { return t.ranks[rankOf(w, r)] }
+func (t *Table) Tier(w *Workspace, r *Route) request.Tier { return t.tiers[priorityOf(w, r)] }
 
-func rankOf(w *Workspace, r *Route) rank {
+func priorityOf(w *Workspace, r *Route) priority {
 	if w == nil || w.Tier == nil {
-		return rank{r.Tier, r.Tier}
+		return priority{r.Tier, r.Tier}
 	}
-	return rank{*w.Tier, r.Tier}
+	return priority{*w.Tier, r.Tier}
 }
 
 // NeedsKeys tells whether requests on routes that are not public need a key.
@@ -91,24 +91,24 @@
 }
 
 // Live holds the table in force. Load is one atomic read.
-type Live struct{ p atomic.Pointer[Table] }
+type Live struct{ table atomic.Pointer[Table] }
 
 // Load returns the table in force, or nil before the first one.
-func (l *Live) Load() *Table { return l.p.Load() }
+func (l *Live) Load() *Table { return l.table.Load() }
 
-// Offer puts a table in force unless it is older than the one in force, and
+// Update puts a table in force unless it is older than the one in force, and
 // reports whether it did.
 //
 // What goes wrong without the check: a stale read, or a peer that was paused,
 // brings an older version, and requests run by routes and keys that were
 // withdrawn. One would notice a route that comes back for a moment.
-func (l *Live) Offer(t *Table) bool {
+func (l *Live) Update(t *Table) bool {
 	for {
-		old := l.p.Load()
+		old := l.table.Load()
 		if old != nil && t.Version <= old.Version {
 			return false
 		}
-		if l.p.CompareAndSwap(old, t) {
+		if l.table.CompareAndSwap(old, t) {
 			return true
 		}
 	}
