--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/cluster_test.go
@@ -22,8 +22,8 @@
 // waitLimit is generous: no test is decided by it.
 const waitLimit = 30 * time.Second
 
-// site is a store, backend servers and gateways in one process.
-type site struct {
+// cluster is a store, backend servers and gateways in one process.
+type cluster struct {
 	t       *testing.T
 	store   *standin.Store
 	address string // of the store
@@ -32,10 +32,10 @@
 	seeds   []string
 }
 
-func newSite(t *testing.T) *site {
-	s := &site{t: t, store: standin.NewStore(50), servers: map[string]*standin.Server{}}
-	s.address = s.serve(s.store.Serve)
-	s.config = &standin.Configuration{
+func newCluster(t *testing.T) *cluster {
+	c := &cluster{t: t, store: standin.NewStore(50), servers: map[string]*standin.Server{}}
+	c.address = c.serve(c.store.Serve)
+	c.config = &standin.Configuration{
 		Tenant: "space", Keys: []string{"key-1", "key-2"},
 		Routes: []standin.Route{
 			{Prefix: "/s/", Type: "stream", Service: "llm", Attempts: 2, Resume: true, TimeoutMs: 20000},
@@ -44,14 +44,14 @@
 		},
 		Engines: map[string]int{"llm": 4}, Plain: []string{"app"},
 	}
-	return s
+	return c
 }
 
 // serve runs a server on a port of its own until the test ends.
-func (s *site) serve(run func(context.Context, net.Listener) error) string {
+func (c *cluster) serve(run func(context.Context, net.Listener) error) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		s.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -59,35 +59,35 @@
 		defer close(done)
 		_ = run(ctx, ln)
 	}()
-	s.t.Cleanup(func() {
+	c.t.Cleanup(func() {
 		cancel()
 		<-done
 	})
 	return ln.Addr().String()
 }
 
-func (s *site) addServer(id, service string) *standin.Server {
+func (c *cluster) addServer(id, service string) *standin.Server {
 	b := &standin.Server{ID: id, Events: 40, EventEvery: time.Millisecond}
-	s.servers[id] = b
-	address := s.serve(b.Serve)
-	s.store.PutServer(id, service, address, "ready", 4)
+	c.servers[id] = b
+	address := c.serve(b.Serve)
+	c.store.PutServer(id, service, address, "ready", 4)
 	return b
 }
 
 // addVersion adds a server of a version.
-func (s *site) addVersion(id, service, version string) *standin.Server {
+func (c *cluster) addVersion(id, service, version string) *standin.Server {
 	b := &standin.Server{ID: id, Events: 40, EventEvery: time.Millisecond}
-	s.servers[id] = b
-	s.store.PutVersion(id, service, s.serve(b.Serve), version, 4)
+	c.servers[id] = b
+	c.store.PutVersion(id, service, c.serve(b.Serve), version, 4)
 	return b
 }
 
-// put writes the configuration with the next version.
-func (s *site) put() { s.store.PutConfiguration(s.config) }
+// putConfig writes the configuration with the next version.
+func (c *cluster) putConfig() { c.store.PutConfiguration(c.config) }
 
 // node is one gateway.
 type node struct {
-	site     *site
+	cluster  *cluster
 	settings gateway.Settings
 	stop     context.CancelFunc
 	done     chan error
@@ -102,24 +102,24 @@
 	return address
 }
 
-func (s *site) start(name string) *node {
-	n := &node{site: s, done: make(chan error, 1), settings: gateway.Settings{
-		Name: name, Region: "r", AvailabilityZone: "z", Listen: freePort(s.t), Readiness: freePort(s.t), Peer: freePort(s.t),
-		Store: s.address, Limits: gateway.LimitSettings{MemoryMB: 512},
+func (c *cluster) start(name string) *node {
+	n := &node{cluster: c, done: make(chan error, 1), settings: gateway.Settings{
+		Name: name, Region: "r", AvailabilityZone: "z", Listen: freePort(c.t), Readiness: freePort(c.t), Peer: freePort(c.t),
+		Store: c.address, Limits: gateway.LimitSettings{MemoryMB: 512},
 		Bounds: gateway.BoundsSettings{GraceS: 8, RevokeMs: 5000, RetryRatio: 0.2, RetryWindowS: 10, RetrySlack: 100, CanaryShare: 0.1, CanarySlack: 50},
 	}}
 	n.settings.PeerAddress = n.settings.Peer
-	s.seeds = append(s.seeds, n.settings.Peer)
-	n.settings.Seeds = s.seeds
+	c.seeds = append(c.seeds, n.settings.Peer)
+	n.settings.Seeds = c.seeds
 	m := metrics.New()
-	g, err := gateway.New(n.settings, platform.New(s.address, m), m)
+	g, err := gateway.New(n.settings, platform.New(c.address, m), m)
 	if err != nil {
-		s.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	var ctx context.Context
 	ctx, n.stop = context.WithCancel(context.Background())
 	go func() { n.done <- g.Run(ctx) }()
-	s.t.Cleanup(func() { n.stop() })
+	c.t.Cleanup(func() { n.stop() })
 	return n
 }
 
--- a/internal/gateway/clusterkey.go
+++ b/internal/gateway/clusterkey.go
@@ -28,10 +28,10 @@
 	Key string `json:"key"`
 }
 
-// keySpread is over how long the daemons that find no key spread their next look:
+// keyCreateJitter is over how long the daemons that find no key spread their next look:
 // one of them makes it, and most of the others find it. Only the first start of a
 // system waits for it.
-const keySpread = 500 * time.Millisecond
+const keyCreateJitter = 500 * time.Millisecond
 
 // clusterKeyStore is where the cluster key is.
 type clusterKeyStore struct {
@@ -43,17 +43,17 @@
 // daemon makes it: whoever can read the store belongs to the system. It tries
 // until it has one or ctx ends.
 func clusterKey(ctx context.Context, store clusterKeyStore, log *logrus.Entry) ([]byte, error) {
-	told := false
+	logged := false
 	for ctx.Err() == nil {
 		key, err := store.find(ctx)
 		if err == nil {
 			return key, nil
 		}
-		if !told {
+		if !logged {
 			log.WithError(err).Warn("No cluster key yet.")
-			told = true
+			logged = true
 		}
-		wait.For(ctx, retryEvery)
+		wait.For(ctx, storeRetryDelay)
 	}
 	return nil, ctx.Err()
 }
@@ -66,8 +66,8 @@
 	defer cancel()
 	o, err := s.GetStale(ctx, kindCluster, clusterKeyName)
 	if errors.Is(err, objectstore.ErrNotFound) {
-		wait.For(ctx, rand.N(keySpread))
-		return s.readOrMake(ctx)
+		wait.For(ctx, rand.N(keyCreateJitter))
+		return s.getOrCreate(ctx)
 	}
 	if err != nil {
 		return nil, err
@@ -75,10 +75,10 @@
 	return decodeKey(o)
 }
 
-func (s clusterKeyStore) readOrMake(ctx context.Context) ([]byte, error) {
+func (s clusterKeyStore) getOrCreate(ctx context.Context) ([]byte, error) {
 	o, err := s.Get(ctx, kindCluster, clusterKeyName)
 	if errors.Is(err, objectstore.ErrNotFound) {
-		return makeKey(ctx, s)
+		return createKey(ctx, s)
 	}
 	if err != nil {
 		return nil, err
@@ -94,9 +94,9 @@
 	return hex.DecodeString(r.Key)
 }
 
-// makeKey creates the key if it is absent. A create that fails in any way is
+// createKey creates the key if it is absent. A create that fails in any way is
 // settled by reading: another daemon's key, or our own, may be there.
-func makeKey(ctx context.Context, store objectstore.ObjectAPI) ([]byte, error) {
+func createKey(ctx context.Context, store objectstore.ObjectAPI) ([]byte, error) {
 	key := make([]byte, clusterKeyBytes)
 	if _, err := cryptorand.Read(key); err != nil {
 		return nil, errors.Wrap(err, "make a cluster key")
--- a/internal/gateway/deciders.go
+++ b/internal/gateway/deciders.go
@@ -19,34 +19,34 @@
 	log    *logrus.Entry
 
 	mu  sync.Mutex
-	all map[rollout.ID]*deciding
+	all map[rollout.ID]*deciderEntry
 }
 
-type deciding struct {
+type deciderEntry struct {
 	*rollout.Decider
-	plan    rollout.Plan
-	at      time.Time // of the plan; zero: none yet
-	told    bool      // the decision is in the log
-	writing bool
+	plan      rollout.Plan
+	plannedAt time.Time // of the plan; zero: none yet
+	logged    bool      // the decision is in the log
+	writing   bool
 }
 
 func newDeciders(s *state, b rollout.Bounds, views *member.CurrentView, log *logrus.Entry) *deciders {
-	return &deciders{state: s, bounds: b, views: views, log: log, all: map[rollout.ID]*deciding{}}
+	return &deciders{state: s, bounds: b, views: views, log: log, all: map[rollout.ID]*deciderEntry{}}
 }
 
-// keep forgets the rollouts that do not run any more.
-func (d *deciders) keep(running map[string]*participation) {
+// retain forgets the rollouts that do not run any more.
+func (d *deciders) retain(running map[string]*activeRollout) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for id := range d.all {
-		if t := running[id.Service]; t == nil || t.id != id {
+		if a := running[id.Service]; a == nil || a.id != id {
 			delete(d.all, id)
 		}
 	}
 }
 
-// take takes a report; one of a rollout that is not known here is dropped.
-func (d *deciders) take(ctx context.Context, id rollout.ID, report rollout.Report) {
+// addReport takes a report; one of a rollout that is not known here is dropped.
+func (d *deciders) addReport(ctx context.Context, id rollout.ID, report rollout.Report) {
 	r, known := d.state.rollout(id.Service)
 	if !known || r.ID != id || !r.InProgress() {
 		return
@@ -55,10 +55,10 @@
 	defer d.mu.Unlock()
 	x := d.all[id]
 	if x == nil {
-		x = &deciding{Decider: rollout.NewDecider(r, d.bounds, time.Now())}
+		x = &deciderEntry{Decider: rollout.NewDecider(r, d.bounds, time.Now())}
 		d.all[id] = x
 		if r.Acknowledged {
-			go d.recall(context.WithoutCancel(ctx), id)
+			go d.restoreAge(context.WithoutCancel(ctx), id)
 		}
 	}
 	x.SetRollout(r)
@@ -70,10 +70,10 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	x := d.all[id]
-	if x == nil || x.at.IsZero() || time.Since(x.at) > planHolds {
+	if x == nil || x.plannedAt.IsZero() || time.Since(x.plannedAt) > planTTL {
 		return rollout.Plan{}, false
 	}
-	p, age := x.plan, time.Since(x.at)
+	p, age := x.plan, time.Since(x.plannedAt)
 	p.StableStopIn -= age
 	p.SpikeIn -= age
 	return p, true
@@ -81,7 +81,7 @@
 
 // decide decides a rollout anew and returns its plan.
 func (d *deciders) decide(ctx context.Context, id rollout.ID) rollout.Plan {
-	facts := d.state.facts(id.Service)
+	facts := d.state.rolloutFacts(id.Service)
 	for _, m := range d.views.Load().Members {
 		if m.State != member.Dead {
 			facts.Daemons++
@@ -93,13 +93,13 @@
 	if x == nil {
 		return rollout.Plan{}
 	}
-	x.plan, x.at = x.Tick(time.Now(), facts), time.Now()
+	x.plan, x.plannedAt = x.Tick(time.Now(), facts), time.Now()
 	decision := x.Decision()
-	if decision.State != rollout.Running && !x.told {
-		x.told = true
+	if decision.State != rollout.Running && !x.logged {
+		x.logged = true
 		d.logDecision(id, decision, facts)
 	}
-	d.write(ctx, x, decision)
+	d.persist(ctx, x, decision)
 	return x.plan
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -27,31 +27,31 @@
 )
 
 const (
-	// proofShare is the part of the time for withdrawing a key at which a
+	// keyTrustShare is the part of the time for withdrawing a key at which a
 	// proof of the configuration is too old to trust a key.
-	proofShare = 0.95
+	keyTrustShare = 0.95
 	// readyShare is the part of it at which the balancer is told to send
 	// callers elsewhere, before requests have to be refused here.
 	readyShare = 0.7
-	// listenerStays is how long the listener stays open after SIGTERM: the
+	// listenerLinger is how long the listener stays open after SIGTERM: the
 	// balancer asks each second and gives up after two misses.
-	listenerStays = 2500 * time.Millisecond
-	// stopMargin of the grace is left for the process to end by itself.
-	stopMargin = 400 * time.Millisecond
-	// memoryShare of the VM's memory is the garbage collector's soft limit.
-	memoryShare = 0.5
-	// daemonsAssumed is how many daemons are reckoned with at the least.
-	daemonsAssumed = 16
+	listenerLinger = 2500 * time.Millisecond
+	// shutdownMargin of the grace is left for the process to end by itself.
+	shutdownMargin = 400 * time.Millisecond
+	// memoryLimitShare of the VM's memory is the garbage collector's soft limit.
+	memoryLimitShare = 0.5
+	// assumedDaemons is how many daemons are reckoned with at the least.
+	assumedDaemons = 16
 )
 
 // Gateway is one daemon. Run it once.
 type Gateway struct {
-	settings Settings
-	platform Platform
-	log      *logrus.Entry
-	metrics  *metrics.Registry
-	listener net.Listener
-	ready    net.Listener
+	settings      Settings
+	platform      Platform
+	log           *logrus.Entry
+	metrics       *metrics.Registry
+	listener      net.Listener
+	readyListener net.Listener
 
 	routes  *route.Live
 	pools   *workspace.Live
@@ -65,10 +65,10 @@
 	members   *member.Runner
 	host      *poolhost.Host
 	broker    *broker.Entry
-	quotas    *quotas
-	asker     *asker
+	quotas    *quotaSync
+	peerSync  *peerSync
 
-	budgets  *budgets
+	budgets  *retryBudgets
 	rollouts *rollouts
 	draining atomic.Bool
 	started  time.Time
@@ -80,9 +80,9 @@
 		settings: s, platform: p, log: logs.For("gateway"), metrics: m,
 		started: time.Now(), routes: &route.Live{}, pools: &workspace.Live{}, views: &member.CurrentView{},
 	}
-	debug.SetMemoryLimit(int64(s.Limits.MemoryMB * 1e6 * memoryShare))
-	g.budgets = newBudgets(s.Bounds)
-	g.ledger = quota.NewLimiter(time.Now, g.daemonsAtFirst(), quota.Tolerance{
+	debug.SetMemoryLimit(int64(s.Limits.MemoryMB * 1e6 * memoryLimitShare))
+	g.budgets = newRetryBudgets(s.Bounds)
+	g.ledger = quota.NewLimiter(time.Now, g.initialDaemons(), quota.Tolerance{
 		Window: seconds(s.Bounds.QuotaWindowS), Over: s.Bounds.QuotaOver, Slack: s.Bounds.QuotaSlack,
 	})
 	servers := forward.NewServers(httpconn.Settings{})
@@ -90,7 +90,7 @@
 	g.rollouts = newRollouts(g.state, s.Bounds, m)
 	g.forward = forward.New(forward.Deps{
 		Routes: g.routes, Pools: g.pools, Broker: g, Admission: g,
-		Quotas: g.ledger, Budget: g.budgets.of, Servers: servers, Rollouts: g.rollouts, PoolGone: g.state.poolGone.of, Metrics: m,
+		Quotas: g.ledger, Budget: g.budgets.forService, Servers: servers, Rollouts: g.rollouts, PoolGone: g.state.poolRemovals.contextFor, Metrics: m,
 		Region: s.Region, Self: s.Name + "." + strconv.FormatInt(time.Now().UnixNano(), 36), Wire: p.Wire,
 	})
 	return g, g.listen()
@@ -98,18 +98,18 @@
 
 func (g *Gateway) listen() error {
 	var err error
-	if g.ready, err = net.Listen("tcp", g.settings.Readiness); err != nil {
+	if g.readyListener, err = net.Listen("tcp", g.settings.Readiness); err != nil {
 		return errors.Wrap(err, "listen for the balancer")
 	}
 	g.listener, err = net.Listen("tcp", g.settings.Listen)
 	return errors.Wrap(err, "listen for callers")
 }
 
-// daemonsAtFirst is how many daemons to reckon with before any was met.
-func (g *Gateway) daemonsAtFirst() int {
+// initialDaemons is how many daemons to reckon with before any was met.
+func (g *Gateway) initialDaemons() int {
 	for _, seed := range g.settings.Seeds {
 		if seed != g.settings.Peer {
-			return daemonsAssumed
+			return assumedDaemons
 		}
 	}
 	return 1
@@ -117,10 +117,10 @@
 
 // Fresh implements forward.Admission.
 func (g *Gateway) Fresh() bool {
-	if age, ok := g.state.configFresh.Age(); ok {
-		g.state.latency.proof.Observe(age)
+	if age, ok := g.state.configFreshness.Age(); ok {
+		g.state.latency.proofAge.Observe(age)
 	}
-	return g.provedWithin(proofShare)
+	return g.freshWithin(keyTrustShare)
 }
 
 // MayUse implements forward.Admission.
@@ -130,12 +130,12 @@
 		return false
 	}
 	use, known := (*usable)[serverID]
-	return known && use.takes(canary)
+	return known && use.accepts(canary)
 }
 
 // ProofAge implements forward.Admission; below zero: there was no proof.
 func (g *Gateway) ProofAge() time.Duration {
-	age, ok := g.state.configFresh.Age()
+	age, ok := g.state.configFreshness.Age()
 	if !ok {
 		return -1
 	}
@@ -143,7 +143,7 @@
 }
 
 // StoreLost implements forward.Admission.
-func (g *Gateway) StoreLost() time.Duration { return g.state.lostFor() }
+func (g *Gateway) StoreLost() time.Duration { return g.state.storeLostFor() }
 
 // Owner implements forward.Admission.
 func (g *Gateway) Owner(service string) string {
@@ -155,20 +155,20 @@
 	return name
 }
 
-// provedWithin tells whether there is a proof younger than a share of the time
+// freshWithin tells whether there is a proof younger than a share of the time
 // for withdrawing a key, and this daemon reads the store by itself or has not
 // tried. One that can't for so long depends on the others' reads alone; the
 // callers that it refuses are served by those, while what it would serve counts
 // for nothing by the users' contract.
-func (g *Gateway) provedWithin(share float64) bool {
-	most := milliseconds(g.settings.Bounds.RevokeMs * share)
-	return g.state.configFresh.Within(most) && !g.state.cutOff(most)
+func (g *Gateway) freshWithin(share float64) bool {
+	limit := milliseconds(g.settings.Bounds.RevokeMs * share)
+	return g.state.configFreshness.Within(limit) && !g.state.storeLostLongerThan(limit)
 }
 
-// answerReadiness tells the balancer whether to send callers here.
-func (g *Gateway) answerReadiness(ctx *fasthttp.RequestCtx) {
+// handleReadiness tells the balancer whether to send callers here.
+func (g *Gateway) handleReadiness(ctx *fasthttp.RequestCtx) {
 	ready := string(ctx.Path()) == g.platform.ReadinessPath && !g.draining.Load() &&
-		g.routes.Load() != nil && g.provedWithin(readyShare)
+		g.routes.Load() != nil && g.freshWithin(readyShare)
 	if !ready {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	}
@@ -176,16 +176,16 @@
 
 // Run serves until ctx ends, and then until no request is left.
 func (g *Gateway) Run(ctx context.Context) error {
-	work, stop := context.WithCancel(context.Background())
-	defer stop()
+	background, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	failed := make(chan error, 3)
-	readiness := &fasthttp.Server{Handler: g.answerReadiness, ReduceMemoryUsage: true}
-	var parts conc.WaitGroup
+	readiness := &fasthttp.Server{Handler: g.handleReadiness, ReduceMemoryUsage: true}
+	var tasks conc.WaitGroup
 	g.serveMetrics()
-	parts.Go(func() { failed <- errors.Wrap(readiness.Serve(g.ready), "readiness") })
-	parts.Go(func() { failed <- g.forward.Serve(g.listener) })
-	parts.Go(func() {
-		if err := g.work(work); err != nil {
+	tasks.Go(func() { failed <- errors.Wrap(readiness.Serve(g.readyListener), "readiness") })
+	tasks.Go(func() { failed <- g.forward.Serve(g.listener) })
+	tasks.Go(func() {
+		if err := g.runBackground(background); err != nil {
 			failed <- err
 		}
 	})
@@ -194,15 +194,15 @@
 	select {
 	case err = <-failed:
 	case <-ctx.Done():
-		err = g.stop()
+		err = g.shutdown()
 	}
 	g.log.WithField("ran_s", int(time.Since(g.started).Seconds())).WithField("reason", err).Info("Stopped.")
 	return err
 }
 
-// work joins the other daemons and keeps in step with the store. Until there
+// runBackground joins the other daemons and keeps in step with the store. Until there
 // is a configuration, callers are told to come back.
-func (g *Gateway) work(ctx context.Context) error {
+func (g *Gateway) runBackground(ctx context.Context) error {
 	key, err := clusterKey(ctx, clusterKeyStore{g.platform.Store, g.platform.Stale}, g.log)
 	if err != nil {
 		return nil // ctx ended
@@ -210,20 +210,20 @@
 	if err := g.joinPeers(key); err != nil {
 		return err
 	}
-	var parts conc.WaitGroup
-	parts.Go(func() { g.host.Run(ctx) })
-	parts.Go(func() { g.broker.Run(ctx) })
-	parts.Go(func() { g.quotas.Run(ctx) })
-	parts.Go(func() { g.asker.Run(ctx) })
-	parts.Go(func() { g.rollouts.Run(ctx) })
-	r := &reader{state: g.state, store: g.platform.Store, stale: g.platform.Stale, reading: g.asker.reading, told: g.asker.told}
-	parts.Go(func() { r.runExpiry(ctx) })
-	parts.Go(func() { r.runReach(ctx) })
-	parts.Go(func() { g.watchTrust(ctx) })
+	var tasks conc.WaitGroup
+	tasks.Go(func() { g.host.Run(ctx) })
+	tasks.Go(func() { g.broker.Run(ctx) })
+	tasks.Go(func() { g.quotas.Run(ctx) })
+	tasks.Go(func() { g.peerSync.Run(ctx) })
+	tasks.Go(func() { g.rollouts.Run(ctx) })
+	r := &reflector{state: g.state, store: g.platform.Store, stale: g.platform.Stale, isReader: g.peerSync.isReader, readerAnswers: g.peerSync.readerAnswers}
+	tasks.Go(func() { r.runExpiry(ctx) })
+	tasks.Go(func() { r.runProbe(ctx) })
+	tasks.Go(func() { g.logFreshness(ctx) })
 	for _, k := range r.loops() {
-		parts.Go(func() { r.run(ctx, k) })
+		tasks.Go(func() { r.run(ctx, k) })
 	}
-	parts.Wait()
+	tasks.Wait()
 	return nil
 }
 
@@ -233,20 +233,20 @@
 	return g.broker.Acquire(ctx, d)
 }
 
-// stop ends without cutting a request off: not ready at once, the listener
+// shutdown ends without cutting a request off: not ready at once, the listener
 // stays until the balancer has noticed, and running requests end.
-func (g *Gateway) stop() error {
-	began := time.Now()
+func (g *Gateway) shutdown() error {
+	start := time.Now()
 	g.draining.Store(true)
 	g.forward.Drain()
 	g.log.Info("Draining.")
 	if g.routes.Load() != nil {
 		g.members.Leave() // the pools move first
 	}
-	limit := seconds(g.settings.Bounds.GraceS) - stopMargin
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(limit))
+	limit := seconds(g.settings.Bounds.GraceS) - shutdownMargin
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(limit))
 	defer cancel()
-	go g.watchDrain(ctx)
-	time.Sleep(listenerStays)
+	go g.logDrain(ctx)
+	time.Sleep(listenerLinger)
 	return g.forward.Shutdown(ctx)
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -11,15 +11,15 @@
 	"github.com/lycheekeel/lycheekeel/platform/standin"
 )
 
-func TestWholePath(t *testing.T) {
+func TestEndToEnd(t *testing.T) {
 	Convey("Two gateways that share pools serve callers of every kind", t, func() {
-		s := newSite(t)
+		c := newCluster(t)
 		for i := range 3 {
-			s.addServer(fmt.Sprint("llm-", i), "llm")
-			s.addServer(fmt.Sprint("app-", i), "app")
+			c.addServer(fmt.Sprint("llm-", i), "llm")
+			c.addServer(fmt.Sprint("app-", i), "app")
 		}
-		s.put()
-		nodes := []*node{s.start("a"), s.start("b")}
+		c.putConfig()
+		nodes := []*node{c.start("a"), c.start("b")}
 		for _, n := range nodes {
 			eventually(t, n.settings.Name+" is ready", n.ready)
 		}
@@ -36,7 +36,7 @@
 		}
 		wg.Wait()
 		runs := map[string]int{}
-		for _, b := range s.servers {
+		for _, b := range c.servers {
 			for id, n := range b.All() {
 				runs[id] += n
 			}
@@ -50,65 +50,65 @@
 
 func TestConfigurationFollowsTheStore(t *testing.T) {
 	Convey("Before a configuration nothing is denied; then routes and keys follow the store", t, func() {
-		s := newSite(t)
-		s.addServer("app-0", "app")
-		n := s.start("a")
+		c := newCluster(t)
+		c.addServer("app-0", "app")
+		n := c.start("a")
 		eventually(t, "it answers", func() bool { return n.status("/once/", "i", "key-1") == 503 })
 		So(n.ready(), ShouldBeFalse)
-		s.put()
+		c.putConfig()
 		eventually(t, "the route works", func() bool { return n.status("/once/", "i", "key-1") == 200 })
 		So(n.status("/once/", "i", "nobody's"), ShouldEqual, 401)
 		So(n.status("/other/", "i", "key-1"), ShouldEqual, 404)
-		s.config.Keys = []string{"key-2"}
-		s.put()
+		c.config.Keys = []string{"key-2"}
+		c.putConfig()
 		eventually(t, "the key is gone", func() bool { return n.status("/once/", "i", "key-1") == 401 })
 		So(n.status("/once/", "i", "key-2"), ShouldEqual, 200)
 	})
 	// Guards against this: a change never comes into force.
 	Convey("A change that the watch does not tell comes into force all the same", t, func() {
-		s := newSite(t)
-		s.addServer("app-0", "app")
-		s.put()
-		n := s.start("a")
+		c := newCluster(t)
+		c.addServer("app-0", "app")
+		c.putConfig()
+		n := c.start("a")
 		eventually(t, "the route works", func() bool { return n.status("/once/", "i", "key-1") == 200 })
-		s.store.Fail(standin.Faults{MuteWatches: true})
-		s.config.Keys = []string{"key-2"}
-		s.put()
+		c.store.Fail(standin.Faults{MuteWatches: true})
+		c.config.Keys = []string{"key-2"}
+		c.putConfig()
 		eventually(t, "the key is gone", func() bool { return n.status("/once/", "i", "key-1") == 401 })
-		s.store.Forget()
-		s.store.Fail(standin.Faults{})
-		s.config.Keys = []string{"key-1"}
-		s.put()
+		c.store.Forget()
+		c.store.Fail(standin.Faults{})
+		c.config.Keys = []string{"key-1"}
+		c.putConfig()
 		eventually(t, "the key is back", func() bool { return n.status("/once/", "i", "key-1") == 200 })
 	})
 }
 
 // Guards against this: a daemon that is cut off from the store accepts a key that may have been withdrawn.
-func TestStoreAwayFailsClosed(t *testing.T) {
+func TestStoreOutageFailsClosed(t *testing.T) {
 	Convey("Without the store keys are refused in the end, and count again after its return", t, func() {
-		s := newSite(t)
-		s.addServer("app-0", "app")
-		s.put()
-		n := s.start("a")
+		c := newCluster(t)
+		c.addServer("app-0", "app")
+		c.putConfig()
+		n := c.start("a")
 		eventually(t, "the route works", func() bool { return n.status("/once/", "i", "key-1") == 200 })
-		s.store.Fail(standin.Faults{Busy: true})
+		c.store.Fail(standin.Faults{Busy: true})
 		eventually(t, "it is not ready", func() bool { return !n.ready() })
 		eventually(t, "the key is refused", func() bool { return n.status("/once/", "i", "key-1") == 503 })
-		s.store.Fail(standin.Faults{})
+		c.store.Fail(standin.Faults{})
 		eventually(t, "the key counts again", func() bool { return n.status("/once/", "i", "key-1") == 200 })
 		eventually(t, "it is ready", n.ready)
 	})
 }
 
-func TestServersComeAndGo(t *testing.T) {
+func TestServersJoinAndLeave(t *testing.T) {
 	Convey("A server that leaves gets nothing new, one that joins gets some, one that is busy none", t, func() {
-		s := newSite(t)
-		first := s.addServer("app-0", "app")
-		s.put()
-		n := s.start("a")
+		c := newCluster(t)
+		first := c.addServer("app-0", "app")
+		c.putConfig()
+		n := c.start("a")
 		eventually(t, "the route works", func() bool { return n.status("/once/", "i", "key-1") == 200 })
-		second := s.addServer("app-1", "app")
-		s.store.PutServer("app-0", "app", "127.0.0.1:1", "draining", 4)
+		second := c.addServer("app-1", "app")
+		c.store.PutServer("app-0", "app", "127.0.0.1:1", "draining", 4)
 		eventually(t, "the second serves", func() bool {
 			n.status("/once/", "later", "key-1")
 			return second.Runs("later") > 0
@@ -122,12 +122,12 @@
 }
 
 // Guards against this: callers lose answers when a daemon is stopped.
-func TestStopCutsNothing(t *testing.T) {
+func TestShutdownDrainsStreams(t *testing.T) {
 	Convey("A stopping gateway is not ready, still accepts, and finishes its streams", t, func() {
-		s := newSite(t)
-		s.addServer("llm-0", "llm").Events = 400
-		s.put()
-		n := s.start("a")
+		c := newCluster(t)
+		c.addServer("llm-0", "llm").Events = 400
+		c.putConfig()
+		n := c.start("a")
 		eventually(t, "it is ready", n.ready)
 		var wg conc.WaitGroup
 		for i := range 4 {
@@ -138,7 +138,7 @@
 				}
 			})
 		}
-		eventually(t, "the streams run", func() bool { return len(s.servers["llm-0"].All()) == 4 })
+		eventually(t, "the streams run", func() bool { return len(c.servers["llm-0"].All()) == 4 })
 		n.stop()
 		eventually(t, "it is not ready", func() bool { return !n.ready() })
 		So(n.status("/s/", "late", "key-1"), ShouldEqual, 200)
--- a/internal/gateway/hubs.go
+++ b/internal/gateway/hubs.go
@@ -26,11 +26,11 @@
 	hubs []string
 }
 
-// routeToHub chooses the hubs of a view by rendezvous hashing over the live
+// newHubRoute chooses the hubs of a view by rendezvous hashing over the live
 // members of each availability zone, so that most messages stay within it.
 // Where no hub of its own zone answers, a daemon reports to others of its zone,
 // which become hubs by that, and then to the hubs of other zones.
-func routeToHub(v *member.View) hubRoute {
+func newHubRoute(v *member.View) hubRoute {
 	zones := map[string][]member.Member{}
 	for _, m := range v.Members {
 		if m.State == member.Alive {
@@ -43,24 +43,24 @@
 	for name, members := range zones {
 		slices.SortFunc(members, func(a, b member.Member) int { return cmp.Compare(b.Score(hubKey), a.Score(hubKey)) })
 		n := (len(members) + daemonsPerHub - 1) / daemonsPerHub
-		hubs := names(members[:n])
+		hubs := memberNames(members[:n])
 		out.hubs = append(out.hubs, hubs...)
 		if name == self.AvailabilityZone {
-			near = append(spread(hubs, v.Self), names(members[n:])...)
+			near = append(rotate(hubs, v.Self), memberNames(members[n:])...)
 		} else {
 			far = append(far, hubs...)
 		}
 	}
 	slices.Sort(far)
-	switch out.candidates = append(near, spread(far, v.Self)...); {
+	switch out.candidates = append(near, rotate(far, v.Self)...); {
 	case len(out.candidates) == 0, slices.Contains(out.hubs, v.Self):
 		out.candidates = []string{v.Self}
 	}
 	return out
 }
 
-// spread rotates names so that the daemons begin with different ones.
-func spread(all []string, self string) []string {
+// rotate rotates names so that the daemons begin with different ones.
+func rotate(all []string, self string) []string {
 	if len(all) == 0 {
 		return nil
 	}
@@ -68,7 +68,7 @@
 	return append(slices.Clone(all[at:]), all[:at]...)
 }
 
-func names(members []member.Member) []string {
+func memberNames(members []member.Member) []string {
 	out := make([]string, 0, len(members))
 	for _, m := range members {
 		out = append(out, m.Name)
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -10,8 +10,8 @@
 	"github.com/lycheekeel/lycheekeel/platform/standin"
 )
 
-// entry is a backend server's own word, as the store has it.
-func entry(address, state string, startedAt int64) map[string]any {
+// serverEntry is a backend server's own word, as the store has it.
+func serverEntry(address, state string, startedAt int64) map[string]any {
 	e := map[string]any{"service": "app", "address": address, "zone": "z", "slots": 4, "state": state}
 	if startedAt > 0 {
 		e["born"] = startedAt
@@ -35,17 +35,17 @@
 }
 
 // Guards against this: a server that is well gets no request.
-func TestServersThatStartAgainAreUsed(t *testing.T) {
+func TestRestartedServersAreUsed(t *testing.T) {
 	Convey("At daemons that read the store and at those that ask them", t, func() {
-		s := newSite(t)
-		s.put()
+		c := newCluster(t)
+		c.putConfig()
 		b := &standin.Server{ID: "i-1"}
-		address := s.serve(b.Serve)
+		address := c.serve(b.Serve)
 		put := func(state string, startedAt int64) {
-			s.store.Put(standin.KindServers, "i-1", entry(address, state, startedAt))
+			c.store.Put(standin.KindServers, "i-1", serverEntry(address, state, startedAt))
 		}
 		put("ready", 1000)
-		nodes := []*node{s.start("a"), s.start("b"), s.start("c"), s.start("d"), s.start("e")}
+		nodes := []*node{c.start("a"), c.start("b"), c.start("c"), c.start("d"), c.start("e")}
 		eventually(t, "a server that is ready serves", allServe(nodes, true))
 		put("draining", 1000)
 		eventually(t, "one that leaves does not", allServe(nodes, false))
@@ -57,25 +57,25 @@
 // Guards against this: requests fail although enough servers are well.
 func TestMalformedEntriesAreNotUsed(t *testing.T) {
 	Convey("The others hold, in a list, in a watch and in what daemons tell each other", t, func() {
-		s := newSite(t)
-		s.put()
+		c := newCluster(t)
+		c.putConfig()
 		for _, id := range []string{"i-1", "i-2"} {
-			s.addServer(id, "app")
+			c.addServer(id, "app")
 		}
 		malformed := map[string]any{"f-empty": map[string]any{}, "f-null": nil, "f-text": "x", "f-list": []int{1}}
 		for id, change := range map[string]map[string]any{
 			"f-slots": {"slots": 0}, "f-state": {"state": "odd"}, "f-start": {"born": "x"}, "f-zone": {"zone": 3},
 		} {
-			trap := &standin.Server{ID: id} // there is such a server
-			s.servers[id] = trap
-			spec := entry(s.serve(trap.Serve), "ready", 1000)
+			decoy := &standin.Server{ID: id} // there is such a server
+			c.servers[id] = decoy
+			spec := serverEntry(c.serve(decoy.Serve), "ready", 1000)
 			maps.Copy(spec, change)
 			malformed[id] = spec
 		}
 		for id, spec := range malformed {
-			s.store.Put(standin.KindServers, id, spec)
+			c.store.Put(standin.KindServers, id, spec)
 		}
-		nodes := []*node{s.start("a"), s.start("b"), s.start("c"), s.start("d"), s.start("e")}
+		nodes := []*node{c.start("a"), c.start("b"), c.start("c"), c.start("d"), c.start("e")}
 		for _, n := range nodes {
 			eventually(t, "servers are known", func() bool { return n.serves("first") })
 			for range 20 {
@@ -83,15 +83,15 @@
 			}
 		}
 		for id := range malformed {
-			if trap := s.servers[id]; trap != nil {
-				So(trap.Arrivals(), ShouldBeEmpty)
+			if decoy := c.servers[id]; decoy != nil {
+				So(decoy.Arrivals(), ShouldBeEmpty)
 			}
 		}
-		s.store.Remove(standin.KindServers, "i-1")
-		eventually(t, "one server is left", func() bool { return allServe(nodes, true)() && s.servers["i-2"].Runs("r") > 0 })
-		s.store.Put(standin.KindServers, "i-2", map[string]any{"service": "app", "slots": 4, "state": "ready"})
+		c.store.Remove(standin.KindServers, "i-1")
+		eventually(t, "one server is left", func() bool { return allServe(nodes, true)() && c.servers["i-2"].Runs("r") > 0 })
+		c.store.Put(standin.KindServers, "i-2", map[string]any{"service": "app", "slots": 4, "state": "ready"})
 		eventually(t, "an overwritten entry is not used", allServe(nodes, false))
-		s.store.Put(standin.KindServers, "i-2", entry(s.serve(s.servers["i-2"].Serve), "ready", 1000))
+		c.store.Put(standin.KindServers, "i-2", serverEntry(c.serve(c.servers["i-2"].Serve), "ready", 1000))
 		eventually(t, "a mended entry is used", allServe(nodes, true))
 	})
 }
--- a/internal/gateway/observe.go
+++ b/internal/gateway/observe.go
@@ -11,56 +11,56 @@
 	"github.com/lycheekeel/lycheekeel/internal/wait"
 )
 
-// trustEvery is how often it is checked whether the configuration and the
+// freshnessCheckInterval is how often it is checked whether the configuration and the
 // other daemons can be relied on; it only feeds the log.
-const trustEvery = 500 * time.Millisecond
+const freshnessCheckInterval = 500 * time.Millisecond
 
-// drainTold is how often a drain tells what it waits for.
-const drainTold = time.Second
+// drainLogInterval is how often a drain tells what it waits for.
+const drainLogInterval = time.Second
 
 // latencies are of what a daemon learns its state by.
 type latencies struct {
-	// list is of calls that list a kind in the store; ask is the way to a
+	// storeList is of calls that list a kind in the store; ask is the way to a
 	// reader and back, without what it held the ask for.
-	list, ask *metrics.Histogram
-	// proof is the age of the configuration's proof when a key was checked.
-	proof *metrics.Histogram
+	storeList, peerPoll *metrics.Histogram
+	// proofAge is the age of the configuration's proof when a key was checked.
+	proofAge *metrics.Histogram
 }
 
 func newLatencies(m *metrics.Registry) latencies {
 	return latencies{
-		list: m.Histogram("latency", "store_list"), ask: m.Histogram("latency", "peer_ask"),
-		proof: m.Histogram("latency", "proof_age"),
+		storeList: m.Histogram("latency", "store_list"), peerPoll: m.Histogram("latency", "peer_ask"),
+		proofAge: m.Histogram("latency", "proof_age"),
 	}
 }
 
-// watchTrust tells each loss and return of what the daemon relies on.
-func (g *Gateway) watchTrust(ctx context.Context) {
+// logFreshness tells each loss and return of what the daemon relies on.
+func (g *Gateway) logFreshness(ctx context.Context) {
 	fresh, share := true, -1.0
-	lost := time.Time{}
+	lostAt := time.Time{}
 	for ctx.Err() == nil {
-		if now := g.provedWithin(proofShare); now != fresh && g.routes.Load() != nil {
-			fresh = now
-			if !now {
-				lost = time.Now()
+		if current := g.freshWithin(keyTrustShare); current != fresh && g.routes.Load() != nil {
+			fresh = current
+			if !current {
+				lostAt = time.Now()
 				g.log.WithField("proof_ms", g.ProofAge().Milliseconds()).WithField("store_lost_ms", g.StoreLost().Milliseconds()).
 					Warn("Configuration is not proved any more: keys are refused.")
 			} else {
-				g.log.WithField("away_ms", time.Since(lost).Milliseconds()).Info("Configuration is proved again.")
+				g.log.WithField("away_ms", time.Since(lostAt).Milliseconds()).Info("Configuration is proved again.")
 			}
 		}
-		if now := g.ledger.Share(); now != share {
-			g.log.WithField("share", now).WithField("before", share).Info("Share of the quotas changed.")
-			share = now
+		if current := g.ledger.Share(); current != share {
+			g.log.WithField("share", current).WithField("before", share).Info("Share of the quotas changed.")
+			share = current
 		}
-		wait.For(ctx, trustEvery)
+		wait.For(ctx, freshnessCheckInterval)
 	}
 }
 
-// watchDrain tells each second what a shutdown still waits for, until ctx ends.
-func (g *Gateway) watchDrain(ctx context.Context) {
+// logDrain tells each second what a shutdown still waits for, until ctx ends.
+func (g *Gateway) logDrain(ctx context.Context) {
 	for {
-		wait.For(ctx, drainTold)
+		wait.For(ctx, drainLogInterval)
 		if ctx.Err() != nil {
 			return
 		}
--- a/internal/gateway/observe_test.go
+++ b/internal/gateway/observe_test.go
@@ -14,9 +14,9 @@
 	Convey("The metrics tell how long lists, asks and proofs took", t, func() {
 		m := metrics.New()
 		l := newLatencies(m)
-		l.list.Observe(4 * time.Millisecond)
-		l.ask.Observe(2 * time.Millisecond)
-		l.proof.Observe(900 * time.Millisecond)
+		l.storeList.Observe(4 * time.Millisecond)
+		l.peerPoll.Observe(2 * time.Millisecond)
+		l.proofAge.Observe(900 * time.Millisecond)
 		var text strings.Builder
 		m.WriteText(&text)
 		for _, name := range []string{"store_list", "peer_ask", "proof_age"} {
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -15,41 +15,41 @@
 	"github.com/lycheekeel/lycheekeel/revision"
 )
 
-// askNet lets askers call each other; it notes who was asked.
-type askNet struct {
-	*postbox
-	self  string
-	known map[string]*asker
-	asked []string
+// fakePeers lets askers call each other; it notes who was asked.
+type fakePeers struct {
+	*fakeTransport
+	self   string
+	syncs  map[string]*peerSync
+	polled []string
 }
 
-func (n *askNet) Call(ctx context.Context, to peer.Name, _ peer.Type, payload []byte) ([]byte, error) {
-	n.asked = append(n.asked, string(to))
-	other := n.known[string(to)]
+func (n *fakePeers) Call(ctx context.Context, to peer.Name, _ peer.Type, payload []byte) ([]byte, error) {
+	n.polled = append(n.polled, string(to))
+	other := n.syncs[string(to)]
 	if other == nil {
 		return nil, peer.ErrNotConnected
 	}
-	return other.answer(ctx, peer.Name(n.self), payload)
+	return other.handlePoll(ctx, peer.Name(n.self), payload)
 }
 
-// askers are daemons of one zone that see each other.
-func askers(n int) (all map[string]*asker, nets map[string]*askNet, reading, substitutes []string) {
-	members := zoned(map[string]int{"a": n})
-	all, nets = map[string]*asker{}, map[string]*askNet{}
+// newPeerSyncs are daemons of one zone that see each other.
+func newPeerSyncs(n int) (all map[string]*peerSync, nets map[string]*fakePeers, readers, standbys []string) {
+	members := zoneMembers(map[string]int{"a": n})
+	all, nets = map[string]*peerSync{}, map[string]*fakePeers{}
 	for _, m := range members {
 		views := &member.CurrentView{}
 		views.Store(member.NewView(m.Name, members))
-		net := &askNet{postbox: newPostbox(), self: m.Name, known: all}
-		s := configuredState()
-		s.configFresh, s.serversFresh = revision.NewFreshnessOn(stopped), revision.NewFreshnessOn(stopped)
-		all[m.Name], nets[m.Name] = newAsker(s, net, views, met()), net
+		net := &fakePeers{fakeTransport: newFakeTransport(), self: m.Name, syncs: all}
+		s := stateWithRoutes()
+		s.configFreshness, s.serversFreshness = revision.NewFreshnessOn(stoppedClock), revision.NewFreshnessOn(stoppedClock)
+		all[m.Name], nets[m.Name] = newPeerSync(s, net, views, joinedAlready()), net
 	}
-	reading, substitutes = readers(member.NewView("a1", members))
-	return all, nets, reading, substitutes
+	readers, standbys = selectReaders(member.NewView("a1", members))
+	return all, nets, readers, standbys
 }
 
-// met is what a daemon has that has met others.
-func met() <-chan struct{} {
+// joinedAlready is what a daemon has that has met others.
+func joinedAlready() <-chan struct{} {
 	joined := make(chan struct{})
 	close(joined)
 	return joined
@@ -62,25 +62,25 @@
 	return objectstore.Object{}, s.err
 }
 
-// knows sets how old a daemon's proofs are.
-func (a *asker) knows(age time.Duration) {
-	a.state.configFresh, a.state.serversFresh = fresh(age), fresh(age)
+// setProofAge sets how old a daemon's proofs are.
+func (a *peerSync) setProofAge(age time.Duration) {
+	a.state.configFreshness, a.state.serversFreshness = freshnessOfAge(age), freshnessOfAge(age)
 }
 
-// stopped is a clock that stands still.
-func stopped() time.Duration { return time.Hour }
+// stoppedClock is a clock that stands still.
+func stoppedClock() time.Duration { return time.Hour }
 
-// fresh is of a proof that is so old.
-func fresh(age time.Duration) *revision.Freshness {
-	f := revision.NewFreshnessOn(stopped)
+// freshnessOfAge is of a proof that is so old.
+func freshnessOfAge(age time.Duration) *revision.Freshness {
+	f := revision.NewFreshnessOn(stoppedClock)
 	f.Prove(f.Mark() - age)
 	return f
 }
 
-func (a *asker) askNext() error {
-	name, ok := a.pick()
+func (a *peerSync) pollNext() error {
+	name, ok := a.pickReader()
 	So(ok, ShouldBeTrue)
-	err := a.ask(context.Background(), name)
+	err := a.poll(context.Background(), name)
 	if err != nil {
 		a.next.Add(1)
 	}
@@ -88,151 +88,151 @@
 }
 
 // Guards against this: thousands of calls of the store while it turns a third of the VMs away.
-func TestReadersThatCannotReadArePassedOver(t *testing.T) {
+func TestStaleReadersAreSkipped(t *testing.T) {
 	Convey("Given 30 daemons, two of which read the store", t, func() {
-		all, nets, reading, substitutes := askers(30)
-		So(reading, ShouldHaveLength, 2)
-		So(substitutes, ShouldHaveLength, 2)
+		all, nets, readers, standbys := newPeerSyncs(30)
+		So(readers, ShouldHaveLength, 2)
+		So(standbys, ShouldHaveLength, 2)
 		var other string
 		for name := range all {
-			if !slices.Contains(reading, name) && !slices.Contains(substitutes, name) {
+			if !slices.Contains(readers, name) && !slices.Contains(standbys, name) {
 				other = name
 			}
 		}
 		a := all[other]
-		first, _ := a.pick()
-		second := reading[0]
+		first, _ := a.pickReader()
+		second := readers[0]
 		if first == second {
-			second = reading[1]
+			second = readers[1]
 		}
-		a.knows(1700 * time.Millisecond)
+		a.setProofAge(1700 * time.Millisecond)
 
 		Convey("an asker goes from a reader that was turned away to the other one, which tells at once", func() {
-			all[first].knows(1650 * time.Millisecond)
-			all[second].knows(100 * time.Millisecond)
-			So(a.askNext(), ShouldBeNil)
-			So(a.askNext(), ShouldBeNil)
-			So(nets[other].asked, ShouldResemble, []string{first, second})
-			So(a.readsWell(), ShouldBeTrue)
-			name, _ := a.pick()
+			all[first].setProofAge(1650 * time.Millisecond)
+			all[second].setProofAge(100 * time.Millisecond)
+			So(a.pollNext(), ShouldBeNil)
+			So(a.pollNext(), ShouldBeNil)
+			So(nets[other].polled, ShouldResemble, []string{first, second})
+			So(a.isCurrent(), ShouldBeTrue)
+			name, _ := a.pickReader()
 			So(name, ShouldEqual, second)
 		})
 		Convey("it goes on to the substitutes, and begins anew", func() {
-			for _, name := range append(slices.Clone(reading), substitutes...) {
+			for _, name := range append(slices.Clone(readers), standbys...) {
 				delete(all, name)
 			}
 			for range 5 {
-				So(a.askNext(), ShouldNotBeNil)
+				So(a.pollNext(), ShouldNotBeNil)
 			}
-			So(nets[other].asked[:2], ShouldResemble, []string{first, second})
-			So(substitutes, ShouldContain, nets[other].asked[2])
-			So(substitutes, ShouldContain, nets[other].asked[3])
-			So(nets[other].asked[4], ShouldEqual, first)
+			So(nets[other].polled[:2], ShouldResemble, []string{first, second})
+			So(standbys, ShouldContain, nets[other].polled[2])
+			So(standbys, ShouldContain, nets[other].polled[3])
+			So(nets[other].polled[4], ShouldEqual, first)
 		})
 		Convey("a reader that was turned away asks the other one", func() {
-			all[first].knows(3 * time.Second)
-			all[second].knows(100 * time.Millisecond)
-			name, ok := all[first].pick()
+			all[first].setProofAge(3 * time.Second)
+			all[second].setProofAge(100 * time.Millisecond)
+			name, ok := all[first].pickReader()
 			So(ok, ShouldBeTrue)
 			So(name, ShouldEqual, second)
-			So(all[first].askNext(), ShouldBeNil)
-			So(all[first].readsWell(), ShouldBeTrue)
-			_, ok = all[first].pick()
+			So(all[first].pollNext(), ShouldBeNil)
+			So(all[first].isCurrent(), ShouldBeTrue)
+			_, ok = all[first].pickReader()
 			So(ok, ShouldBeFalse)
 		})
 		// Guards against this: a withdrawn key is served by a daemon that the store would have answered, 2.05 s after the change.
 		Convey("while readers answer and none can read, a daemon tries by itself in time, and seldom again if that fails", func() {
-			all[first].knows(1650 * time.Millisecond)
-			So(a.askNext(), ShouldBeNil)
-			rests := func(a *asker) bool {
-				r := &reader{state: a.state, reading: a.reading, told: a.told}
-				_, rest := r.mayRest(r.loops()[0])
-				return rest
+			all[first].setProofAge(1650 * time.Millisecond)
+			So(a.pollNext(), ShouldBeNil)
+			idle := func(a *peerSync) bool {
+				r := &reflector{state: a.state, isReader: a.isReader, readerAnswers: a.readerAnswers}
+				_, idle := r.idleFor(r.loops()[0])
+				return idle
 			}
-			b := all[substitutes[0]]
-			for _, x := range []*asker{a, b} {
-				x.state.configFresh = fresh(1650 * time.Millisecond)
-				x.heard.Store(int64(x.state.configFresh.Mark()))
-				So(rests(x), ShouldBeTrue)
-				x.state.configFresh = fresh(1750 * time.Millisecond)
-				So(rests(x), ShouldBeFalse)
+			b := all[standbys[0]]
+			for _, x := range []*peerSync{a, b} {
+				x.state.configFreshness = freshnessOfAge(1650 * time.Millisecond)
+				x.lastAnswer.Store(int64(x.state.configFreshness.Mark()))
+				So(idle(x), ShouldBeTrue)
+				x.state.configFreshness = freshnessOfAge(1750 * time.Millisecond)
+				So(idle(x), ShouldBeFalse)
 			}
-			again := func(a *asker) time.Duration {
-				r := &reader{state: a.state, store: &listStore{err: objectstore.ErrUnavailable}, stale: &staleStore{}, reading: a.reading, told: a.told}
-				return r.read(context.Background(), r.loops()[0])
+			refresh := func(a *peerSync) time.Duration {
+				r := &reflector{state: a.state, store: &listStore{err: objectstore.ErrUnavailable}, stale: &staleStore{}, isReader: a.isReader, readerAnswers: a.readerAnswers}
+				return r.refresh(context.Background(), r.loops()[0])
 			}
-			So(again(a), ShouldBeGreaterThanOrEqualTo, retryMost/2)
-			So(again(b), ShouldBeLessThan, 2*retryEvery) // a substitute
-			a.heard.Store(int64(a.state.configFresh.Mark() - 3*time.Second))
-			So(again(a), ShouldBeLessThan, 2*retryEvery) // it may be cut off from the readers
+			So(refresh(a), ShouldBeGreaterThanOrEqualTo, storeRetryMaxDelay/2)
+			So(refresh(b), ShouldBeLessThan, 2*storeRetryDelay) // a substitute
+			a.lastAnswer.Store(int64(a.state.configFreshness.Mark() - 3*time.Second))
+			So(refresh(a), ShouldBeLessThan, 2*storeRetryDelay) // it may be cut off from the readers
 		})
 	})
 	Convey("A daemon whose own reads fail for long is cut off, until one is answered", t, func() {
 		s := emptyState()
-		s.configFresh = revision.NewFreshnessOn(stopped)
+		s.configFreshness = revision.NewFreshnessOn(stoppedClock)
 		store := &listStore{err: objectstore.ErrUnavailable}
-		r := &reader{state: s, store: store, stale: &staleStore{}, reading: func() bool { return false }, told: func() bool { return true }}
+		r := &reflector{state: s, store: store, stale: &staleStore{}, isReader: func() bool { return false }, readerAnswers: func() bool { return true }}
 		config := r.loops()[0]
-		s.configFresh.Prove(s.configFresh.Mark())
-		_, rest := r.mayRest(config)
-		So(rest, ShouldBeTrue)
-		r.read(context.Background(), config)
-		So(s.cutOff(3*time.Second), ShouldBeFalse)
-		s.storeLost.Store(int64(stopped() - 4*time.Second))
-		So(s.cutOff(3*time.Second), ShouldBeTrue)
-		_, rest = r.mayRest(config) // it goes on trying, though others tell it
-		So(rest, ShouldBeFalse)
+		s.configFreshness.Prove(s.configFreshness.Mark())
+		_, idle := r.idleFor(config)
+		So(idle, ShouldBeTrue)
+		r.refresh(context.Background(), config)
+		So(s.storeLostLongerThan(3*time.Second), ShouldBeFalse)
+		s.storeLostAt.Store(int64(stoppedClock() - 4*time.Second))
+		So(s.storeLostLongerThan(3*time.Second), ShouldBeTrue)
+		_, idle = r.idleFor(config) // it goes on trying, though others tell it
+		So(idle, ShouldBeFalse)
 		store.err = nil
-		r.read(context.Background(), config)
-		So(s.cutOff(3*time.Second), ShouldBeFalse)
-		_, rest = r.mayRest(config)
-		So(rest, ShouldBeTrue)
+		r.refresh(context.Background(), config)
+		So(s.storeLostLongerThan(3*time.Second), ShouldBeFalse)
+		_, idle = r.idleFor(config)
+		So(idle, ShouldBeTrue)
 	})
 	Convey("A daemon that the store does not answer refuses keys, though others prove them", t, func() {
 		g := &Gateway{settings: Settings{Bounds: BoundsSettings{RevokeMs: 5000}}, state: emptyState()}
-		g.state.configFresh = fresh(100 * time.Millisecond)
-		g.state.storeLost.Store(int64(stopped() - 4*time.Second))
+		g.state.configFreshness = freshnessOfAge(100 * time.Millisecond)
+		g.state.storeLostAt.Store(int64(stoppedClock() - 4*time.Second))
 		So(g.Fresh(), ShouldBeTrue)
-		So(g.provedWithin(readyShare), ShouldBeFalse)
-		g.state.storeLost.Store(int64(stopped() - 4800*time.Millisecond))
+		So(g.freshWithin(readyShare), ShouldBeFalse)
+		g.state.storeLostAt.Store(int64(stoppedClock() - 4800*time.Millisecond))
 		So(g.Fresh(), ShouldBeFalse)
 		So(g.StoreLost(), ShouldEqual, 4800*time.Millisecond)
-		g.state.storeLost.Store(0)
+		g.state.storeLostAt.Store(0)
 		So(g.Fresh(), ShouldBeTrue)
 	})
 	Convey("A daemon that does not read the store notices that it is cut off, and that it is back", t, func() {
 		s := emptyState()
-		s.configFresh = revision.NewFreshnessOn(stopped)
+		s.configFreshness = revision.NewFreshnessOn(stoppedClock)
 		store := &staleStore{err: objectstore.ErrUnknownOutcome}
-		r := &reader{state: s, stale: store}
-		r.checkReach(context.Background())
-		So(s.storeLost.Load(), ShouldEqual, int64(stopped()))
-		s.storeLost.Store(int64(stopped() - 4*time.Second))
-		r.checkReach(context.Background()) // it counts from the first
-		So(s.cutOff(3*time.Second), ShouldBeTrue)
+		r := &reflector{state: s, stale: store}
+		r.checkStore(context.Background())
+		So(s.storeLostAt.Load(), ShouldEqual, int64(stoppedClock()))
+		s.storeLostAt.Store(int64(stoppedClock() - 4*time.Second))
+		r.checkStore(context.Background()) // it counts from the first
+		So(s.storeLostLongerThan(3*time.Second), ShouldBeTrue)
 		store.err = objectstore.ErrNotFound // an answer all the same
-		r.checkReach(context.Background())
-		So(s.cutOff(3*time.Second), ShouldBeFalse)
+		r.checkStore(context.Background())
+		So(s.storeLostLongerThan(3*time.Second), ShouldBeFalse)
 	})
 	// Guards against this: after all daemons were killed, some serve nobody for seconds.
 	Convey("A daemon that knows nothing yet tries again soon, though a reader answers", t, func() {
 		s := emptyState()
-		s.configFresh = revision.NewFreshnessOn(stopped)
+		s.configFreshness = revision.NewFreshnessOn(stoppedClock)
 		store := &listStore{err: objectstore.ErrUnavailable}
-		r := &reader{state: s, store: store, stale: &staleStore{}, reading: func() bool { return false }, told: func() bool { return true }}
-		So(r.read(context.Background(), r.loops()[0]), ShouldBeLessThan, 2*retryEvery)
-		s.configFresh.Prove(s.configFresh.Mark())
-		So(r.read(context.Background(), r.loops()[0]), ShouldBeGreaterThanOrEqualTo, retryMost/2)
+		r := &reflector{state: s, store: store, stale: &staleStore{}, isReader: func() bool { return false }, readerAnswers: func() bool { return true }}
+		So(r.refresh(context.Background(), r.loops()[0]), ShouldBeLessThan, 2*storeRetryDelay)
+		s.configFreshness.Prove(s.configFreshness.Mark())
+		So(r.refresh(context.Background(), r.loops()[0]), ShouldBeGreaterThanOrEqualTo, storeRetryMaxDelay/2)
 	})
 	Convey("Of nine daemons, two stand in for the one reader", t, func() {
-		_, _, reading, substitutes := askers(9)
-		So(reading, ShouldHaveLength, 1)
-		So(substitutes, ShouldHaveLength, 2)
+		_, _, readers, standbys := newPeerSyncs(9)
+		So(readers, ShouldHaveLength, 1)
+		So(standbys, ShouldHaveLength, 2)
 	})
 	Convey("A daemon alone asks nobody", t, func() {
-		all, _, reading, substitutes := askers(1)
-		So(fmt.Sprint(reading, substitutes), ShouldEqual, "[a1] []")
-		_, ok := all["a1"].pick()
+		all, _, readers, standbys := newPeerSyncs(1)
+		So(fmt.Sprint(readers, standbys), ShouldEqual, "[a1] []")
+		_, ok := all["a1"].pickReader()
 		So(ok, ShouldBeFalse)
 	})
 }
--- a/internal/gateway/outcomes.go
+++ b/internal/gateway/outcomes.go
@@ -11,20 +11,20 @@
 	"github.com/lycheekeel/lycheekeel/rollout"
 )
 
-// write writes what is known of a rollout to the store where that does not have it:
+// persist writes what is known of a rollout to the store where that does not have it:
 // first that it runs, later its outcome. The mutex is held, the call is made without it.
-func (d *deciders) write(ctx context.Context, x *deciding, decided rollout.Decision) {
+func (d *deciders) persist(ctx context.Context, x *deciderEntry, decision rollout.Decision) {
 	r := x.Rollout()
-	if x.writing || !r.InProgress() || decided.State == rollout.Running && r.Acknowledged {
+	if x.writing || !r.InProgress() || decision.State == rollout.Running && r.Acknowledged {
 		return
 	}
-	r.State = decided.State
+	r.State = decision.State
 	x.writing = true
-	known, first := x.KnownAt(), !r.Acknowledged
+	knownSince, firstWrite := x.KnownAt(), !r.Acknowledged
 	go func() {
 		d.writeOutcome(ctx, r)
-		if first {
-			d.writeRecord(ctx, r.ID, known)
+		if firstWrite {
+			d.writeRecord(ctx, r.ID, knownSince)
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -45,27 +45,27 @@
 	written, err := s.platform.Status.UpdateStatus(ctx, s.platform.RolloutsKind, r.Service, value, objectstore.Version(r.Revision))
 	if err == nil {
 		r.Revision, r.Acknowledged = uint64(written), true
-		s.noteOutcome(r)
+		s.recordOutcome(r)
 		log.WithField("revision", written).Info("Rollout's state is written.")
 		return
 	}
 	log.WithError(err).Warn("Rollout's state is not written.")
 	if errors.Is(err, objectstore.ErrConflict) || errors.Is(err, objectstore.ErrUnknownOutcome) {
-		d.readAgain(ctx, r.Service)
+		d.reread(ctx, r.Service)
 	}
 }
 
-// readTimeout bounds reading a rollout again: the next tick tries anew.
-const readTimeout = 400 * time.Millisecond
+// rolloutReadTimeout bounds reading a rollout again: the next tick tries anew.
+const rolloutReadTimeout = 400 * time.Millisecond
 
-func (d *deciders) readAgain(ctx context.Context, service string) {
+func (d *deciders) reread(ctx context.Context, service string) {
 	s := d.state
-	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+	ctx, cancel := context.WithTimeout(ctx, rolloutReadTimeout)
 	defer cancel()
 	o, err := s.platform.Store.Get(ctx, s.platform.RolloutsKind, service)
 	if err != nil {
 		d.log.WithField("service", service).WithError(err).Warn("Rollout can't be read again.")
 		return
 	}
-	s.noteOutcome(s.decodeRollout(o))
+	s.recordOutcome(s.decodeRollout(o))
 }
--- a/internal/gateway/outcomes_test.go
+++ b/internal/gateway/outcomes_test.go
@@ -33,17 +33,17 @@
 }
 
 // Guards against this: a version that was rolled back is promoted.
-func TestTheFirstOutcomeHolds(t *testing.T) {
+func TestFirstWrittenOutcomeWins(t *testing.T) {
 	Convey("Given a rollout whose outcome another daemon has written", t, func() {
 		state := byte(rollout.RolledBack)
 		store := &outcomeStore{object: objectstore.Object{Name: "app", Version: 93, Status: []byte{state}}}
-		s := withRollouts()
+		s := stateWithRollouts()
 		s.platform.Store, s.platform.Status = store, store
 		s.platform.EncodeOutcome = func(r rollout.Rollout) ([]byte, error) { return []byte{byte(r.State)}, nil }
 		s.platform.DecodeRollout = func(o objectstore.Object) (rollout.Rollout, error) {
-			return toV2(uint64(o.Version), rollout.State(o.Status[0])), nil
+			return rolloutToV2(uint64(o.Version), rollout.State(o.Status[0])), nil
 		}
-		late := toV2(85, rollout.Running)
+		late := rolloutToV2(85, rollout.Running)
 		s.putRollout(late, 90)
 		d := newDeciders(s, rollout.Bounds{}, &member.CurrentView{}, logs.For("test"))
 		Convey("who decides late finds it, and goes by it", func() {
--- a/internal/gateway/pacer_test.go
+++ b/internal/gateway/pacer_test.go
@@ -16,31 +16,31 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// inForceWithin is generous: no test is decided by it.
-const inForceWithin = 30 * time.Second
+// convergeLimit is generous: no test is decided by it.
+const convergeLimit = 30 * time.Second
 
 // Guards against daemons that spend their core on making the pools anew where there are thousands of servers.
-func TestPacedWorkTakesABoundedPartOfTheTime(t *testing.T) {
+func TestPacingBoundsShareOfTime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	Convey("What has not been done yet is done at once", t, func() {
-		So((&pacer{}).in(now), ShouldEqual, 0)
+		So((&pacer{}).delay(now), ShouldEqual, 0)
 	})
 	Convey("Cheap work is put off by little, costly work by as much as keeps its share, up to a bound", t, func() {
 		for took, wait := range map[time.Duration]time.Duration{
 			100 * time.Microsecond: 2 * time.Millisecond,
 			7 * time.Millisecond:   140 * time.Millisecond,
-			time.Second:            pacedMost,
+			time.Second:            maxPacingDelay,
 		} {
 			p := pacer{}
 			p.done(now.Add(-took), now)
-			So(p.in(now), ShouldEqual, wait)
-			So(p.in(now.Add(wait)), ShouldEqual, 0)
+			So(p.delay(now), ShouldEqual, wait)
+			So(p.delay(now.Add(wait)), ShouldEqual, 0)
 		}
 	})
 }
 
 // Guards against changes of servers that are lost because the pools are not made anew at once.
-func TestTheLastOfManyChangesIsInForce(t *testing.T) {
+func TestLastOfManyChangesIsApplied(t *testing.T) {
 	Convey("Given changes of servers in quick succession", t, func() {
 		pools := &workspace.Live{}
 		routes := &route.Live{}
@@ -48,7 +48,7 @@
 		So(findings, ShouldBeNil)
 		routes.Update(table)
 		s := newState(Platform{}, "r", routes, pools, quota.NewLimiter(time.Now, 1, quota.Tolerance{}), func(map[string]string) {}, metrics.New())
-		const servers, rounds = 2 * pacedFrom, 5
+		const servers, rounds = 2 * pacingMinServers, 5
 		revision := uint64(0)
 		for round := range rounds {
 			for i := range servers {
@@ -59,7 +59,7 @@
 				}, objectstore.Version(revision))
 			}
 		}
-		testwait.Until(t, inForceWithin, "the last change is in force", func() bool {
+		testwait.Until(t, convergeLimit, "the last change is in force", func() bool {
 			slots := 0
 			for _, p := range pools.Load().Pools {
 				for _, b := range p.Servers {
--- /dev/null
+++ b/internal/gateway/peerpoll.go
@@ -0,0 +1,117 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/lycheekeel/lycheekeel/discovery"
+	"github.com/lycheekeel/lycheekeel/internal/gateway/wire"
+	"github.com/lycheekeel/lycheekeel/internal/peer"
+)
+
+// minProofGain is by how much a reader's proof must be newer than the asker's to be
+// told at once.
+const minProofGain = 500 * time.Millisecond
+
+// handlePoll tells another daemon what is newer here than what it has, as soon as
+// something is or a read has proved it again.
+func (p *peerSync) handlePoll(ctx context.Context, _ peer.Name, payload []byte) ([]byte, error) {
+	var req wire.SyncAsk
+	if err := proto.Unmarshal(payload, &req); err != nil {
+		return nil, err
+	}
+	received := p.state.serversFreshness.Mark()
+	resp, changed := p.buildAnswer(&req, received)
+	if len(resp.Config) > 0 || resp.ServersTold || resp.RolloutsTold || req.Changes && (isStale(resp) || isFresher(resp, &req)) {
+		return proto.Marshal(resp)
+	}
+	timer := time.NewTimer(p.maxHold(&req, resp))
+	defer timer.Stop()
+	select {
+	case <-changed:
+	case <-timer.C:
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+	resp, _ = p.buildAnswer(&req, received)
+	return proto.Marshal(resp)
+}
+
+// maxHold is how long an ask may wait for something newer: until the reads here
+// are stale, so that the asker goes to another reader then.
+func (p *peerSync) maxHold(req *wire.SyncAsk, resp *wire.SyncAnswer) time.Duration {
+	hold := min(time.Duration(req.HoldMs)*time.Millisecond, pollHold)
+	if !req.Changes {
+		return hold
+	}
+	return min(hold, staleAfter+time.Millisecond-milliseconds(max(resp.ConfigAgeMs, resp.ServersAgeMs)))
+}
+
+// buildAnswer makes the answer as of now, with the channel that is closed at the
+// next change. The ask came at a mark of the clock of proofs.
+func (p *peerSync) buildAnswer(req *wire.SyncAsk, received time.Duration) (*wire.SyncAnswer, <-chan struct{}) {
+	s := p.state
+	held := s.serversFreshness.Mark() - received // before the ages are taken
+	resp := &wire.SyncAnswer{HeldMs: float64(held) / float64(time.Millisecond), ConfigAgeMs: ageMs(s.configFreshness.Age()), ServersAgeMs: ageMs(s.serversFreshness.Age())}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if uint64(s.config.Version) > req.ConfigRevision {
+		resp.ConfigRevision, resp.Config = uint64(s.config.Version), s.config.Value
+	}
+	resp.ServersRevision = uint64(s.serversRevision)
+	if resp.ServersRevision > req.ServersRevision {
+		resp.ServersTold = true
+		if d, ok := s.changes.Since(discovery.Revision(req.ServersRevision)); ok && req.ServersRevision > 0 && req.Changes {
+			resp.ServersBase, resp.Servers, resp.Removed = req.ServersRevision, serversToWire(d.Changed), d.Removed
+		} else {
+			resp.Servers = serversToWire(s.directory.Listed())
+		}
+	}
+	if uint64(s.rollouts.revision) > req.RolloutsRevision {
+		resp.RolloutsTold, resp.RolloutsRevision, resp.Rollouts = true, uint64(s.rollouts.revision), rolloutsToWire(s.rollouts.all)
+		resp.Unfit = s.rollouts.rejectedVersions()
+	}
+	return resp, s.changed
+}
+
+func serversToWire(servers []discovery.Server) []*wire.Server {
+	out := make([]*wire.Server, 0, len(servers))
+	for _, x := range servers {
+		out = append(out, &wire.Server{
+			Id: x.ID, Service: x.Service, Address: x.Address, AvailabilityZone: x.AvailabilityZone,
+			Slots: uint32(x.Slots), Leaving: x.Leaving, StartedAtMs: x.StartedAt,
+			Sequence: x.Sequence, Revision: uint64(x.Revision), Invalid: x.InvalidReason,
+			Version: x.Version, Cold: x.Cold,
+		})
+	}
+	return out
+}
+
+func serversFromWire(servers []*wire.Server) []discovery.Server {
+	out := make([]discovery.Server, 0, len(servers))
+	for _, x := range servers {
+		out = append(out, discovery.Server{
+			ID: x.Id, Service: x.Service, Address: x.Address, AvailabilityZone: x.AvailabilityZone,
+			Slots: int(x.Slots), Leaving: x.Leaving, StartedAt: x.StartedAtMs,
+			Sequence: x.Sequence, Revision: discovery.Revision(x.Revision), InvalidReason: x.Invalid,
+			Version: x.Version, Cold: x.Cold,
+		})
+	}
+	return out
+}
+
+func ageMs(age time.Duration, ok bool) float64 {
+	if !ok {
+		return -1
+	}
+	return float64(age) / float64(time.Millisecond)
+}
+
+// isFresher tells whether an answer proves much more than the asker knew.
+func isFresher(resp *wire.SyncAnswer, req *wire.SyncAsk) bool {
+	margin := float64(minProofGain.Milliseconds())
+	fresher := func(offered, known float64) bool { return offered >= 0 && (known < 0 || offered+margin < known) }
+	return fresher(resp.ConfigAgeMs, req.ConfigAgeMs) || fresher(resp.ServersAgeMs, req.ServersAgeMs)
+}
--- a/internal/gateway/teller_test.go
+++ b/internal/gateway/peerpoll_test.go
@@ -14,7 +14,7 @@
 		told := rapid.Make[discovery.Server]().Draw(t, "server")
 		told.Slots = int(uint16(told.Slots))
 		told.Restarts = 0 // each directory counts its own
-		if got := serversOf(serversToWire([]discovery.Server{told}))[0]; got != told {
+		if got := serversFromWire(serversToWire([]discovery.Server{told}))[0]; got != told {
 			t.Fatalf("%+v, want %+v", got, told)
 		}
 	})
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -24,9 +24,9 @@
 	// A VM that is out of processor time stands still for a tenth of a second.
 	peerPingAfter = 200 * time.Millisecond
 	peerSilence   = 400 * time.Millisecond
-	// shareAfter is how soon after that an entry serves on its own share of the
+	// degradedAfter is how soon after that an entry serves on its own share of the
 	// slots.
-	shareAfter = 100 * time.Millisecond
+	degradedAfter = 100 * time.Millisecond
 )
 
 // joinPeers makes the parts that act together with the other daemons. Those
@@ -54,38 +54,38 @@
 	}
 	g.host = poolhost.New(poolhost.Config{
 		Self: s.Name, Region: s.Region, Snapshots: g.pools, Views: g.views, Transport: g.transport,
-		DegradedAfter: shareAfter, Unmonitored: true, Metrics: g.metrics, NewScheduler: newScheduler,
+		DegradedAfter: degradedAfter, Unmonitored: true, Metrics: g.metrics, NewScheduler: newScheduler,
 	})
 	g.broker = broker.New(g.host)
-	g.quotas = newQuotas(g.ledger, g.budgets, g.transport, g.views, time.Now)
-	g.asker = newAsker(g.state, g.transport, g.views, g.members.Joined())
+	g.quotas = newQuotaSync(g.ledger, g.budgets, g.transport, g.views, time.Now)
+	g.peerSync = newPeerSync(g.state, g.transport, g.views, g.members.Joined())
 	g.rollouts.join(s.Region, g.transport, g.views, g.host.Owner)
 	g.transport.Start()
 	g.members.Start()
 	return nil
 }
 
-// patience is the part of its first-token target for which a request waits for
+// maxWaitShare is the part of its first-token target for which a request waits for
 // a slot. One that waits longer is late, or nearly, when it is granted, and it
 // takes the slot of one that would be in time; its caller, if it is refused
 // after all, has lost that time.
-const patience = 0.12
+const maxWaitShare = 0.12
 
-// longPatience is the same where the pace of grants lets a request have its slot by
+// extendedWaitShare is the same where the pace of grants lets a request have its slot by
 // then: it waits as long as it may be in time. With less, those that would be served a
 // moment later are refused, come back in the burst and are refused again.
-const longPatience = 1.0
+const extendedWaitShare = 1.0
 
 // runGrace is how long past its deadline a run stays counted: the time for its
 // release to arrive.
 const runGrace = time.Second
 
-// headroom is the part of all slots kept free of lower tiers.
-const headroom = 0.05
+// headroomShare is the part of all slots kept free of lower tiers.
+const headroomShare = 0.05
 
 func newScheduler(p *workspace.ResolvedPool, epoch uint64) poolhost.Scheduler {
 	return pool.New(pool.Config{
-		Name: p.Name, Epoch: epoch, Seed: epoch, MaxWaitShare: patience, ExtendedWaitShare: longPatience, Headroom: headroom,
+		Name: p.Name, Epoch: epoch, Seed: epoch, MaxWaitShare: maxWaitShare, ExtendedWaitShare: extendedWaitShare, Headroom: headroomShare,
 		ReleaseGrace: runGrace, KeepStragglers: true, SpareFastServers: true,
 	})
 }
--- a/internal/gateway/asker_test.go
+++ b/internal/gateway/peersync_test.go
@@ -17,60 +17,60 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// askOnce lets one daemon ask another, and returns what it was told.
-func askOnce(from, of *asker) *wire.SyncAnswer {
+// pollOnce lets one daemon ask another, and returns what it was told.
+func pollOnce(from, of *peerSync) *wire.SyncAnswer {
 	q := &wire.SyncAsk{ServersRevision: uint64(from.state.serversRevision), Changes: true}
-	m, _ := of.newer(q, of.state.serversFresh.Mark())
-	mark := from.state.serversFresh.Mark()
-	from.take(m, mark, mark)
+	m, _ := of.buildAnswer(q, of.state.serversFreshness.Mark())
+	mark := from.state.serversFreshness.Mark()
+	from.apply(m, mark, mark)
 	return m
 }
 
 // Guards against this: readers send megabytes a second to daemons in other zones.
-func TestOnlyWhatChangedIsTold(t *testing.T) {
+func TestSyncSendsOnlyChanges(t *testing.T) {
 	server := func(id string, slots int) discovery.Server {
 		return discovery.Server{ID: id, Service: "app", Slots: slots}
 	}
 	Convey("Given a reader, and a daemon that has its list", t, func() {
-		reader, other := &asker{state: configuredState()}, &asker{state: configuredState()}
+		reader, follower := &peerSync{state: stateWithRoutes()}, &peerSync{state: stateWithRoutes()}
 		reader.state.replaceServers([]discovery.Server{server("a", 1), server("b", 1), server("c", 1)}, 50)
-		So(askOnce(other, reader).Servers, ShouldHaveLength, 3)
+		So(pollOnce(follower, reader).Servers, ShouldHaveLength, 3)
 		Convey("a change is told alone, and what has gone", func() {
 			reader.state.putServer(server("a", 2), 51)
 			reader.state.removeServer("b", 0, 52)
-			m := askOnce(other, reader)
+			m := pollOnce(follower, reader)
 			So(m.Servers, ShouldHaveLength, 1)
 			So(m.Removed, ShouldResemble, []string{"b"})
-			So(other.state.directory.Listed(), ShouldResemble, reader.state.directory.Listed())
-			So(askOnce(other, reader).ServersTold, ShouldBeFalse)
+			So(follower.state.directory.Listed(), ShouldResemble, reader.state.directory.Listed())
+			So(pollOnce(follower, reader).ServersTold, ShouldBeFalse)
 		})
 		Convey("what the daemon has read by itself is told once more, and not for ever", func() {
-			other.state.putServer(server("a", 2), 51)
+			follower.state.putServer(server("a", 2), 51)
 			reader.state.putServer(server("a", 2), 60)
-			So(askOnce(other, reader).ServersTold, ShouldBeTrue)
-			So(askOnce(other, reader).ServersTold, ShouldBeFalse)
+			So(pollOnce(follower, reader).ServersTold, ShouldBeTrue)
+			So(pollOnce(follower, reader).ServersTold, ShouldBeFalse)
 		})
 		Convey("changes since another revision than the daemon's are left alone", func() {
 			q := &wire.SyncAsk{ServersRevision: 50, Changes: true}
 			reader.state.removeServer("b", 0, 52)
-			m, _ := reader.newer(q, 0)
-			other.state.putServer(server("d", 1), 51)
-			other.take(m, 0, 0)
-			So(other.state.serversRevision, ShouldEqual, 51)
-			So(askOnce(other, reader).ServersTold, ShouldBeTrue)
+			m, _ := reader.buildAnswer(q, 0)
+			follower.state.putServer(server("d", 1), 51)
+			follower.apply(m, 0, 0)
+			So(follower.state.serversRevision, ShouldEqual, 51)
+			So(pollOnce(follower, reader).ServersTold, ShouldBeTrue)
 		})
 		Convey("who can't take changes, or has none of it, is told all", func() {
 			reader.state.removeServer("b", 0, 52)
-			m, _ := reader.newer(&wire.SyncAsk{ServersRevision: 50}, 0)
+			m, _ := reader.buildAnswer(&wire.SyncAsk{ServersRevision: 50}, 0)
 			So(m.ServersBase, ShouldEqual, 0)
 			So(m.Servers, ShouldHaveLength, 2)
-			m, _ = reader.newer(&wire.SyncAsk{Changes: true}, 0)
+			m, _ = reader.buildAnswer(&wire.SyncAsk{Changes: true}, 0)
 			So(m.ServersBase, ShouldEqual, 0)
 		})
 	})
 }
 
-func configuredState() *state {
+func stateWithRoutes() *state {
 	s := emptyState()
 	s.routes.Update(&route.Table{Version: 1, Services: map[string]*route.Service{"app": {}}})
 	return s
@@ -82,45 +82,45 @@
 }
 
 // Guards against this: daemons that get what they know from a reader list the servers themselves each few seconds.
-func TestAProofCountsFromTheReadersRead(t *testing.T) {
+func TestProofAgeCountsFromReadersRead(t *testing.T) {
 	Convey("Given a reader that has just read", t, func() {
-		reader := &asker{state: emptyState()}
-		reader.state.serversFresh.Prove(reader.state.serversFresh.Mark())
-		reader.state.configFresh.Prove(reader.state.configFresh.Mark())
+		reader := &peerSync{state: emptyState()}
+		reader.state.serversFreshness.Prove(reader.state.serversFreshness.Mark())
+		reader.state.configFreshness.Prove(reader.state.configFreshness.Mark())
 
 		Convey("an ask that it held for a second proves almost as much as its read", func() {
-			came := reader.state.serversFresh.Mark() - time.Second
-			m, _ := reader.newer(&wire.SyncAsk{}, came)
+			received := reader.state.serversFreshness.Mark() - time.Second
+			m, _ := reader.buildAnswer(&wire.SyncAsk{}, received)
 			So(m.HeldMs, ShouldBeGreaterThanOrEqualTo, 1000)
 
-			other := &asker{state: emptyState()}
-			sent := other.state.serversFresh.Mark() - 1100*time.Millisecond
-			other.take(m, sent, sent)
-			age, ok := other.state.serversFresh.Age()
+			follower := &peerSync{state: emptyState()}
+			sent := follower.state.serversFreshness.Mark() - 1100*time.Millisecond
+			follower.apply(m, sent, sent)
+			age, ok := follower.state.serversFreshness.Age()
 			So(ok, ShouldBeTrue)
-			sinceSent := other.state.serversFresh.Mark() - sent
+			sinceSent := follower.state.serversFreshness.Mark() - sent
 			So(age, ShouldBeLessThanOrEqualTo, sinceSent-time.Second+milliseconds(m.ServersAgeMs))
 			So(age, ShouldBeGreaterThanOrEqualTo, 100*time.Millisecond)
-			age, ok = other.state.configFresh.Age()
+			age, ok = follower.state.configFreshness.Age()
 			So(ok, ShouldBeTrue)
-			So(age, ShouldBeLessThanOrEqualTo, other.state.configFresh.Mark()-sent-time.Second+milliseconds(m.ConfigAgeMs))
+			So(age, ShouldBeLessThanOrEqualTo, follower.state.configFreshness.Mark()-sent-time.Second+milliseconds(m.ConfigAgeMs))
 		})
 		Convey("it tells no longer a hold than there was", func() {
-			began := reader.state.serversFresh.Mark()
+			start := reader.state.serversFreshness.Mark()
 			payload, err := proto.Marshal(&wire.SyncAsk{HoldMs: 1})
 			So(err, ShouldBeNil)
-			answer, err := reader.answer(context.Background(), "b", payload)
+			answer, err := reader.handlePoll(context.Background(), "b", payload)
 			So(err, ShouldBeNil)
 			var m wire.SyncAnswer
 			So(proto.Unmarshal(answer, &m), ShouldBeNil)
 			So(m.HeldMs, ShouldBeGreaterThanOrEqualTo, 1)
-			So(milliseconds(m.HeldMs), ShouldBeLessThanOrEqualTo, reader.state.serversFresh.Mark()-began)
+			So(milliseconds(m.HeldMs), ShouldBeLessThanOrEqualTo, reader.state.serversFreshness.Mark()-start)
 		})
 		Convey("an answer that tells too long a hold proves nothing of the future", func() {
-			other := &asker{state: emptyState()}
-			sent := other.state.serversFresh.Mark()
-			other.take(&wire.SyncAnswer{ConfigAgeMs: 20, ServersAgeMs: 20, HeldMs: 3_600_000}, sent, sent)
-			for _, f := range []*revision.Freshness{other.state.serversFresh, other.state.configFresh} {
+			follower := &peerSync{state: emptyState()}
+			sent := follower.state.serversFreshness.Mark()
+			follower.apply(&wire.SyncAnswer{ConfigAgeMs: 20, ServersAgeMs: 20, HeldMs: 3_600_000}, sent, sent)
+			for _, f := range []*revision.Freshness{follower.state.serversFreshness, follower.state.configFreshness} {
 				age, ok := f.Age()
 				So(ok, ShouldBeTrue)
 				So(age, ShouldBeGreaterThanOrEqualTo, 20*time.Millisecond)
@@ -128,10 +128,10 @@
 		})
 		Convey("it never proves more than the read: an ask that came after it counts as of the read", func() {
 			m := &wire.SyncAnswer{ConfigAgeMs: -1, ServersAgeMs: 5000, HeldMs: 300}
-			other := &asker{state: emptyState()}
-			sent := other.state.serversFresh.Mark() - 400*time.Millisecond
-			other.take(m, sent, sent)
-			age, _ := other.state.serversFresh.Age()
+			follower := &peerSync{state: emptyState()}
+			sent := follower.state.serversFreshness.Mark() - 400*time.Millisecond
+			follower.apply(m, sent, sent)
+			age, _ := follower.state.serversFreshness.Age()
 			So(age, ShouldBeGreaterThanOrEqualTo, 5100*time.Millisecond)
 		})
 	})
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -13,64 +13,64 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// versionPools are the servers of a service that have pools of their own: those of one
+// versionGroup are the servers of a service that have pools of their own: those of one
 // version, where versions count.
 //
 // What goes wrong with one pool for all versions: its scheduler sends to the fastest server
 // and follows prefixes, and a new version gets more than its share. Since a pool has its
 // version's name for as long as there are servers of it, none moves to another one, whose
 // owner would not know what runs there, when a version is promoted or rolled back.
-type versionPools struct {
+type versionGroup struct {
 	service, version string
 	arm              rollout.Arm
 	servers          []discovery.Server // sorted by ID
 }
 
-func (p *versionPools) name() string {
-	if p.version == "" {
-		return p.service
+func (g *versionGroup) name() string {
+	if g.version == "" {
+		return g.service
 	}
-	return p.service + "@" + p.version
+	return g.service + "@" + g.version
 }
 
-// division is how the servers of a service are divided by their version.
-type division struct {
+// partitioner is how the servers of a service are divided by their version.
+type partitioner struct {
 	// arm returns what a server is to its service's requests; nil: versions don't count.
 	arm func(discovery.Server) rollout.Arm
-	// canaries returns the servers of a new version that get canaries now, beside so many
+	// canaryServers returns the servers of a new version that get canaries now, beside so many
 	// stable ones.
-	canaries func(service string, stable int, servers []discovery.Server) []discovery.Server
+	canaryServers func(service string, stable int, servers []discovery.Server) []discovery.Server
 }
 
-// divide divides the servers, which are sorted by ID.
-func (d division) divide(servers []discovery.Server) []*versionPools {
+// partition divides the servers, which are sorted by ID.
+func (p partitioner) partition(servers []discovery.Server) []*versionGroup {
 	type key struct{ service, version string }
-	pools := map[key]*versionPools{}
+	groups := map[key]*versionGroup{}
 	stable := map[string]int{}
 	for _, s := range servers {
 		k, arm := key{service: s.Service}, rollout.Stable
-		if d.arm != nil {
-			k.version, arm = s.Version, d.arm(s)
+		if p.arm != nil {
+			k.version, arm = s.Version, p.arm(s)
 		}
 		if arm == rollout.Off {
 			continue
 		}
-		if pools[k] == nil {
-			pools[k] = &versionPools{service: k.service, version: k.version, arm: arm}
+		if groups[k] == nil {
+			groups[k] = &versionGroup{service: k.service, version: k.version, arm: arm}
 		}
-		pools[k].servers = append(pools[k].servers, s)
+		groups[k].servers = append(groups[k].servers, s)
 		if arm == rollout.Stable {
 			stable[s.Service]++
 		}
 	}
-	out := make([]*versionPools, 0, len(pools))
-	for _, p := range pools {
-		if p.arm == rollout.Canary {
-			p.servers = d.canaries(p.service, stable[p.service], p.servers)
+	out := make([]*versionGroup, 0, len(groups))
+	for _, g := range groups {
+		if g.arm == rollout.Canary {
+			g.servers = p.canaryServers(g.service, stable[g.service], g.servers)
 		}
-		out = append(out, p)
+		out = append(out, g)
 	}
-	slices.SortFunc(out, func(a, b *versionPools) int {
+	slices.SortFunc(out, func(a, b *versionGroup) int {
 		return cmp.Or(cmp.Compare(a.service, b.service), cmp.Compare(a.version, b.version))
 	})
 	return out
@@ -79,19 +79,19 @@
 // buildPools makes the pools of each service: one a version or, where that has too many
 // servers for one owner to schedule, as many as it takes that none has many more than
 // workspace.MaxPoolServers. A service without a stable server has an empty one.
-func buildPools(t *route.Table, servers []discovery.Server, region string, d division) *workspace.Snapshot {
+func buildPools(t *route.Table, servers []discovery.Server, region string, p partitioner) *workspace.Snapshot {
 	out := &workspace.Snapshot{
 		Pools:      make(map[string]*workspace.ResolvedPool, len(t.Services)),
 		ModelPools: make(map[workspace.ModelRegion][]*workspace.ResolvedPool, len(t.Services)),
 	}
-	for _, p := range d.divide(servers) {
-		if t.Services[p.service] != nil {
-			addPools(out, p, region)
+	for _, g := range p.partition(servers) {
+		if t.Services[g.service] != nil {
+			addPools(out, g, region)
 		}
 	}
 	for name := range t.Services {
 		if out.ModelPools[workspace.ModelRegion{Model: name, Region: region}] == nil {
-			addPools(out, &versionPools{service: name, arm: rollout.Stable}, region)
+			addPools(out, &versionGroup{service: name, arm: rollout.Stable}, region)
 		}
 	}
 	return out
@@ -99,25 +99,25 @@
 
 // addPools adds the pools of a version. Requests that are no canaries ask for those of the
 // stable versions under the empty one.
-func addPools(to *workspace.Snapshot, p *versionPools, region string) {
-	key := workspace.ModelRegion{Model: p.service, Region: region}
-	if p.arm == rollout.Canary {
-		key.Version = p.version
+func addPools(snapshot *workspace.Snapshot, g *versionGroup, region string) {
+	key := workspace.ModelRegion{Model: g.service, Region: region}
+	if g.arm == rollout.Canary {
+		key.Version = g.version
 	}
-	shards := make([]*workspace.ResolvedPool, max(1, (len(p.servers)+workspace.MaxPoolServers-1)/workspace.MaxPoolServers))
+	shards := make([]*workspace.ResolvedPool, max(1, (len(g.servers)+workspace.MaxPoolServers-1)/workspace.MaxPoolServers))
 	for i := range shards {
-		name := p.name()
+		name := g.name()
 		if i > 0 {
 			name += "#" + strconv.Itoa(i)
 		}
-		shards[i] = &workspace.ResolvedPool{Pool: workspace.Pool{Name: name, Region: region, Model: p.service, Version: key.Version}}
-		to.Pools[name] = shards[i]
+		shards[i] = &workspace.ResolvedPool{Pool: workspace.Pool{Name: name, Region: region, Model: g.service, Version: key.Version}}
+		snapshot.Pools[name] = shards[i]
 	}
-	for _, s := range p.servers {
+	for _, s := range g.servers {
 		shard := shards[shardOf(s.ID, len(shards))]
 		shard.Servers = append(shard.Servers, backendServer(s, shard.Name, region))
 	}
-	to.ModelPools[key] = append(to.ModelPools[key], shards...)
+	snapshot.ModelPools[key] = append(snapshot.ModelPools[key], shards...)
 }
 
 // shardOf puts a server into one of n pools by jump consistent hashing (Lamping
@@ -125,13 +125,13 @@
 // takes about ln n steps, rendezvous hashing n, for each server at each change of one
 // (BenchmarkBuildPools).
 func shardOf(id string, n int) int {
-	key, at, next := xxhash.Sum64String(id), int64(0), int64(0)
+	key, bucket, next := xxhash.Sum64String(id), int64(0), int64(0)
 	for next < int64(n) {
-		at = next
+		bucket = next
 		key = key*2862933555777941757 + 1
-		next = int64(float64(at+1) * (float64(1<<31) / float64(key>>33+1)))
+		next = int64(float64(bucket+1) * (float64(1<<31) / float64(key>>33+1)))
 	}
-	return int(at)
+	return int(bucket)
 }
 
 func backendServer(s discovery.Server, pool, region string) workspace.BackendServer {
--- a/internal/gateway/pools_test.go
+++ b/internal/gateway/pools_test.go
@@ -22,7 +22,7 @@
 	}
 	Convey("A service has one pool, or as many as its servers need", t, func() {
 		for n, pools := range map[int]int{0: 1, 1: 1, 32: 1, 33: 2, 112: 4} {
-			s := buildPools(table, servers(n), "r", division{})
+			s := buildPools(table, servers(n), "r", partitioner{})
 			all := s.ModelPools[workspace.ModelRegion{Model: "llm", Region: "r"}]
 			So(len(all), ShouldEqual, pools)
 			sum := 0
@@ -37,7 +37,7 @@
 	})
 	Convey("A pool tells its servers' incarnations apart", t, func() {
 		of := func(startedAt int64) string {
-			s := buildPools(table, []discovery.Server{{ID: "a-1", Service: "app", StartedAt: startedAt}}, "r", division{})
+			s := buildPools(table, []discovery.Server{{ID: "a-1", Service: "app", StartedAt: startedAt}}, "r", partitioner{})
 			return s.Pools["app"].Servers[0].Incarnation
 		}
 		So(of(1000), ShouldNotBeEmpty)
@@ -71,6 +71,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		buildPools(table, servers, "r", division{})
+		buildPools(table, servers, "r", partitioner{})
 	}
 }
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotasync.go
@@ -16,60 +16,60 @@
 )
 
 const (
-	// tellEvery is how often what was let through is told. It takes up to three
+	// quotaSyncInterval is how often what was let through is told. It takes up to three
 	// of them until all daemons know (daemon, hub, hub, daemon), and what they
 	// let through meanwhile goes beyond the quota.
-	tellEvery = 80 * time.Millisecond
-	// askEvery is how often a daemon that lets nothing through asks what the
+	quotaSyncInterval = 80 * time.Millisecond
+	// quotaIdleInterval is how often a daemon that lets nothing through asks what the
 	// others do. It is far below quota.SilenceTimeout.
-	askEvery = 3 * tellEvery
-	// tellAllEvery is how often hubs tell each other all, so that a lost
+	quotaIdleInterval = 3 * quotaSyncInterval
+	// hubFullSyncInterval is how often hubs tell each other all, so that a lost
 	// message counts for no longer. It is below quota.SilenceTimeout.
-	tellAllEvery = 500 * time.Millisecond
+	hubFullSyncInterval = 500 * time.Millisecond
 	// hubTimeout is how long a daemon waits for a hub's answer before it goes to
 	// another: five answers of it in a row are missing by then.
-	hubTimeout = 5 * tellEvery
+	hubTimeout = 5 * quotaSyncInterval
 )
 
-// quotas tells the other daemons what was let through of the quotas, by way of
+// quotaSync tells the other daemons what was let through of the quotas, by way of
 // a hub, and is one itself for the daemons that report to it.
-type quotas struct {
+type quotaSync struct {
 	ledger    *quota.Limiter
 	exchange  *quota.Exchange
-	budgets   *budgets
+	budgets   *retryBudgets
 	transport peer.Transport
 	views     *member.CurrentView
 	log       *logrus.Entry
 
-	mu      sync.Mutex
-	view    *member.View
-	sharers *sharers
-	others  []string // the other daemons that have a share
-	route   hubRoute
-	at      int       // of route.candidates: the hub that is reported to
-	sent    time.Time // the last report
-	asked   time.Time // the first report without an answer; zero: none
-	told    time.Time // when all was told to the other hubs
-	hubs    map[string]bool
+	mu              sync.Mutex
+	view            *member.View
+	shareHolders    *shareHolders
+	others          []string // the other daemons that have a share
+	route           hubRoute
+	hubIndex        int       // of route.candidates: the hub that is reported to
+	lastSent        time.Time // the last report
+	unansweredSince time.Time // the first report without an answer; zero: none
+	lastFullSync    time.Time // when all was told to the other hubs
+	targetHubs      map[string]bool
 }
 
-func newQuotas(l *quota.Limiter, b *budgets, t peer.Transport, views *member.CurrentView, now func() time.Time) *quotas {
-	q := &quotas{
+func newQuotaSync(l *quota.Limiter, b *retryBudgets, t peer.Transport, views *member.CurrentView, now func() time.Time) *quotaSync {
+	q := &quotaSync{
 		ledger: l, exchange: quota.NewExchange(l, now, uint64(now().UnixNano())),
-		budgets: b, transport: t, views: views, log: logs.For("quotas"), sharers: newSharers(),
+		budgets: b, transport: t, views: views, log: logs.For("quotas"), shareHolders: newShareHolders(),
 	}
-	t.Handle(peer.TypeQuotaBatch, q.report)
-	t.Handle(peer.TypeQuotaAnswer, q.learn)
-	t.Handle(peer.TypeQuotaGroup, q.takeGroup)
+	t.Handle(peer.TypeQuotaBatch, q.handleBatch)
+	t.Handle(peer.TypeQuotaAnswer, q.handleAnswer)
+	t.Handle(peer.TypeQuotaGroup, q.handleGroup)
 	return q
 }
 
 // Run tells until ctx ends.
-func (q *quotas) Run(ctx context.Context) {
-	t := time.NewTicker(tellEvery)
+func (q *quotaSync) Run(ctx context.Context) {
+	t := time.NewTicker(quotaSyncInterval)
 	defer t.Stop()
 	for {
-		q.tell(time.Now())
+		q.tick(time.Now())
 		select {
 		case <-ctx.Done():
 			return
@@ -78,82 +78,82 @@
 	}
 }
 
-func (q *quotas) tell(now time.Time) {
+func (q *quotaSync) tick(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.look(now)
+	q.refreshView(now)
 	if len(q.others) == 0 || q.ledger.Empty() {
 		return
 	}
-	if q.route.candidates[q.at] == q.view.Self || q.exchange.HasReporters() {
-		q.asked = time.Time{}
+	if q.route.candidates[q.hubIndex] == q.view.Self || q.exchange.HasReporters() {
+		q.unansweredSince = time.Time{}
 		q.exchange.ActAsHub()
-		q.tellHubs(now)
+		q.sendGroup(now)
 		return
 	}
-	q.reportTo(now)
+	q.sendBatch(now)
 }
 
-// look takes a new view's members.
-func (q *quotas) look(now time.Time) {
+// refreshView takes a new view's members.
+func (q *quotaSync) refreshView(now time.Time) {
 	view := q.views.Load()
-	if view == q.view && !q.sharers.due(now) {
+	if view == q.view && !q.shareHolders.due(now) {
 		return
 	}
-	q.others = q.sharers.others(view, now)
+	q.others = q.shareHolders.others(view, now)
 	if view != q.view {
 		q.view = view
-		q.route, q.at = routeToHub(view), 0
+		q.route, q.hubIndex = newHubRoute(view), 0
 	}
 	q.ledger.SetMembers(q.others)
-	q.budgets.share(len(q.others) + 1)
+	q.budgets.setDaemons(len(q.others) + 1)
 }
 
-// reportTo sends the batch to the hub, or to the next candidate if that does
+// sendBatch sends the batch to the hub, or to the next candidate if that does
 // not answer.
-func (q *quotas) reportTo(now time.Time) {
-	if !q.asked.IsZero() && now.Sub(q.asked) > hubTimeout {
-		was := q.route.candidates[q.at]
-		q.at = (q.at + 1) % len(q.route.candidates)
-		q.asked = time.Time{}
-		q.log.WithFields(logrus.Fields{"hub": q.route.candidates[q.at], "before": was}).Info("Hub of the quotas does not answer.")
+func (q *quotaSync) sendBatch(now time.Time) {
+	if !q.unansweredSince.IsZero() && now.Sub(q.unansweredSince) > hubTimeout {
+		prev := q.route.candidates[q.hubIndex]
+		q.hubIndex = (q.hubIndex + 1) % len(q.route.candidates)
+		q.unansweredSince = time.Time{}
+		q.log.WithFields(logrus.Fields{"hub": q.route.candidates[q.hubIndex], "before": prev}).Info("Hub of the quotas does not answer.")
 		return
 	}
-	if q.asked.IsZero() && !q.ledger.HasUnreported() && now.Sub(q.sent) < askEvery {
+	if q.unansweredSince.IsZero() && !q.ledger.HasUnreported() && now.Sub(q.lastSent) < quotaIdleInterval {
 		return
 	}
 	b := q.exchange.NextBatch()
-	q.sent = now
-	if q.asked.IsZero() {
-		q.asked = now
+	q.lastSent = now
+	if q.unansweredSince.IsZero() {
+		q.unansweredSince = now
 	}
-	q.send(q.route.candidates[q.at], peer.TypeQuotaBatch, &wire.QuotaBatch{
+	q.send(q.route.candidates[q.hubIndex], peer.TypeQuotaBatch, &wire.QuotaBatch{
 		Incarnation: b.Incarnation, Number: b.Number, Uses: usesToWire(b.Usage), Hub: b.Hub, Version: b.Version, Behind: b.Incomplete,
 	})
 }
 
-// tellHubs tells the other hubs what the daemons of this one let through: those
+// sendGroup tells the other hubs what the daemons of this one let through: those
 // of the view, and those that are hubs by their own.
-func (q *quotas) tellHubs(now time.Time) {
+func (q *quotaSync) sendGroup(now time.Time) {
 	targets := map[string]bool{}
 	for _, name := range append(q.exchange.LiveHubs(), q.route.hubs...) {
 		targets[name] = name != q.view.Self
 	}
-	all := now.Sub(q.told) >= tellAllEvery
+	full := now.Sub(q.lastFullSync) >= hubFullSyncInterval
 	for name := range targets {
-		all = all || !q.hubs[name]
+		full = full || !q.targetHubs[name]
 	}
-	q.hubs = targets
-	if all {
-		q.told = now
+	q.targetHubs = targets
+	if full {
+		q.lastFullSync = now
 	}
-	g := q.exchange.NextHubReport(all)
-	if len(g.Usage) == 0 && !all {
+	g := q.exchange.NextHubReport(full)
+	if len(g.Usage) == 0 && !full {
 		return
 	}
 	m := &wire.QuotaGroup{
 		Incarnation: g.Incarnation, Sequence: g.Sequence, Complete: g.Complete, Uses: usesToWire(g.Usage),
-		Levels: usesToWire(g.Levels), Daemons: g.Daemons, Silent: g.Silent, AgeMs: inMs(g.Age), RunningMs: inMs(g.Uptime),
+		Levels: usesToWire(g.Levels), Daemons: g.Daemons, Silent: g.Silent, AgeMs: toMs(g.Age), RunningMs: toMs(g.Uptime),
 	}
 	for name, other := range targets {
 		if other {
@@ -164,7 +164,7 @@
 
 // send sends a message. One that is lost is made up for: batches are sent until
 // they are acknowledged, and groups hold counts, not changes.
-func (q *quotas) send(to string, t peer.Type, m proto.Message) {
+func (q *quotaSync) send(to string, t peer.Type, m proto.Message) {
 	payload, err := proto.Marshal(m)
 	if err != nil {
 		q.log.WithField("type", t).WithError(err).Error("Message can't be encoded.")
@@ -175,24 +175,24 @@
 	}
 }
 
-// report answers a daemon's batch.
-func (q *quotas) report(_ context.Context, from peer.Name, payload []byte) ([]byte, error) {
+// handleBatch answers a daemon's batch.
+func (q *quotaSync) handleBatch(_ context.Context, from peer.Name, payload []byte) ([]byte, error) {
 	var m wire.QuotaBatch
 	if err := proto.Unmarshal(payload, &m); err != nil {
 		return nil, err
 	}
 	a := q.exchange.HandleBatch(string(from), quota.Batch{
-		Incarnation: m.Incarnation, Number: m.Number, Usage: usesOf(m.Uses), Hub: m.Hub, Version: m.Version, Incomplete: m.Behind,
+		Incarnation: m.Incarnation, Number: m.Number, Usage: usesFromWire(m.Uses), Hub: m.Hub, Version: m.Version, Incomplete: m.Behind,
 	})
 	q.send(string(from), peer.TypeQuotaAnswer, &wire.QuotaAnswer{
 		Hub: a.Hub, Version: a.Version, Number: a.Number,
 		Others: usesToWire(a.Others), Levels: usesToWire(a.Levels),
-		Silent: a.Silent, AgeMs: inMs(a.Age),
+		Silent: a.Silent, AgeMs: toMs(a.Age),
 	})
 	return nil, nil
 }
 
-func (q *quotas) learn(_ context.Context, _ peer.Name, payload []byte) ([]byte, error) {
+func (q *quotaSync) handleAnswer(_ context.Context, _ peer.Name, payload []byte) ([]byte, error) {
 	var m wire.QuotaAnswer
 	if err := proto.Unmarshal(payload, &m); err != nil {
 		return nil, err
@@ -200,23 +200,23 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	acknowledged := q.exchange.HandleAnswer(quota.Answer{
-		Hub: m.Hub, Version: m.Version, Number: m.Number, Others: usesOf(m.Others), Levels: usesOf(m.Levels),
+		Hub: m.Hub, Version: m.Version, Number: m.Number, Others: usesFromWire(m.Others), Levels: usesFromWire(m.Levels),
 		Silent: m.Silent, Age: milliseconds(m.AgeMs),
 	}, q.others)
 	if acknowledged {
-		q.asked = time.Time{}
+		q.unansweredSince = time.Time{}
 	}
 	return nil, nil
 }
 
-func (q *quotas) takeGroup(_ context.Context, from peer.Name, payload []byte) ([]byte, error) {
+func (q *quotaSync) handleGroup(_ context.Context, from peer.Name, payload []byte) ([]byte, error) {
 	var m wire.QuotaGroup
 	if err := proto.Unmarshal(payload, &m); err != nil {
 		return nil, err
 	}
 	q.exchange.HandleHubReport(string(from), quota.HubReport{
-		Incarnation: m.Incarnation, Sequence: m.Sequence, Complete: m.Complete, Usage: usesOf(m.Uses),
-		Levels: usesOf(m.Levels), Daemons: m.Daemons, Silent: m.Silent, Age: milliseconds(m.AgeMs), Uptime: milliseconds(m.RunningMs),
+		Incarnation: m.Incarnation, Sequence: m.Sequence, Complete: m.Complete, Usage: usesFromWire(m.Uses),
+		Levels: usesFromWire(m.Levels), Daemons: m.Daemons, Silent: m.Silent, Age: milliseconds(m.AgeMs), Uptime: milliseconds(m.RunningMs),
 	})
 	return nil, nil
 }
@@ -229,7 +229,7 @@
 	return out
 }
 
-func usesOf(uses []*wire.Use) []quota.Usage {
+func usesFromWire(uses []*wire.Use) []quota.Usage {
 	out := make([]quota.Usage, 0, len(uses))
 	for _, u := range uses {
 		out = append(out, quota.Usage{Workspace: u.Workspace, Amount: u.Amount})
--- /dev/null
+++ b/internal/gateway/quotasync_test.go
@@ -0,0 +1,205 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+	"google.golang.org/protobuf/proto"
+
+	"github.com/lycheekeel/lycheekeel/internal/gateway/wire"
+	"github.com/lycheekeel/lycheekeel/internal/peer"
+	"github.com/lycheekeel/lycheekeel/member"
+	"github.com/lycheekeel/lycheekeel/quota"
+	"github.com/lycheekeel/lycheekeel/route"
+)
+
+// sentMessage is a message that was sent.
+type sentMessage struct {
+	to      peer.Name
+	kind    peer.Type
+	payload []byte
+}
+
+// fakeTransport is a transport that keeps what is sent; each message counts.
+type fakeTransport struct {
+	handlers map[peer.Type]peer.Handler
+	sent     []sentMessage
+}
+
+func newFakeTransport() *fakeTransport { return &fakeTransport{handlers: map[peer.Type]peer.Handler{}} }
+
+func (p *fakeTransport) Self() peer.Name                         { return "self" }
+func (p *fakeTransport) Handle(t peer.Type, h peer.Handler)      { p.handlers[t] = h }
+func (p *fakeTransport) SetAddress(of peer.Name, address string) {}
+func (p *fakeTransport) OnDown(f func(of peer.Name))             {}
+
+func (p *fakeTransport) Send(to peer.Name, t peer.Type, payload []byte) error {
+	p.sent = append(p.sent, sentMessage{to, t, payload})
+	return nil
+}
+
+func (p *fakeTransport) Call(context.Context, peer.Name, peer.Type, []byte) ([]byte, error) {
+	return nil, peer.ErrNotConnected
+}
+
+// zoneMembers returns members of zones with so many daemons each: a1, a2, b1.
+func zoneMembers(counts map[string]int) []member.Member {
+	var out []member.Member
+	for zone, n := range counts {
+		for i := range n {
+			out = append(out, member.Member{Name: fmt.Sprint(zone, i+1), AvailabilityZone: zone, State: member.Alive})
+		}
+	}
+	return out
+}
+
+// newTestQuotaSync returns a daemon's part and what it sends.
+func newTestQuotaSync(self string, members []member.Member) (*quotaSync, *fakeTransport) {
+	stopped := func() time.Time { return time.Unix(1000, 0) }
+	ledger := quota.NewLimiter(stopped, assumedDaemons, quota.Tolerance{})
+	ledger.AddWorkspaces([]*route.Workspace{{Name: "w", Quota: route.Quota{PerSecond: 100, Burst: 1000}}})
+	views := &member.CurrentView{}
+	views.Store(member.NewView(self, members))
+	transport := newFakeTransport()
+	return newQuotaSync(ledger, newRetryBudgets(BoundsSettings{}), transport, views, stopped), transport
+}
+
+// deliver hands what was sent to one daemon over to it.
+func deliver(transport *fakeTransport, from string, to *quotaSync, name string, handlers map[peer.Type]peer.Handler) {
+	sent := transport.sent
+	transport.sent = nil
+	for _, m := range sent {
+		if string(m.to) == name {
+			_, err := handlers[m.kind](context.Background(), peer.Name(from), m.payload)
+			So(err, ShouldBeNil)
+		}
+	}
+}
+
+func TestQuotaSharesFollowPeers(t *testing.T) {
+	Convey("Given a daemon that sees another, and a third that is dead", t, func() {
+		members := append(zoneMembers(map[string]int{"a": 2}), member.Member{Name: "a3", AvailabilityZone: "a", State: member.Dead})
+		one, oneTransport := newTestQuotaSync("a1", members)
+		two, twoTransport := newTestQuotaSync("a2", members)
+		now := time.Unix(1000, 0)
+		one.tick(now)
+		two.tick(now)
+		Convey("one that says nothing keeps its share, one that is dead has none", func() {
+			So(one.ledger.Share(), ShouldEqual, 0.5)
+		})
+		Convey("what each lets through is told by the hub", func() {
+			hub, other, hubTransport, otherTransport := one, two, oneTransport, twoTransport
+			if newHubRoute(two.view).candidates[0] == "a2" {
+				hub, other, hubTransport, otherTransport = two, one, twoTransport, oneTransport
+			}
+			exchange := func() {
+				other.lastSent = time.Time{}
+				other.tick(now)
+				deliver(otherTransport, other.view.Self, hub, hub.view.Self, hubTransport.handlers)
+				deliver(hubTransport, hub.view.Self, other, other.view.Self, otherTransport.handlers)
+				hub.tick(now)
+			}
+			exchange()
+			So(hub.ledger.Share(), ShouldEqual, 1)
+			So(other.ledger.Share(), ShouldEqual, 1)
+			before := hub.ledger.Levels()[0].Amount
+			hub.exchange.HandleBatch("a3", quota.Batch{Number: 1, Usage: []quota.Usage{{Workspace: "w", Amount: 70}}})
+			exchange()
+			for _, q := range []*quotaSync{hub, other} {
+				So(q.ledger.Levels()[0].Amount, ShouldAlmostEqual, before-70, 1e-6)
+			}
+		})
+	})
+}
+
+// Guards against this: the messages on quotas take more of a small VM than its requests.
+func TestQuotaMessagesPerDaemonAreBounded(t *testing.T) {
+	Convey("Given 13 zones with 30 daemons each", t, func() {
+		counts := map[string]int{}
+		for z := range 13 {
+			counts[fmt.Sprint("zone", string(rune('a'+z)), "-")] = 30
+		}
+		members := zoneMembers(counts)
+		hubs := map[string]int{}
+		for _, m := range members {
+			q, transport := newTestQuotaSync(m.Name, members)
+			q.tick(time.Unix(1000, 0))
+			So(len(transport.sent), ShouldBeLessThanOrEqualTo, 25) // a hub's word to the others
+			if len(transport.sent) == 1 {
+				So(transport.sent[0].kind, ShouldEqual, peer.TypeQuotaBatch)
+				So(string(transport.sent[0].to)[:6], ShouldEqual, m.Name[:6]) // its own zone
+				hubs[string(transport.sent[0].to)]++
+			}
+		}
+		So(len(hubs), ShouldEqual, 26)
+		for _, reports := range hubs {
+			So(reports, ShouldBeLessThanOrEqualTo, 28)
+		}
+	})
+}
+
+// Guards against this: a daemon lets only its share of each quota through for seconds.
+func TestHubFailover(t *testing.T) {
+	// asks returns whom a daemon reports to while nobody answers, in order, and
+	// to whom it tells what its group lets through.
+	run := func(self string, members []member.Member) (reported []string, groups map[string]bool) {
+		q, transport := newTestQuotaSync(self, members)
+		groups = map[string]bool{}
+		start := time.Unix(1000, 0)
+		for now := start; now.Sub(start) < 20*hubTimeout; now = now.Add(quotaSyncInterval) {
+			q.tick(now)
+		}
+		for _, m := range transport.sent {
+			switch {
+			case m.kind == peer.TypeQuotaGroup:
+				groups[string(m.to)] = true
+			case len(reported) == 0 || reported[len(reported)-1] != string(m.to):
+				reported = append(reported, string(m.to))
+			}
+		}
+		return reported, groups
+	}
+	members := zoneMembers(map[string]int{"a": 3, "b": 1, "c": 1})
+	var ranked []string // the daemons of the zone, its hub first
+	for _, m := range members {
+		if c := newHubRoute(member.NewView(m.Name, members)).candidates; m.AvailabilityZone == "a" && len(c) > 1 {
+			ranked = c[:3]
+		}
+	}
+	Convey("A daemon goes through its zone until it is a hub itself", t, func() {
+		reported, groups := run(ranked[2], members)
+		So(reported, ShouldResemble, ranked[:2])
+		So(groups, ShouldResemble, map[string]bool{ranked[0]: true, "b1": true, "c1": true})
+	})
+	Convey("One that is leaving, and can't be a hub, goes on to those of other zones", t, func() {
+		leaving := zoneMembers(map[string]int{"a": 3, "b": 1, "c": 1})
+		for i := range leaving {
+			if leaving[i].Name == ranked[2] {
+				leaving[i].State = member.Leaving
+			}
+		}
+		reported, _ := run(ranked[2], leaving)
+		So(reported[:2], ShouldResemble, ranked[:2])
+		So(reported, ShouldContain, "b1")
+		So(reported, ShouldContain, "c1")
+	})
+}
+
+func TestMalformedQuotaMessagesAreRefused(t *testing.T) {
+	Convey("They are refused and change nothing", t, func() {
+		q, transport := newTestQuotaSync("a1", zoneMembers(map[string]int{"a": 2}))
+		for _, m := range []peer.Type{peer.TypeQuotaBatch, peer.TypeQuotaAnswer, peer.TypeQuotaGroup} {
+			_, err := transport.handlers[m](context.Background(), "a2", []byte{0xff, 0xff})
+			So(err, ShouldNotBeNil)
+		}
+		payload, err := proto.Marshal(&wire.QuotaAnswer{Number: 5, Others: []*wire.Use{{Workspace: "w", Amount: 9}}})
+		So(err, ShouldBeNil)
+		before := q.ledger.Levels()[0].Amount
+		_, err = transport.handlers[peer.TypeQuotaAnswer](context.Background(), "a2", payload)
+		So(err, ShouldBeNil)
+		So(q.ledger.Levels()[0].Amount, ShouldEqual, before)
+	})
+}
--- a/internal/gateway/budgets.go
+++ b/internal/gateway/retrybudgets.go
@@ -15,7 +15,7 @@
 	retrySlackShare = 0.8
 )
 
-// budgets holds the retry budget of each service. The slack of the bound is
+// retryBudgets holds the retry budget of each service. The slack of the bound is
 // shared by the daemons: each may save up its part alone.
 //
 // What goes wrong with a part that does not follow their number: the more daemons
@@ -23,44 +23,44 @@
 // go beyond what was promised.
 // The number only grows: daemons that are out of sight still have their parts.
 // It is safe for concurrent use.
-type budgets struct {
-	bounds  BoundsSettings
-	most    atomic.Int64 // daemons seen at once; 0: none was met yet
-	service sync.Map     // name to *retry.Budget
+type retryBudgets struct {
+	bounds     BoundsSettings
+	maxDaemons atomic.Int64 // daemons seen at once; 0: none was met yet
+	byService  sync.Map     // name to *retry.Budget
 }
 
-func newBudgets(b BoundsSettings) *budgets {
-	return &budgets{bounds: b}
+func newRetryBudgets(b BoundsSettings) *retryBudgets {
+	return &retryBudgets{bounds: b}
 }
 
-// of returns a service's budget.
-func (b *budgets) of(service string) *retry.Budget {
-	if x, ok := b.service.Load(service); ok {
+// forService returns a service's budget.
+func (b *retryBudgets) forService(service string) *retry.Budget {
+	if x, ok := b.byService.Load(service); ok {
 		return x.(*retry.Budget)
 	}
 	// A process that has just started does not know how many share the slack.
-	fresh := retry.NewBudget(b.bounds.RetryRatio*retryRatioShare, 1)
-	fresh.SetBurst(b.burst())
-	x, _ := b.service.LoadOrStore(service, fresh)
+	created := retry.NewBudget(b.bounds.RetryRatio*retryRatioShare, 1)
+	created.SetBurst(b.burst())
+	x, _ := b.byService.LoadOrStore(service, created)
 	return x.(*retry.Budget)
 }
 
 // burst is how many retries this daemon may save up.
-func (b *budgets) burst() float64 {
-	daemons := b.most.Load()
+func (b *retryBudgets) burst() float64 {
+	daemons := b.maxDaemons.Load()
 	if daemons == 0 {
 		return 1
 	}
-	return max(1, b.bounds.RetrySlack*retrySlackShare/float64(max(daemons, daemonsAssumed)))
+	return max(1, b.bounds.RetrySlack*retrySlackShare/float64(max(daemons, assumedDaemons)))
 }
 
-// share divides the slack by the number of daemons that are there.
-func (b *budgets) share(daemons int) {
-	if int64(daemons) > b.most.Load() {
-		b.most.Store(int64(daemons))
+// setDaemons divides the slack by the number of daemons that are there.
+func (b *retryBudgets) setDaemons(daemons int) {
+	if int64(daemons) > b.maxDaemons.Load() {
+		b.maxDaemons.Store(int64(daemons))
 	}
 	burst := b.burst()
-	b.service.Range(func(_, x any) bool {
+	b.byService.Range(func(_, x any) bool {
 		x.(*retry.Budget).SetBurst(burst)
 		return true
 	})
--- a/internal/gateway/rolloutrecord.go
+++ b/internal/gateway/rolloutrecord.go
@@ -66,9 +66,9 @@
 	return time.Now().Add(-age), true
 }
 
-// recall lets a decider that has just begun know a rollout's age from the record.
-func (d *deciders) recall(ctx context.Context, id rollout.ID) {
-	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+// restoreAge lets a decider that has just begun know a rollout's age from the record.
+func (d *deciders) restoreAge(ctx context.Context, id rollout.ID) {
+	ctx, cancel := context.WithTimeout(ctx, rolloutReadTimeout)
 	defer cancel()
 	known, ok := d.readRecord(ctx, id)
 	if !ok {
--- a/internal/gateway/rolloutreader.go
+++ b/internal/gateway/rolloutreflector.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// rolloutsInterval is how often the rollouts are read although the watch tells of no
-	// change; rolloutsIntervalSoon the same while one runs or servers wait for them.
-	rolloutsInterval     = 20 * time.Second
-	rolloutsIntervalSoon = time.Second
+	// rolloutsReadInterval is how often the rollouts are read although the watch tells of no
+	// change; rolloutsReadIntervalActive the same while one runs or servers wait for them.
+	rolloutsReadInterval       = 20 * time.Second
+	rolloutsReadIntervalActive = time.Second
 )
 
-// restsFor is how often a daemon that does not read the rollouts looks whether it has to.
-const restsFor = 500 * time.Millisecond
+// idleCheckInterval is how often a daemon that does not read the rollouts looks whether it has to.
+const idleCheckInterval = 500 * time.Millisecond
 
-// restsFromRollouts tells whether a daemon that is not one of the readers can leave the
+// rolloutsMayIdle tells whether a daemon that is not one of the readers can leave the
 // rollouts to them: they tell of each change. It can't where servers wait for them, or one
 // runs, and no reader answers.
 //
 // What goes wrong where each daemon reads them at its start and at intervals: the
 // store's calls grow with the fleet though nothing is rolled out.
-func (r *reader) restsFromRollouts() bool { return r.told() || !r.state.rolloutsWanted() }
+func (r *reflector) rolloutsMayIdle() bool { return r.readerAnswers() || !r.state.needsRollouts() }
 
-// rolloutsEvery is how often the rollouts are read.
-func (r *reader) rolloutsEvery() time.Duration {
-	if r.state.rolloutsWanted() {
-		return rolloutsIntervalSoon
+// rolloutsInterval is how often the rollouts are read.
+func (r *reflector) rolloutsInterval() time.Duration {
+	if r.state.needsRollouts() {
+		return rolloutsReadIntervalActive
 	}
-	return rolloutsInterval
+	return rolloutsReadInterval
 }
 
-func (r *reader) replaceRollouts(l objectstore.List) bool {
+func (r *reflector) applyRolloutList(l objectstore.List) bool {
 	all := make([]rollout.Rollout, 0, len(l.Objects))
 	for _, o := range l.Objects {
 		all = append(all, r.state.decodeRollout(o))
@@ -42,12 +42,12 @@
 	return true
 }
 
-func (r *reader) changeRollout(e objectstore.Event, as objectstore.Version) {
+func (r *reflector) applyRolloutEvent(e objectstore.Event, rev objectstore.Version) {
 	if e.Deleted {
-		r.state.removeRollout(e.Object.Name, e.Object.Version, as)
+		r.state.removeRollout(e.Object.Name, e.Object.Version, rev)
 		return
 	}
-	r.state.putRollout(r.state.decodeRollout(e.Object), as)
+	r.state.putRollout(r.state.decodeRollout(e.Object), rev)
 }
 
 // decodeRollout decodes a rollout. One that can't be read is told, and keeps new versions
--- /dev/null
+++ b/internal/gateway/rolloutstate.go
@@ -0,0 +1,255 @@
+package gateway
+
+import (
+	"maps"
+	"slices"
+
+	"github.com/lycheekeel/lycheekeel/discovery"
+	"github.com/lycheekeel/lycheekeel/internal/gateway/wire"
+	"github.com/lycheekeel/lycheekeel/objectstore"
+	"github.com/lycheekeel/lycheekeel/rollout"
+)
+
+// rolloutState is what a daemon knows of the operators' rollouts, and which servers may
+// get requests because of it. It is used with the state's mutex held.
+type rolloutState struct {
+	// enabled is set where the operators allow rollouts. Without them versions don't
+	// count, and no call of the store is spent on rollouts.
+	enabled bool
+	all     rollout.Set
+	// revision is as of when they are known; 0: they were never read.
+	revision objectstore.Version
+	versions map[string]*rollout.Versions // by service
+	// firstSeen is the directory's revision at which a service's version appeared.
+	firstSeen map[serviceVersion]objectstore.Version
+	arms      map[serviceVersion]rollout.Arm
+	// readNow is told when a version appears for which the rollouts have to be read.
+	readNow chan struct{}
+}
+
+type serviceVersion struct{ service, version string }
+
+func newRolloutState(enabled bool) rolloutState {
+	return rolloutState{
+		enabled: enabled, all: rollout.Set{}, versions: map[string]*rollout.Versions{},
+		firstSeen: map[serviceVersion]objectstore.Version{}, arms: map[serviceVersion]rollout.Arm{},
+		readNow: make(chan struct{}, 1),
+	}
+}
+
+// arm returns what a server is to its service's requests.
+func (rs *rolloutState) arm(s discovery.Server) rollout.Arm {
+	if !rs.enabled {
+		return rollout.Stable
+	}
+	return rs.arms[serviceVersion{s.Service, s.Version}]
+}
+
+// assignArms works out the arms of all versions of the servers that are there, as of the
+// directory's revision.
+func (rs *rolloutState) assignArms(servers []discovery.Server, rev objectstore.Version) {
+	if !rs.enabled {
+		return
+	}
+	present := map[string][]string{}
+	for _, s := range servers {
+		if !slices.Contains(present[s.Service], s.Version) {
+			present[s.Service] = append(present[s.Service], s.Version)
+		}
+		if _, seen := rs.firstSeen[serviceVersion{s.Service, s.Version}]; !seen {
+			rs.firstSeen[serviceVersion{s.Service, s.Version}] = max(rev, objectstore.Version(s.Revision))
+		}
+	}
+	for v := range rs.firstSeen {
+		if !slices.Contains(present[v.service], v.version) {
+			delete(rs.firstSeen, v) // it is new when it comes back
+		}
+	}
+	clear(rs.arms)
+	for service, versions := range present {
+		for version, arm := range rs.armsOf(service, versions) {
+			rs.arms[serviceVersion{service, version}] = arm
+		}
+	}
+	if rs.hasPendingVersions() {
+		select {
+		case rs.readNow <- struct{}{}:
+		default:
+		}
+	}
+}
+
+func (rs *rolloutState) armsOf(service string, versions []string) map[string]rollout.Arm {
+	var r *rollout.Rollout
+	if known, ok := rs.all[service]; ok {
+		r = &known
+	}
+	return rs.versionsOf(service).Arms(r, versions, func(version string) bool {
+		return rs.readSince(serviceVersion{service, version})
+	})
+}
+
+// readSince tells whether the rollouts are known as of a moment at which servers of the
+// version were there already: a rollout is requested before its servers start.
+func (rs *rolloutState) readSince(v serviceVersion) bool {
+	return rs.revision > 0 && rs.revision >= rs.firstSeen[v]
+}
+
+// hasPendingVersions tells whether servers wait for the rollouts to be read.
+func (rs *rolloutState) hasPendingVersions() bool {
+	for v, arm := range rs.arms {
+		if arm == rollout.Off && !rs.readSince(v) {
+			return true
+		}
+	}
+	return false
+}
+
+// rejectedVersions returns the versions that must not serve.
+func (rs *rolloutState) rejectedVersions() []*wire.ServiceVersion {
+	var out []*wire.ServiceVersion
+	for service, v := range rs.versions {
+		for _, version := range v.Unfit() {
+			out = append(out, &wire.ServiceVersion{Service: service, Version: version})
+		}
+	}
+	return out
+}
+
+// versionsOf returns the versions of a service.
+func (rs *rolloutState) versionsOf(service string) *rollout.Versions {
+	if rs.versions[service] == nil {
+		rs.versions[service] = rollout.NewVersions()
+	}
+	return rs.versions[service]
+}
+
+// anyRunning tells whether a rollout has no outcome yet.
+func (rs *rolloutState) anyRunning() bool {
+	for _, r := range rs.all {
+		if r.InProgress() {
+			return true
+		}
+	}
+	return false
+}
+
+// rollout returns a service's rollout.
+func (s *state) rollout(service string) (rollout.Rollout, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r, ok := s.rollouts.all[service]
+	return r, ok
+}
+
+// allRollouts returns all rollouts.
+func (s *state) allRollouts() []rollout.Rollout {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Collect(maps.Values(s.rollouts.all))
+}
+
+// applyRolloutList takes all rollouts as of a revision, unless newer ones are known.
+func (s *state) replaceRollouts(all []rollout.Rollout, rev objectstore.Version) {
+	s.applyPeerRollouts(all, nil, rev)
+}
+
+// applyPeerRollouts is the same of what a reader tells, with the versions that it knows must
+// not serve.
+func (s *state) applyPeerRollouts(all []rollout.Rollout, unfit []*wire.ServiceVersion, rev objectstore.Version) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if rev < s.rollouts.revision {
+		return
+	}
+	for _, x := range unfit {
+		s.rollouts.versionsOf(x.Service).MarkUnfit(x.Version)
+	}
+	hadPending := s.rollouts.hasPendingVersions()
+	changed := s.rollouts.all.Replace(all)
+	s.rollouts.revision = rev
+	if changed || hadPending {
+		s.rebuildLocked()
+		s.notifyChangedLocked()
+	}
+}
+
+// recordOutcome takes what this daemon has written of a rollout itself. It proves nothing
+// of the others.
+func (s *state) recordOutcome(r rollout.Rollout) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if known, ok := s.rollouts.all[r.Service]; ok && known.ID == r.ID && s.rollouts.all.Put(r) {
+		s.rebuildLocked()
+		s.notifyChangedLocked()
+	}
+}
+
+// putRollout takes one changed rollout, removeRollout the withdrawal of one at a revision.
+func (s *state) putRollout(r rollout.Rollout, rev objectstore.Version) {
+	s.updateRollouts(rev, func() { s.rollouts.all.Put(r) })
+}
+
+func (s *state) removeRollout(service string, removedAt, rev objectstore.Version) {
+	s.updateRollouts(rev, func() {
+		if s.rollouts.all[service].Revision <= uint64(removedAt) {
+			delete(s.rollouts.all, service)
+		}
+	})
+}
+
+// applyRolloutEvent takes one of the changes of a watch, which come several at a time with
+// the revision after the last.
+func (s *state) updateRollouts(rev objectstore.Version, change func()) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if rev < s.rollouts.revision {
+		return
+	}
+	change()
+	s.rollouts.revision = rev
+	s.rebuildLocked()
+	s.notifyChangedLocked()
+}
+
+// needsRollouts tells whether the rollouts have to be read often: one runs, or servers
+// wait for them.
+func (s *state) needsRollouts() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.rollouts.anyRunning() || s.rollouts.hasPendingVersions()
+}
+
+// rolloutFacts returns what a rollout's decision needs to know of a service's servers.
+func (s *state) rolloutFacts(service string) rollout.ServiceStatus {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var f rollout.ServiceStatus
+	to := s.rollouts.all[service].To
+	for _, x := range s.directory.Servers() {
+		if x.Service != service || x.Leaving {
+			continue
+		}
+		switch arm := s.rollouts.arm(x); {
+		case arm == rollout.Off:
+		case x.Version != to:
+			f.StableServers++
+			f.StableSlots += x.Slots
+		default:
+			f.ServedBefore = arm == rollout.Stable
+			f.NewServers++
+			f.NewSlots += x.Slots
+			if !x.Cold {
+				f.WarmServers++
+			}
+		}
+	}
+	return f
+}
+
+// rebuild makes the pools anew: other servers of a new version get canaries now.
+func (s *state) rebuild() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.rebuildLocked()
+}
--- a/internal/gateway/rolloutwire.go
+++ b/internal/gateway/rolloutwire.go
@@ -18,7 +18,7 @@
 	return out
 }
 
-func rolloutsOf(all []*wire.Rollout) []rollout.Rollout {
+func rolloutsFromWire(all []*wire.Rollout) []rollout.Rollout {
 	out := make([]rollout.Rollout, 0, len(all))
 	for _, r := range all {
 		out = append(out, rollout.Rollout{
@@ -33,7 +33,7 @@
 func reportToWire(id rollout.ID, r rollout.Report) *wire.RolloutReport {
 	m := &wire.RolloutReport{
 		Service: id.Service, To: id.To, Created: id.Created, Incarnation: r.Incarnation, Number: r.Number,
-		AgeMs: inMs(r.Age),
+		AgeMs: toMs(r.Age),
 	}
 	for key, c := range r.Cells {
 		m.Cells = append(m.Cells, &wire.RolloutCell{
@@ -44,7 +44,7 @@
 	return m
 }
 
-func reportOf(m *wire.RolloutReport, from string) (rollout.ID, rollout.Report) {
+func reportFromWire(m *wire.RolloutReport, from string) (rollout.ID, rollout.Report) {
 	r := rollout.Report{
 		Reporter: from, Incarnation: m.Incarnation, Number: m.Number, Age: milliseconds(m.AgeMs),
 		Cells: make(map[rollout.Key]rollout.Cell, len(m.Cells)),
@@ -52,7 +52,7 @@
 	for _, c := range m.Cells {
 		r.Cells[rollout.Key{Route: c.Route, Server: c.Server}] = rollout.Cell{
 			Counts:     rollout.Counts{Runs: c.Runs, Failed: c.Failed, Broken: c.Broken, Slow: c.Slow},
-			FirstEvent: timesOf(c.First), PerToken: timesOf(c.Pace), Total: timesOf(c.Whole),
+			FirstEvent: timesFromWire(c.First), PerToken: timesFromWire(c.Pace), Total: timesFromWire(c.Whole),
 		}
 	}
 	return rollout.ID{Service: m.Service, To: m.To, Created: m.Created}, r
@@ -70,7 +70,7 @@
 	return m
 }
 
-func timesOf(m *wire.Times) rollout.Times {
+func timesFromWire(m *wire.Times) rollout.Times {
 	t := rollout.Times{}
 	if m == nil {
 		return t
@@ -83,18 +83,18 @@
 
 func planToWire(p rollout.Plan) *wire.RolloutPlan {
 	m := &wire.RolloutPlan{
-		Phase: uint32(p.Phase), Share: p.CanaryShare, Open: p.OpenAll, StopInMs: inMs(p.StableStopIn),
-		SpikeInMs: inMs(p.SpikeIn), SpikeMs: inMs(p.SpikeFor),
+		Phase: uint32(p.Phase), Share: p.CanaryShare, Open: p.OpenAll, StopInMs: toMs(p.StableStopIn),
+		SpikeInMs: toMs(p.SpikeIn), SpikeMs: toMs(p.SpikeFor),
 	}
 	for name, r := range p.Routes {
 		m.Routes = append(m.Routes, &wire.RolloutRoute{
-			Route: name, SlowFirstMs: inMs(r.Slow.FirstEvent), SlowPaceMs: inMs(r.Slow.PerToken), LeadMs: inMs(r.Lead),
+			Route: name, SlowFirstMs: toMs(r.Slow.FirstEvent), SlowPaceMs: toMs(r.Slow.PerToken), LeadMs: toMs(r.Lead),
 		})
 	}
 	return m
 }
 
-func planOf(m *wire.RolloutPlan) rollout.Plan {
+func planFromWire(m *wire.RolloutPlan) rollout.Plan {
 	p := rollout.Plan{
 		Phase: rollout.Phase(m.Phase), CanaryShare: m.Share, OpenAll: m.Open, StableStopIn: milliseconds(m.StopInMs),
 		SpikeIn: milliseconds(m.SpikeInMs), SpikeFor: milliseconds(m.SpikeMs), Routes: make(map[string]rollout.RoutePlan, len(m.Routes)),
@@ -107,4 +107,4 @@
 	return p
 }
 
-func inMs(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func toMs(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/gateway/serverlog.go
+++ b/internal/gateway/serverlog.go
@@ -14,25 +14,25 @@
 		known[x.ID] = x.Incarnation()
 	}
 	defer func() { s.incarnations = known }()
-	before := s.usable.Load()
-	if before == nil {
+	prev := s.usable.Load()
+	if prev == nil {
 		s.log.WithFields(logrus.Fields{"servers": len(servers), "revision": s.serversRevision}).Info("Servers are there.")
 		return
 	}
 	for _, x := range servers {
-		was, ok := (*before)[x.ID]
+		prevUse, ok := (*prev)[x.ID]
 		if ok && s.incarnations[x.ID] != known[x.ID] {
-			s.logServer(x).WithField("before", s.incarnations[x.ID]).Info("Server has started again.")
+			s.serverLog(x).WithField("before", s.incarnations[x.ID]).Info("Server has started again.")
 		}
 		switch {
 		case !ok && !x.Leaving:
-			s.logServer(x).Info("Server is there.")
-		case ok && !was.leaving && x.Leaving, !ok && x.Leaving:
-			s.logServer(x).Info("Server is leaving.")
+			s.serverLog(x).Info("Server is there.")
+		case ok && !prevUse.leaving && x.Leaving, !ok && x.Leaving:
+			s.serverLog(x).Info("Server is leaving.")
 		}
 	}
-	for id := range *before {
-		if _, there := known[id]; !there {
+	for id := range *prev {
+		if _, present := known[id]; !present {
 			s.log.WithFields(logrus.Fields{"server": id, "revision": s.serversRevision}).Info("Server is gone.")
 		}
 	}
@@ -44,15 +44,15 @@
 	now := make(map[string]string, len(entries))
 	for _, x := range entries {
 		now[x.ID] = x.InvalidReason
-		if s.invalid[x.ID] == x.InvalidReason {
+		if s.invalidReasons[x.ID] == x.InvalidReason {
 			continue
 		}
 		s.invalidEntries.Add(1)
 		s.log.WithFields(logrus.Fields{"server": x.ID, "reason": x.InvalidReason, "revision": x.Revision}).Warn("Server's entry is malformed.")
 	}
-	s.invalid = now
+	s.invalidReasons = now
 }
 
-func (s *state) logServer(x discovery.Server) *logrus.Entry {
+func (s *state) serverLog(x discovery.Server) *logrus.Entry {
 	return s.log.WithFields(logrus.Fields{"server": x.ID, "service": x.Service, "version": x.Version, "address": x.Address, "incarnation": x.Incarnation(), "revision": s.serversRevision})
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -40,10 +40,10 @@
 	LinkMbps float64 `json:"link_mbps" validate:"gte=0"`
 }
 
-// wideLink is the bandwidth, in Mbit/s, from which on a link does not bound
+// wideLinkMbps is the bandwidth, in Mbit/s, from which on a link does not bound
 // what a VM can take on. It only has to be far above what an owner sends: the
 // busiest VM of the capacity model exchanges 14.6 KB/s (0.12 Mbit/s).
-const wideLink = 100
+const wideLinkMbps = 100
 
 // weight is how much the VM can take on beside its callers, as member.Member
 // has it; 0 where that is not known.
@@ -52,8 +52,8 @@
 		return 0
 	}
 	w := l.CPUCores
-	if l.LinkMbps > 0 && l.LinkMbps < wideLink {
-		w *= l.LinkMbps / wideLink
+	if l.LinkMbps > 0 && l.LinkMbps < wideLinkMbps {
+		w *= l.LinkMbps / wideLinkMbps
 	}
 	return uint32(max(1, w*1000))
 }
--- a/internal/gateway/sharers_test.go
+++ b/internal/gateway/shareholders_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against both sides of a cut that each divide a whole quota once they take the other for dead.
-func TestTheLostKeepTheirShare(t *testing.T) {
+func TestLostDaemonsKeepTheirShare(t *testing.T) {
 	now := time.Unix(1000, 0)
 	view := func(states ...member.State) *member.View {
 		v := &member.View{Self: "self", Members: []member.Member{{Name: "self", State: member.Alive}}}
@@ -20,25 +20,25 @@
 		return v
 	}
 	Convey("One that is dead without having left keeps its share for a while", t, func() {
-		s := newSharers()
+		s := newShareHolders()
 		s.others(view(member.Alive, member.Suspect), now)
 		So(s.others(view(member.Alive, member.Dead), now), ShouldResemble, []string{"a", "b"})
-		So(s.due(now.Add(deadKeepsShare-time.Second)), ShouldBeFalse)
-		later := now.Add(deadKeepsShare)
+		So(s.due(now.Add(lostShareTTL-time.Second)), ShouldBeFalse)
+		later := now.Add(lostShareTTL)
 		So(s.due(later), ShouldBeTrue)
 		So(s.others(view(member.Alive, member.Dead), later), ShouldResemble, []string{"a"})
 		So(s.due(later), ShouldBeFalse)
 	})
 	Convey("One that has left has none, and one that is back has one", t, func() {
-		s := newSharers()
+		s := newShareHolders()
 		s.others(view(member.Leaving), now)
 		So(s.others(view(member.Dead), now), ShouldBeEmpty)
 		So(s.others(view(member.Alive), now), ShouldResemble, []string{"a"})
 		So(s.others(view(member.Dead), now), ShouldResemble, []string{"a"})
 	})
 	Convey("A daemon that is cut off alone has its part of the quota, not that of the only one", t, func() {
-		q, _ := quotasOf("a1", zoned(map[string]int{"a": 4}))
-		q.tell(now)
+		q, _ := newTestQuotaSync("a1", zoneMembers(map[string]int{"a": 4}))
+		q.tick(now)
 		So(q.others, ShouldHaveLength, 3)
 		dead := q.views.Load().Members
 		lost := &member.View{Self: "a1"}
@@ -49,7 +49,7 @@
 			lost.Members = append(lost.Members, m)
 		}
 		q.views.Store(lost)
-		q.tell(now)
+		q.tick(now)
 		So(q.others, ShouldHaveLength, 3)
 		So(q.ledger.Share(), ShouldEqual, 0.25)
 	})
--- a/internal/gateway/sync_test.go
+++ b/internal/gateway/state_test.go
@@ -14,46 +14,46 @@
 	"github.com/lycheekeel/lycheekeel/route"
 )
 
-// configured returns a state with a configuration of one service in force, whose
+// stateWithConfig returns a state with a configuration of one service in force, whose
 // objects' values are versions.
-func configured() *state {
+func stateWithConfig() *state {
 	s := emptyState()
 	s.platform.DecodeConfiguration = func(value []byte) (route.Document, error) {
 		return route.Document{Version: uint64(value[0]), Services: []route.Service{{Name: "app"}}}, nil
 	}
-	s.offerConfig(objectstore.Object{Version: 70, Value: []byte{7}})
+	s.applyConfig(objectstore.Object{Version: 70, Value: []byte{7}})
 	return s
 }
 
 // Guards against this: a server that has left comes back for a moment, or a route that was withdrawn.
-func TestStateNeverGoesBack(t *testing.T) {
+func TestStateIgnoresOlderRevisions(t *testing.T) {
 	Convey("An older list of servers changes nothing", t, func() {
-		s := configured()
+		s := stateWithConfig()
 		s.replaceServers([]discovery.Server{{ID: "a", Service: "app"}}, 50)
 		s.replaceServers([]discovery.Server{{ID: "a", Service: "app"}, {ID: "b", Service: "app"}}, 49)
 		s.putServer(discovery.Server{ID: "c", Service: "app"}, 48)
 		So(*s.usable.Load(), ShouldResemble, map[string]serverUse{"a": {arm: rollout.Stable}})
 	})
 	Convey("An older configuration is neither in force nor told to others", t, func() {
-		s := configured()
-		So(s.offerConfig(objectstore.Object{Version: 60, Value: []byte{6}}), ShouldBeTrue)
+		s := stateWithConfig()
+		So(s.applyConfig(objectstore.Object{Version: 60, Value: []byte{6}}), ShouldBeTrue)
 		So(s.config.Version, ShouldEqual, 70)
 		So(s.routes.Load().Version, ShouldEqual, 7)
 	})
 	Convey("A leaving server may not be used, whoever grants it", t, func() {
-		s := configured()
+		s := stateWithConfig()
 		s.replaceServers([]discovery.Server{{ID: "a", Service: "app", Leaving: true}, {ID: "b", Service: "app"}}, 50)
 		So(*s.usable.Load(), ShouldResemble, map[string]serverUse{"a": {leaving: true, arm: rollout.Stable}, "b": {arm: rollout.Stable}})
 	})
 }
 
 // Guards against this: after an outage of the store a server that has left is used for seconds.
-func TestAReadersWordConfirmsTheServers(t *testing.T) {
+func TestReaderConfirmsServers(t *testing.T) {
 	Convey("What a reader has confirmed since the outage goes at once", t, func() {
 		for _, confirmed := range []bool{true, false} {
-			s := configured()
+			s := stateWithConfig()
 			s.replaceServers([]discovery.Server{{ID: "a", Service: "app"}, {ID: "b", Service: "app"}}, 50)
-			s.storeAway()
+			s.storeUnavailable()
 			s.replaceServers([]discovery.Server{{ID: "b", Service: "app"}}, 51) // the store is back
 			if confirmed {
 				s.replaceServers([]discovery.Server{{ID: "a", Service: "app"}, {ID: "b", Service: "app"}}, 52)
@@ -65,9 +65,9 @@
 		}
 	})
 	Convey("A reader that has another list confirms nothing", t, func() {
-		s := configured()
+		s := stateWithConfig()
 		s.replaceServers([]discovery.Server{{ID: "a", Service: "app"}}, 50)
-		s.storeAway()
+		s.storeUnavailable()
 		s.confirmServers(49)
 		s.removeServer("a", 0, 51)
 		_, known := (*s.usable.Load())["a"]
