--- a/broker/broker.go
+++ b/broker/broker.go
@@ -39,13 +39,13 @@
 	// tokens so far, mean time between the tokens since the last report.
 	Progress(firstToken time.Duration, tokens int, perToken time.Duration)
 	// Release frees the slot after a dispatch.
-	Release(end End)
-	// Return gives the slot back; nothing was dispatched.
-	Return()
+	Release(end Completion)
+	// ReturnUnused gives the slot back; nothing was dispatched.
+	ReturnUnused()
 }
 
-// End is how a dispatched request ended.
-type End struct {
+// Completion is how a dispatched request ended.
+type Completion struct {
 	Outcome         pool.Outcome
 	FirstToken      time.Duration
 	Total           time.Duration
--- a/broker/broker_test.go
+++ b/broker/broker_test.go
@@ -13,50 +13,50 @@
 
 func TestAcquire(t *testing.T) {
 	Convey("Given two daemons and a pool of two servers with one slot each", t, func() {
-		w := newWorld(1, "a", "b")
-		w.advance(time.Second)
-		owner, other := w.owner(), w.other()
+		sim := newSimulation(1, "a", "b")
+		sim.advance(time.Second)
+		owner, other := sim.owner(), sim.nonOwner()
 
 		Convey("both get slots, and the third waits until one is free", func() {
-			r1, ok1 := ended(owner.begin(1, time.Minute))
-			r2, ok2 := ended(other.begin(1, time.Minute))
-			third := other.begin(1, time.Minute)
+			r1, ok1 := poll(owner.acquire(1, time.Minute))
+			r2, ok2 := poll(other.acquire(1, time.Minute))
+			third := other.acquire(1, time.Minute)
 			So(ok1 && ok2, ShouldBeTrue)
 			So(r1.grant.Server().Name, ShouldNotEqual, r2.grant.Server().Name)
-			_, ok3 := ended(third)
+			_, ok3 := poll(third)
 			So(ok3, ShouldBeFalse)
-			r1.grant.Release(End{Outcome: pool.OutcomeDone})
-			w.pump()
-			r3, ok3 := ended(third)
+			r1.grant.Release(Completion{Outcome: pool.OutcomeDone})
+			sim.pump()
+			r3, ok3 := poll(third)
 			So(ok3, ShouldBeTrue)
 			So(r3.grant.Server().Name, ShouldEqual, r1.grant.Server().Name)
 		})
 		Convey("a caller that leaves frees its place, also when its grant is under way", func() {
-			waiting := other.begin(1, time.Minute)
+			waiting := other.acquire(1, time.Minute)
 			waiting.withdraw()
-			w.pump()
-			So(w.free(), ShouldEqual, 2)
+			sim.pump()
+			So(sim.freeSlots(), ShouldEqual, 2)
 		})
 		Convey("the first token is told at once, what follows goes along", func() {
-			r, _ := ended(other.begin(1, time.Minute))
+			r, _ := poll(other.acquire(1, time.Minute))
 			r.grant.Progress(time.Second, 1, 0)
 			r.grant.Progress(time.Second, 11, 20*time.Millisecond)
 			r.grant.Progress(time.Second, 21, 40*time.Millisecond)
-			w.pump()
-			So(w.progress(), ShouldResemble, []pool.Progress{
+			sim.pump()
+			So(sim.progressReports(), ShouldResemble, []pool.Progress{
 				{Request: r.grant.spec.ID, Grant: r.grant.id, Server: r.grant.server.Name, FirstToken: time.Second, Tokens: 1},
 			})
-			w.advance(time.Second)
-			So(len(w.progress()), ShouldEqual, 2)
-			So(w.progress()[1].Tokens, ShouldEqual, 21)
-			So(w.progress()[1].PerToken, ShouldEqual, 30*time.Millisecond) // the mean of both
+			sim.advance(time.Second)
+			So(len(sim.progressReports()), ShouldEqual, 2)
+			So(sim.progressReports()[1].Tokens, ShouldEqual, 21)
+			So(sim.progressReports()[1].PerToken, ShouldEqual, 30*time.Millisecond) // the mean of both
 		})
 		Convey("a deadline that passes is refused as not run", func() {
-			ended(owner.begin(1, time.Minute))
-			ended(owner.begin(1, time.Minute))
-			waiting := other.begin(1, 100*time.Millisecond)
-			w.advance(200 * time.Millisecond)
-			r, ok := ended(waiting)
+			poll(owner.acquire(1, time.Minute))
+			poll(owner.acquire(1, time.Minute))
+			waiting := other.acquire(1, 100*time.Millisecond)
+			sim.advance(200 * time.Millisecond)
+			r, ok := poll(waiting)
 			So(ok, ShouldBeTrue)
 			var refusal *request.Refusal
 			So(errors.As(r.err, &refusal), ShouldBeTrue)
@@ -67,26 +67,26 @@
 		Convey("Acquire ends with its context's error", func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
-			ended(owner.begin(1, time.Minute))
-			ended(owner.begin(1, time.Minute))
+			poll(owner.acquire(1, time.Minute))
+			poll(owner.acquire(1, time.Minute))
 			_, err := owner.entry.Acquire(ctx, Demand{
-				Spec:       &request.Spec{ID: "gone", Received: w.now},
-				Candidates: owner.begin(1, time.Minute).demand.Candidates,
+				Spec:       &request.Spec{ID: "gone", Received: sim.now},
+				Candidates: owner.acquire(1, time.Minute).demand.Candidates,
 			})
 			So(err, ShouldEqual, context.Canceled)
 		})
 	})
 }
 
-// free returns the owner's free slots, after time for a new summary.
-func (w *world) free() int {
-	w.advance(time.Second)
-	return w.owner().host.Summaries()[0].Free
+// freeSlots returns the owner's free slots, after time for a new summary.
+func (sim *simulation) freeSlots() int {
+	sim.advance(time.Second)
+	return sim.owner().host.Summaries()[0].Free
 }
 
-// progress returns the reports of progress that the owner got.
-func (w *world) progress() (out []pool.Progress) {
-	for _, ev := range w.events {
+// progressReports returns the reports of progress that the owner got.
+func (sim *simulation) progressReports() (out []pool.Progress) {
+	for _, ev := range sim.events {
 		if p, ok := ev.(pool.Progress); ok {
 			out = append(out, p)
 		}
--- a/broker/choose.go
+++ b/broker/choose.go
@@ -9,20 +9,20 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// waitStep is the difference of expected waits that outweighs a prefix that
+// waitGranularity is the difference of expected waits that outweighs a prefix that
 // the other pool may have cached.
-const waitStep = 200 * time.Millisecond
+const waitGranularity = 200 * time.Millisecond
 
-// briefAt is a pool's brief and until when it counts.
-type briefAt struct {
+// cachedBrief is a pool's brief and until when it counts.
+type cachedBrief struct {
 	poolwire.Brief
-	until time.Time
+	expires time.Time
 }
 
-// choose returns the link to the candidate with the shortest expected wait;
+// chooseLink returns the link to the candidate with the shortest expected wait;
 // among equals, the one that the prompt's first block is hashed to, so that
 // requests with the same prefix meet in one pool's caches.
-func (e *Entry) choose(d Demand) *link {
+func (e *Entry) chooseLink(d Demand) *link {
 	if len(d.Candidates) == 1 {
 		return e.link(d.Candidates[0].Name)
 	}
@@ -44,10 +44,10 @@
 // fresh is known.
 func (l *link) expectedWait(now time.Time, t request.Tier) int64 {
 	b := l.brief.Load()
-	if b == nil || now.After(b.until) || t >= request.MaxTiers {
+	if b == nil || now.After(b.expires) || t >= request.MaxTiers {
 		return 0
 	}
-	return int64(b.ExpectedWait[t] / waitStep)
+	return int64(b.ExpectedWait[t] / waitGranularity)
 }
 
 // affinity is the rendezvous weight of a request on a pool.
--- a/broker/load_test.go
+++ b/broker/cluster_test.go
@@ -113,7 +113,7 @@
 				}
 				g.Progress(time.Millisecond, 1, 0)
 				n.Add(-1)
-				g.Release(End{Outcome: pool.OutcomeDone})
+				g.Release(Completion{Outcome: pool.OutcomeDone})
 				if i == 0 && r%5 == 4 {
 					c.net.Down("a", "b")
 					c.net.Down("b", "c")
@@ -140,7 +140,7 @@
 				e = other
 			}
 			acquire(b, c, e) // opens the session
-			before := c.sent()
+			before := c.traffic()
 			b.ResetTimer()
 			var group conc.WaitGroup
 			for range v.callers {
@@ -153,7 +153,7 @@
 			group.Wait()
 			b.StopTimer()
 			n := float64(b.N / v.callers * v.callers)
-			after := c.sent()
+			after := c.traffic()
 			b.ReportMetric(float64(after.MessagesOut-before.MessagesOut)/n, "messages/op")
 			b.ReportMetric(float64(after.BytesOut-before.BytesOut)/n, "bytes/op")
 		})
@@ -166,11 +166,11 @@
 		tb.Error(err)
 		return
 	}
-	g.Release(End{Outcome: pool.OutcomeDone, FirstToken: time.Second, Total: 2 * time.Second, OutputTokens: 100, PromptTokens: 256})
+	g.Release(Completion{Outcome: pool.OutcomeDone, FirstToken: time.Second, Total: 2 * time.Second, OutputTokens: 100, PromptTokens: 256})
 }
 
-// sent sums what all daemons have sent.
-func (c *cluster) sent() (sum peertest.Counters) {
+// traffic sums what all daemons have sent.
+func (c *cluster) traffic() (sum peertest.Counters) {
 	for name := range c.entries {
 		n := c.net.Node(peer.Name(name)).Counters()
 		sum.MessagesOut += n.MessagesOut
@@ -212,13 +212,13 @@
 // happens: heartbeats, by the injected clock.
 func BenchmarkSession(b *testing.B) {
 	for range b.N {
-		w := newWorld(1, "a", "b")
-		w.other().begin(1, time.Hour)
-		w.advance(time.Second)
-		messages, bytes := w.messages, w.bytes
-		w.advance(10 * time.Second)
-		b.ReportMetric(float64(w.messages-messages)/10, "messages/s")
-		b.ReportMetric(float64(w.bytes-bytes)/10, "bytes/s")
+		sim := newSimulation(1, "a", "b")
+		sim.nonOwner().acquire(1, time.Hour)
+		sim.advance(time.Second)
+		messages, bytes := sim.messages, sim.bytes
+		sim.advance(10 * time.Second)
+		b.ReportMetric(float64(sim.messages-messages)/10, "messages/s")
+		b.ReportMetric(float64(sim.bytes-bytes)/10, "bytes/s")
 	}
 }
 
@@ -227,29 +227,29 @@
 func BenchmarkOwnerChange(b *testing.B) {
 	for range b.N {
 		b.StopTimer()
-		w := newWorld(1, "a", "b", "c")
-		w.advance(time.Second)
-		left := w.without(w.owner())
+		sim := newSimulation(1, "a", "b", "c")
+		sim.advance(time.Second)
+		survivors := sim.namesWithout(sim.owner())
 		next, _ := member.NewView("", []member.Member{
-			{Name: left[0], Region: testRegion}, {Name: left[1], Region: testRegion},
+			{Name: survivors[0], Region: testRegion}, {Name: survivors[1], Region: testRegion},
 		}).Owner(testPool, testRegion)
-		n := w.nodes[left[0]]
+		n := sim.nodes[survivors[0]]
 		if n.name == next.Name {
-			n = w.nodes[left[1]]
+			n = sim.nodes[survivors[1]]
 		}
 		for range 10000 {
-			n.begin(1, time.Hour)
+			n.acquire(1, time.Hour)
 		}
-		w.kill(w.owner())
-		w.setMembers(left...)
-		before := w.bytes
+		sim.kill(sim.owner())
+		sim.setMembers(survivors...)
+		before := sim.bytes
 		b.StartTimer()
-		w.advance(200 * time.Millisecond) // a hello is tried again after 100 ms
+		sim.advance(200 * time.Millisecond) // a hello is tried again after 100 ms
 		b.StopTimer()
-		if got := w.entryCount(n, "enqueued_again"); got != "9998" {
+		if got := sim.counter(n, "enqueued_again"); got != "9998" {
 			b.Fatalf("%s requests moved", got)
 		}
-		b.ReportMetric(float64(w.bytes-before), "bytes/op")
+		b.ReportMetric(float64(sim.bytes-before), "bytes/op")
 		b.StartTimer()
 	}
 }
--- a/broker/commands.go
+++ b/broker/commands.go
@@ -18,57 +18,57 @@
 	b := m.batch
 	switch {
 	case l.session.state != sessionClosed && b.Session == l.session.id:
-		l.takeBatch(b)
+		l.handleBatch(b)
 	case l.probe.state != sessionClosed && b.Session == l.probe.id:
-		l.takeProbeAnswer(b)
+		l.handleProbeAnswer(b)
 	default:
-		l.answerLate(m)
+		l.handleStaleBatch(m)
 	}
 }
 
-// takeBatch takes a batch of the session in force.
-func (l *link) takeBatch(b poolwire.Commands) {
+// handleBatch takes a batch of the session in force.
+func (l *link) handleBatch(b poolwire.Commands) {
 	s := &l.session
 	switch b.Verdict {
 	case poolwire.VerdictNotOwner:
-		l.entry.count.notOwner.Add(1)
-		l.lose(retryEvery)
+		l.entry.counters.notOwner.Add(1)
+		l.dropSession(helloRetryInterval)
 		return
 	case poolwire.VerdictReset:
-		l.entry.count.resets.Add(1)
-		l.lose(0)
+		l.entry.counters.sessionsReset.Add(1)
+		l.dropSession(0)
 		return
 	case poolwire.VerdictAccepted:
-		l.accepted(b)
+		l.sessionAccepted(b)
 	}
-	if !s.take(b) {
-		l.entry.count.gaps.Add(1)
-		l.lose(0)
+	if !s.acceptSeq(b) {
+		l.entry.counters.batchGaps.Add(1)
+		l.dropSession(0)
 		return
 	}
-	s.heard, s.next = l.now, b.Next
-	s.owed = s.owed || len(b.Commands) > 0
-	l.acked(b.Ack)
+	s.lastReceived, s.ownerInterval = l.now, b.Next
+	s.ackDue = s.ackDue || len(b.Commands) > 0
+	l.dropAcked(b.Ack)
 	if b.Brief != nil {
-		l.brief.Store(&briefAt{*b.Brief, l.now.Add(max(briefFresh, poolhost.SilenceLimit(b.Next)))})
+		l.brief.Store(&cachedBrief{*b.Brief, l.now.Add(max(briefMaxAge, poolhost.SilenceLimit(b.Next)))})
 	}
 	for _, c := range b.Commands {
-		l.takeCommand(c)
+		l.handleCommand(c)
 	}
 }
 
-func (l *link) takeCommand(c pool.Command) {
+func (l *link) handleCommand(c pool.Command) {
 	switch c := c.(type) {
 	case pool.Grant:
-		l.takeGrant(c)
+		l.handleGrant(c)
 	case pool.Shed:
 		if w := l.waiting[c.Request]; w != nil {
 			delete(l.waiting, c.Request)
-			l.entry.count.refusal(c.Reason).Add(1)
+			l.entry.counters.refusalCounter(c.Reason).Add(1)
 			w.done <- result{err: request.Refuse(c.Reason, "%s", shedMessage(c.Reason)).WithRetryAfter(c.RetryAfter)}
 		}
 	case pool.Redirect:
-		l.takeRedirect(c)
+		l.handleRedirect(c)
 	}
 }
 
@@ -83,47 +83,47 @@
 	}
 }
 
-// takeGrant hands a grant to its waiter. A grant that nobody waits for any
+// handleGrant hands a grant to its waiter. A grant that nobody waits for any
 // more crossed a withdrawal; it is given back unused.
 //
 // A scheduler that is asked again for a request that it has granted repeats
 // the grant. Were the repeated one taken too, it could outlive the release of
 // the first, and two requests would run in one slot; grant numbers only grow,
 // so a repeated one is known by its number.
-func (l *link) takeGrant(c pool.Grant) {
+func (l *link) handleGrant(c pool.Grant) {
 	w := l.waiting[c.Request]
 	s := &l.session
 	if c.Grant.Epoch != s.epoch || c.Grant.Seq <= s.lastGrant {
-		l.entry.count.doubledGrants.Add(1)
+		l.entry.counters.repeatedGrants.Add(1)
 		if l.running[c.Grant] == nil {
-			l.giveBack(c, w)
+			l.returnGrant(c, w)
 		}
 		return
 	}
 	s.lastGrant = c.Grant.Seq
 	if w == nil {
-		l.entry.count.lateGrants.Add(1)
-		l.giveBack(c, nil)
+		l.entry.counters.lateGrants.Add(1)
+		l.returnGrant(c, nil)
 		return
 	}
 	server, ok := l.findServer(w, c.Server)
 	if !ok {
-		l.entry.count.unknownServer.Add(1)
-		l.giveBack(c, w) // until this daemon has the newer configuration, too
+		l.entry.counters.unknownServer.Add(1)
+		l.returnGrant(c, w) // until this daemon has the newer configuration, too
 		return
 	}
 	delete(l.waiting, c.Request)
 	g := &grant{link: l, spec: w.demand.Spec, id: c.Grant, server: server}
 	l.running[c.Grant] = g
 	w.granted = g
-	l.entry.count.grants.Add(1)
+	l.entry.counters.grants.Add(1)
 	w.done <- result{grant: g}
 }
 
-// giveBack answers a grant unused; its waiter, if any, asks again at the next
+// returnGrant answers a grant unused; its waiter, if any, asks again at the next
 // tick.
-func (l *link) giveBack(c pool.Grant, w *waiter) {
-	l.out = append(l.out, notDispatched(c))
+func (l *link) returnGrant(c pool.Grant, w *waiter) {
+	l.outbox = append(l.outbox, notDispatched(c))
 	if w != nil {
 		w.requeue = true
 	}
@@ -153,8 +153,8 @@
 	return workspace.BackendServer{}, false
 }
 
-// takeRedirect moves a waiter to a sibling pool, once.
-func (l *link) takeRedirect(c pool.Redirect) {
+// handleRedirect moves a waiter to a sibling pool, once.
+func (l *link) handleRedirect(c pool.Redirect) {
 	w := l.waiting[c.Request]
 	if w == nil {
 		return
@@ -164,20 +164,20 @@
 		w.requeue = true
 		return
 	}
-	l.entry.count.redirected.Add(1)
+	l.entry.counters.redirected.Add(1)
 	delete(l.waiting, c.Request)
 	other := l.entry.link(c.Pool)
 	w.link.Store(other)
 	other.box.Post(acquireMessage{w})
 }
 
-// answerLate answers a batch of a session that this entry has given up, as
+// handleStaleBatch answers a batch of a session that this entry has given up, as
 // after a pause of the owner: its grants are never used.
-func (l *link) answerLate(m commandsMessage) {
+func (l *link) handleStaleBatch(m commandsMessage) {
 	var events []pool.Event
 	for _, c := range m.batch.Commands {
 		if g, ok := c.(pool.Grant); ok {
-			l.entry.count.lateGrants.Add(1)
+			l.entry.counters.lateGrants.Add(1)
 			events = append(events, notDispatched(g))
 		}
 	}
--- a/broker/counters.go
+++ b/broker/counters.go
@@ -12,10 +12,10 @@
 type counters struct {
 	refusals map[request.Reason]*expvar.Int // not changed after the start
 
-	grants, returned, withdrawn, redirected, requeued         *expvar.Int
-	opened, lost, silent, resets, notOwner, ownerChanged      *expvar.Int
-	sendFailed, gaps, lateGrants, doubledGrants               *expvar.Int
-	unknownServer, degradedEntered, degradedLeft, badMessages *expvar.Int
+	grants, returned, withdrawn, redirected, requeued                                   *expvar.Int
+	sessionsOpened, sessionsLost, sessionsSilent, sessionsReset, notOwner, ownerChanged *expvar.Int
+	sendFailed, batchGaps, lateGrants, repeatedGrants                                   *expvar.Int
+	unknownServer, degradedEntered, degradedLeft, badMessages                           *expvar.Int
 }
 
 func newCounters(m *metrics.Registry) counters {
@@ -24,10 +24,10 @@
 		refusals: refusalCounters(m),
 		grants:   c("grants"), returned: c("grants_returned"), withdrawn: c("withdrawn"),
 		redirected: c("redirected"), requeued: c("enqueued_again"),
-		opened: c("sessions_opened"), lost: c("sessions_lost"), silent: c("sessions_silent"),
-		resets: c("sessions_reset"), notOwner: c("not_owner"), ownerChanged: c("owner_changed"),
-		sendFailed: c("send_failed"), gaps: c("batch_gaps"), lateGrants: c("late_grants"),
-		doubledGrants: c("doubled_grants"), unknownServer: c("unknown_server"),
+		sessionsOpened: c("sessions_opened"), sessionsLost: c("sessions_lost"), sessionsSilent: c("sessions_silent"),
+		sessionsReset: c("sessions_reset"), notOwner: c("not_owner"), ownerChanged: c("owner_changed"),
+		sendFailed: c("send_failed"), batchGaps: c("batch_gaps"), lateGrants: c("late_grants"),
+		repeatedGrants: c("doubled_grants"), unknownServer: c("unknown_server"),
 		degradedEntered: c("degraded_entered"), degradedLeft: c("degraded_left"), badMessages: c("bad_messages"),
 	}
 }
@@ -40,9 +40,9 @@
 	return all
 }
 
-// refusal returns a reason's counter; one that only a newer owner knows is
+// refusalCounter returns a reason's counter; one that only a newer owner knows is
 // counted as internal.
-func (c counters) refusal(r request.Reason) *expvar.Int {
+func (c counters) refusalCounter(r request.Reason) *expvar.Int {
 	if v := c.refusals[r]; v != nil {
 		return v
 	}
--- a/broker/entry.go
+++ b/broker/entry.go
@@ -18,30 +18,30 @@
 
 // The entry's times.
 const (
-	// openTimeout is how long an answer to a hello is waited for at first; it
-	// doubles up to maxDoublings times.
-	openTimeout  = 400 * time.Millisecond
-	maxDoublings = 3
-	// retryEvery is how soon a failed hello is tried again.
-	retryEvery = 100 * time.Millisecond
-	// idleAfter is how long a session without requests stays open.
-	idleAfter = 10 * time.Second
-	// briefFresh is how old a pool's brief may be to choose by it, unless its
+	// helloTimeout is how long an answer to a hello is waited for at first; it
+	// doubles up to maxHelloDoublings times.
+	helloTimeout      = 400 * time.Millisecond
+	maxHelloDoublings = 3
+	// helloRetryInterval is how soon a failed hello is tried again.
+	helloRetryInterval = 100 * time.Millisecond
+	// idleTimeout is how long a session without requests stays open.
+	idleTimeout = 10 * time.Second
+	// briefMaxAge is how old a pool's brief may be to choose by it, unless its
 	// owner has told to speak again later.
-	briefFresh = 2 * time.Second
+	briefMaxAge = 2 * time.Second
 	// noDeadline stands in for the deadline of a tier that has none.
 	noDeadline = 10 * time.Minute
-	// retryAfter is told to refused callers, give or take a half.
-	retryAfter = time.Second
+	// retryAfterMean is told to refused callers, give or take a half.
+	retryAfterMean = time.Second
 )
 
 // Entry implements Broker for one daemon. A pool that this daemon owns is
 // reached without encoding anything.
 type Entry struct {
-	cfg   poolhost.Config
-	host  *poolhost.Host
-	id    pool.EntryID
-	count counters
+	cfg      poolhost.Config
+	host     *poolhost.Host
+	id       pool.EntryID
+	counters counters
 
 	mu    sync.Mutex // for the making of links
 	links atomic.Pointer[map[string]*link]
@@ -58,8 +58,8 @@
 	cfg := host.Config()
 	e := &Entry{
 		cfg: cfg, host: host,
-		id:    poolwire.NewEntryID(cfg.Self, rand.Uint64()),
-		count: newCounters(cfg.Metrics),
+		id:       poolwire.NewEntryID(cfg.Self, rand.Uint64()),
+		counters: newCounters(cfg.Metrics),
 	}
 	e.links.Store(&map[string]*link{})
 	if cfg.Transport != nil {
@@ -86,9 +86,9 @@
 // Tick lets time pass once: requests expire, sessions are kept alive, opened
 // again or moved to a new owner. It is not called concurrently.
 func (e *Entry) Tick() {
-	e.announce()
+	e.openOwnerSessions()
 	for _, l := range *e.links.Load() {
-		if !l.quiet.Load() {
+		if !l.idle.Load() {
 			l.box.Post(tickMessage{})
 		}
 	}
@@ -96,7 +96,7 @@
 
 // Acquire implements Broker.
 func (e *Entry) Acquire(ctx context.Context, d Demand) (Grant, error) {
-	w := e.begin(d)
+	w := e.startAcquire(d)
 	select {
 	case r := <-w.done:
 		if r.err != nil {
@@ -109,10 +109,10 @@
 	}
 }
 
-// begin puts a request into the link to its pool; the waiter tells how it ends.
-func (e *Entry) begin(d Demand) *waiter {
+// startAcquire puts a request into the link to its pool; the waiter tells how it ends.
+func (e *Entry) startAcquire(d Demand) *waiter {
 	w := newWaiter(d)
-	l := e.choose(d)
+	l := e.chooseLink(d)
 	if l == nil {
 		w.done <- result{err: e.refuse(request.ReasonNoServer, "no pool serves the request in this region")}
 		return w
@@ -124,9 +124,9 @@
 
 // refuse counts and returns a refusal of a request that no engine has seen.
 func (e *Entry) refuse(reason request.Reason, format string, args ...any) *request.Refusal {
-	e.count.refusal(reason).Add(1)
-	jittered := retryAfter/2 + rand.N(retryAfter)
-	return request.Refuse(reason, format, args...).WithRetryAfter(jittered)
+	e.counters.refusalCounter(reason).Add(1)
+	hint := retryAfterMean/2 + rand.N(retryAfterMean)
+	return request.Refuse(reason, format, args...).WithRetryAfter(hint)
 }
 
 // link returns the link to a pool, which it makes at the first call.
@@ -150,10 +150,10 @@
 	return l
 }
 
-// announce opens a session with each new owner of a pool in this region, also
+// openOwnerSessions opens a session with each new owner of a pool in this region, also
 // where this entry has nothing there: the new owner grants as soon as all
 // live entries have told what they run.
-func (e *Entry) announce() {
+func (e *Entry) openOwnerSessions() {
 	snapshot := e.cfg.Snapshots.Load()
 	if e.cfg.Views == nil || snapshot == nil {
 		return
@@ -165,7 +165,7 @@
 	e.view = view
 	for name, p := range snapshot.Pools {
 		if p.Region == e.cfg.Region && ownerName(before, p) != ownerName(view, p) {
-			e.link(name).box.Post(announceMessage{})
+			e.link(name).box.Post(openMessage{})
 		}
 	}
 }
@@ -182,22 +182,22 @@
 func (e *Entry) onCommands(_ context.Context, from peer.Name, payload []byte) ([]byte, error) {
 	b, err := poolwire.DecodeCommands(payload, e.id)
 	if err != nil {
-		e.count.badMessages.Add(1)
+		e.counters.badMessages.Add(1)
 		return nil, err
 	}
 	l := (*e.links.Load())[b.Pool]
 	if l == nil {
 		// Not of a session of this entry; a link for it would let a faulty
 		// peer fill the memory with names.
-		e.count.badMessages.Add(1)
+		e.counters.badMessages.Add(1)
 		return nil, nil
 	}
 	l.box.Post(commandsMessage{b, remoteOwner{e.cfg.Transport, from}})
 	return nil, nil
 }
 
-func (e *Entry) onDown(of peer.Name) {
+func (e *Entry) onDown(name peer.Name) {
 	for _, l := range *e.links.Load() {
-		l.box.Post(downMessage{string(of)})
+		l.box.Post(peerDownMessage{string(name)})
 	}
 }
--- a/broker/grant.go
+++ b/broker/grant.go
@@ -17,11 +17,11 @@
 	server workspace.BackendServer
 	ended  atomic.Bool
 	tokens atomic.Int64
-	// firstTold is set once the owner was told of the first token; this and
-	// toldTokens are touched by the link only.
-	firstTold bool
-	// toldTokens is how many tokens the owner was told of last.
-	toldTokens int
+	// firstTokenReported is set once the owner was told of the first token; this and
+	// reportedTokens are touched by the link only.
+	firstTokenReported bool
+	// reportedTokens is how many tokens the owner was told of last.
+	reportedTokens int
 }
 
 // Server implements Grant.
@@ -40,32 +40,32 @@
 }
 
 // Release implements Grant.
-func (g *grant) Release(end End) {
-	g.end(pool.Release{
+func (g *grant) Release(end Completion) {
+	g.finish(pool.Release{
 		Request: g.spec.ID, Grant: g.id, Server: g.server.Name, Outcome: end.Outcome,
 		FirstToken: end.FirstToken, Total: end.Total, OutputTokens: end.OutputTokens,
 		PromptTokens: end.PromptTokens, PrefillComputed: end.PrefillComputed, RefusedLeaving: end.RefusedLeaving,
 	})
 }
 
-// Return implements Grant.
-func (g *grant) Return() {
-	g.link.entry.count.returned.Add(1)
-	g.end(pool.Release{
+// ReturnUnused implements Grant.
+func (g *grant) ReturnUnused() {
+	g.link.entry.counters.returned.Add(1)
+	g.finish(pool.Release{
 		Request: g.spec.ID, Grant: g.id, Server: g.server.Name, Outcome: pool.OutcomeNotDispatched,
 	})
 }
 
-// end frees the slot once; a second end is dropped, else a slot that another
+// finish frees the slot once; a second end is dropped, else a slot that another
 // request holds by then would seem free.
-func (g *grant) end(ev pool.Release) {
+func (g *grant) finish(ev pool.Release) {
 	if g.ended.CompareAndSwap(false, true) {
 		g.link.box.Post(releaseMessage{ev})
 	}
 }
 
-// running returns the report of the grant for a new owner.
-func (g *grant) running() pool.Running {
+// runningEvent returns the report of the grant for a new owner.
+func (g *grant) runningEvent() pool.Running {
 	s := g.spec
 	return pool.Running{
 		Request: s.ID, Grant: g.id, Server: g.server.Name, Workspace: s.Workspace, Template: s.Template,
--- a/broker/heartbeat.go
+++ b/broker/heartbeat.go
@@ -9,56 +9,56 @@
 	"github.com/pkg/errors"
 )
 
-// awaits tells whether a word of the owner is awaited: a grant, or that a
+// awaitsOwner tells whether a word of the owner is awaited: a grant, or that a
 // release has come.
-func (l *link) awaits() bool { return len(l.waiting) > 0 || len(l.unacked) > 0 }
+func (l *link) awaitsOwner() bool { return len(l.waiting) > 0 || len(l.unackedReleases) > 0 }
 
-// noteState remembers since when the open session is busy, and counts it.
-func (l *link) noteState() {
+// updateSessionState remembers since when the open session is busy, and counts it.
+func (l *link) updateSessionState() {
 	s := &l.session
-	note(&s.awaitsSince, s.open() && l.awaits(), l.now)
-	note(&s.busySince, s.open() && (l.awaits() || s.owed), l.now)
-	if s.open() == l.counted {
+	trackSince(&s.awaitingSince, s.open() && l.awaitsOwner(), l.now)
+	trackSince(&s.busySince, s.open() && (l.awaitsOwner() || s.ackDue), l.now)
+	if s.open() == l.countedOpen {
 		return
 	}
-	l.counted = s.open()
-	if l.counted {
+	l.countedOpen = s.open()
+	if l.countedOpen {
 		l.entry.sessions.Add(1)
 	} else {
 		l.entry.sessions.Add(-1)
 	}
 }
 
-// note keeps in t since when something is so; zero: it is not.
-func note(t *time.Time, is bool, now time.Time) {
+// trackSince keeps in t since when something is so; zero: it is not.
+func trackSince(t *time.Time, active bool, now time.Time) {
 	switch {
-	case !is:
+	case !active:
 		*t = time.Time{}
 	case t.IsZero():
 		*t = now
 	}
 }
 
-// silent tells whether the owner has said nothing for too long.
+// ownerSilent tells whether the owner has said nothing for too long.
 //
 // What goes wrong: an owner may have told to speak again in 20 s, and a
 // request that comes meanwhile finds it gone, though its connection stands.
 // While a word is awaited, the owner knows that and speaks every 500 ms; so
 // the short limit holds from then on, and the request moves on in time.
-func (l *link) silent() bool {
+func (l *link) ownerSilent() bool {
 	s := &l.session
-	quiet := l.now.Sub(s.heard)
-	if quiet > poolhost.SilenceLimit(s.next) {
+	silence := l.now.Sub(s.lastReceived)
+	if silence > poolhost.SilenceLimit(s.ownerInterval) {
 		return true
 	}
-	return quiet > poolhost.SilentAfter && !s.awaitsSince.IsZero() && l.now.Sub(s.awaitsSince) > poolhost.SilentAfter
+	return silence > poolhost.SilentAfter && !s.awaitingSince.IsZero() && l.now.Sub(s.awaitingSince) > poolhost.SilentAfter
 }
 
-// interval returns within how long this entry speaks again after a batch of
+// nextInterval returns within how long this entry speaks again after a batch of
 // these events. An owner that does not tell when it speaks again is of a
 // version that expects a word every poolhost.HeartbeatEvery.
-func (l *link) interval(events []pool.Event) time.Duration {
-	if l.session.next == 0 || l.awaits() {
+func (l *link) nextInterval(events []pool.Event) time.Duration {
+	if l.session.ownerInterval == 0 || l.awaitsOwner() {
 		return poolhost.HeartbeatEvery
 	}
 	for _, ev := range events {
@@ -74,27 +74,27 @@
 // has just become busy waits a moment for events to go along with.
 func (l *link) heartbeatDue() bool {
 	s := &l.session
-	quiet := l.now.Sub(s.sent)
-	interval := l.interval(nil)
-	if s.owed {
+	silence := l.now.Sub(s.lastSent)
+	interval := l.nextInterval(nil)
+	if s.ackDue {
 		interval = poolhost.HeartbeatEvery
 	}
-	if quiet >= s.promised || len(l.progress) > 0 && quiet >= poolhost.HeartbeatEvery {
+	if silence >= s.announcedInterval || len(l.pendingProgress) > 0 && silence >= poolhost.HeartbeatEvery {
 		return true
 	}
-	return quiet >= interval && l.now.Sub(s.busySince) >= poolhost.HeartbeatEvery
+	return silence >= interval && l.now.Sub(s.busySince) >= poolhost.HeartbeatEvery
 }
 
 // heartbeat sends a batch without events, or the progress that has come.
 func (l *link) heartbeat() {
-	if len(l.out) > 0 {
+	if len(l.outbox) > 0 {
 		return // flush sends it in a moment
 	}
-	l.takeProgress()
-	if len(l.out) > 0 {
+	l.queueProgress()
+	if len(l.outbox) > 0 {
 		return
 	}
 	if err := l.send(nil); err != nil && !errors.Is(err, peer.ErrOverloaded) {
-		l.lose(retryEvery)
+		l.dropSession(helloRetryInterval)
 	}
 }
--- a/broker/heartbeat_test.go
+++ b/broker/heartbeat_test.go
@@ -12,9 +12,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// withoutNext returns a session's message as a version that does not tell
+// stripNext returns a session's message as a version that does not tell
 // when it speaks again would write or read it.
-func withoutNext(t peer.Type, payload []byte) []byte {
+func stripNext(t peer.Type, payload []byte) []byte {
 	switch t {
 	case peer.TypePoolEvents:
 		if b, err := poolwire.DecodeEvents(payload); err == nil {
@@ -30,7 +30,7 @@
 	return payload
 }
 
-func manyNames(n int) []string {
+func nodeNames(n int) []string {
 	names := make([]string, n)
 	for i := range names {
 		names[i] = fmt.Sprintf("n%02d", i)
@@ -38,62 +38,62 @@
 	return names
 }
 
-// usedBy starts a world of some daemons and pools in which each daemon runs one
+// newIdleRegion starts a world of some daemons and pools in which each daemon runs one
 // request in each pool, after time for the sessions to become idle.
-func usedBy(daemons, pools int, old map[string]bool) (*world, []*grant) {
-	w := newWorld(daemons, manyNames(daemons)...)
-	w.old = old
+func newIdleRegion(daemons, pools int, old map[string]bool) (*simulation, []*grant) {
+	sim := newSimulation(daemons, nodeNames(daemons)...)
+	sim.oldVersion = old
 	snapshot := testSnapshot(daemons, 1)
 	for i := 1; i < pools; i++ {
 		p := *snapshot.Pools[testPool]
 		p.Name, p.Model = fmt.Sprintf("pool-%02d", i), fmt.Sprintf("model-%02d", i)
 		snapshot.Pools[p.Name] = &p
 	}
-	w.snapshot.Store(snapshot)
-	w.advance(time.Second)
+	sim.snapshot.Store(snapshot)
+	sim.advance(time.Second)
 	var waiters []*waiter
-	for _, name := range w.names {
+	for _, name := range sim.names {
 		for _, p := range snapshot.Pools {
-			w.sequence++
-			s := testSpec(fmt.Sprintf("r%05d", w.sequence), w.now)
-			waiters = append(waiters, w.nodes[name].entry.begin(Demand{Spec: s, Candidates: []*workspace.ResolvedPool{p}}))
-			w.pump()
+			sim.lastID++
+			s := testSpec(fmt.Sprintf("r%05d", sim.lastID), sim.now)
+			waiters = append(waiters, sim.nodes[name].entry.startAcquire(Demand{Spec: s, Candidates: []*workspace.ResolvedPool{p}}))
+			sim.pump()
 		}
 	}
-	w.advance(5 * time.Second)
+	sim.advance(5 * time.Second)
 	var running []*grant
 	for _, x := range waiters {
-		if r, _ := ended(x); r.grant != nil {
+		if r, _ := poll(x); r.grant != nil {
 			running = append(running, r.grant)
 		}
 	}
-	return w, running
+	return sim, running
 }
 
 // Guards against idle sessions of a large region that take more than all control traffic may.
-func TestIdleSessionsCost(t *testing.T) {
+func TestIdleSessionTraffic(t *testing.T) {
 	const seconds = 20
 	for _, c := range []struct{ daemons, pools, least, most int }{
 		{daemons: 9, pools: 4, least: 8*4*4 - 1, most: 8 * 4 * 4},
 		{daemons: 65, pools: 29, least: 65 * 2, most: 65 * 8},
 	} {
 		Convey(fmt.Sprintf("Given %d daemons with %d idle sessions each", c.daemons, c.pools), t, func() {
-			w, grants := usedBy(c.daemons, c.pools, nil)
+			sim, grants := newIdleRegion(c.daemons, c.pools, nil)
 			So(len(grants), ShouldEqual, c.daemons*c.pools)
-			w.messages, w.bytes = 0, 0
-			w.advance(seconds * time.Second)
+			sim.messages, sim.bytes = 0, 0
+			sim.advance(seconds * time.Second)
 			t.Logf("%d daemons, %d pools: each sends %.2f messages and %.0f bytes of payload a second on average",
-				c.daemons, c.pools, float64(w.messages)/seconds/float64(c.daemons), float64(w.bytes)/seconds/float64(c.daemons))
-			So(w.messages/seconds, ShouldBeBetweenOrEqual, c.least, c.most)
-			So(w.lostSessions(), ShouldEqual, 0)
+				c.daemons, c.pools, float64(sim.messages)/seconds/float64(c.daemons), float64(sim.bytes)/seconds/float64(c.daemons))
+			So(sim.messages/seconds, ShouldBeBetweenOrEqual, c.least, c.most)
+			So(sim.lostSessions(), ShouldEqual, 0)
 		})
 	}
 }
 
 // lostSessions counts the sessions that any entry has lost.
-func (w *world) lostSessions() (n int64) {
-	for _, name := range w.names {
-		n += w.nodes[name].entry.count.lost.Value()
+func (sim *simulation) lostSessions() (n int64) {
+	for _, name := range sim.names {
+		n += sim.nodes[name].entry.counters.sessionsLost.Value()
 	}
 	return n
 }
@@ -101,24 +101,24 @@
 // Guards against a caller that waits for as long as an idle session may be silent.
 func TestRequestOnIdleSession(t *testing.T) {
 	Convey("Given an owner that vanishes while its sessions are idle for long", t, func() {
-		w, grants := usedBy(40, 1, nil)
-		gone, n := w.owner(), w.other()
-		So(n.entry.link(testPool).session.next, ShouldBeGreaterThan, 5*time.Second)
-		gone.frozen = true
-		w.advance(3 * time.Second)
-		So(w.lostSessions(), ShouldEqual, 0)
+		sim, grants := newIdleRegion(40, 1, nil)
+		gone, n := sim.owner(), sim.nonOwner()
+		So(n.entry.link(testPool).session.ownerInterval, ShouldBeGreaterThan, 5*time.Second)
+		gone.paused = true
+		sim.advance(3 * time.Second)
+		So(sim.lostSessions(), ShouldEqual, 0)
 		took := func(lost int64) time.Duration {
-			return newLoad(w).advanceUntil(time.Minute, func() bool { return w.lostSessions() >= lost })
+			return newWorkload(sim).advanceUntil(time.Minute, func() bool { return sim.lostSessions() >= lost })
 		}
 
 		Convey("the entry of a request that comes notices it soon", func() {
-			n.begin(1, time.Hour)
+			n.acquire(1, time.Hour)
 			So(took(1), ShouldBeLessThanOrEqualTo, poolhost.SilentAfter+2*poolhost.TickEvery)
 		})
 		Convey("so does the entry of a request that ends", func() {
 			for _, g := range grants {
 				if g.link.entry == n.entry {
-					g.Release(End{})
+					g.Release(Completion{})
 				}
 			}
 			So(took(1), ShouldBeLessThanOrEqualTo, poolhost.SilentAfter+2*poolhost.TickEvery)
@@ -132,16 +132,16 @@
 // Guards against slots of a vanished entry that stay taken for longer the larger a region is.
 func TestVanishedEntryOnIdleSession(t *testing.T) {
 	Convey("Given an entry that vanishes while its session is idle for long", t, func() {
-		w := newWorldOf(1, func(int) time.Duration { return poolhost.MaxHeartbeat }, "a", "b")
-		w.advance(time.Second)
-		n := w.other()
-		n.begin(1, time.Hour)
-		w.advance(5 * time.Second)
-		So(w.owner().host.Summaries()[0].Running, ShouldEqual, 1)
-		So(n.entry.link(testPool).session.promised, ShouldEqual, poolhost.MaxHeartbeat)
-		owner := w.owner()
-		n.frozen = true
-		w.advance(40 * time.Second)
+		sim := newSimulationWithHeartbeat(1, func(int) time.Duration { return poolhost.MaxHeartbeat }, "a", "b")
+		sim.advance(time.Second)
+		n := sim.nonOwner()
+		n.acquire(1, time.Hour)
+		sim.advance(5 * time.Second)
+		So(sim.owner().host.Summaries()[0].Running, ShouldEqual, 1)
+		So(n.entry.link(testPool).session.announcedInterval, ShouldEqual, poolhost.MaxHeartbeat)
+		owner := sim.owner()
+		n.paused = true
+		sim.advance(40 * time.Second)
 		So(owner.host.Summaries()[0].Running, ShouldEqual, 0)
 	})
 }
@@ -149,32 +149,32 @@
 // Guards against stragglers found out late, since progress waits for rare heartbeats.
 func TestProgressOnIdleSession(t *testing.T) {
 	Convey("Given a session that is idle for long", t, func() {
-		w, grants := usedBy(2, 29, nil)
-		So(grants[0].link.session.promised, ShouldBeGreaterThan, 5*time.Second)
+		sim, grants := newIdleRegion(2, 29, nil)
+		So(grants[0].link.session.announcedInterval, ShouldBeGreaterThan, 5*time.Second)
 		for i := range 4 {
 			grants[0].Progress(time.Second, i+1, time.Millisecond)
-			w.advance(poolhost.HeartbeatEvery + poolhost.TickEvery)
-			So(len(w.progress()), ShouldEqual, i+1)
+			sim.advance(poolhost.HeartbeatEvery + poolhost.TickEvery)
+			So(len(sim.progressReports()), ShouldEqual, i+1)
 		}
 	})
 }
 
 // Guards against sessions that break while daemons of two versions differ in when the next word comes.
-func TestMixedVersionsOfSessions(t *testing.T) {
+func TestSessionsAcrossVersions(t *testing.T) {
 	for _, oldOwner := range []bool{false, true} {
 		Convey(fmt.Sprintf("Given a region of two versions, the owner of the old one: %t", oldOwner), t, func() {
-			names := manyNames(30)
+			names := nodeNames(30)
 			old := map[string]bool{}
 			for i, name := range names {
 				old[name] = i%2 == 0
 			}
-			old[newWorld(1, names...).owner().name] = oldOwner
-			w, grants := usedBy(30, 1, old)
+			old[newSimulation(1, names...).owner().name] = oldOwner
+			sim, grants := newIdleRegion(30, 1, old)
 			So(len(grants), ShouldEqual, 30)
-			w.advance(time.Minute)
-			So(w.lostSessions(), ShouldEqual, 0)
-			for _, name := range w.names {
-				So(w.nodes[name].entry.link(testPool).session.open(), ShouldBeTrue)
+			sim.advance(time.Minute)
+			So(sim.lostSessions(), ShouldEqual, 0)
+			for _, name := range sim.names {
+				So(sim.nodes[name].entry.link(testPool).session.open(), ShouldBeTrue)
 			}
 		})
 	}
--- a/broker/link.go
+++ b/broker/link.go
@@ -18,36 +18,36 @@
 	entry *Entry
 	pool  string
 	box   *mailbox.Mailbox[message]
-	brief atomic.Pointer[briefAt]
-	// quiet is set while time brings the link nothing to do, so that the many
+	brief atomic.Pointer[cachedBrief]
+	// idle is set while time brings the link nothing to do, so that the many
 	// pools that an entry does not use cost no ticks.
-	quiet atomic.Bool
+	idle atomic.Bool
 
 	now        time.Time
 	waiting    map[request.ID]*waiter
 	running    map[pool.GrantID]*grant
 	nextExpiry time.Time // no waiter expires before it
 
-	session session
-	counted bool // among the entry's open sessions
+	session     session
+	countedOpen bool // among the entry's open sessions
 	// lastEpoch and lastGrant are those of the session before.
 	lastEpoch, lastGrant uint64
-	// out is what the open session has yet to send; progress is kept apart
+	// outbox is what the open session has yet to send; progress is kept apart
 	// and goes along, the newest report of each grant.
-	out      []pool.Event
-	progress map[pool.GrantID]pool.Progress
-	unacked  []sentRelease
-	sendAt   time.Time // nothing is sent before it: the send queue was full
+	outbox          []pool.Event
+	pendingProgress map[pool.GrantID]pool.Progress
+	unackedReleases []unackedRelease
+	sendAfter       time.Time // nothing is sent before it: the send queue was full
 
-	// without is since when requests have had no open session; retryAt is
+	// disconnectedSince is since when requests have had no open session; retryAt is
 	// when a hello may be sent again; announced asks for a session although
 	// nothing waits or runs.
-	without time.Time
-	retryAt time.Time
-	busyAt  time.Time
-	// unanswered counts the hellos in a row that got no answer in time.
-	unanswered int
-	announced  bool
+	disconnectedSince time.Time
+	retryAt           time.Time
+	lastUsed          time.Time
+	// unansweredHellos counts the hellos in a row that got no answer in time.
+	unansweredHellos int
+	openRequested    bool
 	// ownerView is the view by which ownerName was found.
 	ownerView *member.View
 	ownerName string
@@ -62,9 +62,9 @@
 func newLink(e *Entry, p string) *link {
 	l := &link{
 		entry: e, pool: p,
-		waiting:  map[request.ID]*waiter{},
-		running:  map[pool.GrantID]*grant{},
-		progress: map[pool.GrantID]pool.Progress{},
+		waiting:         map[request.ID]*waiter{},
+		running:         map[pool.GrantID]*grant{},
+		pendingProgress: map[pool.GrantID]pool.Progress{},
 	}
 	l.box = mailbox.New(e.cfg.Spawn, l.handle)
 	return l
@@ -78,8 +78,8 @@
 		m.apply(l)
 	}
 	l.flush()
-	l.noteState()
-	l.quiet.Store(l.session.state == sessionClosed && l.share == nil && !l.needed())
+	l.updateSessionState()
+	l.idle.Store(l.session.state == sessionClosed && l.share == nil && !l.needsSession())
 }
 
 // acquireMessage gives the link a waiter, new or redirected.
@@ -95,9 +95,9 @@
 	if !w.expires.IsZero() && (l.nextExpiry.IsZero() || w.expires.Before(l.nextExpiry)) {
 		l.nextExpiry = w.expires
 	}
-	l.busyAt = l.now
+	l.lastUsed = l.now
 	if l.session.open() {
-		l.out = append(l.out, w.enqueue(l.now))
+		l.outbox = append(l.outbox, w.enqueueEvent(l.now))
 		return
 	}
 	l.connect()
@@ -113,21 +113,21 @@
 		other.box.Post(m) // redirected meanwhile
 		return
 	}
-	l.entry.count.withdrawn.Add(1)
+	l.entry.counters.withdrawn.Add(1)
 	if w.granted != nil {
-		w.granted.Return()
+		w.granted.ReturnUnused()
 		return
 	}
 	if l.waiting[w.id()] == w {
-		l.drop(w)
+		l.removeWaiter(w)
 	}
 }
 
-// drop takes a waiter out and tells the owner.
-func (l *link) drop(w *waiter) {
+// removeWaiter takes a waiter out and tells the owner.
+func (l *link) removeWaiter(w *waiter) {
 	delete(l.waiting, w.id())
 	if l.session.open() {
-		l.out = append(l.out, pool.Withdraw{Request: w.id()})
+		l.outbox = append(l.outbox, pool.Withdraw{Request: w.id()})
 	}
 }
 
@@ -136,13 +136,13 @@
 
 func (m releaseMessage) apply(l *link) {
 	delete(l.running, m.ev.Grant)
-	delete(l.progress, m.ev.Grant)
-	l.busyAt = l.now
+	delete(l.pendingProgress, m.ev.Grant)
+	l.lastUsed = l.now
 	if l.session.open() {
-		l.out = append(l.out, m.ev)
+		l.outbox = append(l.outbox, m.ev)
 		return
 	}
-	l.unacked = append(l.unacked, sentRelease{ev: m.ev})
+	l.unackedReleases = append(l.unackedReleases, unackedRelease{ev: m.ev})
 }
 
 // progressMessage tells how a running request does.
@@ -153,30 +153,30 @@
 	if g == nil {
 		return
 	}
-	if m.ev.FirstToken > 0 && !g.firstTold && l.session.open() {
+	if m.ev.FirstToken > 0 && !g.firstTokenReported && l.session.open() {
 		// The scheduler's limits and its holds for prefixes go by it.
-		g.firstTold, g.toldTokens = true, m.ev.Tokens
-		l.out = append(l.out, m.ev)
+		g.firstTokenReported, g.reportedTokens = true, m.ev.Tokens
+		l.outbox = append(l.outbox, m.ev)
 		return
 	}
-	l.progress[m.ev.Grant] = mergeProgress(l.progress[m.ev.Grant], m.ev, g.toldTokens)
+	l.pendingProgress[m.ev.Grant] = mergeProgress(l.pendingProgress[m.ev.Grant], m.ev, g.reportedTokens)
 }
 
-// takeProgress moves the reports that have come to the events to be sent.
-func (l *link) takeProgress() {
-	for id, p := range l.progress {
+// queueProgress moves the reports that have come to the events to be sent.
+func (l *link) queueProgress() {
+	for id, p := range l.pendingProgress {
 		if g := l.running[id]; g != nil {
-			g.toldTokens = p.Tokens
+			g.reportedTokens = p.Tokens
 		}
-		l.out = append(l.out, p)
+		l.outbox = append(l.outbox, p)
 	}
-	clear(l.progress)
+	clear(l.pendingProgress)
 }
 
 // mergeProgress makes one report of two that were not sent yet: PerToken is a
 // mean since the last report sent, at told tokens, so the newer mean alone
 // would lose the older one's slow tokens.
-func mergeProgress(old, newer pool.Progress, told int) pool.Progress {
+func mergeProgress(old, newer pool.Progress, reported int) pool.Progress {
 	if old.PerToken == 0 || newer.Tokens <= old.Tokens {
 		return newer
 	}
@@ -184,8 +184,8 @@
 		newer.PerToken = old.PerToken
 		return newer
 	}
-	was, more := time.Duration(max(1, old.Tokens-told)), time.Duration(newer.Tokens-old.Tokens)
-	newer.PerToken = (old.PerToken*was + newer.PerToken*more) / (was + more)
+	oldTokens, newTokens := time.Duration(max(1, old.Tokens-reported)), time.Duration(newer.Tokens-old.Tokens)
+	newer.PerToken = (old.PerToken*oldTokens + newer.PerToken*newTokens) / (oldTokens + newTokens)
 	return newer
 }
 
@@ -194,15 +194,15 @@
 	return !w.expires.IsZero() && !l.now.Before(w.expires)
 }
 
-// expire refuses what has expired, also while no owner can be reached.
-func (l *link) expire() {
+// expireWaiters refuses what has expired, also while no owner can be reached.
+func (l *link) expireWaiters() {
 	if l.nextExpiry.IsZero() || l.now.Before(l.nextExpiry) {
 		return
 	}
 	l.nextExpiry = time.Time{}
 	for _, w := range l.waiting {
 		if l.expired(w) {
-			l.drop(w)
+			l.removeWaiter(w)
 			l.refuseExpired(w)
 			continue
 		}
@@ -213,7 +213,7 @@
 }
 
 func (l *link) refuseExpired(w *waiter) {
-	if l.session.open() || l.without.IsZero() {
+	if l.session.open() || l.disconnectedSince.IsZero() {
 		w.done <- result{err: l.entry.refuse(request.ReasonExpired, "deadline passed while waiting for a slot")}
 		return
 	}
--- a/broker/session.go
+++ b/broker/session.go
@@ -31,50 +31,50 @@
 
 // session is the entry's side of one session with an owner.
 type session struct {
-	state     sessionState
-	id        poolwire.SessionID
-	owner     owner
-	epoch     uint64
-	seqIn     uint64
-	seqOut    uint64
-	lastGrant uint64
-	started   time.Time
-	heard     time.Time
-	sent      time.Time
-	// next is within how long the owner speaks again, as it told; zero from
+	state        sessionState
+	id           poolwire.SessionID
+	owner        owner
+	epoch        uint64
+	seqIn        uint64
+	seqOut       uint64
+	lastGrant    uint64
+	started      time.Time
+	lastReceived time.Time
+	lastSent     time.Time
+	// ownerInterval is within how long the owner speaks again, as it told; zero from
 	// an owner that does not tell, which expects a word each 500 ms itself.
-	next time.Duration
-	// promised is within how long after sent the entry speaks again.
-	promised time.Duration
-	// owed is set while the owner waits for an acknowledgment; busySince is
-	// since when the session is busy, awaitsSince since when a word of the
+	ownerInterval time.Duration
+	// announcedInterval is within how long after sent the entry speaks again.
+	announcedInterval time.Duration
+	// ackDue is set while the owner waits for an acknowledgment; busySince is
+	// since when the session is busy, awaitingSince since when a word of the
 	// owner is awaited; zero: not.
-	owed        bool
-	busySince   time.Time
-	awaitsSince time.Time
+	ackDue        bool
+	busySince     time.Time
+	awaitingSince time.Time
 }
 
 func (s *session) open() bool { return s.state == sessionOpen }
 
-// take checks a batch's number; a batch without commands repeats the last.
-func (s *session) take(b poolwire.Commands) bool {
+// acceptSeq checks a batch's number; a batch without commands repeats the last.
+func (s *session) acceptSeq(b poolwire.Commands) bool {
 	if len(b.Commands) > 0 {
 		s.seqIn++
 	}
 	return b.Seq == s.seqIn
 }
 
-// sentRelease is a release that the owner has not acknowledged. Seq is zero
+// unackedRelease is a release that the owner has not acknowledged. Seq is zero
 // while it has not been sent in the present session.
-type sentRelease struct {
+type unackedRelease struct {
 	seq uint64
 	ev  pool.Release
 }
 
 // connect sends a hello to the pool's owner unless a session is under way.
 func (l *link) connect() {
-	if l.without.IsZero() {
-		l.without = l.now
+	if l.disconnectedSince.IsZero() {
+		l.disconnectedSince = l.now
 	}
 	if l.session.state != sessionClosed || l.now.Before(l.retryAt) {
 		return
@@ -86,29 +86,29 @@
 		l.probe = session{} // two hellos to one owner would reset each other
 	}
 	if o == nil {
-		l.retryAt = l.now.Add(retryEvery)
+		l.retryAt = l.now.Add(helloRetryInterval)
 		return
 	}
-	l.start(&l.session, o)
+	l.startSession(&l.session, o)
 }
 
-// start begins a session; on a send error it stays closed.
-func (l *link) start(s *session, o owner) {
+// startSession begins a session; on a send error it stays closed.
+func (l *link) startSession(s *session, o owner) {
 	*s = session{
-		state: sessionOpening, id: poolwire.SessionID(rand.Uint64()), owner: o, started: l.now, heard: l.now, sent: l.now,
+		state: sessionOpening, id: poolwire.SessionID(rand.Uint64()), owner: o, started: l.now, lastReceived: l.now, lastSent: l.now,
 	}
 	if err := o.hello(poolwire.Hello{Pool: l.pool, Entry: l.entry.id, Session: s.id}); err != nil {
-		l.entry.count.sendFailed.Add(1)
+		l.entry.counters.sendFailed.Add(1)
 		s.state = sessionClosed
-		l.retryAt = l.now.Add(retryEvery)
+		l.retryAt = l.now.Add(helloRetryInterval)
 	}
 }
 
-// patience returns how long an answer to the last hello is waited for. It
+// answerTimeout returns how long an answer to the last hello is waited for. It
 // doubles with each hello without an answer: an owner so busy that it takes
 // longer would otherwise get a new hello each time before it accepts the last.
-func (l *link) patience() time.Duration {
-	return openTimeout << min(l.unanswered, maxDoublings)
+func (l *link) answerTimeout() time.Duration {
+	return helloTimeout << min(l.unansweredHellos, maxHelloDoublings)
 }
 
 // findOwner returns the way to the pool's owner as membership has it, or nil.
@@ -126,41 +126,41 @@
 	}
 }
 
-// accepted opens the session and tells the owner everything this entry has in
+// sessionAccepted opens the session and tells the owner everything this entry has in
 // the pool: releases it may not have got, what runs, what waits.
-func (l *link) accepted(b poolwire.Commands) {
+func (l *link) sessionAccepted(b poolwire.Commands) {
 	s := &l.session
 	if s.state != sessionOpening {
 		return
 	}
-	s.state, s.epoch, s.heard = sessionOpen, b.Epoch, l.now
+	s.state, s.epoch, s.lastReceived = sessionOpen, b.Epoch, l.now
 	if l.lastEpoch == b.Epoch {
 		s.lastGrant = l.lastGrant
 	}
-	l.without = time.Time{}
-	l.unanswered = 0
-	l.announced = false
-	l.busyAt = l.now
-	l.entry.count.opened.Add(1)
-	l.out = nil
-	for _, r := range l.unacked {
-		l.out = append(l.out, r.ev)
+	l.disconnectedSince = time.Time{}
+	l.unansweredHellos = 0
+	l.openRequested = false
+	l.lastUsed = l.now
+	l.entry.counters.sessionsOpened.Add(1)
+	l.outbox = nil
+	for _, r := range l.unackedReleases {
+		l.outbox = append(l.outbox, r.ev)
 	}
-	l.unacked = nil
+	l.unackedReleases = nil
 	for _, g := range l.running {
-		l.out = append(l.out, g.running())
+		l.outbox = append(l.outbox, g.runningEvent())
 	}
-	l.out = append(l.out, pool.EntryReported{})
-	for _, w := range l.oldestFirst() {
+	l.outbox = append(l.outbox, pool.EntryReported{})
+	for _, w := range l.waitersByAge() {
 		w.requeue = false
-		l.entry.count.requeued.Add(1)
-		l.out = append(l.out, w.enqueue(l.now))
+		l.entry.counters.requeued.Add(1)
+		l.outbox = append(l.outbox, w.enqueueEvent(l.now))
 	}
 }
 
-// oldestFirst returns the waiters by age, so that equals keep their order at a
+// waitersByAge returns the waiters by age, so that equals keep their order at a
 // new owner.
-func (l *link) oldestFirst() []*waiter {
+func (l *link) waitersByAge() []*waiter {
 	all := make([]*waiter, 0, len(l.waiting))
 	for _, w := range l.waiting {
 		all = append(all, w)
@@ -172,62 +172,62 @@
 	return all
 }
 
-// lose ends the session and tries to open the next one after wait.
-func (l *link) lose(wait time.Duration) {
+// dropSession ends the session and tries to open the next one after wait.
+func (l *link) dropSession(wait time.Duration) {
 	if l.session.open() {
-		l.entry.count.lost.Add(1)
+		l.entry.counters.sessionsLost.Add(1)
 	}
-	l.end()
+	l.endSession()
 	l.retryAt = l.now.Add(wait)
-	if l.needed() {
+	if l.needsSession() {
 		l.connect()
 	}
 }
 
-// end ends the session without telling its owner. Requests stay here and go
+// endSession ends the session without telling its owner. Requests stay here and go
 // to the next session, as do releases that the owner may not have got.
-func (l *link) end() {
+func (l *link) endSession() {
 	if l.session.open() {
 		l.lastEpoch, l.lastGrant = l.session.epoch, l.session.lastGrant
 	}
-	for _, ev := range l.out {
+	for _, ev := range l.outbox {
 		if r, ok := ev.(pool.Release); ok {
-			l.unacked = append(l.unacked, sentRelease{ev: r})
+			l.unackedReleases = append(l.unackedReleases, unackedRelease{ev: r})
 		}
 	}
-	l.out = nil
+	l.outbox = nil
 	l.session.state = sessionClosed
-	if l.without.IsZero() {
-		l.without = l.now
+	if l.disconnectedSince.IsZero() {
+		l.disconnectedSince = l.now
 	}
 }
 
-// needed tells whether the link has a use for a session.
-func (l *link) needed() bool {
-	return len(l.waiting) > 0 || len(l.running) > 0 || l.announced || len(l.unacked) > 0
+// needsSession tells whether the link has a use for a session.
+func (l *link) needsSession() bool {
+	return len(l.waiting) > 0 || len(l.running) > 0 || l.openRequested || len(l.unackedReleases) > 0
 }
 
 // flush sends what has come together, in batches. Where the send queue is full,
 // the rest waits for the next tick: 10,000 long prompts that move to a new
 // owner are more than the queue holds, and to begin anew would fill it again.
 func (l *link) flush() {
-	if !l.session.open() || len(l.out) == 0 || l.now.Before(l.sendAt) {
+	if !l.session.open() || len(l.outbox) == 0 || l.now.Before(l.sendAfter) {
 		return
 	}
-	l.takeProgress()
-	for len(l.out) > 0 {
-		n := batchLen(l.out)
-		switch err := l.send(l.out[:n:n]); {
+	l.queueProgress()
+	for len(l.outbox) > 0 {
+		n := batchLen(l.outbox)
+		switch err := l.send(l.outbox[:n:n]); {
 		case errors.Is(err, peer.ErrOverloaded):
-			l.sendAt = l.now.Add(poolhost.TickEvery)
+			l.sendAfter = l.now.Add(poolhost.TickEvery)
 			return
 		case err != nil:
-			l.lose(retryEvery)
+			l.dropSession(helloRetryInterval)
 			return
 		}
-		l.out = l.out[n:]
+		l.outbox = l.outbox[n:]
 	}
-	l.out = nil
+	l.outbox = nil
 }
 
 // batchLen returns how many of the events, at least one, go into one message.
@@ -251,7 +251,7 @@
 // send sends one batch, or a heartbeat where events is empty.
 func (l *link) send(events []pool.Event) error {
 	s := &l.session
-	promised := l.interval(events)
+	promised := l.nextInterval(events)
 	seq := s.seqOut
 	if len(events) > 0 {
 		seq++
@@ -261,23 +261,23 @@
 		Next: promised,
 	})
 	if err != nil {
-		l.entry.count.sendFailed.Add(1)
+		l.entry.counters.sendFailed.Add(1)
 		return err
 	}
-	s.seqOut, s.sent, s.promised, s.owed = seq, l.now, promised, false
+	s.seqOut, s.lastSent, s.announcedInterval, s.ackDue = seq, l.now, promised, false
 	for _, ev := range events {
 		if r, ok := ev.(pool.Release); ok {
-			l.unacked = append(l.unacked, sentRelease{s.seqOut, r})
+			l.unackedReleases = append(l.unackedReleases, unackedRelease{s.seqOut, r})
 		}
 	}
 	return nil
 }
 
-// acked forgets releases that the owner has.
-func (l *link) acked(seq uint64) {
+// dropAcked forgets releases that the owner has.
+func (l *link) dropAcked(seq uint64) {
 	n := 0
-	for n < len(l.unacked) && l.unacked[n].seq <= seq && l.unacked[n].seq != 0 {
+	for n < len(l.unackedReleases) && l.unackedReleases[n].seq <= seq && l.unackedReleases[n].seq != 0 {
 		n++
 	}
-	l.unacked = l.unacked[n:]
+	l.unackedReleases = l.unackedReleases[n:]
 }
--- a/broker/tick.go
+++ b/broker/tick.go
@@ -8,28 +8,28 @@
 type tickMessage struct{}
 
 func (tickMessage) apply(l *link) {
-	l.expire()
-	l.requeue()
+	l.expireWaiters()
+	l.requeueWaiters()
 	l.checkSession()
-	if l.share != nil || l.session.open() && l.movedFrom(l.session.owner) {
-		l.lookForOwner()
+	if l.share != nil || l.session.open() && l.ownerMoved(l.session.owner) {
+		l.probeOwner()
 	}
-	if !l.session.open() && l.needed() {
+	if !l.session.open() && l.needsSession() {
 		l.connect()
-		l.degrade()
+		l.enterDegraded()
 	}
 }
 
-// requeue enqueues waiters again whose grant or redirect could not be used.
-func (l *link) requeue() {
+// requeueWaiters enqueues waiters again whose grant or redirect could not be used.
+func (l *link) requeueWaiters() {
 	if !l.session.open() {
 		return
 	}
 	for _, w := range l.waiting {
 		if w.requeue {
 			w.requeue = false
-			l.entry.count.requeued.Add(1)
-			l.out = append(l.out, w.enqueue(l.now))
+			l.entry.counters.requeued.Add(1)
+			l.outbox = append(l.outbox, w.enqueueEvent(l.now))
 		}
 	}
 }
@@ -39,17 +39,17 @@
 func (l *link) checkSession() {
 	s := &l.session
 	switch {
-	case s.state == sessionOpening && l.now.Sub(s.started) >= l.patience():
-		l.unanswered++
-		l.lose(0)
-	case s.state == sessionOpening && l.share == nil && l.movedFrom(s.owner):
-		l.lose(0)
+	case s.state == sessionOpening && l.now.Sub(s.started) >= l.answerTimeout():
+		l.unansweredHellos++
+		l.dropSession(0)
+	case s.state == sessionOpening && l.share == nil && l.ownerMoved(s.owner):
+		l.dropSession(0)
 	case s.state == sessionClosed || s.state == sessionOpening:
-	case l.silent():
-		l.entry.count.silent.Add(1)
-		l.without = s.heard
-		l.lose(0)
-	case !l.needed() && l.now.Sub(l.busyAt) > idleAfter:
+	case l.ownerSilent():
+		l.entry.counters.sessionsSilent.Add(1)
+		l.disconnectedSince = s.lastReceived
+		l.dropSession(0)
+	case !l.needsSession() && l.now.Sub(l.lastUsed) > idleTimeout:
 		l.closeSession()
 		l.session.state = sessionClosed
 		l.probe = session{}
@@ -59,9 +59,9 @@
 	}
 }
 
-// movedFrom tells whether membership names another owner than o. Where it
+// ownerMoved tells whether membership names another owner than o. Where it
 // names none, a session is kept while it lives.
-func (l *link) movedFrom(o owner) bool {
+func (l *link) ownerMoved(o owner) bool {
 	if l.entry.cfg.Views == nil {
 		return false
 	}
@@ -78,57 +78,57 @@
 	_ = s.owner.hello(poolwire.Hello{Pool: l.pool, Entry: l.entry.id, Session: s.id, Close: true})
 }
 
-// degrade begins degraded mode: without it, requests that wait would expire
+// enterDegraded begins degraded mode: without it, requests that wait would expire
 // beside free servers while the owner can't be reached.
-func (l *link) degrade() {
-	if l.share != nil || len(l.waiting) == 0 || l.now.Sub(l.without) < l.entry.cfg.DegradedAfter {
+func (l *link) enterDegraded() {
+	if l.share != nil || len(l.waiting) == 0 || l.now.Sub(l.disconnectedSince) < l.entry.cfg.DegradedAfter {
 		return
 	}
 	snapshot := l.entry.cfg.Snapshots.Load()
 	if snapshot == nil || snapshot.Pools[l.pool] == nil {
 		return
 	}
-	l.entry.count.degradedEntered.Add(1)
+	l.entry.counters.degradedEntered.Add(1)
 	l.share = l.entry.host.OpenShare(snapshot.Pools[l.pool])
-	l.start(&l.session, shareOwner{l.share, l})
+	l.startSession(&l.session, shareOwner{l.share, l})
 }
 
-// lookForOwner sends hellos to the pool's owner while another one, or a share
+// probeOwner sends hellos to the pool's owner while another one, or a share
 // in degraded mode, schedules this entry's requests. A new owner may not know
 // yet that it is one; until it accepts, the old one serves on.
-func (l *link) lookForOwner() {
-	wait := retryEvery
-	if l.probe.state != sessionClosed && !l.movedFrom(l.probe.owner) {
-		wait = l.patience()
+func (l *link) probeOwner() {
+	wait := helloRetryInterval
+	if l.probe.state != sessionClosed && !l.ownerMoved(l.probe.owner) {
+		wait = l.answerTimeout()
 	}
 	if l.now.Sub(l.probe.started) < wait {
 		return
 	}
 	if l.probe.state != sessionClosed {
-		l.unanswered++
+		l.unansweredHellos++
 	}
 	if o := l.findOwner(); o != nil {
-		l.start(&l.probe, o)
+		l.startSession(&l.probe, o)
 	}
 }
 
-// takeProbeAnswer moves the session over when the owner accepts: what was
+// handleProbeAnswer moves the session over when the owner accepts: what was
 // granted by the old one, or from the share, is reported as running.
-func (l *link) takeProbeAnswer(b poolwire.Commands) {
+func (l *link) handleProbeAnswer(b poolwire.Commands) {
 	if b.Verdict != poolwire.VerdictAccepted {
 		l.probe.state = sessionClosed
 		return
 	}
 	if l.share != nil {
-		l.entry.count.degradedLeft.Add(1)
+		l.entry.counters.degradedLeft.Add(1)
 	} else if l.session.state != sessionClosed {
-		l.entry.count.ownerChanged.Add(1)
+		l.entry.counters.ownerChanged.Add(1)
 		l.closeSession()
 	}
-	l.end()
+	l.endSession()
 	l.session, l.probe = l.probe, session{}
 	l.closeShare()
-	l.takeBatch(b)
+	l.handleBatch(b)
 }
 
 func (l *link) closeShare() {
@@ -138,23 +138,23 @@
 	}
 }
 
-// announceMessage asks for a session although nothing waits or runs.
-type announceMessage struct{}
+// openMessage asks for a session although nothing waits or runs.
+type openMessage struct{}
 
-func (announceMessage) apply(l *link) {
-	l.announced = true
+func (openMessage) apply(l *link) {
+	l.openRequested = true
 	if l.session.state == sessionClosed {
 		l.connect()
 	}
 }
 
-// downMessage tells that the connection to a peer broke: what was under way
+// peerDownMessage tells that the connection to a peer broke: what was under way
 // is lost, so the session on it is opened again.
-type downMessage struct{ peer string }
+type peerDownMessage struct{ peer string }
 
-func (m downMessage) apply(l *link) {
+func (m peerDownMessage) apply(l *link) {
 	if l.session.state != sessionClosed && l.session.owner.name() == m.peer {
-		l.lose(0)
+		l.dropSession(0)
 	}
 	if l.probe.state != sessionClosed && l.probe.owner.name() == m.peer {
 		l.probe.state = sessionClosed
--- a/broker/waiter.go
+++ b/broker/waiter.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// enqueue returns the waiter's event as of now. Its age is told, so it keeps
+// enqueueEvent returns the waiter's event as of now. Its age is told, so it keeps
 // its place at a new owner.
-func (w *waiter) enqueue(now time.Time) pool.Enqueue {
+func (w *waiter) enqueueEvent(now time.Time) pool.Enqueue {
 	s := w.demand.Spec
 	waited := max(0, now.Sub(s.Received))
 	ev := pool.Enqueue{
@@ -69,11 +69,11 @@
 	return ev
 }
 
-// maxBlocks bounds the prefix blocks that an owner is told of; a prompt's
+// maxSentBlocks bounds the prefix blocks that an owner is told of; a prompt's
 // first 128k tokens decide where its prefix may be cached.
-const maxBlocks = 2048
+const maxSentBlocks = 2048
 
-func sentBlocks(s *request.Spec) []uint64 { return s.Blocks[:min(maxBlocks, len(s.Blocks))] }
+func sentBlocks(s *request.Spec) []uint64 { return s.Blocks[:min(maxSentBlocks, len(s.Blocks))] }
 
 // candidate returns the candidate pool of that name, or nil.
 func (w *waiter) candidate(name string) *workspace.ResolvedPool {
--- a/broker/waiter_test.go
+++ b/broker/waiter_test.go
@@ -10,7 +10,7 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-func TestWhatTheOwnerIsTold(t *testing.T) {
+func TestEventsForTheOwner(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	spec := &request.Spec{
 		ID: "r", Workspace: "w", Template: "t", Model: "m", Tier: 2, Targets: request.Targets{FirstToken: time.Second, Deadline: time.Minute},
@@ -18,7 +18,7 @@
 	}
 	Convey("A request that waits is told with all that its scheduling depends on", t, func() {
 		w := newWaiter(Demand{Spec: spec, MaxWaiting: 7, SentTo: []string{"s1"}})
-		So(w.enqueue(now), ShouldResemble, pool.Enqueue{
+		So(w.enqueueEvent(now), ShouldResemble, pool.Enqueue{
 			Request: "r", Workspace: "w", Template: "t", Model: "m", Tier: 2, Waited: 100 * time.Millisecond,
 			FirstTokenIn: 900 * time.Millisecond, DeadlineIn: time.Minute - 100*time.Millisecond,
 			PromptTokens: 100, MaxTokens: 400, ExpectedTokens: 150, Fingerprint: 9, MaxWaiting: 7,
@@ -26,10 +26,10 @@
 		})
 	})
 	Convey("So is one that runs, to a new owner", t, func() {
-		g := &grant{spec: spec, id: pool.GrantID{Epoch: 1, Seq: 2}}
-		g.server.Name = "s1"
-		g.tokens.Store(30)
-		So(g.running(), ShouldResemble, pool.Running{
+		running := &grant{spec: spec, id: pool.GrantID{Epoch: 1, Seq: 2}}
+		running.server.Name = "s1"
+		running.tokens.Store(30)
+		So(running.runningEvent(), ShouldResemble, pool.Running{
 			Request: "r", Grant: pool.GrantID{Epoch: 1, Seq: 2}, Server: "s1", Workspace: "w", Template: "t", Model: "m", Tier: 2,
 			Fingerprint: 9, PromptTokens: 100, MaxTokens: 400, ExpectedTokens: 150, Tokens: 30,
 		})
--- a/claim/background.go
+++ b/claim/background.go
@@ -18,42 +18,42 @@
 // and hammers the store when it comes back. One would see memory grow and the
 // store fall over again. So jobs, their time and their calls are bounded.
 type background struct {
-	o     Options
-	log   *logrus.Entry
-	slots chan struct{}
-	calls chan struct{} // held during a call
-	retry *rate.Limiter
-	ctx   context.Context
-	stop  context.CancelFunc
-	wg    conc.WaitGroup
+	o         Options
+	log       *logrus.Entry
+	jobSlots  chan struct{}
+	callSlots chan struct{} // held during a call
+	retryRate *rate.Limiter
+	ctx       context.Context
+	stop      context.CancelFunc
+	wg        conc.WaitGroup
 }
 
 func newBackground(o Options) *background {
 	ctx, stop := context.WithCancel(context.Background())
 	return &background{
-		o: o, log: logs.For("claim"), slots: make(chan struct{}, o.BackgroundJobs),
-		calls: make(chan struct{}, o.MaxInFlight),
-		retry: rate.NewLimiter(rate.Limit(o.BackgroundRate), int(o.BackgroundRate)+1), ctx: ctx, stop: stop,
+		o: o, log: logs.For("claim"), jobSlots: make(chan struct{}, o.BackgroundJobs),
+		callSlots: make(chan struct{}, o.MaxInFlight),
+		retryRate: rate.NewLimiter(rate.Limit(o.BackgroundRate), int(o.BackgroundRate)+1), ctx: ctx, stop: stop,
 	}
 }
 
 // run repeats try until it returns true or the bounds are reached.
 func (b *background) run(name string, try func(context.Context) bool) {
 	select {
-	case b.slots <- struct{}{}:
+	case b.jobSlots <- struct{}{}:
 	default:
-		b.o.count(countBackgroundMax)
+		b.o.count(countBackgroundFull)
 		b.log.WithField("claim", name).Warn("Outcome not recorded: too many wait.")
 		return
 	}
 	b.wg.Go(func() {
-		defer func() { <-b.slots }()
-		ctx, cancel := context.WithTimeout(b.ctx, b.o.BackgroundFor)
+		defer func() { <-b.jobSlots }()
+		ctx, cancel := context.WithTimeout(b.ctx, b.o.BackgroundTimeout)
 		defer cancel()
-		retry := newBackOff(longestBackground)
-		for !b.once(ctx, try) {
-			if !wait.For(ctx, retry.NextBackOff()) || b.retry.Wait(ctx) != nil {
-				b.o.count(countBackgroundOut)
+		retry := newBackOff(maxBackgroundRetryInterval)
+		for !b.tryOnce(ctx, try) {
+			if !wait.For(ctx, retry.NextBackOff()) || b.retryRate.Wait(ctx) != nil {
+				b.o.count(countBackgroundGaveUp)
 				b.log.WithField("claim", name).Warn("Outcome not recorded: the store took too long.")
 				return
 			}
@@ -61,11 +61,11 @@
 	})
 }
 
-func (b *background) once(ctx context.Context, try func(context.Context) bool) bool {
-	if !take(ctx, b.calls) {
+func (b *background) tryOnce(ctx context.Context, try func(context.Context) bool) bool {
+	if !acquireSlot(ctx, b.callSlots) {
 		return false
 	}
-	defer func() { <-b.calls }()
+	defer func() { <-b.callSlots }()
 	ctx, cancel := context.WithTimeout(ctx, b.o.CallTimeout)
 	defer cancel()
 	return try(ctx)
@@ -89,10 +89,10 @@
 	}
 }
 
-// take takes a place; false where the context ended first.
-func take(ctx context.Context, places chan struct{}) bool {
+// acquireSlot takes a place; false where the context ended first.
+func acquireSlot(ctx context.Context, slots chan struct{}) bool {
 	select {
-	case places <- struct{}{}:
+	case slots <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	benchTime   = 2 * time.Second
-	benchTarget = 500 * time.Millisecond
+	benchDuration = 2 * time.Second
+	claimTimeout  = 500 * time.Millisecond
 )
 
 // benchStore answers in 3 ms and takes 300 writes a second.
 var benchStore = standin.Faults{SlowMs: 3, WritesPerSecond: 300}
 
-func grouped(shards int) func(objectstore.ObjectAPI) closable {
-	return func(api objectstore.ObjectAPI) closable {
+func grouped(shards int) func(objectstore.ObjectAPI) closableLedger {
+	return func(api objectstore.ObjectAPI) closableLedger {
 		return claim.NewGroupLedger(api, claim.GroupOptions{Shards: shards})
 	}
 }
@@ -37,7 +37,7 @@
 	for _, c := range []struct {
 		name    string
 		entries int
-		open    func(objectstore.ObjectAPI) closable
+		open    func(objectstore.ObjectAPI) closableLedger
 	}{
 		{"object/entries=9", 9, ledgers["object"]},
 		{"group=1/entries=9", 9, grouped(1)},
@@ -52,41 +52,41 @@
 	}
 }
 
-func measure(b *testing.B, entries, rate int, open func(objectstore.ObjectAPI) closable) {
+func measure(b *testing.B, entries, rate int, open func(objectstore.ObjectAPI) closableLedger) {
 	store := standin.New(standin.Options{})
 	store.SetFaults(benchStore)
-	var at []closable
+	var instances []closableLedger
 	for range entries {
-		at = append(at, open(store))
+		instances = append(instances, open(store))
 	}
 	var mu sync.Mutex
-	latency := hdrhistogram.New(1, benchTarget.Microseconds()*2, 3)
+	latency := hdrhistogram.New(1, claimTimeout.Microseconds()*2, 3)
 	var held atomic.Int64
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	arrivals := time.NewTicker(time.Second / time.Duration(rate))
 	defer arrivals.Stop()
-	n := int(benchTime.Seconds() * float64(rate))
+	n := int(benchDuration.Seconds() * float64(rate))
 	for i := range n {
 		<-arrivals.C
-		all.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), benchTarget)
+		wg.Go(func() {
+			ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 			defer cancel()
-			began := time.Now()
-			c, err := at[i%entries].Claim(ctx, key(i), claim.Hash{1}, request.NewID())
+			start := time.Now()
+			c, err := instances[i%entries].Claim(ctx, key(i), claim.Hash{1}, request.NewID())
 			if err != nil {
 				return
 			}
 			mu.Lock()
-			_ = latency.RecordValue(time.Since(began).Microseconds())
+			_ = latency.RecordValue(time.Since(start).Microseconds())
 			mu.Unlock()
 			held.Add(1)
 			c.Finish(claim.Outcome{State: claim.Ran, Status: 200})
 		})
 	}
-	all.Wait()
-	ctx, cancel := context.WithTimeout(context.Background(), benchTime)
+	wg.Wait()
+	ctx, cancel := context.WithTimeout(context.Background(), benchDuration)
 	defer cancel()
-	for _, l := range at {
+	for _, l := range instances {
 		_ = l.Close(ctx)
 	}
 	calls := store.Calls()
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -71,9 +71,9 @@
 	// Finish records the outcome. It retries in the background while the
 	// store is down, within a bound; a claim never finished reads "unknown".
 	Finish(o Outcome)
-	// GiveBack records that the request was not dispatched, so that a resend
+	// Release records that the request was not dispatched, so that a resend
 	// may run. Call it only where that is certain.
-	GiveBack()
+	Release()
 }
 
 // Ledger makes claims. Implementations are safe for concurrent use.
--- a/claim/collector.go
+++ b/claim/collector.go
@@ -13,11 +13,11 @@
 
 // Defaults of CollectorOptions.
 const (
-	DefaultRetention = 24 * time.Hour
-	DefaultMargin    = 10 * time.Minute
-	DefaultDeletes   = 50
-	// readsPerDelete paces the listings beside the deletes.
-	readsPerDelete = 10
+	DefaultRetention        = 24 * time.Hour
+	DefaultMargin           = 10 * time.Minute
+	DefaultDeletesPerSecond = 50
+	// deletesPerList paces the listings beside the deletes.
+	deletesPerList = 10
 )
 
 // CollectorOptions set up a Collector; the zero value works.
@@ -36,10 +36,10 @@
 // is held, so that one process does it; two at once do no harm but to the
 // store's budget, since each delete is conditional.
 type Collector struct {
-	api   objectstore.ObjectAPI
-	o     CollectorOptions
-	pace  *rate.Limiter
-	reads *rate.Limiter
+	api     objectstore.ObjectAPI
+	o       CollectorOptions
+	deletes *rate.Limiter
+	lists   *rate.Limiter
 }
 
 // NewCollector returns a collector; it makes no call.
@@ -51,13 +51,13 @@
 		o.Margin = DefaultMargin
 	}
 	if o.DeletesPerSecond == 0 {
-		o.DeletesPerSecond = DefaultDeletes
+		o.DeletesPerSecond = DefaultDeletesPerSecond
 	}
 	o.Options = o.withDefaults()
 	return &Collector{
 		api: api, o: o,
-		pace:  rate.NewLimiter(rate.Limit(o.DeletesPerSecond), 1),
-		reads: rate.NewLimiter(rate.Limit(o.DeletesPerSecond/readsPerDelete), 1),
+		deletes: rate.NewLimiter(rate.Limit(o.DeletesPerSecond), 1),
+		lists:   rate.NewLimiter(rate.Limit(o.DeletesPerSecond/deletesPerList), 1),
 	}
 }
 
@@ -66,11 +66,11 @@
 // how many claims it deleted.
 func (c *Collector) Pass(ctx context.Context, check func() error) (int, error) {
 	removed := 0
-	for i := range 1 << (4 * shardChars) {
-		if err := c.reads.Wait(ctx); err != nil {
+	for i := range 1 << (4 * prefixChars) {
+		if err := c.lists.Wait(ctx); err != nil {
 			return removed, errors.Wrap(err, "collect claims")
 		}
-		n, err := c.shard(ctx, fmt.Sprintf("%0*x/", shardChars, i), check)
+		n, err := c.collectPrefix(ctx, fmt.Sprintf("%0*x/", prefixChars, i), check)
 		removed += n
 		if err != nil {
 			return removed, errors.Wrap(err, "collect claims")
@@ -79,17 +79,17 @@
 	return removed, nil
 }
 
-func (c *Collector) shard(ctx context.Context, prefix string, check func() error) (int, error) {
+func (c *Collector) collectPrefix(ctx context.Context, prefix string, check func() error) (int, error) {
 	list, err := c.api.List(ctx, Kind, prefix)
 	if err != nil {
 		return 0, err
 	}
 	removed := 0
 	for _, o := range list.Objects {
-		if !c.old(decode(o.Value)) {
+		if !c.expired(decode(o.Value)) {
 			continue
 		}
-		if err := c.pace.Wait(ctx); err != nil {
+		if err := c.deletes.Wait(ctx); err != nil {
 			return removed, err
 		}
 		if err := check(); err != nil {
@@ -109,8 +109,8 @@
 	return removed, nil
 }
 
-// old compares wall clocks: nothing else lasts a day and crosses machines. A
+// expired compares wall clocks: nothing else lasts a day and crosses machines. A
 // time in the future, or none, is never old.
-func (c *Collector) old(r record) bool {
+func (c *Collector) expired(r record) bool {
 	return r.At != 0 && c.o.Now().Sub(time.UnixMilli(r.At)) > c.o.Retention+c.o.Margin
 }
--- a/claim/group.go
+++ b/claim/group.go
@@ -45,12 +45,12 @@
 // object. It pays only where one process gets many claims of one shard within
 // a write's time; docs/design/claims.md has the measured cross-over.
 type GroupLedger struct {
-	api    objectstore.ObjectAPI
-	o      GroupOptions
-	shards []*shard
-	stop   context.CancelFunc
-	wg     conc.WaitGroup
-	open   sync.WaitGroup // operations not decided yet
+	api       objectstore.ObjectAPI
+	o         GroupOptions
+	shards    []*shard
+	stop      context.CancelFunc
+	wg        conc.WaitGroup
+	undecided sync.WaitGroup // operations not decided yet
 }
 
 var _ Ledger = (*GroupLedger)(nil)
@@ -81,7 +81,7 @@
 func (l *GroupLedger) Close(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
-		l.open.Wait()
+		l.undecided.Wait()
 		close(done)
 	}()
 	var err error
@@ -97,7 +97,7 @@
 
 // Claim implements Ledger.
 func (l *GroupLedger) Claim(ctx context.Context, k Key, h Hash, id request.ID) (Claim, error) {
-	op := &operation{ctx: ctx, name: objectName(k), rec: newRecord(h, id, l.o.Now()), done: make(chan error, 1)}
+	op := &operation{ctx: ctx, name: objectName(k), rec: newRecord(h, id, l.o.Now()), result: make(chan error, 1)}
 	s := l.shards[xxhash.Sum64String(op.name)%uint64(len(l.shards))]
 	if !s.enqueue(op) {
 		l.o.count(countUnavailable)
@@ -105,12 +105,12 @@
 	}
 	var err error
 	select {
-	case err = <-op.done:
+	case err = <-op.result:
 	case <-ctx.Done():
-		if op.settled.CompareAndSwap(false, true) {
+		if op.decided.CompareAndSwap(false, true) {
 			err = errors.Wrapf(ErrStoreUnavailable, "claim %s", op.name)
 		} else {
-			err = <-op.done // it was decided at the same moment
+			err = <-op.result // it was decided at the same moment
 		}
 	}
 	if err != nil {
@@ -119,39 +119,39 @@
 		}
 		return nil, err
 	}
-	return &groupHeld{shard: s, op: op}, nil
+	return &groupClaim{shard: s, op: op}, nil
 }
 
-// groupHeld is a Claim of this process.
-type groupHeld struct {
+// groupClaim is a Claim of this process.
+type groupClaim struct {
 	shard *shard
 	op    *operation
 	once  sync.Once
 }
 
 // Finish implements Claim.
-func (c *groupHeld) Finish(o Outcome) {
-	c.once.Do(func() { c.shard.finish(c.op, o, false) })
+func (c *groupClaim) Finish(o Outcome) {
+	c.once.Do(func() { c.shard.enqueueOutcome(c.op, o, false) })
 }
 
-// GiveBack implements Claim.
-func (c *groupHeld) GiveBack() { c.Finish(Outcome{State: NotRun}) }
+// Release implements Claim.
+func (c *groupClaim) Release() { c.Finish(Outcome{State: NotRun}) }
 
 // operation is one change of one claim.
 type operation struct {
 	ctx  context.Context
 	name string
 	rec  record
-	// final: rec replaces the claimed record of the same token.
-	final bool
-	// force: a write is needed even if nothing changes, so that an earlier
+	// isOutcome: rec replaces the claimed record of the same token.
+	isOutcome bool
+	// forceWrite: a write is needed even if nothing changes, so that an earlier
 	// one whose answer was lost can't take effect any more.
-	force bool
-	// attempted: a write with it may have taken effect.
-	attempted bool
-	// settled is set by who decides: the shard, or the caller that gave up.
-	settled atomic.Bool
-	done    chan error
+	forceWrite bool
+	// maybeWritten: a write with it may have taken effect.
+	maybeWritten bool
+	// decided is set by who decides: the shard, or the caller that gave up.
+	decided atomic.Bool
+	result  chan error
 	cancel  context.CancelFunc
 }
 
@@ -161,18 +161,18 @@
 	cur, exists := claims[op.name]
 	ours := exists && cur.Token == op.rec.Token
 	switch {
-	case op.final && ours && cur.State == Claimed:
+	case op.isOutcome && ours && cur.State == Claimed:
 		claims[op.name] = op.rec
 		return nil, true
-	case op.final:
-		return nil, op.force
+	case op.isOutcome:
+		return nil, op.forceWrite
 	case ours:
 		return nil, false
 	case !exists, cur.State == NotRun && string(cur.Hash) == string(op.rec.Hash):
 		claims[op.name] = op.rec
 		return nil, true
 	}
-	return o.refusal(op.name, op.rec, cur), false
+	return o.existingError(op.name, op.rec, cur), false
 }
 
 // groupValue is the stored form of a group.
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -15,12 +15,12 @@
 // ObjectLedger keeps each claim in an object of its own: two writes a claim.
 // It is the default; docs/design/claims.md says when GroupLedger pays.
 type ObjectLedger struct {
-	api    objectstore.ObjectAPI
-	o      Options
-	calls  chan struct{} // held during a claim's call
-	hurry  hurry
-	outage outage
-	back   *background
+	api        objectstore.ObjectAPI
+	o          Options
+	callSlots  chan struct{} // heldClaim during a claim's call
+	latency    latencyTracker
+	breaker    circuitBreaker
+	background *background
 }
 
 var _ Ledger = (*ObjectLedger)(nil)
@@ -28,103 +28,103 @@
 // NewLedger returns a ledger on the object API.
 func NewLedger(api objectstore.ObjectAPI, o Options) *ObjectLedger {
 	o = o.withDefaults()
-	return &ObjectLedger{api: api, o: o, calls: make(chan struct{}, o.MaxInFlight), back: newBackground(o)}
+	return &ObjectLedger{api: api, o: o, callSlots: make(chan struct{}, o.MaxInFlight), background: newBackground(o)}
 }
 
 // Close waits until every outcome is recorded or the context ends.
-func (l *ObjectLedger) Close(ctx context.Context) error { return l.back.close(ctx) }
+func (l *ObjectLedger) Close(ctx context.Context) error { return l.background.close(ctx) }
 
-// write is one claimant's attempt at a key.
-type write struct {
+// claimAttempt is one claimant's attempt at a key.
+type claimAttempt struct {
 	name string
 	rec  record
-	// pending: some write of ours had an unknown outcome and may take effect
+	// unresolved: some write of ours had an unknown outcome and may take effect
 	// later; expected is the version that it would replace, zero for none.
-	pending  bool
-	expected objectstore.Version
-	// seen is the newest version read: a read of an older one is stale.
-	seen objectstore.Version
+	unresolved bool
+	expected   objectstore.Version
+	// newestSeen is the newest version read: a read of an older one is stale.
+	newestSeen objectstore.Version
 }
 
-// errAgain means that nothing is decided yet.
-var errAgain = errors.New("claim not settled yet")
+// errUndecided means that nothing is decided yet.
+var errUndecided = errors.New("claim not settled yet")
 
 // Claim implements Ledger.
 func (l *ObjectLedger) Claim(ctx context.Context, k Key, h Hash, id request.ID) (Claim, error) {
-	w := &write{name: objectName(k), rec: newRecord(h, id, l.o.Now())}
-	retry := newBackOff(longestClaimRetry)
+	a := &claimAttempt{name: objectName(k), rec: newRecord(h, id, l.o.Now())}
+	retry := newBackOff(maxClaimRetryInterval)
 	for ctx.Err() == nil {
-		c, err := l.attempt(ctx, w)
-		if !errors.Is(err, errAgain) {
+		c, err := l.tryClaim(ctx, a)
+		if !errors.Is(err, errUndecided) {
 			return c, err
 		}
 		wait.For(ctx, retry.NextBackOff())
 	}
 	l.o.count(countUnavailable)
-	if w.pending {
-		l.back.run(w.name, func(ctx context.Context) bool { return l.abandon(ctx, w) })
+	if a.unresolved {
+		l.background.run(a.name, func(ctx context.Context) bool { return l.abandon(ctx, a) })
 	}
-	return nil, errors.Wrapf(ErrStoreUnavailable, "claim %s", w.name)
+	return nil, errors.Wrapf(ErrStoreUnavailable, "claim %s", a.name)
 }
 
-// attempt creates the claim once, or finds out who has it.
-func (l *ObjectLedger) attempt(ctx context.Context, w *write) (Claim, error) {
-	if !take(ctx, l.calls) {
-		return nil, errAgain
+// tryClaim creates the claim once, or finds out who has it.
+func (l *ObjectLedger) tryClaim(ctx context.Context, a *claimAttempt) (Claim, error) {
+	if !acquireSlot(ctx, l.callSlots) {
+		return nil, errUndecided
 	}
-	defer func() { <-l.calls }()
-	if l.hurry.tooLate(ctx) {
+	defer func() { <-l.callSlots }()
+	if l.latency.tooLate(ctx) {
 		l.o.count(countTooLate)
-		return nil, errAgain
+		return nil, errUndecided
 	}
-	if !l.outage.mayCall() {
-		l.o.count(countHeldBack)
-		return nil, errAgain
+	if !l.breaker.allow() {
+		l.o.count(countBreakerOpen)
+		return nil, errUndecided
 	}
 	ctx, cancel := context.WithTimeout(ctx, l.o.CallTimeout)
 	defer cancel()
 	sent := time.Now()
-	v, err := l.api.Create(ctx, Kind, w.name, w.rec.encode())
-	l.hurry.observe(time.Since(sent))
-	l.outage.observe(errors.Is(err, objectstore.ErrUnavailable))
+	v, err := l.api.Create(ctx, Kind, a.name, a.rec.encode())
+	l.latency.observe(time.Since(sent))
+	l.breaker.observe(errors.Is(err, objectstore.ErrUnavailable))
 	switch {
 	case err == nil:
-		return l.held(w, v, countClaimed), nil
+		return l.held(a, v, countClaimed), nil
 	case errors.Is(err, objectstore.ErrUnavailable):
-		l.o.count(countRetryDown)
-		return nil, errAgain
+		l.o.count(countRetryUnavailable)
+		return nil, errUndecided
 	case !errors.Is(err, objectstore.ErrConflict):
 		l.o.count(countRetryUnknown)
-		w.pending = true
+		a.unresolved = true
 	}
-	return l.inspect(ctx, w)
+	return l.resolve(ctx, a)
 }
 
-// inspect reads the claim and decides; a claim that was given back is taken
+// resolve reads the claim and decides; a claim that was given back is taken
 // over on condition that it did not change.
-func (l *ObjectLedger) inspect(ctx context.Context, w *write) (Claim, error) {
-	o, err := l.api.Get(ctx, Kind, w.name)
-	if err != nil || o.Version < w.seen {
-		return nil, errAgain
+func (l *ObjectLedger) resolve(ctx context.Context, a *claimAttempt) (Claim, error) {
+	o, err := l.api.Get(ctx, Kind, a.name)
+	if err != nil || o.Version < a.newestSeen {
+		return nil, errUndecided
 	}
-	w.seen = o.Version
+	a.newestSeen = o.Version
 	found := decode(o.Value)
 	switch {
-	case found.Token == w.rec.Token:
-		return l.held(w, o.Version, countSettledOurs), nil
-	case found.State != NotRun || string(found.Hash) != string(w.rec.Hash):
-		return nil, l.o.refusal(w.name, w.rec, found)
+	case found.Token == a.rec.Token:
+		return l.held(a, o.Version, countOwnTokenFound), nil
+	case found.State != NotRun || string(found.Hash) != string(a.rec.Hash):
+		return nil, l.o.existingError(a.name, a.rec, found)
 	}
-	w.expected = o.Version
-	v, err := l.api.Update(ctx, Kind, w.name, w.rec.encode(), o.Version)
+	a.expected = o.Version
+	v, err := l.api.Update(ctx, Kind, a.name, a.rec.encode(), o.Version)
 	switch {
 	case err == nil:
-		return l.held(w, v, countReclaimed), nil
+		return l.held(a, v, countReclaimed), nil
 	case !errors.Is(err, objectstore.ErrConflict) && !errors.Is(err, objectstore.ErrUnavailable):
 		l.o.count(countRetryUnknown)
-		w.pending = true
+		a.unresolved = true
 	}
-	return nil, errAgain
+	return nil, errUndecided
 }
 
 // abandon makes sure that a claim which was not settled in time does not come
@@ -133,33 +133,33 @@
 //
 // What goes wrong otherwise: the store applies the lost write after the caller
 // was refused, and every resend is told "claimed" for a day.
-func (l *ObjectLedger) abandon(ctx context.Context, w *write) bool {
-	rec := w.rec.with(Outcome{State: NotRun}, l.o.Now())
-	o, err := l.api.Get(ctx, Kind, w.name)
+func (l *ObjectLedger) abandon(ctx context.Context, a *claimAttempt) bool {
+	rec := a.rec.withOutcome(Outcome{State: NotRun}, l.o.Now())
+	o, err := l.api.Get(ctx, Kind, a.name)
 	if errors.Is(err, objectstore.ErrNotFound) {
-		_, err = l.api.Create(ctx, Kind, w.name, rec.encode())
+		_, err = l.api.Create(ctx, Kind, a.name, rec.encode())
 		return err == nil
 	}
-	if err != nil || o.Version < w.seen {
+	if err != nil || o.Version < a.newestSeen {
 		return false
 	}
-	w.seen = o.Version
+	a.newestSeen = o.Version
 	found := decode(o.Value)
-	ours := found.Token == w.rec.Token
-	if ours && found.State == NotRun || !ours && o.Version != w.expected {
+	ours := found.Token == a.rec.Token
+	if ours && found.State == NotRun || !ours && o.Version != a.expected {
 		return true
 	}
-	_, err = l.api.Update(ctx, Kind, w.name, rec.encode(), o.Version)
+	_, err = l.api.Update(ctx, Kind, a.name, rec.encode(), o.Version)
 	return err == nil
 }
 
-func (l *ObjectLedger) held(w *write, v objectstore.Version, why string) Claim {
+func (l *ObjectLedger) held(a *claimAttempt, v objectstore.Version, why string) Claim {
 	l.o.count(why)
-	return &held{l: l, name: w.name, rec: w.rec, version: v}
+	return &heldClaim{l: l, name: a.name, rec: a.rec, version: v}
 }
 
-// held is a Claim of this process.
-type held struct {
+// heldClaim is a Claim of this process.
+type heldClaim struct {
 	l       *ObjectLedger
 	name    string
 	rec     record
@@ -168,19 +168,19 @@
 }
 
 // Finish implements Claim.
-func (c *held) Finish(o Outcome) {
+func (c *heldClaim) Finish(o Outcome) {
 	c.once.Do(func() {
-		rec := c.rec.with(o, c.l.o.Now())
-		c.l.back.run(c.name, func(ctx context.Context) bool { return c.record(ctx, rec) })
+		rec := c.rec.withOutcome(o, c.l.o.Now())
+		c.l.background.run(c.name, func(ctx context.Context) bool { return c.writeOutcome(ctx, rec) })
 	})
 }
 
-// GiveBack implements Claim.
-func (c *held) GiveBack() { c.Finish(Outcome{State: NotRun}) }
+// Release implements Claim.
+func (c *heldClaim) Release() { c.Finish(Outcome{State: NotRun}) }
 
-// record writes the outcome once, only over this claimant's own claim; true
+// writeOutcome writes the outcome once, only over this claimant's own claim; true
 // when nothing is left to do.
-func (c *held) record(ctx context.Context, rec record) bool {
+func (c *heldClaim) writeOutcome(ctx context.Context, rec record) bool {
 	_, err := c.l.api.Update(ctx, Kind, c.name, rec.encode(), c.version)
 	if err == nil {
 		return true
--- a/claim/ledger_test.go
+++ b/claim/ledger_test.go
@@ -45,7 +45,7 @@
 			Convey("a resend gets the whole short answer, in its own type", func() {
 				want := claim.Outcome{State: claim.Ran, Answer: []byte(`{"ok":1}`), ContentType: "application/json", Status: 201}
 				c.Finish(want)
-				c.GiveBack() // only the first outcome counts
+				c.Release() // only the first outcome counts
 				So(l.Close(ctx), ShouldBeNil)
 				o, err := resend(1)
 				So(err, ShouldBeNil)
@@ -61,7 +61,7 @@
 			})
 			Convey("an outcome waits for the store to come back", func() {
 				store.SetFaults(standin.Faults{Down: true})
-				c.GiveBack()
+				c.Release()
 				closed := make(chan error, 1)
 				go func() { closed <- l.Close(ctx) }()
 				store.SetFaults(standin.Faults{})
@@ -119,14 +119,14 @@
 	})
 }
 
-// staleOnce answers one read with an old state of the object.
-type staleOnce struct {
+// staleReader answers one read with an old state of the object.
+type staleReader struct {
 	objectstore.ObjectAPI
 	old   objectstore.Object
 	after int // reads before it
 }
 
-func (s *staleOnce) Get(ctx context.Context, k objectstore.Kind, n string) (objectstore.Object, error) {
+func (s *staleReader) Get(ctx context.Context, k objectstore.Kind, n string) (objectstore.Object, error) {
 	if s.after--; s.after == -1 {
 		return s.old, nil
 	}
@@ -143,11 +143,11 @@
 		So(err, ShouldBeNil)
 		list, err := store.List(ctx, claim.Kind, "")
 		So(err, ShouldBeNil)
-		c.GiveBack()
+		c.Release()
 		So(first.Close(ctx), ShouldBeNil)
 
 		store.SetFaults(standin.Faults{LoseNext: 1})
-		second := claim.NewLedger(&staleOnce{store, list.Objects[0], 1}, claim.Options{})
+		second := claim.NewLedger(&staleReader{store, list.Objects[0], 1}, claim.Options{})
 		_, err = second.Claim(ctx, key(0), claim.Hash{1}, request.NewID())
 		So(err, ShouldBeNil)
 		So(second.Close(ctx), ShouldBeNil)
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -25,23 +25,23 @@
 	os.Exit(m.Run())
 }
 
-// closable is a ledger of one entry.
-type closable interface {
+// closableLedger is a ledger of one entry.
+type closableLedger interface {
 	claim.Ledger
 	Close(ctx context.Context) error
 }
 
-var ledgers = map[string]func(objectstore.ObjectAPI) closable{
-	"object": func(api objectstore.ObjectAPI) closable { return claim.NewLedger(api, claim.Options{}) },
-	"group": func(api objectstore.ObjectAPI) closable {
+var ledgers = map[string]func(objectstore.ObjectAPI) closableLedger{
+	"object": func(api objectstore.ObjectAPI) closableLedger { return claim.NewLedger(api, claim.Options{}) },
+	"group": func(api objectstore.ObjectAPI) closableLedger {
 		return claim.NewGroupLedger(api, claim.GroupOptions{Shards: 2})
 	},
 }
 
 const (
-	entries = 3
-	keys    = 2
-	answer  = "booked"
+	numEntries = 3
+	numKeys    = 2
+	answer     = "booked"
 )
 
 // step is one call of a caller, or a change of the store's faults.
@@ -51,9 +51,9 @@
 	Entry   int
 	Key     int
 	Content byte
-	Patient time.Duration // the call's target
-	Then    string        // what the entry does with its claim
-	After   time.Duration // until the next step
+	Timeout time.Duration // the call's target
+	Action  string        // what the entry does with its claim
+	Pause   time.Duration // until the next step
 }
 
 func stepGen() *rapid.Generator[step] {
@@ -61,7 +61,7 @@
 		return time.Duration(rapid.SampledFrom(values).Draw(t, label)) * time.Millisecond
 	}
 	return rapid.Custom(func(t *rapid.T) step {
-		s := step{After: ms(t, "after", 0, 0, 1, 100, 3000)}
+		s := step{Pause: ms(t, "after", 0, 0, 1, 100, 3000)}
 		if rapid.IntRange(0, 2).Draw(t, "fault") == 0 {
 			s.Fault, s.Faults = true, standin.Faults{
 				Down:         rapid.IntRange(0, 3).Draw(t, "down") == 0,
@@ -71,149 +71,149 @@
 			}
 			return s
 		}
-		s.Entry = rapid.IntRange(0, entries-1).Draw(t, "entry")
-		s.Key = rapid.IntRange(0, keys-1).Draw(t, "key")
+		s.Entry = rapid.IntRange(0, numEntries-1).Draw(t, "entry")
+		s.Key = rapid.IntRange(0, numKeys-1).Draw(t, "key")
 		s.Content = rapid.SampledFrom([]byte("aaaab")).Draw(t, "content")
-		s.Patient = ms(t, "patient", 50, 1000, 5000)
-		s.Then = rapid.SampledFrom([]string{"finish", "die", "give back", "give back"}).Draw(t, "then")
+		s.Timeout = ms(t, "patient", 50, 1000, 5000)
+		s.Action = rapid.SampledFrom([]string{"finish", "die", "give back", "give back"}).Draw(t, "then")
 		return s
 	})
 }
 
-// world is some entries on one store, and what really ran.
-type world struct {
+// simulation is some entries on one store, and what really ran.
+type simulation struct {
 	store   *standin.Standin
-	ledgers []closable
+	ledgers []closableLedger
 
-	mu       sync.Mutex
-	ran      [keys]int
-	ranAs    [keys]byte // content that ran
-	finished [keys]bool
-	contents [keys]map[byte]bool
-	err      error
+	mu         sync.Mutex
+	runCount   [numKeys]int
+	ranContent [numKeys]byte // content that ran
+	finished   [numKeys]bool
+	contents   [numKeys]map[byte]bool
+	err        error
 }
 
 func key(i int) claim.Key { return claim.Key{Workspace: "w", IdempotencyKey: fmt.Sprint(i)} }
 
-func (w *world) failf(format string, args ...any) {
-	if w.err == nil {
-		w.err = errors.Errorf(format, args...)
+func (sim *simulation) failf(format string, args ...any) {
+	if sim.err == nil {
+		sim.err = errors.Errorf(format, args...)
 	}
 }
 
 // call is one caller's request at one entry.
-func (w *world) call(s step) {
-	ctx, cancel := context.WithTimeout(context.Background(), s.Patient)
+func (sim *simulation) call(s step) {
+	ctx, cancel := context.WithTimeout(context.Background(), s.Timeout)
 	defer cancel()
-	w.mu.Lock()
-	w.contents[s.Key][s.Content] = true
-	w.mu.Unlock()
-	began := time.Now()
-	c, err := w.ledgers[s.Entry].Claim(ctx, key(s.Key), claim.Hash{s.Content}, request.NewID())
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	sim.mu.Lock()
+	sim.contents[s.Key][s.Content] = true
+	sim.mu.Unlock()
+	start := time.Now()
+	c, err := sim.ledgers[s.Entry].Claim(ctx, key(s.Key), claim.Hash{s.Content}, request.NewID())
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	var existing *claim.ExistingError
 	switch {
 	case err == nil:
-		w.act(s, c)
+		sim.useClaim(s, c)
 	case errors.Is(err, claim.ErrConflict):
-		if len(w.contents[s.Key]) < 2 {
-			w.failf("conflict on a key with one content")
+		if len(sim.contents[s.Key]) < 2 {
+			sim.failf("conflict on a key with one content")
 		}
 	case errors.As(err, &existing):
 		o := existing.Outcome
-		if o.State == claim.NotRun || o.State == claim.Ran && (w.ran[s.Key] == 0 || string(o.Answer) != answer) {
-			w.failf("false outcome %+v, ran %d times", o, w.ran[s.Key])
+		if o.State == claim.NotRun || o.State == claim.Ran && (sim.runCount[s.Key] == 0 || string(o.Answer) != answer) {
+			sim.failf("false outcome %+v, ran %d times", o, sim.runCount[s.Key])
 		}
 	case !errors.Is(err, claim.ErrStoreUnavailable):
-		w.failf("unexpected error %v", err)
+		sim.failf("unexpected error %v", err)
 	}
-	if took := time.Since(began); took > s.Patient {
-		w.failf("answered after %s of %s", took, s.Patient)
+	if took := time.Since(start); took > s.Timeout {
+		sim.failf("answered after %s of %s", took, s.Timeout)
 	}
 }
 
-// act is what an entry does with a claim that it holds.
-func (w *world) act(s step, c claim.Claim) {
-	if s.Then == "give back" {
-		c.GiveBack()
+// useClaim is what an entry does with a claim that it holds.
+func (sim *simulation) useClaim(s step, c claim.Claim) {
+	if s.Action == "give back" {
+		c.Release()
 		return
 	}
-	w.ran[s.Key]++
-	w.ranAs[s.Key] = s.Content
-	if w.ran[s.Key] > 1 {
-		w.failf("key %d ran %d times", s.Key, w.ran[s.Key])
+	sim.runCount[s.Key]++
+	sim.ranContent[s.Key] = s.Content
+	if sim.runCount[s.Key] > 1 {
+		sim.failf("key %d ran %d times", s.Key, sim.runCount[s.Key])
 	}
-	if s.Then == "finish" {
-		w.finished[s.Key] = true
+	if s.Action == "finish" {
+		sim.finished[s.Key] = true
 		c.Finish(claim.Outcome{State: claim.Ran, Answer: []byte(answer), Status: 200})
 	}
 }
 
-// settle heals the store, lets the ledgers finish and checks the end: what
+// healAndClose heals the store, lets the ledgers finish and checks the end: what
 // ran says so, and what never ran can still be claimed.
-func (w *world) settle() {
-	w.store.SetFaults(standin.Faults{})
-	for _, l := range w.ledgers {
+func (sim *simulation) healAndClose() {
+	sim.store.SetFaults(standin.Faults{})
+	for _, l := range sim.ledgers {
 		if err := l.Close(context.Background()); err != nil {
-			w.failf("close: %v", err)
+			sim.failf("close: %v", err)
 		}
 	}
 }
 
-func (w *world) check(l closable) {
-	for k := range keys {
+func (sim *simulation) check(l closableLedger) {
+	for k := range numKeys {
 		claimable := false
-		for content := range w.contents[k] {
+		for content := range sim.contents[k] {
 			_, err := l.Claim(context.Background(), key(k), claim.Hash{content}, request.NewID())
 			claimable = claimable || err == nil
 			var existing *claim.ExistingError
-			if w.finished[k] && content == w.ranAs[k] && (!errors.As(err, &existing) || existing.Outcome.State != claim.Ran) {
-				w.failf("key %d ran, a resend got %v", k, err)
+			if sim.finished[k] && content == sim.ranContent[k] && (!errors.As(err, &existing) || existing.Outcome.State != claim.Ran) {
+				sim.failf("key %d ran, a resend got %v", k, err)
 			}
 		}
-		if len(w.contents[k]) > 0 && claimable != (w.ran[k] == 0) {
-			w.failf("key %d ran %d times, claimable %t", k, w.ran[k], claimable)
+		if len(sim.contents[k]) > 0 && claimable != (sim.runCount[k] == 0) {
+			sim.failf("key %d ran %d times, claimable %t", k, sim.runCount[k], claimable)
 		}
 	}
 }
 
-func play(t *testing.T, open func(objectstore.ObjectAPI) closable, plan []step, seed uint64) error {
-	var w *world
+func runPlan(t *testing.T, open func(objectstore.ObjectAPI) closableLedger, plan []step, seed uint64) error {
+	var sim *simulation
 	synctest.Test(t, func(*testing.T) {
-		w = &world{store: standin.New(standin.Options{Seed: seed})}
-		for i := range keys {
-			w.contents[i] = map[byte]bool{}
+		sim = &simulation{store: standin.New(standin.Options{Seed: seed})}
+		for i := range numKeys {
+			sim.contents[i] = map[byte]bool{}
 		}
-		for range entries {
-			w.ledgers = append(w.ledgers, open(w.store))
+		for range numEntries {
+			sim.ledgers = append(sim.ledgers, open(sim.store))
 		}
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for _, s := range plan {
 			if s.Fault {
-				w.store.SetFaults(s.Faults)
+				sim.store.SetFaults(s.Faults)
 			} else {
-				all.Go(func() { w.call(s) })
+				wg.Go(func() { sim.call(s) })
 			}
-			<-time.After(s.After)
+			<-time.After(s.Pause)
 		}
-		all.Wait()
-		w.settle()
-		last := open(w.store)
-		w.check(last)
+		wg.Wait()
+		sim.healAndClose()
+		last := open(sim.store)
+		sim.check(last)
 		_ = last.Close(context.Background())
 		<-time.After(time.Minute) // for slow writes that nobody waits for
 	})
-	return w.err
+	return sim.err
 }
 
 // Guards against this: a cover is booked twice, or a request that ran nowhere can never be sent again.
-func TestAtMostOnceWhateverFails(t *testing.T) {
+func TestAtMostOnceUnderFaults(t *testing.T) {
 	for name, open := range ledgers {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(rt *rapid.T) {
 				plan := rapid.SliceOfN(stepGen(), 1, 30).Draw(rt, "plan")
-				if err := play(t, open, plan, rapid.Uint64().Draw(rt, "seed")); err != nil {
+				if err := runPlan(t, open, plan, rapid.Uint64().Draw(rt, "seed")); err != nil {
 					rt.Fatal(err)
 				}
 			})
@@ -222,12 +222,12 @@
 }
 
 // Guards against this: a caller was told "not run, send again", and every resend is told "already claimed".
-func TestRefusedCallersCanSendAgain(t *testing.T) {
+func TestUnavailableClaimCanBeRetried(t *testing.T) {
 	for name, open := range ledgers {
 		for _, f := range []standin.Faults{{SlowMs: 200}, {LoseFraction: 1}, {SlowMs: 1500}, {SlowMs: 60, LoseFraction: 1}} {
-			call := step{Content: 'a', Patient: 50 * time.Millisecond, Then: "give back", After: 3 * time.Second}
+			call := step{Content: 'a', Timeout: 50 * time.Millisecond, Action: "give back", Pause: 3 * time.Second}
 			plan := []step{{Fault: true, Faults: f}, call, call}
-			if err := play(t, open, plan, 1); err != nil {
+			if err := runPlan(t, open, plan, 1); err != nil {
 				t.Errorf("%s, %+v: %v", name, f, err)
 			}
 		}
@@ -235,7 +235,7 @@
 }
 
 // Guards against this: after an outage callers learn nothing of what ran, or what was refused during it can't be sent again.
-func TestTenMinutesOutage(t *testing.T) {
+func TestTenMinuteOutage(t *testing.T) {
 	for name, open := range ledgers {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/claim/options.go
+++ b/claim/options.go
@@ -10,39 +10,39 @@
 
 // Defaults of Options.
 const (
-	DefaultCallTimeout    = time.Second
-	DefaultBackgroundJobs = 1024
-	DefaultBackgroundFor  = 30 * time.Minute
-	DefaultBackgroundRate = 5
-	DefaultMaxInFlight    = 8
+	DefaultCallTimeout       = time.Second
+	DefaultBackgroundJobs    = 1024
+	DefaultBackgroundTimeout = 30 * time.Minute
+	DefaultBackgroundRate    = 5
+	DefaultMaxInFlight       = 8
 )
 
 // Between two tries of one claim.
 const (
-	firstRetry        = 10 * time.Millisecond
-	longestClaimRetry = 250 * time.Millisecond
-	longestBackground = 10 * time.Second
+	minRetryInterval           = 10 * time.Millisecond
+	maxClaimRetryInterval      = 250 * time.Millisecond
+	maxBackgroundRetryInterval = 10 * time.Second
 )
 
 // The counters of metric group "claims".
 const (
-	metricGroup        = "claims"
-	countClaimed       = "claimed"
-	countReclaimed     = "reclaimed_not_run"
-	countExisting      = "existing"
-	countConflict      = "conflict"
-	countUnavailable   = "store_unavailable"
-	countRetryDown     = "retry_store_unavailable"
-	countRetryUnknown  = "retry_unknown_outcome"
-	countHeldBack      = "held_back_in_outage"
-	countTooLate       = "not_sent_too_late"
-	countSettledOurs   = "settled_by_token"
-	countBackgroundOut = "background_gave_up"
-	countBackgroundMax = "background_full"
-	countCollected     = "collected"
-	countGroupWrites   = "group_writes"
-	countGroupClaims   = "group_claims"
-	countGroupFull     = "group_full"
+	metricGroup           = "claims"
+	countClaimed          = "claimed"
+	countReclaimed        = "reclaimed_not_run"
+	countExisting         = "existing"
+	countConflict         = "conflict"
+	countUnavailable      = "store_unavailable"
+	countRetryUnavailable = "retry_store_unavailable"
+	countRetryUnknown     = "retry_unknown_outcome"
+	countBreakerOpen      = "held_back_in_outage"
+	countTooLate          = "not_sent_too_late"
+	countOwnTokenFound    = "settled_by_token"
+	countBackgroundGaveUp = "background_gave_up"
+	countBackgroundFull   = "background_full"
+	countCollected        = "collected"
+	countGroupWrites      = "group_writes"
+	countGroupClaims      = "group_claims"
+	countGroupFull        = "group_full"
 )
 
 // Options set up a Ledger; the zero value works.
@@ -51,11 +51,11 @@
 	// does not eat the whole target.
 	CallTimeout time.Duration
 	// BackgroundJobs bounds the outcomes that wait for the store, and
-	// BackgroundFor how long one waits; a claim beyond them stays claimed,
+	// BackgroundTimeout how long one waits; a claim beyond them stays claimed,
 	// which reads as unknown. BackgroundRate bounds their calls a second.
-	BackgroundJobs int
-	BackgroundFor  time.Duration
-	BackgroundRate float64
+	BackgroundJobs    int
+	BackgroundTimeout time.Duration
+	BackgroundRate    float64
 	// MaxInFlight bounds this process's calls that claim, and those that
 	// record outcomes. Claims beyond it wait here, where giving up leaves
 	// nothing to undo: a store that is too slow gets no more work from
@@ -73,8 +73,8 @@
 	if o.BackgroundJobs == 0 {
 		o.BackgroundJobs = DefaultBackgroundJobs
 	}
-	if o.BackgroundFor == 0 {
-		o.BackgroundFor = DefaultBackgroundFor
+	if o.BackgroundTimeout == 0 {
+		o.BackgroundTimeout = DefaultBackgroundTimeout
 	}
 	if o.BackgroundRate == 0 {
 		o.BackgroundRate = DefaultBackgroundRate
@@ -95,6 +95,6 @@
 
 func newBackOff(longest time.Duration) *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval = firstRetry, longest
+	b.InitialInterval, b.MaxInterval = minRetryInterval, longest
 	return b
 }
--- a/claim/record.go
+++ b/claim/record.go
@@ -17,9 +17,9 @@
 // Kind is the kind of the objects that hold one claim each.
 const Kind = objectstore.Kind("Claim")
 
-// shardChars is the length of a claim name's prefix, by which the collector
+// prefixChars is the length of a claim name's prefix, by which the collector
 // lists a 4096th of all claims at a time.
-const shardChars = 3
+const prefixChars = 3
 
 // record is the stored form of a claim.
 type record struct {
@@ -41,8 +41,8 @@
 	return record{Token: newToken(), Hash: slices.Clone(h[:]), State: Claimed, Request: id, At: now.UnixMilli()}
 }
 
-// with returns the record in its final state.
-func (r record) with(o Outcome, now time.Time) record {
+// withOutcome returns the record in its final state.
+func (r record) withOutcome(o Outcome, now time.Time) record {
 	r.State, r.At = o.State, now.UnixMilli()
 	r.Status, r.ContentType = o.Status, o.ContentType
 	if len(o.Answer) <= MaxAnswerBytes {
@@ -81,7 +81,7 @@
 	h.Write([]byte{0})
 	h.Write([]byte(k.IdempotencyKey))
 	sum := hex.EncodeToString(h.Sum(nil))
-	return sum[:shardChars] + "/" + sum
+	return sum[:prefixChars] + "/" + sum
 }
 
 const tokenBytes = 12
@@ -94,8 +94,8 @@
 	return hex.EncodeToString(b[:])
 }
 
-// refusal says why a claim that was found keeps another from being made.
-func (o Options) refusal(name string, wanted, found record) error {
+// existingError says why a claim that was found keeps another from being made.
+func (o Options) existingError(name string, wanted, found record) error {
 	if found.Hash != nil && string(found.Hash) != string(wanted.Hash) {
 		o.count(countConflict)
 		return errors.Wrapf(ErrConflict, "claim %s", name)
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -19,31 +19,31 @@
 	// claims is what the group held at version, nil where that is not known.
 	claims  map[string]record
 	version objectstore.Version
-	outage  outage
+	breaker circuitBreaker
 }
 
 // enqueue returns false where too many operations wait.
 func (s *shard) enqueue(op *operation) bool {
-	s.l.open.Add(1)
+	s.l.undecided.Add(1)
 	select {
 	case s.queue <- op:
 		return true
 	default:
-		s.l.open.Done()
+		s.l.undecided.Done()
 		return false
 	}
 }
 
-// finish records the outcome of a claim in the background, within a bound.
-func (s *shard) finish(claimed *operation, o Outcome, force bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), s.l.o.BackgroundFor)
+// enqueueOutcome records the outcome of a claim in the background, within a bound.
+func (s *shard) enqueueOutcome(claimed *operation, o Outcome, force bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), s.l.o.BackgroundTimeout)
 	op := &operation{
-		ctx: ctx, cancel: cancel, name: claimed.name, rec: claimed.rec.with(o, s.l.o.Now()),
-		final: true, force: force, done: make(chan error, 1),
+		ctx: ctx, cancel: cancel, name: claimed.name, rec: claimed.rec.withOutcome(o, s.l.o.Now()),
+		isOutcome: true, forceWrite: force, result: make(chan error, 1),
 	}
 	if !s.enqueue(op) {
 		cancel()
-		s.l.o.count(countBackgroundMax)
+		s.l.o.count(countBackgroundFull)
 	}
 }
 
@@ -52,7 +52,7 @@
 	for {
 		select {
 		case op := <-s.queue:
-			s.settle(ctx, s.gather(op))
+			s.commit(ctx, s.collectBatch(op))
 		case <-ctx.Done():
 			s.drain()
 			return
@@ -65,15 +65,15 @@
 	for {
 		select {
 		case op := <-s.queue:
-			s.deliver(op, errors.Wrap(ErrStoreUnavailable, "ledger closed"))
+			s.complete(op, errors.Wrap(ErrStoreUnavailable, "ledger closed"))
 		default:
 			return
 		}
 	}
 }
 
-// gather waits a window for more operations.
-func (s *shard) gather(first *operation) []*operation {
+// collectBatch waits a window for more operations.
+func (s *shard) collectBatch(first *operation) []*operation {
 	batch := []*operation{first}
 	window := time.NewTimer(s.l.o.Window)
 	defer window.Stop()
@@ -88,27 +88,27 @@
 	return batch
 }
 
-// settle repeats the batch until each operation is decided or given up.
-func (s *shard) settle(ctx context.Context, batch []*operation) {
-	retry := newBackOff(longestClaimRetry)
+// commit repeats the batch until each operation is decided or given up.
+func (s *shard) commit(ctx context.Context, batch []*operation) {
+	retry := newBackOff(maxClaimRetryInterval)
 	for ctx.Err() == nil {
-		batch = s.live(batch)
-		if len(batch) == 0 || s.attempt(ctx, batch) {
+		batch = s.dropExpired(batch)
+		if len(batch) == 0 || s.tryCommit(ctx, batch) {
 			return
 		}
 		wait.For(ctx, retry.NextBackOff())
 	}
 	for _, op := range batch {
-		s.deliver(op, errors.Wrap(ErrStoreUnavailable, "ledger closed"))
+		s.complete(op, errors.Wrap(ErrStoreUnavailable, "ledger closed"))
 	}
 }
 
-// live drops the operations whose caller no longer waits.
-func (s *shard) live(batch []*operation) []*operation {
+// dropExpired drops the operations whose caller no longer waits.
+func (s *shard) dropExpired(batch []*operation) []*operation {
 	var out []*operation
 	for _, op := range batch {
-		if op.ctx.Err() != nil || op.settled.Load() {
-			s.deliver(op, errors.Wrapf(ErrStoreUnavailable, "claim %s", op.name))
+		if op.ctx.Err() != nil || op.decided.Load() {
+			s.complete(op, errors.Wrapf(ErrStoreUnavailable, "claim %s", op.name))
 		} else {
 			out = append(out, op)
 		}
@@ -116,62 +116,62 @@
 	return out
 }
 
-// deliver ends an operation. A claim that was or may be written although its
+// complete ends an operation. A claim that was or may be written although its
 // caller has given up is given back.
-func (s *shard) deliver(op *operation, result error) {
-	defer s.l.open.Done()
+func (s *shard) complete(op *operation, result error) {
+	defer s.l.undecided.Done()
 	if op.cancel != nil {
 		op.cancel()
 	}
-	if op.final {
+	if op.isOutcome {
 		if result != nil {
-			s.l.o.count(countBackgroundOut)
+			s.l.o.count(countBackgroundGaveUp)
 		}
 		return
 	}
-	told := op.settled.CompareAndSwap(false, true)
-	if told {
-		op.done <- result
+	delivered := op.decided.CompareAndSwap(false, true)
+	if delivered {
+		op.result <- result
 	}
-	written := result == nil && !told
-	if written || op.attempted && errors.Is(result, ErrStoreUnavailable) {
-		s.finish(op, Outcome{State: NotRun}, true)
+	written := result == nil && !delivered
+	if written || op.maybeWritten && errors.Is(result, ErrStoreUnavailable) {
+		s.enqueueOutcome(op, Outcome{State: NotRun}, true)
 	}
 }
 
-// attempt reads the group where it is not known, and writes it with the
+// tryCommit reads the group where it is not known, and writes it with the
 // whole batch; true when all operations were decided.
-func (s *shard) attempt(ctx context.Context, batch []*operation) bool {
+func (s *shard) tryCommit(ctx context.Context, batch []*operation) bool {
 	ctx, cancel := context.WithTimeout(ctx, s.l.o.CallTimeout)
 	defer cancel()
-	fresh := false
+	justLoaded := false
 	if s.claims == nil {
-		if !s.outage.mayCall() || !s.load(ctx) {
+		if !s.breaker.allow() || !s.load(ctx) {
 			return false
 		}
-		fresh = true
+		justLoaded = true
 	}
 	results, changed := make([]error, len(batch)), false
 	for i, op := range batch {
 		err, c := op.apply(s.l.o.Options, s.claims)
 		results[i], changed = err, changed || c
 	}
-	if !changed && !fresh {
+	if !changed && !justLoaded {
 		s.claims = nil // decided on what may be old
-		return s.attempt(ctx, batch)
+		return s.tryCommit(ctx, batch)
 	}
 	if changed && !s.write(ctx, batch) {
 		return false
 	}
 	for i, op := range batch {
-		s.deliver(op, results[i])
+		s.complete(op, results[i])
 	}
 	return true
 }
 
 func (s *shard) load(ctx context.Context) bool {
 	o, err := s.l.api.Get(ctx, GroupKind, s.name)
-	s.outage.observe(errors.Is(err, objectstore.ErrUnavailable))
+	s.breaker.observe(errors.Is(err, objectstore.ErrUnavailable))
 	if errors.Is(err, objectstore.ErrNotFound) {
 		s.claims, s.version = map[string]record{}, 0
 		return true
@@ -190,10 +190,10 @@
 // write stores the group. After any failure the group is read anew: the
 // tokens in it tell which operations are in force.
 func (s *shard) write(ctx context.Context, batch []*operation) bool {
-	s.dropOld()
+	s.dropOldClaims()
 	value := encodeGroup(s.claims)
 	if len(value) > maxGroupBytes {
-		s.refuseFull(batch)
+		s.rejectNewClaims(batch)
 		return false
 	}
 	var v objectstore.Version
@@ -213,15 +213,15 @@
 	if !errors.Is(err, objectstore.ErrUnavailable) && !errors.Is(err, objectstore.ErrConflict) {
 		s.l.o.count(countRetryUnknown)
 		for _, op := range batch {
-			op.attempted = true
+			op.maybeWritten = true
 		}
 	}
 	return false
 }
 
-// dropOld drops claims past their retention, by the wall clocks with the
+// dropOldClaims drops claims past their retention, by the wall clocks with the
 // collector's margin.
-func (s *shard) dropOld() {
+func (s *shard) dropOldClaims() {
 	oldest := s.l.o.Now().Add(-s.l.o.Retention - DefaultMargin).UnixMilli()
 	for name, r := range s.claims {
 		if r.At < oldest {
@@ -230,11 +230,11 @@
 	}
 }
 
-// refuseFull ends the batch's new claims; outcomes wait for room.
-func (s *shard) refuseFull(batch []*operation) {
+// rejectNewClaims ends the batch's new claims; outcomes wait for room.
+func (s *shard) rejectNewClaims(batch []*operation) {
 	s.claims = nil
 	for _, op := range batch {
-		if !op.final {
+		if !op.isOutcome {
 			s.l.o.count(countGroupFull)
 			op.expire()
 		}
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -66,7 +66,7 @@
 	if err := x.life.Advance(request.Granted, request.Queued); err != nil {
 		return false, err
 	}
-	grant.Return()
+	grant.ReturnUnused()
 	return false, x.claimed(ctx, <-results)
 }
 
@@ -119,7 +119,7 @@
 	case answer != nil:
 		held.Finish(*answer)
 	case notRun == request.NotRunTrue:
-		held.GiveBack()
+		held.Release()
 	default:
 		held.Finish(claim.Outcome{State: claim.Unknown})
 	}
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -84,12 +84,12 @@
 // requeue gives back the slot of a request that was not sent.
 func (x *exchange) requeue(ctx context.Context, grant broker.Grant, err error) error {
 	if ctx.Err() != nil || errors.Is(err, errNoLongerWanted) {
-		grant.Return()
+		grant.ReturnUnused()
 		return cause(ctx)
 	}
 	x.entry.counters.connectFailed.Add(1)
 	x.log.WithError(err).WithField("server", grant.Server().Name).Info("connect failed, waiting for another server")
-	grant.Release(broker.End{Outcome: pool.OutcomeNotSent})
+	grant.Release(broker.Completion{Outcome: pool.OutcomeNotSent})
 	x.body.unpin()
 	state := x.life.State()
 	if !errors.Is(err, engine.ErrNotSent) {
@@ -106,7 +106,7 @@
 			return nil, x.waitError(ctx, err)
 		}
 		if err := x.life.Advance(request.Queued, request.Granted); err != nil {
-			grant.Return()
+			grant.ReturnUnused()
 			return nil, err
 		}
 		if x.spec.Idempotent {
@@ -114,7 +114,7 @@
 		}
 		kept, err := x.claim(ctx, grant)
 		if err != nil {
-			grant.Return()
+			grant.ReturnUnused()
 			return nil, err
 		}
 		if kept {
--- a/internal/entry/figures.go
+++ b/internal/entry/figures.go
@@ -48,8 +48,8 @@
 }
 
 // end returns the figures as the broker wants them.
-func (f *figures) end(o pool.Outcome, now time.Time) broker.End {
-	return broker.End{
+func (f *figures) end(o pool.Outcome, now time.Time) broker.Completion {
+	return broker.Completion{
 		Outcome:         o,
 		FirstToken:      f.firstToken(),
 		Total:           now.Sub(f.sent),
--- a/internal/entry/rig_test.go
+++ b/internal/entry/rig_test.go
@@ -144,7 +144,7 @@
 	// progressed counts the grants' progress reports.
 	progressed atomic.Int64
 	mu         sync.Mutex
-	ends       []broker.End
+	ends       []broker.Completion
 	address    atomic.Pointer[string] // replaces the server's address
 }
 
@@ -188,8 +188,8 @@
 
 func (g *testGrant) Server() workspace.BackendServer            { return g.server }
 func (g *testGrant) Progress(time.Duration, int, time.Duration) { g.broker.progressed.Add(1) }
-func (g *testGrant) Return()                                    { g.broker.returned.Add(1) }
-func (g *testGrant) Release(end broker.End) {
+func (g *testGrant) ReturnUnused()                              { g.broker.returned.Add(1) }
+func (g *testGrant) Release(end broker.Completion) {
 	g.broker.mu.Lock()
 	defer g.broker.mu.Unlock()
 	g.broker.ends = append(g.broker.ends, end)
@@ -240,7 +240,7 @@
 	c.outcome = o
 }
 
-func (c *testClaim) GiveBack() { c.Finish(claim.Outcome{State: claim.NotRun}) }
+func (c *testClaim) Release() { c.Finish(claim.Outcome{State: claim.NotRun}) }
 
 // calls returns how many calls the service got.
 func (r *rig) calls() int {
--- a/internal/forward/hedge.go
+++ b/internal/forward/hedge.go
@@ -194,12 +194,12 @@
 		return nil
 	}
 	if x.stillAuthorized() != nil {
-		grant.Return()
+		grant.ReturnUnused()
 		return nil
 	}
 	if !x.server.deps.Budget(x.service).Take() {
 		x.server.count.budgetDenied.Add(1)
-		grant.Return()
+		grant.ReturnUnused()
 		return nil
 	}
 	return grant
--- a/internal/forward/rig_test.go
+++ b/internal/forward/rig_test.go
@@ -186,8 +186,8 @@
 
 func (g *fakeGrant) Server() workspace.BackendServer            { return g.s }
 func (g *fakeGrant) Progress(time.Duration, int, time.Duration) {}
-func (g *fakeGrant) Release(e broker.End)                       { g.b.end(e.Outcome) }
-func (g *fakeGrant) Return()                                    { g.b.end(pool.OutcomeNotDispatched) }
+func (g *fakeGrant) Release(e broker.Completion)                { g.b.end(e.Outcome) }
+func (g *fakeGrant) ReturnUnused()                              { g.b.end(pool.OutcomeNotDispatched) }
 func (b *fakeBroker) end(o pool.Outcome)                        { b.mu.Lock(); b.ends = append(b.ends, o); b.mu.Unlock() }
 func (b *fakeBroker) outcomes() []pool.Outcome {
 	b.mu.Lock()
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -139,7 +139,7 @@
 	s := grant.Server()
 	g := &run{grant: grant}
 	if !x.server.deps.Admission.MayUse(s.Name, x.canary.version != "") {
-		grant.Release(broker.End{Outcome: pool.OutcomeRefused, RefusedLeaving: true})
+		grant.Release(broker.Completion{Outcome: pool.OutcomeRefused, RefusedLeaving: true})
 		return nil, nil, errors.Wrapf(engine.ErrNotSent, "server %s is leaving", s.Name)
 	}
 	x.out.serverID = s.Name
@@ -183,10 +183,10 @@
 		x.attempts.Undo()
 	}
 	if x.ctx.Err() != nil || x.denied != nil {
-		g.grant.Return()
+		g.grant.ReturnUnused()
 		return err
 	}
-	g.grant.Release(broker.End{Outcome: pool.OutcomeNotSent})
+	g.grant.Release(broker.Completion{Outcome: pool.OutcomeNotSent})
 	return err
 }
 
@@ -216,7 +216,7 @@
 		r.ended = false
 	}
 	r.finish()
-	g.grant.Release(broker.End{Outcome: pool.OutcomeRefused, RefusedLeaving: status == statusMisdirected})
+	g.grant.Release(broker.Completion{Outcome: pool.OutcomeRefused, RefusedLeaving: status == statusMisdirected})
 	return errors.Wrapf(errNotExecuted, "status %d", status)
 }
 
@@ -225,7 +225,7 @@
 
 // release frees the slot after a run.
 func (g *run) release(outcome pool.Outcome) {
-	end := broker.End{Outcome: outcome, Total: time.Since(g.sent), OutputTokens: g.tokens}
+	end := broker.Completion{Outcome: outcome, Total: time.Since(g.sent), OutputTokens: g.tokens}
 	if !g.first.IsZero() {
 		end.FirstToken = g.first.Sub(g.sent)
 	}
--- a/lease/clock.go
+++ b/lease/clock.go
@@ -17,12 +17,12 @@
 // One would see two holders act at once. So each side reads the clock that
 // can only err to its own disadvantage.
 type Clock interface {
-	// Held is for the deadline of what this process holds: it may run fast,
+	// HolderElapsed is for the deadline of what this process holds: it may run fast,
 	// never slow. Suspended time counts.
-	Held() time.Duration
-	// Waited is for judging when another's lease has ended: it may run slow,
+	HolderElapsed() time.Duration
+	// WaiterElapsed is for judging when another's lease has ended: it may run slow,
 	// never fast. Suspended time need not count.
-	Waited() time.Duration
+	WaiterElapsed() time.Duration
 	// Sleep waits for about d, or until the context ends.
 	Sleep(ctx context.Context, d time.Duration)
 }
@@ -35,33 +35,33 @@
 // clocks all know nothing of it can't be noticed from inside: there only the
 // fencing token protects. It is safe for concurrent use.
 type SystemClock struct {
-	mu       sync.Mutex
-	held     time.Duration
-	start    time.Time
-	last     time.Time // carries CLOCK_MONOTONIC and CLOCK_REALTIME
-	lastBoot time.Duration
+	mu            sync.Mutex
+	holderElapsed time.Duration
+	start         time.Time
+	lastReading   time.Time // carries CLOCK_MONOTONIC and CLOCK_REALTIME
+	lastBoot      time.Duration
 }
 
 // NewSystemClock returns a clock that starts at zero.
 func NewSystemClock() *SystemClock {
 	now := time.Now()
-	return &SystemClock{start: now, last: now, lastBoot: bootTime()}
+	return &SystemClock{start: now, lastReading: now, lastBoot: bootClock()}
 }
 
-// Held implements Clock.
-func (c *SystemClock) Held() time.Duration {
+// HolderElapsed implements Clock.
+func (c *SystemClock) HolderElapsed() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now, boot := time.Now(), bootTime()
-	mono := now.Sub(c.last)
-	wall := now.Round(0).Sub(c.last.Round(0)) // Round strips the monotonic reading
-	c.held += max(mono, wall, boot-c.lastBoot, 0)
-	c.last, c.lastBoot = now, boot
-	return c.held
+	now, boot := time.Now(), bootClock()
+	mono := now.Sub(c.lastReading)
+	wall := now.Round(0).Sub(c.lastReading.Round(0)) // Round strips the monotonic reading
+	c.holderElapsed += max(mono, wall, boot-c.lastBoot, 0)
+	c.lastReading, c.lastBoot = now, boot
+	return c.holderElapsed
 }
 
-// Waited implements Clock.
-func (c *SystemClock) Waited() time.Duration { return time.Since(c.start) }
+// WaiterElapsed implements Clock.
+func (c *SystemClock) WaiterElapsed() time.Duration { return time.Since(c.start) }
 
 // Sleep implements Clock with a timer on CLOCK_MONOTONIC.
 func (c *SystemClock) Sleep(ctx context.Context, d time.Duration) {
@@ -73,9 +73,9 @@
 	}
 }
 
-// bootTime reads CLOCK_BOOTTIME; zero where the kernel has none, which leaves
+// bootClock reads CLOCK_BOOTTIME; zero where the kernel has none, which leaves
 // the other two clocks.
-func bootTime() time.Duration {
+func bootClock() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		return 0
--- a/lease/clock_test.go
+++ b/lease/clock_test.go
@@ -8,21 +8,21 @@
 
 // Held may run fast and never slow: between any two readings it advances at
 // least as much as Waited between its own two inside them.
-func TestHeldIsNeverBehindWaited(t *testing.T) {
+func TestHolderElapsedIsNeverBehindWaiterElapsed(t *testing.T) {
 	c := lease.NewSystemClock()
 	for range 100_000 {
-		h0, w0 := c.Held(), c.Waited()
-		w1, h1 := c.Waited(), c.Held()
+		h0, w0 := c.HolderElapsed(), c.WaiterElapsed()
+		w1, h1 := c.WaiterElapsed(), c.HolderElapsed()
 		if h1-h0 < w1-w0 || w1 < w0 {
 			t.Fatalf("held advanced %s, waited %s", h1-h0, w1-w0)
 		}
 	}
 }
 
-// BenchmarkHeld is what a Check costs: one reading of the clocks.
-func BenchmarkHeld(b *testing.B) {
+// BenchmarkHolderElapsed is what a Check costs: one reading of the clocks.
+func BenchmarkHolderElapsed(b *testing.B) {
 	c := lease.NewSystemClock()
 	for b.Loop() {
-		c.Held()
+		c.HolderElapsed()
 	}
 }
--- a/lease/elector.go
+++ b/lease/elector.go
@@ -36,10 +36,10 @@
 	metricGroup      = "lease"
 	countAcquired    = "acquired"
 	countRenewed     = "renewed"
-	countSettled     = "settled_by_reading"
+	countReadBack    = "settled_by_reading"
 	countUnavailable = "store_unavailable"
 	countExpired     = "lost_expired"
-	countTaken       = "lost_taken"
+	countTakenOver   = "lost_taken"
 	countDeleted     = "lost_deleted"
 	countReleased    = "released"
 )
@@ -114,14 +114,14 @@
 	return &Elector{api: api, o: o, log: logs.For("lease").WithField("lease", o.Name)}, nil
 }
 
-// sighting is a foreign version and when this candidate first saw it.
-type sighting struct {
+// observation is a foreign version and when this candidate first saw it.
+type observation struct {
 	version objectstore.Version
 	at      time.Duration // reading of Clock.Waited
 }
 
-// attempt is this candidate's newest write whose outcome is not known.
-type attempt struct {
+// pendingWrite is this candidate's newest write whose outcome is not known.
+type pendingWrite struct {
 	nonce string
 	sent  time.Duration // reading of Clock.Held
 }
@@ -129,11 +129,11 @@
 // Acquire waits until the lease is this candidate's. It returns an error only
 // when the context ends.
 func (e *Elector) Acquire(ctx context.Context) (*Lease, error) {
-	var seen sighting
-	var last attempt
+	var seen observation
+	var pending pendingWrite
 	for ctx.Err() == nil {
 		o, err := e.get(ctx)
-		now := e.o.Clock.Waited()
+		now := e.o.Clock.WaiterElapsed()
 		var wait time.Duration
 		switch {
 		case errors.Is(err, objectstore.ErrNotFound):
@@ -142,22 +142,22 @@
 			wait = e.o.Duration / retriesPerDuration
 		default:
 			r := decode(o.Value)
-			if r.Nonce == last.nonce && last.nonce != "" && e.o.Clock.Held() < last.sent+e.holderTime() {
-				if l := e.won(ctx, o, last); l != nil {
+			if r.Nonce == pending.nonce && pending.nonce != "" && e.o.Clock.HolderElapsed() < pending.sent+e.holderTTL() {
+				if l := e.startLease(ctx, o, pending); l != nil {
 					return l, nil
 				}
 			}
 			if o.Version != seen.version {
-				seen = sighting{o.Version, now}
+				seen = observation{o.Version, now}
 			}
 			if !r.Released {
-				wait = min(e.waiterTime(r)-(now-seen.at), e.o.PollEvery)
+				wait = min(e.takeoverDelay(r)-(now-seen.at), e.o.PollEvery)
 			}
 		}
 		if wait <= 0 {
-			var got bool
-			if o, last, got = e.try(ctx, o); got {
-				if l := e.won(ctx, o, last); l != nil {
+			var acquired bool
+			if o, pending, acquired = e.tryAcquire(ctx, o); acquired {
+				if l := e.startLease(ctx, o, pending); l != nil {
 					return l, nil
 				}
 			}
@@ -174,12 +174,12 @@
 	return e.api.Get(ctx, Kind, e.o.Name)
 }
 
-// try writes this candidate into the lease that was read; a zero version is
+// tryAcquire writes this candidate into the lease that was read; a zero version is
 // an absent one. A lost answer is settled by the next read.
-func (e *Elector) try(ctx context.Context, o objectstore.Object) (objectstore.Object, attempt, bool) {
+func (e *Elector) tryAcquire(ctx context.Context, o objectstore.Object) (objectstore.Object, pendingWrite, bool) {
 	ctx, cancel := context.WithTimeout(ctx, e.o.CallTimeout)
 	defer cancel()
-	a := attempt{nonce: newNonce(), sent: e.o.Clock.Held()}
+	a := pendingWrite{nonce: newNonce(), sent: e.o.Clock.HolderElapsed()}
 	var err error
 	if o.Version == 0 {
 		o.Version, err = e.api.Create(ctx, Kind, e.o.Name, e.record(a.nonce, 0, false))
@@ -190,27 +190,27 @@
 	return o, a, err == nil
 }
 
-// won starts the renewals; nil if the lease was lost meanwhile. A lease whose object it created is not used before
+// startLease starts the renewals; nil if the lease was lost meanwhile. A lease whose object it created is not used before
 // a whole duration has passed: the object may have been deleted a moment ago
 // while its holder still trusts its own deadline.
-func (e *Elector) won(ctx context.Context, o objectstore.Object, a attempt) *Lease {
-	keeping, cancel := context.WithCancel(context.Background())
+func (e *Elector) startLease(ctx context.Context, o objectstore.Object, a pendingWrite) *Lease {
+	renewCtx, cancel := context.WithCancel(context.Background())
 	l := &Lease{
 		e: e, token: o.Version, version: o.Version,
-		lost: make(chan struct{}), writing: make(chan struct{}, 1),
-		cancel: cancel, attempts: map[string]time.Duration{},
+		lost: make(chan struct{}), writeSlot: make(chan struct{}, 1),
+		cancel: cancel, unresolved: map[string]time.Duration{},
 	}
-	l.deadline.Store(int64(a.sent + e.holderTime()))
-	var usable time.Duration // reading of Clock.Waited
+	l.deadline.Store(int64(a.sent + e.holderTTL()))
+	var usableAt time.Duration // reading of Clock.Waited
 	if o.Created == o.Version {
-		usable = e.o.Clock.Waited() + e.waiterTime(record{})
+		usableAt = e.o.Clock.WaiterElapsed() + e.takeoverDelay(record{})
 	}
-	go l.keep(keeping)
-	for e.o.Clock.Waited() < usable && ctx.Err() == nil && l.Remaining() > 0 {
-		e.o.Clock.Sleep(ctx, min(usable-e.o.Clock.Waited(), l.Remaining()))
+	go l.renewLoop(renewCtx)
+	for e.o.Clock.WaiterElapsed() < usableAt && ctx.Err() == nil && l.Remaining() > 0 {
+		e.o.Clock.Sleep(ctx, min(usableAt-e.o.Clock.WaiterElapsed(), l.Remaining()))
 	}
 	if ctx.Err() != nil || l.Remaining() == 0 {
-		l.lose(countExpired)
+		l.end(countExpired)
 		return nil
 	}
 	e.count(countAcquired)
@@ -218,14 +218,14 @@
 	return l
 }
 
-// holderTime is how long a holder trusts its lease by its own clock.
-func (e *Elector) holderTime() time.Duration {
+// holderTTL is how long a holder trusts its lease by its own clock.
+func (e *Elector) holderTTL() time.Duration {
 	return time.Duration(float64(e.o.Duration) * (1 - e.o.MaxDrift))
 }
 
-// waiterTime is how long a candidate lets a version stand unchanged before it
+// takeoverDelay is how long a candidate lets a version stand unchanged before it
 // takes over.
-func (e *Elector) waiterTime(r record) time.Duration {
+func (e *Elector) takeoverDelay(r record) time.Duration {
 	d := max(e.o.Duration, time.Duration(r.DurationMs)*time.Millisecond)
 	return time.Duration(float64(d)*(1+e.o.MaxDrift)) + e.o.Margin
 }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -35,14 +35,14 @@
 
 	deadline atomic.Int64 // reading of Clock.Held
 	lost     chan struct{}
-	loseOnce sync.Once
+	endOnce  sync.Once
 	cancel   context.CancelFunc // ends the renewals
 
-	// writing is a lock of capacity one, held over each write and its
+	// writeSlot is a lock of capacity one, held over each write and its
 	// settling; unlike a mutex it can be waited for under a context.
-	writing  chan struct{}
-	version  objectstore.Version
-	attempts map[string]time.Duration // nonce of an unsettled write -> Held before it was sent
+	writeSlot  chan struct{}
+	version    objectstore.Version
+	unresolved map[string]time.Duration // nonce of an unsettled write -> Held before it was sent
 }
 
 // Token returns the fencing token. It does not say that the lease is held.
@@ -59,7 +59,7 @@
 	if l.Remaining() > 0 {
 		return l.token, nil
 	}
-	l.lose(countExpired)
+	l.end(countExpired)
 	return 0, errors.Wrapf(ErrLost, "lease %s, token %d", l.e.o.Name, l.token)
 }
 
@@ -70,7 +70,7 @@
 	case <-l.lost:
 		return 0
 	default:
-		return max(0, time.Duration(l.deadline.Load())-l.e.o.Clock.Held())
+		return max(0, time.Duration(l.deadline.Load())-l.e.o.Clock.HolderElapsed())
 	}
 }
 
@@ -78,12 +78,12 @@
 // as lost before the store is told.
 func (l *Lease) Release(ctx context.Context) error {
 	held := l.Remaining() > 0
-	l.lose(countReleased)
+	l.end(countReleased)
 	ctx, cancel := context.WithTimeout(ctx, l.e.o.CallTimeout)
 	defer cancel()
 	select {
-	case l.writing <- struct{}{}:
-		defer func() { <-l.writing }()
+	case l.writeSlot <- struct{}{}:
+		defer func() { <-l.writeSlot }()
 	case <-ctx.Done():
 		return errors.Wrapf(ctx.Err(), "release lease %s", l.e.o.Name)
 	}
@@ -94,8 +94,8 @@
 	return errors.Wrapf(err, "release lease %s", l.e.o.Name)
 }
 
-func (l *Lease) lose(why string) {
-	l.loseOnce.Do(func() {
+func (l *Lease) end(why string) {
+	l.endOnce.Do(func() {
 		close(l.lost)
 		l.cancel()
 		l.e.count(why)
@@ -103,8 +103,8 @@
 	})
 }
 
-// keep renews until the lease is lost.
-func (l *Lease) keep(ctx context.Context) {
+// renewLoop renews until the lease is lost.
+func (l *Lease) renewLoop(ctx context.Context) {
 	next := l.e.jittered(l.e.o.Duration / renewalsPerDuration)
 	for {
 		l.e.o.Clock.Sleep(ctx, min(next, l.Remaining()))
@@ -119,53 +119,53 @@
 func (l *Lease) renew(ctx context.Context) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, min(l.e.o.CallTimeout, l.Remaining()))
 	defer cancel()
-	l.writing <- struct{}{}
-	defer func() { <-l.writing }()
-	nonce, sent := newNonce(), l.e.o.Clock.Held()
+	l.writeSlot <- struct{}{}
+	defer func() { <-l.writeSlot }()
+	nonce, sent := newNonce(), l.e.o.Clock.HolderElapsed()
 	v, err := l.e.api.Update(ctx, Kind, l.e.o.Name, l.e.record(nonce, l.token, false), l.version)
 	switch {
 	case err == nil:
-		l.confirm(v, sent)
+		l.extend(v, sent)
 		return l.e.jittered(l.e.o.Duration / renewalsPerDuration)
 	case errors.Is(err, objectstore.ErrUnavailable):
 		l.e.count(countUnavailable)
 	default:
-		l.attempts[nonce] = sent
-		if l.settle(ctx) {
+		l.unresolved[nonce] = sent
+		if l.readBack(ctx) {
 			return l.e.jittered(l.e.o.Duration / renewalsPerDuration)
 		}
 	}
 	return l.e.jittered(l.e.o.Duration / retriesPerDuration)
 }
 
-// settle reads back which write is in force, after an answer that did not
+// readBack reads back which write is in force, after an answer that did not
 // prove it. Even a conflict doesn't: an earlier write of our own, whose answer
 // was lost, may have moved the version. It returns true when a write of our
 // own is in force.
-func (l *Lease) settle(ctx context.Context) bool {
-	l.e.count(countSettled)
+func (l *Lease) readBack(ctx context.Context) bool {
+	l.e.count(countReadBack)
 	o, err := l.e.api.Get(ctx, Kind, l.e.o.Name)
 	if errors.Is(err, objectstore.ErrNotFound) {
-		l.lose(countDeleted)
+		l.end(countDeleted)
 		return false
 	}
 	if err != nil || o.Version <= l.version {
 		return false // not known yet: not in force, or a stale read
 	}
-	sent, ours := l.attempts[decode(o.Value).Nonce]
+	sent, ours := l.unresolved[decode(o.Value).Nonce]
 	if !ours {
-		l.lose(countTaken)
+		l.end(countTakenOver)
 		return false
 	}
-	l.confirm(o.Version, sent)
+	l.extend(o.Version, sent)
 	return true
 }
 
-// confirm counts the new deadline from before the request was sent: the
+// extend counts the new deadline from before the request was sent: the
 // waiters' clocks can't have started earlier.
-func (l *Lease) confirm(v objectstore.Version, sent time.Duration) {
+func (l *Lease) extend(v objectstore.Version, sent time.Duration) {
 	l.version = v
-	maps.DeleteFunc(l.attempts, func(string, time.Duration) bool { return true })
-	l.deadline.Store(int64(sent + l.e.holderTime()))
+	maps.DeleteFunc(l.unresolved, func(string, time.Duration) bool { return true })
+	l.deadline.Store(int64(sent + l.e.holderTTL()))
 	l.e.count(countRenewed)
 }
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -28,14 +28,14 @@
 	drift    = 0.05
 	tick     = 10 * time.Millisecond
 
-	processes = 3
-	holder    = processes // as a step's Who
+	numProcesses  = 3
+	currentHolder = numProcesses // as a step's Who
 )
 
 func TestMain(m *testing.M) {
 	_ = logs.Configure(io.Discard, "error", false)
 	if addr := os.Getenv(envHolder); addr != "" {
-		hold(addr) // this process was started by TestStoppedProcess
+		runHolder(addr) // this process was started by TestStoppedProcess
 		return
 	}
 	os.Exit(m.Run())
@@ -46,32 +46,32 @@
 // run at their own rate.
 type process struct {
 	objectstore.ObjectAPI
-	start time.Time
-	rate  float64
-	lease atomic.Pointer[lease.Lease]
-	late  atomic.Int64 // how long answers to its writes take after the effect
+	start       time.Time
+	rate        float64
+	lease       atomic.Pointer[lease.Lease]
+	answerDelay atomic.Int64 // how long answers to its writes take after the effect
 
-	mu     sync.Mutex
-	until  time.Time // paused until
-	cut    time.Time // cut off from the store until
-	paused time.Duration
+	mu          sync.Mutex
+	pausedUntil time.Time // paused until
+	cutUntil    time.Time // cutUntil off from the store until
+	paused      time.Duration
 }
 
 func (p *process) pause(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now := time.Now(); p.until.Before(now) {
-		p.until = now.Add(d)
+	if now := time.Now(); p.pausedUntil.Before(now) {
+		p.pausedUntil = now.Add(d)
 		p.paused += d
 	}
 }
 
-// reach waits until resumed; while the process is cut off from the store,
+// waitReachable waits until resumed; while the process is cut off from the store,
 // the call hangs until its context ends.
-func (p *process) reach(ctx context.Context) error {
+func (p *process) waitReachable(ctx context.Context) error {
 	p.waitResumed()
 	p.mu.Lock()
-	cut := time.Until(p.cut)
+	cut := time.Until(p.cutUntil)
 	p.mu.Unlock()
 	if cut <= 0 {
 		return nil
@@ -81,23 +81,23 @@
 	return objectstore.ErrUnknownOutcome
 }
 
-func (p *process) left() time.Duration {
+func (p *process) pauseLeft() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(0, time.Until(p.until))
+	return max(0, time.Until(p.pausedUntil))
 }
 
 func (p *process) waitResumed() {
-	for d := p.left(); d > 0; d = p.left() {
+	for d := p.pauseLeft(); d > 0; d = p.pauseLeft() {
 		<-time.After(d)
 	}
 }
 
 func (p *process) scaled(d time.Duration) time.Duration { return time.Duration(float64(d) * p.rate) }
 
-func (p *process) Held() time.Duration { return p.scaled(time.Since(p.start)) }
+func (p *process) HolderElapsed() time.Duration { return p.scaled(time.Since(p.start)) }
 
-func (p *process) Waited() time.Duration {
+func (p *process) WaiterElapsed() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.scaled(time.Since(p.start) - p.paused)
@@ -111,10 +111,10 @@
 	p.waitResumed()
 }
 
-func (p *process) answerLate(ctx context.Context) { p.Sleep(ctx, time.Duration(p.late.Load())) }
+func (p *process) delayAnswer(ctx context.Context) { p.Sleep(ctx, time.Duration(p.answerDelay.Load())) }
 
 func (p *process) Get(ctx context.Context, k objectstore.Kind, n string) (objectstore.Object, error) {
-	if err := p.reach(ctx); err != nil {
+	if err := p.waitReachable(ctx); err != nil {
 		return objectstore.Object{}, err
 	}
 	defer p.waitResumed()
@@ -122,23 +122,23 @@
 }
 
 func (p *process) Create(ctx context.Context, k objectstore.Kind, n string, v []byte) (objectstore.Version, error) {
-	if err := p.reach(ctx); err != nil {
+	if err := p.waitReachable(ctx); err != nil {
 		return 0, err
 	}
-	defer p.answerLate(ctx)
+	defer p.delayAnswer(ctx)
 	return p.ObjectAPI.Create(ctx, k, n, v)
 }
 
 func (p *process) Update(ctx context.Context, k objectstore.Kind, n string, v []byte, e objectstore.Version) (objectstore.Version, error) {
-	if err := p.reach(ctx); err != nil {
+	if err := p.waitReachable(ctx); err != nil {
 		return 0, err
 	}
-	defer p.answerLate(ctx)
+	defer p.delayAnswer(ctx)
 	return p.ObjectAPI.Update(ctx, k, n, v, e)
 }
 
-// world runs some processes against one store and watches the invariant.
-type world struct {
+// simulation runs some processes against one store and watches the invariant.
+type simulation struct {
 	store     *standin.Standin
 	processes []*process
 	tokens    []lease.Token
@@ -146,11 +146,11 @@
 	mu        sync.Mutex
 }
 
-func (w *world) run(ctx context.Context, i int, seed uint64) {
-	p, random := w.processes[i], rand.New(rand.NewPCG(seed, uint64(i)))
+func (sim *simulation) run(ctx context.Context, i int, seed uint64) {
+	p, random := sim.processes[i], rand.New(rand.NewPCG(seed, uint64(i)))
 	jitter := func() float64 {
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
 		return random.Float64()
 	}
 	e, err := lease.NewElector(p, lease.Options{
@@ -165,9 +165,9 @@
 		if err != nil {
 			return
 		}
-		w.mu.Lock()
-		w.tokens = append(w.tokens, l.Token())
-		w.mu.Unlock()
+		sim.mu.Lock()
+		sim.tokens = append(sim.tokens, l.Token())
+		sim.mu.Unlock()
 		p.lease.Store(l)
 		select {
 		case <-l.Lost():
@@ -179,10 +179,10 @@
 }
 
 // holders counts the processes that would act now.
-func (w *world) holders() int {
+func (sim *simulation) holders() int {
 	n := 0
-	for _, p := range w.processes {
-		if l := p.lease.Load(); l != nil && p.left() == 0 {
+	for _, p := range sim.processes {
+		if l := p.lease.Load(); l != nil && p.pauseLeft() == 0 {
 			if _, err := l.Check(); err == nil {
 				n++
 			}
@@ -192,72 +192,72 @@
 }
 
 // advance lets model time pass, checking the invariant at each tick.
-func (w *world) advance(d time.Duration) {
+func (sim *simulation) advance(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		<-time.After(tick)
 		synctest.Wait()
-		if n := w.holders(); n > 1 && w.err == nil {
-			w.err = fmt.Errorf("%d holders at once", n)
+		if n := sim.holders(); n > 1 && sim.err == nil {
+			sim.err = fmt.Errorf("%d holders at once", n)
 		}
 	}
 }
 
 // step is one event of a plan, followed by some time.
 type step struct {
-	Do     string
-	Who    int
-	For    time.Duration
-	Faults standin.Faults
+	Action   string
+	Target   int
+	Duration time.Duration
+	Faults   standin.Faults
 }
 
-// who returns a process; holder is whoever holds the lease now.
-func (w *world) who(i int) *process {
-	if i != holder {
-		return w.processes[i]
+// target returns a process; holder is whoever holds the lease now.
+func (sim *simulation) target(i int) *process {
+	if i != currentHolder {
+		return sim.processes[i]
 	}
-	for _, p := range w.processes {
+	for _, p := range sim.processes {
 		if l := p.lease.Load(); l != nil && l.Remaining() > 0 {
 			return p
 		}
 	}
-	return w.processes[0]
+	return sim.processes[0]
 }
 
-func (w *world) apply(s step) {
-	p := w.who(s.Who)
-	switch s.Do {
+func (sim *simulation) apply(s step) {
+	p := sim.target(s.Target)
+	switch s.Action {
 	case "pause":
-		p.pause(s.For)
+		p.pause(s.Duration)
 	case "cut":
 		p.mu.Lock()
-		p.cut = time.Now().Add(s.For)
+		p.cutUntil = time.Now().Add(s.Duration)
 		p.mu.Unlock()
 	case "late":
-		p.late.Store(int64(s.For / 4))
+		p.answerDelay.Store(int64(s.Duration / 4))
 	case "faults":
-		w.store.SetFaults(s.Faults)
+		sim.store.SetFaults(s.Faults)
 	case "heal":
-		p.late.Store(0)
-		w.store.SetFaults(standin.Faults{})
+		p.answerDelay.Store(0)
+		sim.store.SetFaults(standin.Faults{})
 	case "delete":
 		ctx := context.Background()
-		if o, err := w.store.Get(ctx, lease.Kind, name); err == nil {
-			_, _ = w.store.Delete(ctx, lease.Kind, name, o.Version)
+		if o, err := sim.store.Get(ctx, lease.Kind, name); err == nil {
+			_, _ = sim.store.Delete(ctx, lease.Kind, name, o.Version)
 		}
 	case "release":
-		if l := p.lease.Load(); l != nil && p.left() == 0 {
+		if l := p.lease.Load(); l != nil && p.pauseLeft() == 0 {
 			go func() { _ = l.Release(context.Background()) }()
 		}
 	}
-	w.advance(s.For / 2)
+	sim.advance(s.Duration / 2)
 }
 
 func stepGen() *rapid.Generator[step] {
 	return rapid.Custom(func(t *rapid.T) step {
 		return step{
-			Do:  rapid.SampledFrom([]string{"pause", "cut", "cut", "faults", "late", "heal", "delete", "release"}).Draw(t, "do"),
-			Who: rapid.IntRange(0, holder).Draw(t, "who"),
-			For: time.Duration(rapid.SampledFrom([]int{50, 300, 1000, 1200, 3000}).Draw(t, "for_ms")) * time.Millisecond,
+			Action:   rapid.SampledFrom([]string{"pause", "cut", "cut", "faults", "late", "heal", "delete", "release"}).Draw(t, "do"),
+			Target:   rapid.IntRange(0, currentHolder).Draw(t, "who"),
+			Duration: time.Duration(rapid.SampledFrom([]int{50, 300, 1000, 1200, 3000}).Draw(t, "for_ms")) * time.Millisecond,
 			Faults: standin.Faults{
 				Down:         rapid.IntRange(0, 3).Draw(t, "down") == 0,
 				SlowMs:       rapid.SampledFrom([]int{0, 1, 100, 400, 1500}).Draw(t, "slow"),
@@ -268,62 +268,62 @@
 	})
 }
 
-// play runs a plan in model time and returns what broke.
-func play(t *testing.T, plan []step, rates []float64, seed uint64) error {
-	var w *world
+// runPlan runs a plan in model time and returns what broke.
+func runPlan(t *testing.T, plan []step, rates []float64, seed uint64) error {
+	var sim *simulation
 	healed := false
 	synctest.Test(t, func(*testing.T) {
-		w = &world{store: standin.New(standin.Options{Seed: seed})}
+		sim = &simulation{store: standin.New(standin.Options{Seed: seed})}
 		ctx, cancel := context.WithCancel(context.Background())
-		var all sync.WaitGroup
-		for i := range processes {
-			w.processes = append(w.processes, &process{ObjectAPI: w.store, start: time.Now(), rate: rates[i]})
+		var wg sync.WaitGroup
+		for i := range numProcesses {
+			sim.processes = append(sim.processes, &process{ObjectAPI: sim.store, start: time.Now(), rate: rates[i]})
 		}
-		for i := range processes {
-			all.Go(func() { w.run(ctx, i, seed) })
+		for i := range numProcesses {
+			wg.Go(func() { sim.run(ctx, i, seed) })
 		}
-		w.advance(3 * duration)
+		sim.advance(3 * duration)
 		for _, s := range plan {
-			w.apply(s)
+			sim.apply(s)
 		}
-		for i := range processes {
-			w.apply(step{Do: "heal", Who: i})
+		for i := range numProcesses {
+			sim.apply(step{Action: "heal", Target: i})
 		}
 		for range 20 {
-			w.advance(duration)
-			healed = healed || w.holders() == 1
+			sim.advance(duration)
+			healed = healed || sim.holders() == 1
 		}
 		cancel()
-		all.Wait()
+		wg.Wait()
 	})
 	switch {
-	case w.err != nil:
-		return w.err
+	case sim.err != nil:
+		return sim.err
 	case !healed:
 		return errors.New("nobody holds the lease long after the faults ended")
-	case !slices.IsSorted(w.tokens) || len(slices.Compact(slices.Clone(w.tokens))) != len(w.tokens):
-		return errors.Errorf("tokens do not grow: %v", w.tokens)
+	case !slices.IsSorted(sim.tokens) || len(slices.Compact(slices.Clone(sim.tokens))) != len(sim.tokens):
+		return errors.Errorf("tokens do not grow: %v", sim.tokens)
 	}
 	return nil
 }
 
 // Guards against this: two controllers give orders at once.
-func TestOneHolderWhateverFails(t *testing.T) {
+func TestOneHolderUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := rapid.SliceOfN(stepGen(), 1, 30).Draw(rt, "plan")
-		rates := rapid.SliceOfN(rapid.SampledFrom([]float64{1 - drift, 1, 1 + drift}), processes, processes).Draw(rt, "rates")
-		if err := play(t, plan, rates, rapid.Uint64().Draw(rt, "seed")); err != nil {
+		rates := rapid.SliceOfN(rapid.SampledFrom([]float64{1 - drift, 1, 1 + drift}), numProcesses, numProcesses).Draw(rt, "rates")
+		if err := runPlan(t, plan, rates, rapid.Uint64().Draw(rt, "seed")); err != nil {
 			rt.Fatal(err)
 		}
 	})
 }
 
 // Guards against this: a holder acts for some hundred milliseconds after its successor began.
-func TestDeadlineCountsFromBeforeTheRequest(t *testing.T) {
-	plan := []step{{Do: "none", For: 2 * duration},
-		{Do: "late", Who: holder, For: 1200 * time.Millisecond}, {Do: "none", For: 2 * duration}, {Do: "cut", Who: holder, For: 6 * duration}}
+func TestDeadlineCountsFromRequestStart(t *testing.T) {
+	plan := []step{{Action: "none", Duration: 2 * duration},
+		{Action: "late", Target: currentHolder, Duration: 1200 * time.Millisecond}, {Action: "none", Duration: 2 * duration}, {Action: "cut", Target: currentHolder, Duration: 6 * duration}}
 	for seed := range uint64(20) {
-		if err := play(t, plan, []float64{1, 1, 1}, seed); err != nil {
+		if err := runPlan(t, plan, []float64{1, 1, 1}, seed); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/lease/process_test.go
+++ b/lease/process_test.go
@@ -22,8 +22,8 @@
 // envHolder makes the test binary a holder; its value is the store's address.
 const envHolder = "LYCHEEKEEL_TEST_HOLDER"
 
-// patience is a generous limit for what takes about a second.
-const patience = 30 * time.Second
+// processTimeout is a generous limit for what takes about a second.
+const processTimeout = 30 * time.Second
 
 func shortElector(api objectstore.ObjectAPI, holder string) *lease.Elector {
 	e, err := lease.NewElector(api, lease.Options{
@@ -42,9 +42,9 @@
 	return ts.Nano()
 }
 
-// hold is the holder's process: it prints each act that Check allowed, and
+// runHolder is the holder's process: it prints each act that Check allowed, and
 // when it began to ask.
-func hold(addr string) {
+func runHolder(addr string) {
 	l, err := shortElector(httpobjectstore.New(httpobjectstore.Options{Addr: addr}), "child").Acquire(context.Background())
 	if err != nil {
 		return
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), processTimeout)
 	defer cancel()
 	go func() { _ = standin.New(standin.Options{}).Serve(ctx, ln) }()
 	child := exec.CommandContext(ctx, os.Args[0])
@@ -83,17 +83,17 @@
 	defer cancel()
 
 	lines := bufio.NewScanner(out)
-	next := func() (what string, token lease.Token, at int64) {
+	readEvent := func() (event string, token lease.Token, at int64) {
 		for lines.Scan() {
-			if n, _ := fmt.Sscan(lines.Text(), &what, &token, &at); n == 3 && (what == "act" || what == "lost") {
-				return what, token, at
+			if n, _ := fmt.Sscan(lines.Text(), &event, &token, &at); n == 3 && (event == "act" || event == "lost") {
+				return event, token, at
 			}
 		}
 		return "ended", 0, 0
 	}
-	what, old, _ := next()
-	if what != "act" {
-		t.Fatalf("holder: %s", what)
+	event, oldToken, _ := readEvent()
+	if event != "act" {
+		t.Fatalf("holder: %s", event)
 	}
 	if err := child.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
@@ -102,20 +102,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken := monotonic()
-	if l.Token() <= old {
-		t.Errorf("token %d after %d", l.Token(), old)
+	takenAt := monotonic()
+	if l.Token() <= oldToken {
+		t.Errorf("token %d after %d", l.Token(), oldToken)
 	}
 	if err := child.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
 	for {
-		what, _, at := next()
-		if what == "lost" {
+		event, _, at := readEvent()
+		if event == "lost" {
 			return
 		}
-		if what == "ended" || at > taken {
-			t.Fatalf("%s %s after another took the lease", what, time.Duration(at-taken))
+		if event == "ended" || at > takenAt {
+			t.Fatalf("%s %s after another took the lease", event, time.Duration(at-takenAt))
 		}
 	}
 }
--- a/pool/admission.go
+++ b/pool/admission.go
@@ -43,7 +43,7 @@
 // waits here, nor, as far as fresh reports tell, in a sibling pool.
 func (p *Pool) admit(w *waiter) {
 	switch p.suspectState(w) {
-	case suspect.Convicted:
+	case suspect.Confirmed:
 		p.shedConfirmed(w)
 		return
 	case suspect.Suspected:
@@ -80,7 +80,7 @@
 		return false
 	}
 	w.Class = tier.Late
-	if own := p.queue.LastBelow(w.Item.Tier, w.Item.Workspace); own != nil && !p.lowerTierWaits(own.Tier) {
+	if own := p.queue.VictimBelow(w.Item.Tier, w.Item.Workspace); own != nil && !p.lowerTierWaits(own.Tier) {
 		victim := own.Value
 		p.removeWaiter(victim)
 		p.redirectOrShed(victim, request.ReasonWorkspaceLimit)
@@ -136,7 +136,7 @@
 // evictionCandidate is the item to evict first. Suspects count by their tier as
 // everyone else.
 func (p *Pool) evictionCandidate() *tier.Item[*waiter] {
-	last, alone := p.queue.Last(), p.isolated.Last()
+	last, alone := p.queue.Victim(), p.isolated.Victim()
 	if last == nil || alone != nil && alone.Tier > last.Tier {
 		return alone
 	}
@@ -226,7 +226,7 @@
 		return
 	}
 	for t := request.Tier(0); t < request.MaxTiers; t++ {
-		for it := p.queue.Head(t, tier.Live); it != nil && !it.Value.NoRedirect; it = p.queue.Head(t, tier.Live) {
+		for it := p.queue.Head(t, tier.OnTime); it != nil && !it.Value.NoRedirect; it = p.queue.Head(t, tier.OnTime) {
 			name, ok := p.pickSibling(t, true)
 			if !ok {
 				return
--- a/pool/capacity.go
+++ b/pool/capacity.go
@@ -132,7 +132,7 @@
 // fastestTimes returns the least time to a first token, and to a whole answer,
 // of any server that is up, with nothing else to compute and nothing cached.
 func (p *Pool) fastestTimes(prompt, output int) (first, whole time.Duration) {
-	if p.fastest == (score.Prior{}) {
+	if p.fastest == (score.Profile{}) {
 		p.findFastest()
 	}
 	first = p.fastest.FirstToken(prompt)
@@ -142,10 +142,10 @@
 // findFastest takes the best of what the servers that are up have shown. It is
 // renewed with every comparison of peers.
 func (p *Pool) findFastest() {
-	p.fastest = score.Prior{}
+	p.fastest = score.Profile{}
 	for _, s := range p.sorted {
 		if p.up(s) {
-			p.fastest = s.speed.Faster(p.fastest)
+			p.fastest = s.speed.Fastest(p.fastest)
 		}
 	}
 }
--- a/pool/choose.go
+++ b/pool/choose.go
@@ -54,7 +54,7 @@
 func (p *Pool) predict(w *waiter, s *server) option {
 	cached := 0
 	if s.prefixID >= 0 {
-		cached = p.prefixes.Cached(s.prefixID, w.Blocks)
+		cached = p.prefixes.CachedPrefix(s.prefixID, w.Blocks)
 	}
 	return p.predictWith(w, s, cached, s.pendingPrefill)
 }
@@ -245,7 +245,7 @@
 		}
 		cached := 0
 		if s.prefixID >= 0 {
-			cached = p.prefixes.Cached(s.prefixID, w.Blocks)
+			cached = p.prefixes.CachedPrefix(s.prefixID, w.Blocks)
 		}
 		if p.meetsTargets(w, p.predictWith(w, s, cached, 0), 0) {
 			return false
--- a/pool/crash.go
+++ b/pool/crash.go
@@ -51,7 +51,7 @@
 	for p.isolated.Len() > 0 && !p.suspectRunning() {
 		w := p.nextSuspect()
 		switch p.suspectState(w) {
-		case suspect.Convicted:
+		case suspect.Confirmed:
 			p.removeWaiter(w)
 			p.shedConfirmed(w)
 			continue
@@ -162,12 +162,12 @@
 		return
 	}
 	if r.suspect {
-		p.suspects.Convict(p.now, r.fingerprint)
+		p.suspects.Confirm(p.now, r.fingerprint)
 		p.shareSuspect(r.fingerprint, SuspectConfirmed)
 		p.shedWaitingConfirmed(r.fingerprint)
 		return
 	}
-	if p.suspects.Suspect(p.now, r.fingerprint) {
+	if p.suspects.MarkSuspected(p.now, r.fingerprint) {
 		p.shareSuspect(r.fingerprint, Suspected)
 	}
 }
@@ -189,7 +189,7 @@
 // mergeSuspect takes in what another pool found out.
 func (p *Pool) mergeSuspect(e SuspectShared) {
 	p.suspects.Merge(p.now, e.Fingerprint, suspect.State(e.State), e.ExpiresIn)
-	if p.suspects.State(p.now, e.Fingerprint) == suspect.Convicted {
+	if p.suspects.State(p.now, e.Fingerprint) == suspect.Confirmed {
 		p.shedWaitingConfirmed(e.Fingerprint)
 	}
 }
--- a/pool/estimate/estimate.go
+++ b/pool/estimate/estimate.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// maxMixes bounds the mixes remembered; the least recently used go first.
-	maxMixes = 2048
-	// window is how many recent answers of a mix are kept.
-	window = 64
-	// trusted is how many answers make a mix known. Below it, the safe
+	// maxKeys bounds the mixes remembered; the least recently used go first.
+	maxKeys = 2048
+	// windowSize is how many recent answers of a mix are kept.
+	windowSize = 64
+	// minSamples is how many answers make a mix known. Below it, the safe
 	// assumption (the cap) fills up the missing ones.
-	trusted = 8
+	minSamples = 8
 	// highQuantile is what memory is reserved for.
 	highQuantile = 0.9
-	// safeTokens is assumed of a mix that is unknown and has no cap.
-	safeTokens = 1024
+	// defaultTokens is assumed of a mix that is unknown and has no cap.
+	defaultTokens = 1024
 )
 
-// Mix identifies requests whose answers are alike in length.
-type Mix struct{ Workspace, Template, Model string }
+// Key identifies requests whose answers are alike in length.
+type Key struct{ Workspace, Template, Model string }
 
 // Length is an estimate of an answer's length, in tokens.
 type Length struct {
@@ -39,40 +39,40 @@
 
 // Estimator keeps the recent lengths of each mix.
 type Estimator struct {
-	mixes *simplelru.LRU[Mix, *history]
+	histories *simplelru.LRU[Key, *history]
 }
 
 // New returns an empty estimator.
 func New() *Estimator {
-	mixes, err := simplelru.NewLRU[Mix, *history](maxMixes, nil)
+	histories, err := simplelru.NewLRU[Key, *history](maxKeys, nil)
 	if err != nil {
 		panic(err) // only a size below one is an error
 	}
-	return &Estimator{mixes: mixes}
+	return &Estimator{histories: histories}
 }
 
 // Observe records the length of a whole answer.
-func (e *Estimator) Observe(m Mix, tokens int) {
-	e.history(m).add(tokens)
-	e.history(m.general()).add(tokens)
+func (e *Estimator) Observe(key Key, tokens int) {
+	e.history(key).add(tokens)
+	e.history(key.fallback()).add(tokens)
 }
 
-// Expect estimates an answer's length. maxTokens caps it; 0 is no cap.
-func (e *Estimator) Expect(m Mix, maxTokens int) Length {
+// Estimate estimates an answer's length. maxTokens caps it; 0 is no cap.
+func (e *Estimator) Estimate(key Key, maxTokens int) Length {
 	limit := maxTokens
 	if limit <= 0 {
-		limit = safeTokens
+		limit = defaultTokens
 	}
-	h, ok := e.mixes.Get(m)
-	if !ok || len(h.sorted) < trusted {
-		if general, found := e.mixes.Get(m.general()); found && len(general.sorted) >= trusted {
-			h, ok = general, true
+	h, ok := e.histories.Get(key)
+	if !ok || len(h.sorted) < minSamples {
+		if fallback, found := e.histories.Get(key.fallback()); found && len(fallback.sorted) >= minSamples {
+			h, ok = fallback, true
 		}
 	}
 	if !ok {
 		return Length{Mean: limit, High: limit}
 	}
-	l := h.expect(limit)
+	l := h.estimate(limit)
 	if maxTokens > 0 {
 		l.Mean, l.High = min(l.Mean, maxTokens), min(l.High, maxTokens)
 	}
@@ -81,65 +81,65 @@
 
 // Remaining estimates how many tokens are still to come of an answer that has
 // had some: the mean of those recent answers that were longer.
-func (e *Estimator) Remaining(m Mix, maxTokens, had int) int {
+func (e *Estimator) Remaining(key Key, maxTokens, produced int) int {
 	limit := maxTokens
 	if limit <= 0 {
-		limit = had + safeTokens
+		limit = produced + defaultTokens
 	}
-	rest := max(1, limit-had)
-	h, ok := e.mixes.Peek(m)
-	if !ok || len(h.sorted) < trusted {
-		return rest
+	remaining := max(1, limit-produced)
+	h, ok := e.histories.Peek(key)
+	if !ok || len(h.sorted) < minSamples {
+		return remaining
 	}
-	i, _ := slices.BinarySearch(h.sorted, had+1)
+	i, _ := slices.BinarySearch(h.sorted, produced+1)
 	longer := h.sorted[i:]
 	if len(longer) == 0 {
-		return max(1, rest/2)
+		return max(1, remaining/2)
 	}
 	sum := 0
 	for _, n := range longer {
 		sum += n
 	}
-	return max(1, min(rest, sum/len(longer)-had))
+	return max(1, min(remaining, sum/len(longer)-produced))
 }
 
-// general is the mix that stands in for an unknown one.
-func (m Mix) general() Mix { return Mix{Template: m.Template, Model: m.Model} }
+// fallback is the mix that stands in for an unknown one.
+func (key Key) fallback() Key { return Key{Template: key.Template, Model: key.Model} }
 
-func (e *Estimator) history(m Mix) *history {
-	if h, ok := e.mixes.Get(m); ok {
+func (e *Estimator) history(key Key) *history {
+	if h, ok := e.histories.Get(key); ok {
 		return h
 	}
 	h := &history{}
-	e.mixes.Add(m, h)
+	e.histories.Add(key, h)
 	return h
 }
 
 // history is the last lengths of a mix, in order of arrival and of size.
 type history struct {
-	ring   [window]int
+	ring   [windowSize]int
 	next   int
 	sorted []int
 	sum    int
 }
 
 func (h *history) add(tokens int) {
-	if len(h.sorted) == window {
+	if len(h.sorted) == windowSize {
 		oldest := h.ring[h.next]
 		i, _ := slices.BinarySearch(h.sorted, oldest)
 		h.sorted = slices.Delete(h.sorted, i, i+1)
 		h.sum -= oldest
 	}
 	h.ring[h.next] = tokens
-	h.next = (h.next + 1) % window
+	h.next = (h.next + 1) % windowSize
 	i, _ := slices.BinarySearch(h.sorted, tokens)
 	h.sorted = slices.Insert(h.sorted, i, tokens)
 	h.sum += tokens
 }
 
-func (h *history) expect(limit int) Length {
+func (h *history) estimate(limit int) Length {
 	n := len(h.sorted)
-	missing := max(0, trusted-n)
+	missing := max(0, minSamples-n)
 	mean := (h.sum + missing*limit) / max(1, n+missing)
 	high := limit
 	if missing == 0 {
--- a/pool/estimate/estimate_test.go
+++ b/pool/estimate/estimate_test.go
@@ -9,58 +9,58 @@
 	"pgregory.net/rapid"
 )
 
-var mix = Mix{Workspace: "w", Template: "t", Model: "m"}
+var testKey = Key{Workspace: "w", Template: "t", Model: "m"}
 
-func TestUnknownMixesAreSafe(t *testing.T) {
+func TestUnknownKeysUseTheCap(t *testing.T) {
 	Convey("An unknown mix is taken for its cap", t, func() {
 		e := New()
-		So(e.Expect(mix, 700), ShouldResemble, Length{Mean: 700, High: 700})
-		So(e.Expect(mix, 0).High, ShouldEqual, safeTokens)
+		So(e.Estimate(testKey, 700), ShouldResemble, Length{Mean: 700, High: 700})
+		So(e.Estimate(testKey, 0).High, ShouldEqual, defaultTokens)
 		Convey("One short answer doesn't make it known", func() {
-			e.Observe(mix, 5)
-			So(e.Expect(mix, 700).High, ShouldEqual, 700)
-			So(e.Expect(mix, 700).Known, ShouldBeFalse)
+			e.Observe(testKey, 5)
+			So(e.Estimate(testKey, 700).High, ShouldEqual, 700)
+			So(e.Estimate(testKey, 700).Known, ShouldBeFalse)
 		})
 		Convey("Another workspace's answers of the same template and model do", func() {
-			for range trusted {
-				e.Observe(Mix{Workspace: "other", Template: "t", Model: "m"}, 20)
+			for range minSamples {
+				e.Observe(Key{Workspace: "other", Template: "t", Model: "m"}, 20)
 			}
-			So(e.Expect(mix, 700), ShouldResemble, Length{Mean: 20, High: 20, Known: true})
+			So(e.Estimate(testKey, 700), ShouldResemble, Length{Mean: 20, High: 20, Known: true})
 		})
 	})
 	Convey("What is left of an answer that outgrew most is the rest of the longer ones", t, func() {
 		e := New()
 		for _, n := range []int{10, 10, 10, 10, 10, 10, 10, 10, 300} {
-			e.Observe(mix, n)
+			e.Observe(testKey, n)
 		}
-		So(e.Remaining(mix, 1000, 20), ShouldEqual, 280)
-		So(e.Remaining(mix, 100, 20), ShouldEqual, 80)
-		So(e.Remaining(mix, 1000, 400), ShouldEqual, 300)
+		So(e.Remaining(testKey, 1000, 20), ShouldEqual, 280)
+		So(e.Remaining(testKey, 100, 20), ShouldEqual, 80)
+		So(e.Remaining(testKey, 1000, 400), ShouldEqual, 300)
 	})
 	Convey("What is remembered is bounded", t, func() {
 		e := New()
-		for i := range 2 * maxMixes {
-			e.Observe(Mix{Workspace: fmt.Sprint(i)}, i)
+		for i := range 2 * maxKeys {
+			e.Observe(Key{Workspace: fmt.Sprint(i)}, i)
 		}
-		So(e.mixes.Len(), ShouldEqual, maxMixes)
+		So(e.histories.Len(), ShouldEqual, maxKeys)
 	})
 }
 
 // The quantile and the mean are those of the last answers, under their cap.
 func TestQuantileOfTheWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e, all := New(), rapid.SliceOfN(rapid.IntRange(1, 5000), trusted, 3*window).Draw(t, "lengths")
+		e, all := New(), rapid.SliceOfN(rapid.IntRange(1, 5000), minSamples, 3*windowSize).Draw(t, "lengths")
 		for _, n := range all {
-			e.Observe(mix, n)
+			e.Observe(testKey, n)
 		}
-		last := slices.Clone(all[max(0, len(all)-window):])
+		last := slices.Clone(all[max(0, len(all)-windowSize):])
 		slices.Sort(last)
 		sum := 0
 		for _, n := range last {
 			sum += n
 		}
 		limit := rapid.IntRange(1, 5000).Draw(t, "cap")
-		l := e.Expect(mix, limit)
+		l := e.Estimate(testKey, limit)
 		if want := min(limit, last[int(highQuantile*float64(len(last)-1))]); l.High != want {
 			t.Fatalf("high %d, not %d", l.High, want)
 		}
--- a/pool/estimate/hint.go
+++ b/pool/estimate/hint.go
@@ -6,8 +6,8 @@
 	// maxRatio bounds what one answer says of the others' hints: single hints
 	// are far off.
 	maxRatio = 8 * ratioUnit
-	// unknownHigh is the ratio that is reserved for while a mix is unknown.
-	unknownHigh = 2 * ratioUnit
+	// unknownHighRatio is the ratio that is reserved for while a mix is unknown.
+	unknownHighRatio = 2 * ratioUnit
 )
 
 // Hints tells how long answers will be from their callers' own estimates, and
@@ -26,17 +26,17 @@
 func NewHints() *Hints { return &Hints{ratios: New()} }
 
 // Observe records the length of a whole answer whose hint was above zero.
-func (h *Hints) Observe(m Mix, hint, tokens int) {
-	h.ratios.Observe(m, min(maxRatio, tokens*ratioUnit/hint))
+func (h *Hints) Observe(key Key, hint, tokens int) {
+	h.ratios.Observe(key, min(maxRatio, tokens*ratioUnit/hint))
 }
 
-// Expect estimates an answer's length. maxTokens caps it; 0 is no cap. It is
+// Estimate estimates an answer's length. maxTokens caps it; 0 is no cap. It is
 // never Known: what a single answer needs between its tokens to end in time is
 // no target, or long ones would wait for fast servers while slow ones idle.
-func (h *Hints) Expect(m Mix, hint, maxTokens int) Length {
-	l := Length{Mean: hint, High: scaled(hint, unknownHigh)}
-	if ratio := h.ratios.Expect(m, unknownHigh); ratio.Known {
-		l = Length{Mean: scaled(hint, ratio.Mean), High: scaled(hint, ratio.High)}
+func (h *Hints) Estimate(key Key, hint, maxTokens int) Length {
+	l := Length{Mean: hint, High: scale(hint, unknownHighRatio)}
+	if ratio := h.ratios.Estimate(key, unknownHighRatio); ratio.Known {
+		l = Length{Mean: scale(hint, ratio.Mean), High: scale(hint, ratio.High)}
 	}
 	if maxTokens > 0 {
 		l.Mean, l.High = min(l.Mean, maxTokens), min(l.High, maxTokens)
@@ -46,12 +46,12 @@
 
 // Remaining estimates how many tokens are still to come of an answer that has
 // had some.
-func (h *Hints) Remaining(m Mix, hint, maxTokens, had int) int {
-	rest := scaled(hint, h.ratios.Remaining(m, 0, had*ratioUnit/hint))
+func (h *Hints) Remaining(key Key, hint, maxTokens, produced int) int {
+	remaining := scale(hint, h.ratios.Remaining(key, 0, produced*ratioUnit/hint))
 	if maxTokens > 0 {
-		rest = min(rest, maxTokens-had)
+		remaining = min(remaining, maxTokens-produced)
 	}
-	return max(1, rest)
+	return max(1, remaining)
 }
 
-func scaled(hint, ratio int) int { return max(1, hint*ratio/ratioUnit) }
+func scale(hint, ratio int) int { return max(1, hint*ratio/ratioUnit) }
--- a/pool/failures_test.go
+++ b/pool/failures_test.go
@@ -63,8 +63,8 @@
 	Convey("A slow server is taken although a fast one is busy, where that one failed the request", t, func() {
 		r := newHarness(Config{}, ServerInfo{Name: "fast", Generation: "fast", Slots: 1}, ServerInfo{Name: "slow", Generation: "slow", Slots: 1})
 		for range 20 {
-			r.servers["fast"].speed.ObserveToken(1, 4*time.Millisecond, 4*time.Millisecond, score.Prior{})
-			r.servers["slow"].speed.ObserveToken(1, 40*time.Millisecond, 40*time.Millisecond, score.Prior{})
+			r.servers["fast"].speed.ObservePerToken(1, 4*time.Millisecond, 4*time.Millisecond, score.Profile{})
+			r.servers["slow"].speed.ObservePerToken(1, 40*time.Millisecond, 40*time.Millisecond, score.Profile{})
 		}
 		So(r.mustGrant(enqueue("first", 0)).Server, ShouldEqual, "fast")
 		again := enqueue("again", 0)
--- a/pool/hint_test.go
+++ b/pool/hint_test.go
@@ -16,9 +16,9 @@
 	newFastAndSlow := func() *harness {
 		r := newHarness(Config{}, ServerInfo{Name: "fast", Generation: "fast", Slots: 1}, ServerInfo{Name: "slow", Generation: "slow", Slots: 4})
 		for range 20 {
-			r.servers["fast"].speed.ObserveToken(1, 4*time.Millisecond, 4*time.Millisecond, score.Prior{})
-			r.servers["slow"].speed.ObserveToken(1, 40*time.Millisecond, 40*time.Millisecond, score.Prior{})
-			r.lengths.Observe(estimate.Mix{Workspace: "w", Template: "t", Model: "m"}, 100)
+			r.servers["fast"].speed.ObservePerToken(1, 4*time.Millisecond, 4*time.Millisecond, score.Profile{})
+			r.servers["slow"].speed.ObservePerToken(1, 40*time.Millisecond, 40*time.Millisecond, score.Profile{})
+			r.lengths.Observe(estimate.Key{Workspace: "w", Template: "t", Model: "m"}, 100)
 		}
 		return r
 	}
@@ -53,7 +53,7 @@
 			g := run(r, fmt.Sprint(i), 20)
 			r.endRun(g, OutcomeDone) // 10 tokens
 		}
-		So(r.expectLength(estimate.Mix{Workspace: "w", Template: "t", Model: "m"}, 1000, 4000).Mean, ShouldEqual, 500)
+		So(r.expectLength(estimate.Key{Workspace: "w", Template: "t", Model: "m"}, 1000, 4000).Mean, ShouldEqual, 500)
 	})
 	Convey("What is still to come of an answer is sized by its hint", t, func() {
 		r := newHarness(Config{}, servers(1, 4)...)
@@ -69,8 +69,8 @@
 	newFastAndSlow := func(spare bool) *harness {
 		r := newHarness(Config{SpareFastServers: spare}, ServerInfo{Name: "fast", Generation: "fast", Slots: 4}, ServerInfo{Name: "slow", Generation: "slow", Slots: 4})
 		for range 20 {
-			r.servers["fast"].speed.ObserveToken(1, 4*time.Millisecond, 4*time.Millisecond, score.Prior{})
-			r.servers["slow"].speed.ObserveToken(1, 16*time.Millisecond, 16*time.Millisecond, score.Prior{})
+			r.servers["fast"].speed.ObservePerToken(1, 4*time.Millisecond, 4*time.Millisecond, score.Profile{})
+			r.servers["slow"].speed.ObservePerToken(1, 16*time.Millisecond, 16*time.Millisecond, score.Profile{})
 		}
 		return r
 	}
--- a/pool/hold.go
+++ b/pool/hold.go
@@ -73,11 +73,11 @@
 }
 
 func (p *Pool) tryBusyServers(w *waiter, current option, try func(*server, int, time.Duration, *run)) {
-	longest, holders := p.prefixes.Longest(prefixSet(p.sorted), w.Blocks)
+	longest, holders := p.prefixes.LongestPrefix(prefixSet(p.sorted), w.Blocks)
 	if longest < current.cachedBlocks+holdMinBlocks {
 		return
 	}
-	prefix.Servers(holders, func(i int) {
+	prefix.EachServer(holders, func(i int) {
 		s := p.byPrefixID[i]
 		if s != nil && s.grantable && len(s.running) >= s.maxRunning {
 			try(s, longest, p.slotWait(s), nil)
@@ -123,7 +123,7 @@
 	w.heldFor, w.heldRun, w.heldUntil = s, r, p.now.Add(slack)
 	s.heldCount++
 	p.held = append(p.held, w)
-	p.queue.Reclass(&w.Item, tier.Held)
+	p.queue.SetClass(&w.Item, tier.Held)
 }
 
 // removeHold takes a request out of the held ones; it stays in the queue.
@@ -149,6 +149,6 @@
 		}
 		w.noHold = w.noHold || late
 		p.removeHold(w)
-		p.queue.Reclass(&w.Item, tier.Live)
+		p.queue.SetClass(&w.Item, tier.OnTime)
 	}
 }
--- a/pool/incarnation_test.go
+++ b/pool/incarnation_test.go
@@ -44,9 +44,9 @@
 		r.send(Progress{Request: g.Request, Grant: g.Grant, Server: g.Server, Tokens: 1, FirstToken: 1})
 		s := r.servers["s0"]
 		So(s.failureRate.at(r.now), ShouldBeGreaterThan, 0)
-		So(r.prefixes.Cached(s.prefixID, e.Blocks), ShouldEqual, 3)
+		So(r.prefixes.CachedPrefix(s.prefixID, e.Blocks), ShouldEqual, 3)
 		r.send(incarnationSet("2"))
 		So(s.failureRate.at(r.now), ShouldEqual, 0)
-		So(r.prefixes.Cached(s.prefixID, e.Blocks), ShouldEqual, 0)
+		So(r.prefixes.CachedPrefix(s.prefixID, e.Blocks), ShouldEqual, 0)
 	})
 }
--- a/pool/late_retry.go
+++ b/pool/late_retry.go
@@ -28,7 +28,7 @@
 // What goes wrong without it: a request that comes back in an overload looks like a
 // new one. Its target has long passed for its caller; it takes the slot of one that
 // would still be in time, which is refused, and comes back late in its turn.
-type deadlines map[estimate.Mix]*usualDeadline
+type deadlines map[estimate.Key]*usualDeadline
 
 // usualDeadline is the longest deadline of the current window and of the one before.
 type usualDeadline struct {
@@ -39,7 +39,7 @@
 
 // sinceFirstAttempt notes the deadline that a request came with, and returns for how long its
 // caller has been waiting before that, as far as can be known.
-func (d deadlines) sinceFirstAttempt(now time.Time, mix estimate.Mix, deadline time.Duration) time.Duration {
+func (d deadlines) sinceFirstAttempt(now time.Time, mix estimate.Key, deadline time.Duration) time.Duration {
 	u := d[mix]
 	if u == nil {
 		if len(d) >= maxMixes {
--- a/pool/length.go
+++ b/pool/length.go
@@ -4,11 +4,11 @@
 
 // expectLength estimates an answer's length before it begins: by the caller's
 // hint where there is one, else by the recent answers of its mix.
-func (p *Pool) expectLength(m estimate.Mix, hint, maxTokens int) estimate.Length {
+func (p *Pool) expectLength(m estimate.Key, hint, maxTokens int) estimate.Length {
 	if hint > 0 {
-		return p.hints.Expect(m, hint, maxTokens)
+		return p.hints.Estimate(m, hint, maxTokens)
 	}
-	return p.lengths.Expect(m, maxTokens)
+	return p.lengths.Estimate(m, maxTokens)
 }
 
 // remainingTokens estimates what is still to come of a run's answer.
--- a/pool/limit/aimd.go
+++ b/pool/limit/aimd.go
@@ -6,16 +6,16 @@
 // the new one. Without smoothing, one burst of prefill on a server, which
 // slows every token for a moment, would cost it a fifth of its limit.
 type aimd struct {
-	bounds Bounds
-	limit  float64
-	ratio  float64
-	seen   bool
-	rest   float64 // samples to ignore after a decrease
+	bounds      Bounds
+	limit       float64
+	ratio       float64
+	initialized bool
+	cooldown    float64 // samples to ignore after a decrease
 }
 
 const (
-	aimdDecrease = 0.8
-	aimdSmooth   = 0.1 // weight of a new sample in the mean
+	aimdDecreaseFactor = 0.8
+	aimdSmoothing      = 0.1 // weight of a new sample in the mean
 )
 
 func newAIMD(b Bounds) *aimd { return &aimd{bounds: b, limit: b.clamp(b.Start)} }
@@ -25,19 +25,19 @@
 
 // Observe implements Law.
 func (a *aimd) Observe(s Sample) {
-	if !a.seen {
-		a.ratio, a.seen = s.Ratio, true
+	if !a.initialized {
+		a.ratio, a.initialized = s.Ratio, true
 	}
-	a.ratio += aimdSmooth * (s.Ratio - a.ratio)
-	if a.rest > 0 {
-		a.rest--
+	a.ratio += aimdSmoothing * (s.Ratio - a.ratio)
+	if a.cooldown > 0 {
+		a.cooldown--
 		return
 	}
 	switch {
 	case a.ratio > 1:
-		a.limit = a.bounds.clamp(min(a.limit, s.Used+1) * aimdDecrease)
-		a.rest = a.limit
-	case a.ratio < headroom && inUse(s.Used, a.limit):
+		a.limit = a.bounds.clamp(min(a.limit, s.Used+1) * aimdDecreaseFactor)
+		a.cooldown = a.limit
+	case a.ratio < targetRatio && utilized(s.Used, a.limit):
 		a.limit = a.bounds.clamp(a.limit + 1/a.limit)
 	}
 }
--- a/pool/limit/limit.go
+++ b/pool/limit/limit.go
@@ -14,8 +14,8 @@
 	Used float64
 }
 
-// Law is a control law for one limit.
-type Law interface {
+// Algorithm is a control law for one limit.
+type Algorithm interface {
 	// Limit returns the present limit.
 	Limit() float64
 	// Observe takes a sample in.
@@ -44,7 +44,7 @@
 const Default = AIMD
 
 // New returns a law of the name; an empty name means Default.
-func New(n Name, b Bounds) Law {
+func New(n Name, b Bounds) Algorithm {
 	if n == "" {
 		n = Default
 	}
@@ -54,27 +54,27 @@
 	return newAIMD(b)
 }
 
-// rounding makes up for laws that near their bound without end.
-const rounding = 0.05
+// roundingMargin makes up for laws that near their bound without end.
+const roundingMargin = 0.05
 
 // Slots returns how many requests a law lets run at once: whole ones, and one at
 // the least.
-func Slots(l Law) int { return slots(l.Limit()) }
+func Slots(a Algorithm) int { return slots(a.Limit()) }
 
-func slots(limit float64) int { return max(1, int(limit+rounding)) }
+func slots(limit float64) int { return max(1, int(limit+roundingMargin)) }
 
-// headroom is the ratio that laws steer for: a little under the target.
-const headroom = 0.85
+// targetRatio is the ratio that laws steer for: a little under the target.
+const targetRatio = 0.85
 
-// busy is the fraction of the whole slots of a limit that must be in use before a
+// minUtilization is the fraction of the whole slots of a limit that must be in use before a
 // good sample says anything about a higher limit.
-const busy = 0.75
+const minUtilization = 0.75
 
-// inUse tells whether so much use, of what a limit let run, is enough to judge the
+// utilized tells whether so much use, of what a limit let run, is enough to judge the
 // limit by.
 //
 // What goes wrong where use is compared with the limit itself: at 2.9 two requests
 // may run, which is less than three quarters of it, so that no sample ever raises it.
 // One would notice a service that sheds at a third of its servers' slots, for as long
 // as the daemon lives, after one bad second.
-func inUse(used, limit float64) bool { return used >= busy*float64(slots(limit)) }
+func utilized(used, limit float64) bool { return used >= minUtilization*float64(slots(limit)) }
--- a/pool/limit/limit_test.go
+++ b/pool/limit/limit_test.go
@@ -6,49 +6,49 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// settle runs a law against a server whose time between tokens grows with
+// simulate runs a law against a server whose time between tokens grows with
 // what runs there: 10 ms and 1.5 ms more for each, as an engine's steps do.
-func settle(l Law, target float64, rounds int) {
+func simulate(a Algorithm, target float64, rounds int) {
 	for range rounds {
-		n := float64(int(l.Limit()))
+		n := float64(int(a.Limit()))
 		for range int(n) {
-			l.Observe(Sample{Ratio: (10 + 1.5*n) / target, Used: n})
+			a.Observe(Sample{Ratio: (10 + 1.5*n) / target, Used: n})
 		}
 	}
 }
 
-func TestLawsFindTheKnee(t *testing.T) {
+func TestLimitConvergesToKnee(t *testing.T) {
 	Convey("With a target of 62 ms the knee is at 34 running requests", t, func() {
 		for _, name := range []Name{AIMD, Gradient} {
-			l := New(name, Bounds{Min: 1, Max: 64, Start: 64})
-			settle(l, 62, 60)
-			So(l.Limit(), ShouldBeBetween, 20, 36)
+			a := New(name, Bounds{Min: 1, Max: 64, Start: 64})
+			simulate(a, 62, 60)
+			So(a.Limit(), ShouldBeBetween, 20, 36)
 
 			Convey("With "+string(name)+" a slower server gets less, and its limit comes back after it has recovered", func() {
-				settle(l, 25, 60)
-				So(l.Limit(), ShouldBeBetween, 3, 11)
-				settle(l, 62, 300)
-				So(l.Limit(), ShouldBeBetween, 20, 36)
+				simulate(a, 25, 60)
+				So(a.Limit(), ShouldBeBetween, 3, 11)
+				simulate(a, 62, 300)
+				So(a.Limit(), ShouldBeBetween, 20, 36)
 			})
 		}
 	})
 	Convey("A limit that is not in use doesn't grow", t, func() {
 		for _, name := range []Name{AIMD, Gradient} {
-			l := New(name, Bounds{Min: 1, Max: 64, Start: 20})
+			a := New(name, Bounds{Min: 1, Max: 64, Start: 20})
 			for range 1000 {
-				l.Observe(Sample{Ratio: 0.2, Used: 3})
+				a.Observe(Sample{Ratio: 0.2, Used: 3})
 			}
-			So(l.Limit(), ShouldEqual, 20)
+			So(a.Limit(), ShouldEqual, 20)
 		}
 	})
 	Convey("A limit stays in its bounds", t, func() {
 		for _, name := range []Name{"", AIMD, Gradient} {
-			l := New(name, Bounds{Min: 2, Max: 9, Start: 100})
-			So(l.Limit(), ShouldEqual, 9)
+			a := New(name, Bounds{Min: 2, Max: 9, Start: 100})
+			So(a.Limit(), ShouldEqual, 9)
 			for range 1000 {
-				l.Observe(Sample{Ratio: 50, Used: l.Limit()})
+				a.Observe(Sample{Ratio: 50, Used: a.Limit()})
 			}
-			So(l.Limit(), ShouldEqual, 2)
+			So(a.Limit(), ShouldEqual, 2)
 		}
 	})
 	Convey("Names are checked", t, func() {
--- a/pool/limit/trap_test.go
+++ b/pool/limit/recovery_test.go
@@ -8,28 +8,28 @@
 )
 
 // Guards against a lowered limit that never rises again, since too few run to judge it by.
-func TestALimitRisesAgainFromAnywhere(t *testing.T) {
+func TestLimitRecoversFromAnyStart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.SampledFrom([]Name{AIMD, Gradient}).Draw(t, "law")
-		most := float64(rapid.IntRange(1, 64).Draw(t, "most"))
-		start := rapid.Float64Range(1, most).Draw(t, "start")
+		maxSlots := float64(rapid.IntRange(1, 64).Draw(t, "most"))
+		start := rapid.Float64Range(1, maxSlots).Draw(t, "start")
 		ratio := rapid.Float64Range(0.05, 0.8).Draw(t, "ratio")
-		l := New(name, Bounds{Min: 1, Max: most, Start: start})
+		a := New(name, Bounds{Min: 1, Max: maxSlots, Start: start})
 		samples := 0
 		// A law that adds a slot for each limit's worth of samples takes half the
 		// square of the maximum; twice that is let pass.
-		for bound := int(most*most) + 200; Slots(l) < int(most) && samples < bound; samples++ {
-			l.Observe(Sample{Ratio: ratio, Used: float64(Slots(l))})
+		for bound := int(maxSlots*maxSlots) + 200; Slots(a) < int(maxSlots) && samples < bound; samples++ {
+			a.Observe(Sample{Ratio: ratio, Used: float64(Slots(a))})
 		}
-		if Slots(l) < int(most) {
-			t.Fatalf("limit %v after %d good samples at full use", l.Limit(), samples)
+		if Slots(a) < int(maxSlots) {
+			t.Fatalf("limit %v after %d good samples at full use", a.Limit(), samples)
 		}
 	})
 }
 
-func TestNoLimitNeedsMoreThanItLetsRun(t *testing.T) {
+func TestFullUseCountsAsUtilized(t *testing.T) {
 	for limit := 1.0; limit <= 64; limit = math.Nextafter(limit+0.01, 65) {
-		if !inUse(float64(slots(limit)), limit) {
+		if !utilized(float64(slots(limit)), limit) {
 			t.Fatalf("limit %v lets %d run, which count as too few to judge it by", limit, slots(limit))
 		}
 	}
--- a/pool/max_wait.go
+++ b/pool/max_wait.go
@@ -45,7 +45,7 @@
 	}
 	w.extended = true
 	p.extendedCount[w.Item.Tier]++
-	p.queue.Postpone(&w.Item, until)
+	p.queue.SetExpires(&w.Item, until)
 	return true
 }
 
--- a/pool/observe.go
+++ b/pool/observe.go
@@ -33,11 +33,11 @@
 	minStepShare = 0.2
 )
 
-func (p *Pool) prior(generation string) score.Prior {
+func (p *Pool) prior(generation string) score.Profile {
 	if prior, ok := p.priors[generation]; ok {
 		return prior
 	}
-	return score.DefaultPrior()
+	return score.DefaultProfile()
 }
 
 // observeFirstToken learns from a run's first token.
@@ -49,7 +49,7 @@
 	prefill := r.prefillAhead + r.uncachedTokens
 	predicted := s.speed.FirstToken(prefill)
 	late := s.speed.Known() && took > lateTokenFactor*predicted+lateTokenSlack
-	s.speed.ObserveFirst(prefill, took, p.priors[s.info.Generation], late)
+	s.speed.ObserveFirstToken(prefill, took, p.priors[s.info.Generation], late)
 	p.observeQueueing(r, late)
 	p.updateStraggler(s)
 }
@@ -85,7 +85,7 @@
 	}
 	others := s.speed.PrefillTime(s.prefillTotal-r.prefilledAtReport) / time.Duration(tokens)
 	step := max(took-others, time.Duration(minStepShare*float64(took)))
-	s.speed.ObserveToken(len(s.running), took, step, p.priors[s.info.Generation])
+	s.speed.ObservePerToken(len(s.running), took, step, p.priors[s.info.Generation])
 	p.updateStraggler(s)
 }
 
@@ -100,7 +100,7 @@
 	if target := p.firstTokenTargets[r.tier]; target > 0 {
 		s.tokenRateLimit.Observe(limit.Sample{Ratio: float64(took) / float64(target), Used: float64(r.runningAtGrant)})
 	}
-	s.speed.ObserveFirst(0, took, p.priors[s.info.Generation], false)
+	s.speed.ObserveFirstToken(0, took, p.priors[s.info.Generation], false)
 	p.updateStraggler(s)
 }
 
@@ -139,7 +139,7 @@
 	}
 	p.comparedAt = p.now
 	p.findFastest()
-	speeds := make(map[string][]*score.Speed)
+	speeds := make(map[string][]*score.LatencyModel)
 	for _, s := range p.sorted {
 		if s.speed.Known() {
 			speeds[s.info.Generation] = append(speeds[s.info.Generation], s.speed)
@@ -152,7 +152,7 @@
 	}
 	for _, s := range p.sorted {
 		if !s.straggler {
-			s.speed.Settle()
+			s.speed.UpdateBaseline()
 		}
 	}
 }
@@ -188,7 +188,7 @@
 			}
 			s.overdue = true
 			if !was {
-				s.speed.Overdue(r.prefillAhead+r.uncachedTokens, waited, p.priors[s.info.Generation])
+				s.speed.ObserveOverdue(r.prefillAhead+r.uncachedTokens, waited, p.priors[s.info.Generation])
 				p.updateStraggler(s)
 			}
 			break
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -34,7 +34,7 @@
 	observations
 	scratch
 
-	suspects  *suspect.Register
+	suspects  *suspect.Registry
 	siblings  map[string]*sibling
 	entries   entries
 	tally     Tally
@@ -76,8 +76,8 @@
 type observations struct {
 	lengths           *estimate.Estimator
 	hints             *estimate.Hints
-	priors            map[string]score.Prior // comparedAt speed by generation
-	fastest           score.Prior            // the best of all servers; zero: unknown
+	priors            map[string]score.Profile // comparedAt speed by generation
+	fastest           score.Profile            // the best of all servers; zero: unknown
 	comparedAt        time.Time
 	arrivals          [request.MaxTiers]headroom.Arrivals
 	firstTokenTargets [request.MaxTiers]time.Duration // first token, by tier
@@ -116,12 +116,12 @@
 		observations: observations{
 			lengths:    estimate.New(),
 			hints:      estimate.NewHints(),
-			priors:     make(map[string]score.Prior),
+			priors:     make(map[string]score.Profile),
 			deadlines:  make(deadlines),
 			servedWork: decay.Rate{TimeConstant: servedWorkWindow},
 			rates:      newTierRates(),
 		},
-		suspects:  suspect.NewRegister(cfg.SuspectTTL),
+		suspects:  suspect.NewRegistry(cfg.SuspectTTL),
 		siblings:  make(map[string]*sibling),
 		fairShare: newFairShare(),
 	}
--- a/pool/prefix/index.go
+++ b/pool/prefix/index.go
@@ -19,19 +19,19 @@
 const (
 	// MaxServers is how many servers an Index can tell apart.
 	MaxServers = 64
-	// maxBlocks bounds what is remembered of one server. At 32 servers this
+	// maxCacheBlocks bounds what is remembered of one server. At 32 servers this
 	// is 128 Ki entries at the most.
-	maxBlocks = 4096
-	// minBlocks is the smallest cache believed in.
-	minBlocks = 64
-	// growth is how fast the believed size recovers, as a divisor: a
+	maxCacheBlocks = 4096
+	// minCacheBlocks is the smallest cache believed in.
+	minCacheBlocks = 64
+	// growthDivisor is how fast the believed size recovers, as a divisor: a
 	// confirmed prefix adds 1/growth of the size.
-	growth = 32
-	// eventLag is how late an announcement may be.
-	eventLag = 3 * time.Second
-	// gapLoss is the part of the blocks, as a divisor, that a gap may have
+	growthDivisor = 32
+	// maxEventDelay is how late an announcement may be.
+	maxEventDelay = 3 * time.Second
+	// gapDivisor is the part of the blocks, as a divisor, that a gap may have
 	// evicted unseen.
-	gapLoss = 4
+	gapDivisor = 4
 )
 
 // Index knows the blocks of up to MaxServers servers, named by number.
@@ -48,8 +48,8 @@
 // NewIndex returns an empty index.
 func NewIndex() *Index { return &Index{holders: make(map[uint64]uint64)} }
 
-// Cached returns how many leading blocks a server is believed to hold.
-func (x *Index) Cached(server int, blocks []uint64) int {
+// CachedPrefix returns how many leading blocks a server is believed to hold.
+func (x *Index) CachedPrefix(server int, blocks []uint64) int {
 	bit := uint64(1) << server
 	low, high := 0, len(blocks)
 	for low < high {
@@ -68,9 +68,9 @@
 	return n >= 1 && n <= len(blocks) && x.holders[blocks[n-1]]&(1<<server) != 0
 }
 
-// Longest returns how many leading blocks any server of the set holds, and
+// LongestPrefix returns how many leading blocks any server of the set holds, and
 // which servers do.
-func (x *Index) Longest(set uint64, blocks []uint64) (int, uint64) {
+func (x *Index) LongestPrefix(set uint64, blocks []uint64) (int, uint64) {
 	low, high := 0, len(blocks)
 	for low < high {
 		middle := (low + high + 1) / 2
@@ -86,10 +86,10 @@
 	return low, x.holders[blocks[low-1]] & set
 }
 
-// Store tells that a server has computed or used the blocks of a prompt. They
+// StorePrompt tells that a server has computed or used the blocks of a prompt. They
 // become its most recent ones, the first block last.
-func (x *Index) Store(now time.Time, server int, blocks []uint64) {
-	c := x.cache(server)
+func (x *Index) StorePrompt(now time.Time, server int, blocks []uint64) {
+	c := x.cacheOf(server)
 	blocks = blocks[:min(len(blocks), c.size)]
 	for i := len(blocks) - 1; i >= 0; i-- {
 		x.add(now, server, c, blocks[i])
@@ -98,7 +98,7 @@
 
 // StoreBlock tells that a server announced one block as stored.
 func (x *Index) StoreBlock(now time.Time, server int, block uint64) {
-	x.add(now, server, x.cache(server), block)
+	x.add(now, server, x.cacheOf(server), block)
 }
 
 // Evict tells that a server announced one block as evicted. Announcements are
@@ -109,43 +109,43 @@
 	if c == nil {
 		return
 	}
-	if used, ok := c.blocks.Peek(block); ok && now.UnixNano()-used > int64(eventLag) {
+	if used, ok := c.blocks.Peek(block); ok && now.UnixNano()-used > int64(maxEventDelay) {
 		c.blocks.Remove(block)
 	}
 }
 
-// Confirm tells what an engine really found of a prompt that was believed to
+// Reconcile tells what an engine really found of a prompt that was believed to
 // have been cached to some length. A shortfall means that the missing block
 // was evicted, and in an LRU so was all that is older: the believed size
 // shrinks to what is newer. Without it, every later choice would count on
 // prefixes that are gone; one would see prefill computed that should not be.
-func (x *Index) Confirm(server int, blocks []uint64, believed, found int) {
-	c := x.cache(server)
-	if found >= believed || found >= len(blocks) {
-		if believed > 0 && c.size < maxBlocks {
-			c.size = min(maxBlocks, c.size+1+c.size/growth)
+func (x *Index) Reconcile(server int, blocks []uint64, expected, found int) {
+	c := x.cacheOf(server)
+	if found >= expected || found >= len(blocks) {
+		if expected > 0 && c.size < maxCacheBlocks {
+			c.size = min(maxCacheBlocks, c.size+1+c.size/growthDivisor)
 			c.blocks.Resize(c.size)
 		}
 		return
 	}
-	c.size = max(minBlocks, c.blocks.Len()-c.blocks.Len()/growth-1)
+	c.size = max(minCacheBlocks, c.blocks.Len()-c.blocks.Len()/growthDivisor-1)
 	c.blocks.Resize(c.size)
 }
 
-// Gap tells that events of a server were missed: any of its blocks may be
+// EventsMissed tells that events of a server were missed: any of its blocks may be
 // gone, the least recent most likely. The oldest quarter is forgotten.
-func (x *Index) Gap(server int) {
+func (x *Index) EventsMissed(server int) {
 	c := x.caches[server]
 	if c == nil {
 		return
 	}
-	for range c.blocks.Len() / gapLoss {
+	for range c.blocks.Len() / gapDivisor {
 		c.blocks.RemoveOldest()
 	}
 }
 
-// Forget drops all that is known of a server: its engine restarted or left.
-func (x *Index) Forget(server int) {
+// Reset drops all that is known of a server: its engine restarted or left.
+func (x *Index) Reset(server int) {
 	c := x.caches[server]
 	if c == nil {
 		return
@@ -159,23 +159,23 @@
 // Len returns how many blocks are known, counted once each.
 func (x *Index) Len() int { return len(x.holders) }
 
-func (x *Index) cache(server int) *cache {
+func (x *Index) cacheOf(server int) *cache {
 	if c := x.caches[server]; c != nil {
 		return c
 	}
 	bit := uint64(1) << server
-	drop := func(block uint64, _ int64) {
-		if left := x.holders[block] &^ bit; left == 0 {
+	onEvict := func(block uint64, _ int64) {
+		if remaining := x.holders[block] &^ bit; remaining == 0 {
 			delete(x.holders, block)
 		} else {
-			x.holders[block] = left
+			x.holders[block] = remaining
 		}
 	}
-	blocks, err := simplelru.NewLRU[uint64, int64](maxBlocks, drop)
+	blocks, err := simplelru.NewLRU[uint64, int64](maxCacheBlocks, onEvict)
 	if err != nil {
 		panic(err) // only a size below one is an error
 	}
-	c := &cache{blocks: blocks, size: maxBlocks}
+	c := &cache{blocks: blocks, size: maxCacheBlocks}
 	x.caches[server] = c
 	return c
 }
@@ -188,8 +188,8 @@
 	}
 }
 
-// Servers calls f with each server of a set, in order.
-func Servers(set uint64, f func(server int)) {
+// EachServer calls f with each server of a set, in order.
+func EachServer(set uint64, f func(server int)) {
 	for ; set != 0; set &= set - 1 {
 		f(bits.TrailingZeros64(set))
 	}
--- a/pool/prefix/index_test.go
+++ b/pool/prefix/index_test.go
@@ -21,37 +21,37 @@
 func TestIndex(t *testing.T) {
 	Convey("What a server computed it holds, until it is evicted, forgotten or crowded out", t, func() {
 		x := NewIndex()
-		x.Store(now, 3, prompt(1, 10))
-		So(x.Cached(3, prompt(1, 20)), ShouldEqual, 10)
-		So(x.Cached(4, prompt(1, 20)), ShouldEqual, 0)
-		n, holders := x.Longest(1<<3|1<<4, prompt(1, 20))
+		x.StorePrompt(now, 3, prompt(1, 10))
+		So(x.CachedPrefix(3, prompt(1, 20)), ShouldEqual, 10)
+		So(x.CachedPrefix(4, prompt(1, 20)), ShouldEqual, 0)
+		n, holders := x.LongestPrefix(1<<3|1<<4, prompt(1, 20))
 		So(n, ShouldEqual, 10)
 		So(holders, ShouldEqual, uint64(1)<<3)
 
 		Convey("An eviction told late, of a block used since, is ignored", func() {
 			x.Evict(now.Add(time.Second), 3, prompt(1, 10)[5])
-			So(x.Cached(3, prompt(1, 10)), ShouldEqual, 10)
+			So(x.CachedPrefix(3, prompt(1, 10)), ShouldEqual, 10)
 			x.Evict(now.Add(time.Minute), 3, prompt(1, 10)[9])
-			So(x.Cached(3, prompt(1, 10)), ShouldEqual, 9)
+			So(x.CachedPrefix(3, prompt(1, 10)), ShouldEqual, 9)
 		})
 		Convey("A gap ages the oldest knowledge", func() {
-			x.Store(now, 3, prompt(2, 30))
-			x.Gap(3)
-			So(x.Cached(3, prompt(1, 10)), ShouldBeLessThan, 10)
-			So(x.Cached(3, prompt(2, 30)), ShouldEqual, 30)
+			x.StorePrompt(now, 3, prompt(2, 30))
+			x.EventsMissed(3)
+			So(x.CachedPrefix(3, prompt(1, 10)), ShouldBeLessThan, 10)
+			So(x.CachedPrefix(3, prompt(2, 30)), ShouldEqual, 30)
 		})
 		Convey("Prefixes that turn out to be gone shrink the believed size", func() {
 			for i := range 60 {
-				x.Store(now, 3, prompt(10+i, 50))
+				x.StorePrompt(now, 3, prompt(10+i, 50))
 			}
 			before := x.Len()
 			for range 100 {
-				x.Confirm(3, prompt(10, 50), 50, 0)
+				x.Reconcile(3, prompt(10, 50), 50, 0)
 			}
 			So(x.Len(), ShouldBeLessThan, before/2)
 		})
 		Convey("A restarted server holds nothing", func() {
-			x.Forget(3)
+			x.Reset(3)
 			So(x.Len(), ShouldEqual, 0)
 		})
 	})
@@ -66,24 +66,24 @@
 			return prompt(rapid.IntRange(0, 40).Draw(t, "group"), rapid.IntRange(1, 400).Draw(t, "n"))
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"store": func(*rapid.T) { x.Store(now, server(), blocks()) },
+			"store": func(*rapid.T) { x.StorePrompt(now, server(), blocks()) },
 			"evict": func(*rapid.T) { x.Evict(now.Add(time.Hour), server(), blocks()[0]) },
 			"confirm": func(*rapid.T) {
-				x.Confirm(server(), blocks(), rapid.IntRange(0, 400).Draw(t, "b"), rapid.IntRange(0, 400).Draw(t, "f"))
+				x.Reconcile(server(), blocks(), rapid.IntRange(0, 400).Draw(t, "b"), rapid.IntRange(0, 400).Draw(t, "f"))
 			},
-			"gap":    func(*rapid.T) { x.Gap(server()) },
-			"forget": func(*rapid.T) { x.Forget(server()) },
+			"gap":    func(*rapid.T) { x.EventsMissed(server()) },
+			"forget": func(*rapid.T) { x.Reset(server()) },
 			"": func(t *rapid.T) {
-				held := 0
+				cached := 0
 				for s, c := range x.caches {
 					if c == nil {
 						continue
 					}
-					if c.blocks.Len() > c.size || c.size > maxBlocks {
+					if c.blocks.Len() > c.size || c.size > maxCacheBlocks {
 						t.Fatalf("server %d holds %d of %d", s, c.blocks.Len(), c.size)
 					}
 					for _, b := range c.blocks.Keys() {
-						held++
+						cached++
 						if x.holders[b]&(1<<s) == 0 {
 							t.Fatalf("block %d of server %d is not indexed", b, s)
 						}
@@ -91,10 +91,10 @@
 				}
 				indexed := 0
 				for _, set := range x.holders {
-					Servers(set, func(int) { indexed++ })
+					EachServer(set, func(int) { indexed++ })
 				}
-				if held != indexed {
-					t.Fatalf("%d blocks held, %d indexed", held, indexed)
+				if cached != indexed {
+					t.Fatalf("%d blocks held, %d indexed", cached, indexed)
 				}
 			},
 		})
--- a/pool/run.go
+++ b/pool/run.go
@@ -23,7 +23,7 @@
 	grantedAt   time.Time
 	tier        request.Tier
 	workspace   string
-	mix         estimate.Mix
+	mix         estimate.Key
 	fingerprint uint64
 	suspect     bool // granted as a suspect
 
@@ -130,7 +130,7 @@
 	r.prefilledAtReport = r.server.prefillTotal
 	p.observeFirstToken(r, took)
 	if r.server.prefixID >= 0 && len(r.blocks) > 0 {
-		p.prefixes.Store(p.now, r.server.prefixID, r.blocks)
+		p.prefixes.StorePrompt(p.now, r.server.prefixID, r.blocks)
 	}
 }
 
@@ -201,7 +201,7 @@
 	}
 	p.confirmPrefix(r, e)
 	p.recordLength(r, e)
-	if p.suspects.Release(p.now, r.fingerprint) {
+	if p.suspects.Clear(p.now, r.fingerprint) {
 		p.emit(ShareSuspect{Fingerprint: r.fingerprint, State: SuspectCleared})
 	}
 }
@@ -214,14 +214,14 @@
 		return
 	}
 	found := (e.PromptTokens - e.PrefillComputed + 1) / engine.BlockTokens
-	p.prefixes.Confirm(r.server.prefixID, r.blocks, r.cachedBlocks, found)
+	p.prefixes.Reconcile(r.server.prefixID, r.blocks, r.cachedBlocks, found)
 }
 
 // refund gives a workspace back what it was charged too much; it may be
 // negative.
 func (p *Pool) refund(r *run, amount float64) {
 	if !p.isBaseline() {
-		p.queue.Correct(r.tier, r.workspace, -amount)
+		p.queue.AdjustCharge(r.tier, r.workspace, -amount)
 	}
 }
 
@@ -237,7 +237,7 @@
 	if w := p.waiting[e.Request]; w != nil {
 		p.removeWaiter(w)
 	}
-	mix := estimate.Mix{Workspace: e.Workspace, Template: e.Template, Model: e.Model}
+	mix := estimate.Key{Workspace: e.Workspace, Template: e.Template, Model: e.Model}
 	r := &run{
 		id: e.Grant, request: e.Request, entry: e.Entry, server: p.server(e.Server), grantedAt: p.now, lastReport: p.now,
 		tier: min(e.Tier, request.MaxTiers-1), workspace: e.Workspace, mix: mix, fingerprint: e.Fingerprint,
--- a/pool/scenario_test.go
+++ b/pool/scenario_test.go
@@ -190,7 +190,7 @@
 		slow["s0"] = 10
 		s := r.servers["s0"]
 		for i := 0; i < 200 && !s.straggler; i++ {
-			s.speed.Overdue(0, time.Second, r.priors["g"])
+			s.speed.ObserveOverdue(0, time.Second, r.priors["g"])
 			r.updateStraggler(s)
 		}
 		So(s.straggler, ShouldBeTrue)
@@ -253,10 +253,10 @@
 		Convey("A restart forgets the prefix", func() {
 			r.send(Progress{Request: "a", Grant: first.Grant, FirstToken: 100 * time.Millisecond, Tokens: 1})
 			s := r.servers[first.Server]
-			So(r.prefixes.Cached(s.prefixID, longPrompt("x", 1).Blocks), ShouldEqual, 64)
+			So(r.prefixes.CachedPrefix(s.prefixID, longPrompt("x", 1).Blocks), ShouldEqual, 64)
 			r.send(ServerHealth{Server: first.Server, Health: HealthUp, Incarnation: 1})
 			r.send(ServerHealth{Server: first.Server, Health: HealthUp, Incarnation: 2})
-			So(r.prefixes.Cached(s.prefixID, longPrompt("x", 1).Blocks), ShouldEqual, 0)
+			So(r.prefixes.CachedPrefix(s.prefixID, longPrompt("x", 1).Blocks), ShouldEqual, 0)
 		})
 	})
 }
--- a/pool/schedule.go
+++ b/pool/schedule.go
@@ -95,7 +95,7 @@
 func (p *Pool) pickLive(t request.Tier, servers []*server) (*waiter, option) {
 	budget := maxOptions
 	for {
-		p.candidates = p.queue.Candidates(t, tier.Live, maxCandidates, p.candidates[:0])
+		p.candidates = p.queue.Candidates(t, tier.OnTime, maxCandidates, p.candidates[:0])
 		moved := false
 		for i, it := range p.candidates {
 			w := it.Value
@@ -114,7 +114,7 @@
 			case !ok:
 				continue // no server has room for it now
 			case g == tooLate && p.cannotMeetTargets(w):
-				p.queue.Reclass(it, tier.Late)
+				p.queue.SetClass(it, tier.Late)
 				moved = true
 				continue
 			case g == tooLate || g == tooSlow && p.worthWaiting(w, o):
@@ -136,7 +136,7 @@
 // would take what comes free each time, and one would see long prompts expire
 // while tags are served.
 func (p *Pool) memoryStarved(t request.Tier) bool {
-	head := p.queue.Head(t, tier.Live)
+	head := p.queue.Head(t, tier.OnTime)
 	if head == nil || p.now.Sub(head.Value.enqueuedAt) < memoryStarveAfter {
 		return false
 	}
@@ -175,7 +175,7 @@
 	if !p.cannotMeetDeadline(w) {
 		return false
 	}
-	p.queue.Reclass(&w.Item, tier.Doomed)
+	p.queue.SetClass(&w.Item, tier.Infeasible)
 	return true
 }
 
@@ -186,7 +186,7 @@
 	servers, slots := p.serversWithSlots()
 	for t := request.Tier(0); t < request.MaxTiers; t++ {
 		for slots > 0 && slots > p.reservedSlots(request.MaxTiers-1) {
-			it := p.queue.Head(t, tier.Doomed)
+			it := p.queue.Head(t, tier.Infeasible)
 			if it == nil {
 				break
 			}
@@ -256,7 +256,7 @@
 // it did.
 func (p *Pool) divertSuspect(w *waiter) bool {
 	switch p.suspectState(w) {
-	case suspect.Convicted:
+	case suspect.Confirmed:
 		p.removeWaiter(w)
 		p.shedConfirmed(w)
 	case suspect.Suspected:
