--- a/pool/server.go
+++ b/pool/server.go
@@ -32,12 +32,12 @@
 	kvTokens       int // KV memory that the running requests will need, in tokens
 	prefillTotal   int // pendingPrefill tokens computed, ever
 
-	speed          *score.Speed
-	tokenRateLimit limit.Law // running requests, by time between tokens
-	queueingLimit  limit.Law // running requests, by waiting inside the engine
-	memoryLimit    limit.Law // thousands of tokens in KV memory
-	kvCapacity     float64   // measured KV capacity in tokens; zero: unknown
-	engineSlots    int       // as the engine itself says; zero: unknown
+	speed          *score.LatencyModel
+	tokenRateLimit limit.Algorithm // running requests, by time between tokens
+	queueingLimit  limit.Algorithm // running requests, by waiting inside the engine
+	memoryLimit    limit.Algorithm // thousands of tokens in KV memory
+	kvCapacity     float64         // measured KV capacity in tokens; zero: unknown
+	engineSlots    int             // as the engine itself says; zero: unknown
 	// lastProgress is when a run here last showed that the server works.
 	lastProgress time.Time
 	meanService  float64 // mean seconds from grant to release
@@ -78,7 +78,7 @@
 	}
 	slices.SortFunc(p.sorted, func(a, b *server) int { return cmp.Compare(a.info.Name, b.info.Name) })
 	p.removeIdleServers()
-	p.fastest = score.Prior{}
+	p.fastest = score.Profile{}
 }
 
 // configure sets what the configuration says. A changed number of slots or
@@ -91,7 +91,7 @@
 		s.memoryLimit = limit.New(limit.AIMD, limit.Bounds{Min: kiloTokensMin, Max: kiloTokensMax, Start: kiloTokensMax})
 	}
 	if s.speed == nil || s.info.Generation != info.Generation {
-		s.speed = score.NewSpeed(p.prior(info.Generation))
+		s.speed = score.NewLatencyModel(p.prior(info.Generation))
 	}
 	if s.info.Incarnation != "" && s.info.Incarnation != info.Incarnation {
 		p.resetIncarnation(s)
@@ -153,7 +153,7 @@
 			continue
 		}
 		if s.prefixID >= 0 {
-			p.prefixes.Forget(s.prefixID)
+			p.prefixes.Reset(s.prefixID)
 			p.byPrefixID[s.prefixID] = nil
 		}
 		delete(p.servers, name)
@@ -192,7 +192,7 @@
 
 func (p *Pool) forgetCache(s *server) {
 	if s.prefixID >= 0 {
-		p.prefixes.Forget(s.prefixID)
+		p.prefixes.Reset(s.prefixID)
 	}
 }
 
@@ -214,7 +214,7 @@
 		return
 	}
 	if e.Gap {
-		p.prefixes.Gap(s.prefixID)
+		p.prefixes.EventsMissed(s.prefixID)
 	}
 	for _, ev := range e.Events {
 		if ev.Stored {
--- a/pool/suspect/suspect.go
+++ b/pool/suspect/suspect.go
@@ -19,100 +19,100 @@
 const (
 	Clear State = iota
 	Suspected
-	Convicted
+	Confirmed
 )
 
-// maxKnown bounds the fingerprints remembered; the least recently seen go
+// maxEntries bounds the fingerprints remembered; the least recently seen go
 // first.
-const maxKnown = 4096
+const maxEntries = 4096
 
-type record struct {
+type entry struct {
 	state   State
 	expires time.Time
 }
 
-// Register is what one pool knows of fingerprints.
-type Register struct {
-	known *simplelru.LRU[uint64, record]
-	keep  time.Duration
+// Registry is what one pool knows of fingerprints.
+type Registry struct {
+	entries   *simplelru.LRU[uint64, entry]
+	retention time.Duration
 }
 
-// NewRegister returns an empty register that keeps each verdict for so long.
-func NewRegister(keep time.Duration) *Register {
-	known, err := simplelru.NewLRU[uint64, record](maxKnown, nil)
+// NewRegistry returns an empty register that keeps each verdict for so long.
+func NewRegistry(retention time.Duration) *Registry {
+	entries, err := simplelru.NewLRU[uint64, entry](maxEntries, nil)
 	if err != nil {
 		panic(err) // only a size below one is an error
 	}
-	return &Register{known: known, keep: keep}
+	return &Registry{entries: entries, retention: retention}
 }
 
 // State returns what is known of a fingerprint. Zero is no fingerprint and
 // always clear.
-func (r *Register) State(now time.Time, fingerprint uint64) State {
-	if r.known.Len() == 0 || fingerprint == 0 {
+func (r *Registry) State(now time.Time, fingerprint uint64) State {
+	if r.entries.Len() == 0 || fingerprint == 0 {
 		return Clear
 	}
-	rec, ok := r.known.Get(fingerprint)
+	e, ok := r.entries.Get(fingerprint)
 	if !ok {
 		return Clear
 	}
-	if !now.Before(rec.expires) {
-		r.known.Remove(fingerprint)
+	if !now.Before(e.expires) {
+		r.entries.Remove(fingerprint)
 		return Clear
 	}
-	return rec.state
+	return e.state
 }
 
 // ExpiresIn returns how long a verdict still holds.
-func (r *Register) ExpiresIn(now time.Time, fingerprint uint64) time.Duration {
-	rec, ok := r.known.Peek(fingerprint)
+func (r *Registry) ExpiresIn(now time.Time, fingerprint uint64) time.Duration {
+	e, ok := r.entries.Peek(fingerprint)
 	if !ok {
 		return 0
 	}
-	return max(0, rec.expires.Sub(now))
+	return max(0, e.expires.Sub(now))
 }
 
-// Suspect makes a fingerprint a suspect, unless it is convicted. It reports
+// MarkSuspected makes a fingerprint a suspect, unless it is convicted. It reports
 // whether that changed anything.
-func (r *Register) Suspect(now time.Time, fingerprint uint64) bool {
+func (r *Registry) MarkSuspected(now time.Time, fingerprint uint64) bool {
 	if fingerprint == 0 || r.State(now, fingerprint) != Clear {
 		return false
 	}
-	r.known.Add(fingerprint, record{Suspected, now.Add(r.keep)})
+	r.entries.Add(fingerprint, entry{Suspected, now.Add(r.retention)})
 	return true
 }
 
-// Convict convicts a fingerprint.
-func (r *Register) Convict(now time.Time, fingerprint uint64) {
+// Confirm convicts a fingerprint.
+func (r *Registry) Confirm(now time.Time, fingerprint uint64) {
 	if fingerprint != 0 {
-		r.known.Add(fingerprint, record{Convicted, now.Add(r.keep)})
+		r.entries.Add(fingerprint, entry{Confirmed, now.Add(r.retention)})
 	}
 }
 
-// Release clears a suspect that finished. A convict stays one: what one run
+// Clear clears a suspect that finished. A convict stays one: what one run
 // has proved, another that happened to end earlier doesn't disprove. It
 // reports whether that changed anything.
-func (r *Register) Release(now time.Time, fingerprint uint64) bool {
+func (r *Registry) Clear(now time.Time, fingerprint uint64) bool {
 	if r.State(now, fingerprint) != Suspected {
 		return false
 	}
-	r.known.Remove(fingerprint)
+	r.entries.Remove(fingerprint)
 	return true
 }
 
 // Merge takes in what another pool knows. The graver state wins; a clearance
 // frees a suspect only.
-func (r *Register) Merge(now time.Time, fingerprint uint64, s State, expiresIn time.Duration) {
+func (r *Registry) Merge(now time.Time, fingerprint uint64, s State, expiresIn time.Duration) {
 	if fingerprint == 0 {
 		return
 	}
 	if s == Clear {
-		r.Release(now, fingerprint)
+		r.Clear(now, fingerprint)
 		return
 	}
-	expires := now.Add(min(expiresIn, r.keep))
-	if have := r.State(now, fingerprint); have > s || have == s && r.ExpiresIn(now, fingerprint) >= expiresIn {
+	expires := now.Add(min(expiresIn, r.retention))
+	if current := r.State(now, fingerprint); current > s || current == s && r.ExpiresIn(now, fingerprint) >= expiresIn {
 		return
 	}
-	r.known.Add(fingerprint, record{s, expires})
+	r.entries.Add(fingerprint, entry{s, expires})
 }
--- a/pool/tier/heap.go
+++ b/pool/tier/heap.go
@@ -8,8 +8,8 @@
 	setIndex func(e E, index int)
 }
 
-// none is the index of an element that is in no heap.
-const none = -1
+// notInHeap is the index of an element that is in no heap.
+const notInHeap = -1
 
 func (h *heap[E]) len() int { return len(h.elements) }
 
@@ -27,7 +27,7 @@
 	var zero E
 	h.elements[last] = zero
 	h.elements = h.elements[:last]
-	h.setIndex(removed, none)
+	h.setIndex(removed, notInHeap)
 	if i < last {
 		h.fix(i)
 	}
@@ -62,7 +62,7 @@
 
 // down reports whether the element moved.
 func (h *heap[E]) down(i int) bool {
-	start := i
+	initial := i
 	for {
 		child := 2*i + 1
 		if child >= len(h.elements) {
@@ -77,5 +77,5 @@
 		h.swap(i, child)
 		i = child
 	}
-	return i > start
+	return i > initial
 }
--- a/pool/tier/queue.go
+++ b/pool/tier/queue.go
@@ -18,17 +18,17 @@
 
 // The classes of a tier.
 const (
-	// Live requests can still meet their target.
-	Live Class = iota
+	// OnTime requests can still meet their target.
+	OnTime Class = iota
 	// Held requests can too, but wait for a certain server for a moment.
 	Held
 	// Late requests can't, or exceed their workspace's bound; they wait at
 	// the end of their tier.
 	Late
-	// Doomed requests can't even end before their deadline.
-	Doomed
+	// Infeasible requests can't even end before their deadline.
+	Infeasible
 
-	classes = 4
+	numClasses = 4
 )
 
 // Item is one waiting request's place. Set the exported fields before Push
@@ -45,28 +45,28 @@
 	Cost  float64
 	Value T
 
-	seq         uint64
-	flow        *flow[T]
-	early, late int // indexes in the lane's heaps
-	expiry      int // index in the expiry heap
+	seq                       uint64
+	flow                      *flow[T]
+	dueIndex, dueReverseIndex int // indexes in the lane's heaps
+	expiryIndex               int // index in the expiry heap
 }
 
 // Queue holds the waiting items of one pool.
 type Queue[T any] struct {
-	levels [request.MaxTiers]level[T]
-	expiry heap[*Item[T]]
-	seq    uint64
-	count  int
+	tiers    [request.MaxTiers]tierQueue[T]
+	byExpiry heap[*Item[T]]
+	seq      uint64
+	count    int
 }
 
 // NewQueue returns an empty queue.
 func NewQueue[T any]() *Queue[T] {
-	q := &Queue[T]{expiry: heap[*Item[T]]{
-		less:     func(a, b *Item[T]) bool { return before(a.Expires, b.Expires, a.seq, b.seq) },
-		setIndex: func(it *Item[T], i int) { it.expiry = i },
+	q := &Queue[T]{byExpiry: heap[*Item[T]]{
+		less:     func(a, b *Item[T]) bool { return earlier(a.Expires, b.Expires, a.seq, b.seq) },
+		setIndex: func(it *Item[T], i int) { it.expiryIndex = i },
 	}}
-	for t := range q.levels {
-		q.levels[t].init()
+	for t := range q.tiers {
+		q.tiers[t].init()
 	}
 	return q
 }
@@ -75,20 +75,20 @@
 func (q *Queue[T]) Len() int { return q.count }
 
 // Waiting returns how many items of a tier wait.
-func (q *Queue[T]) Waiting(t request.Tier) int { return q.levels[t].count }
+func (q *Queue[T]) Waiting(t request.Tier) int { return q.tiers[t].count }
 
 // WaitingCost returns the summed cost of a tier's waiting items.
 func (q *Queue[T]) WaitingCost(t request.Tier) float64 {
 	sum := 0.0
-	for c := range q.levels[t].classes {
-		sum += q.levels[t].classes[c].cost
+	for c := range q.tiers[t].classes {
+		sum += q.tiers[t].classes[c].cost
 	}
 	return sum
 }
 
 // WaitingOf returns how many items of a workspace wait in a tier.
 func (q *Queue[T]) WaitingOf(t request.Tier, workspace string) int {
-	if f := q.levels[t].flows[workspace]; f != nil {
+	if f := q.tiers[t].flows[workspace]; f != nil {
 		return f.len()
 	}
 	return 0
@@ -99,26 +99,26 @@
 	q.seq++
 	it.seq = q.seq
 	q.count++
-	q.levels[it.Tier].push(it)
-	q.expiry.push(it)
+	q.tiers[it.Tier].push(it)
+	q.byExpiry.push(it)
 }
 
 // Remove takes a waiting item out.
 func (q *Queue[T]) Remove(it *Item[T]) {
 	q.count--
-	q.levels[it.Tier].remove(it)
-	q.expiry.remove(it.expiry)
+	q.tiers[it.Tier].remove(it)
+	q.byExpiry.remove(it.expiryIndex)
 }
 
-// Postpone lets a waiting item expire at another time. It keeps its place.
-func (q *Queue[T]) Postpone(it *Item[T], until time.Time) {
+// SetExpires lets a waiting item expire at another time. It keeps its place.
+func (q *Queue[T]) SetExpires(it *Item[T], until time.Time) {
 	it.Expires = until
-	q.expiry.fix(it.expiry)
+	q.byExpiry.fix(it.expiryIndex)
 }
 
-// Reclass moves a waiting item to another class of its tier.
-func (q *Queue[T]) Reclass(it *Item[T], c Class) {
-	l := &q.levels[it.Tier]
+// SetClass moves a waiting item to another class of its tier.
+func (q *Queue[T]) SetClass(it *Item[T], c Class) {
+	l := &q.tiers[it.Tier]
 	l.remove(it)
 	it.Class = c
 	l.push(it)
@@ -126,58 +126,58 @@
 
 // Charge tells that an item's workspace got its cost worth of service: it
 // moves back in the order among the workspaces of its tier.
-func (q *Queue[T]) Charge(it *Item[T]) { q.levels[it.Tier].charge(it.Workspace, it.Cost) }
+func (q *Queue[T]) Charge(it *Item[T]) { q.tiers[it.Tier].charge(it.Workspace, it.Cost) }
 
-// Correct adds to what a workspace was charged, once the true cost is known;
+// AdjustCharge adds to what a workspace was charged, once the true cost is known;
 // delta may be negative.
-func (q *Queue[T]) Correct(t request.Tier, workspace string, delta float64) {
-	q.levels[t].correct(workspace, delta)
+func (q *Queue[T]) AdjustCharge(t request.Tier, workspace string, delta float64) {
+	q.tiers[t].correct(workspace, delta)
 }
 
 // Expired returns a waiting item whose Expires has come, or nil.
 func (q *Queue[T]) Expired(now time.Time) *Item[T] {
-	if q.expiry.len() == 0 || q.expiry.elements[0].Expires.After(now) {
+	if q.byExpiry.len() == 0 || q.byExpiry.elements[0].Expires.After(now) {
 		return nil
 	}
-	return q.expiry.elements[0]
+	return q.byExpiry.elements[0]
 }
 
 // Head returns the first item of a class of a tier, or nil.
-func (q *Queue[T]) Head(t request.Tier, c Class) *Item[T] { return q.levels[t].classes[c].head() }
+func (q *Queue[T]) Head(t request.Tier, c Class) *Item[T] { return q.tiers[t].classes[c].head() }
 
-// Last returns the item of the lowest waiting tier that is to be evicted
+// Victim returns the item of the lowest waiting tier that is to be evicted
 // first, or nil: late ones first, of the workspace that has most cost waiting
 // the one that is due last.
-func (q *Queue[T]) Last() *Item[T] {
-	for t := len(q.levels) - 1; t >= 0; t-- {
-		if it := q.LastOf(request.Tier(t)); it != nil {
+func (q *Queue[T]) Victim() *Item[T] {
+	for t := len(q.tiers) - 1; t >= 0; t-- {
+		if it := q.VictimIn(request.Tier(t)); it != nil {
 			return it
 		}
 	}
 	return nil
 }
 
-// LastOf is Last for one tier.
-func (q *Queue[T]) LastOf(t request.Tier) *Item[T] {
-	for c := classes - 1; c >= 0; c-- {
-		if it := q.levels[t].classes[c].last(); it != nil {
+// VictimIn is Last for one tier.
+func (q *Queue[T]) VictimIn(t request.Tier) *Item[T] {
+	for c := numClasses - 1; c >= 0; c-- {
+		if it := q.tiers[t].classes[c].victim(); it != nil {
 			return it
 		}
 	}
 	return nil
 }
 
-// LastBelow returns the item of a workspace to evict first among the tiers
+// VictimBelow returns the item of a workspace to evict first among the tiers
 // lower than t, or nil.
-func (q *Queue[T]) LastBelow(t request.Tier, workspace string) *Item[T] {
-	for lower := len(q.levels) - 1; lower > int(t); lower-- {
-		f := q.levels[lower].flows[workspace]
+func (q *Queue[T]) VictimBelow(t request.Tier, workspace string) *Item[T] {
+	for lower := len(q.tiers) - 1; lower > int(t); lower-- {
+		f := q.tiers[lower].flows[workspace]
 		if f == nil {
 			continue
 		}
-		for c := classes - 1; c >= 0; c-- {
-			if l := &f.lanes[c]; l.late.len() > 0 {
-				return l.late.elements[0]
+		for c := numClasses - 1; c >= 0; c-- {
+			if l := &f.subqueues[c]; l.byDueReverse.len() > 0 {
+				return l.byDueReverse.elements[0]
 			}
 		}
 	}
@@ -188,19 +188,19 @@
 // its head first, then others of the head's workspace and the heads of the
 // next workspaces. The choice is a function of the queue's history alone.
 func (q *Queue[T]) Candidates(t request.Tier, c Class, n int, buf []*Item[T]) []*Item[T] {
-	lanes := q.levels[t].classes[c].byTime.elements
-	for i := 0; i < len(lanes) && n > 0; i++ {
-		take := min(len(lanes[i].early.elements), (n+1)/2)
-		if i+1 == len(lanes) {
-			take = min(len(lanes[i].early.elements), n)
+	subqueues := q.tiers[t].classes[c].byVirtualTime.elements
+	for i := 0; i < len(subqueues) && n > 0; i++ {
+		take := min(len(subqueues[i].byDue.elements), (n+1)/2)
+		if i+1 == len(subqueues) {
+			take = min(len(subqueues[i].byDue.elements), n)
 		}
-		buf = append(buf, lanes[i].early.elements[:take]...)
+		buf = append(buf, subqueues[i].byDue.elements[:take]...)
 		n -= take
 	}
 	return buf
 }
 
-func before(a, b time.Time, aSeq, bSeq uint64) bool {
+func earlier(a, b time.Time, aSeq, bSeq uint64) bool {
 	if a.Equal(b) {
 		return aSeq < bSeq
 	}
--- a/pool/tier/queue_test.go
+++ b/pool/tier/queue_test.go
@@ -12,10 +12,10 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func draw(t *rapid.T, n int) *Item[int] {
+func drawItem(t *rapid.T, n int) *Item[int] {
 	return &Item[int]{
 		Tier:      request.Tier(rapid.IntRange(0, 3).Draw(t, "tier")),
-		Class:     Class(rapid.SampledFrom([]Class{Live, Late}).Draw(t, "class")),
+		Class:     Class(rapid.SampledFrom([]Class{OnTime, Late}).Draw(t, "class")),
 		Workspace: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "workspace"),
 		Due:       start.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "due")) * time.Second),
 		Expires:   start.Add(time.Duration(rapid.IntRange(1, 99).Draw(t, "expires")) * time.Second),
@@ -26,14 +26,14 @@
 
 // Against a plain list: counts, heads, the item to evict and expiry agree
 // under any order of pushes, removals, reclassings and charges.
-func TestQueueAgainstList(t *testing.T) {
+func TestQueueMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, list := NewQueue[int](), []*Item[int]{}
 		n := 0
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
 				n++
-				it := draw(t, n)
+				it := drawItem(t, n)
 				q.Push(it)
 				list = append(list, it)
 			},
@@ -49,28 +49,28 @@
 				if len(list) == 0 {
 					t.Skip()
 				}
-				q.Reclass(rapid.SampledFrom(list).Draw(t, "item"), rapid.SampledFrom([]Class{Live, Held, Late}).Draw(t, "to"))
+				q.SetClass(rapid.SampledFrom(list).Draw(t, "item"), rapid.SampledFrom([]Class{OnTime, Held, Late}).Draw(t, "to"))
 			},
 			"charge": func(t *rapid.T) {
 				if len(list) > 0 {
 					q.Charge(rapid.SampledFrom(list).Draw(t, "item"))
 				}
 			},
-			"": func(t *rapid.T) { compare(t, q, list) },
+			"": func(t *rapid.T) { checkQueue(t, q, list) },
 		})
 	})
 }
 
-func compare(t *rapid.T, q *Queue[int], list []*Item[int]) {
+func checkQueue(t *rapid.T, q *Queue[int], list []*Item[int]) {
 	if q.Len() != len(list) {
 		t.Fatalf("holds %d, not %d", q.Len(), len(list))
 	}
 	for tr := range request.Tier(4) {
-		for c := range Class(classes) {
-			compareClass(t, q, tr, c, slices.DeleteFunc(slices.Clone(list), func(it *Item[int]) bool { return it.Tier != tr || it.Class != c }))
+		for c := range Class(numClasses) {
+			checkClass(t, q, tr, c, slices.DeleteFunc(slices.Clone(list), func(it *Item[int]) bool { return it.Tier != tr || it.Class != c }))
 		}
 	}
-	if last := q.Last(); last != nil {
+	if last := q.Victim(); last != nil {
 		for _, it := range list {
 			if it.Tier > last.Tier || it.Tier == last.Tier && it.Class > last.Class {
 				t.Fatalf("evicts tier %d class %d before tier %d class %d", last.Tier, last.Class, it.Tier, it.Class)
@@ -87,22 +87,22 @@
 	}
 }
 
-func compareClass(t *rapid.T, q *Queue[int], tr request.Tier, c Class, want []*Item[int]) {
+func checkClass(t *rapid.T, q *Queue[int], tr request.Tier, c Class, want []*Item[int]) {
 	head := q.Head(tr, c)
 	if (head == nil) != (len(want) == 0) {
 		t.Fatalf("tier %d class %d: head %v of %d", tr, c, head, len(want))
 	}
 	for _, it := range want {
-		if it.flow.virtual < head.flow.virtual {
+		if it.flow.virtualTime < head.flow.virtualTime {
 			t.Fatalf("workspace %s goes before %s, which was served less", head.Workspace, it.Workspace)
 		}
 		if it.Workspace == head.Workspace && it.Due.Before(head.Due) {
 			t.Fatalf("one due %v goes before one due %v", head.Due, it.Due)
 		}
 	}
-	near := q.Candidates(tr, c, 5, nil)
-	if len(want) > 0 && (near[0] != head || len(near) < min(3, len(want))) {
-		t.Fatalf("candidates %v of %d", near, len(want))
+	candidates := q.Candidates(tr, c, 5, nil)
+	if len(want) > 0 && (candidates[0] != head || len(candidates) < min(3, len(want))) {
+		t.Fatalf("candidates %v of %d", candidates, len(want))
 	}
 }
 
@@ -122,7 +122,7 @@
 			add(i)
 		}
 		for range rapid.IntRange(10, 200).Draw(t, "rounds") {
-			it := q.Head(0, Live)
+			it := q.Head(0, OnTime)
 			add(it.Value)
 			q.Remove(it)
 			q.Charge(it)
--- a/pool/waiter.go
+++ b/pool/waiter.go
@@ -17,7 +17,7 @@
 type waiter struct {
 	tier.Item[*waiter]
 	Enqueue
-	mix           estimate.Mix
+	mix           estimate.Key
 	length        estimate.Length
 	firstTokenDue time.Time // when its first token is due; zero: no target
 	deadline      time.Time
@@ -70,7 +70,7 @@
 func (p *Pool) newWaiter(e Enqueue) *waiter {
 	w := &waiter{
 		Enqueue:    e,
-		mix:        estimate.Mix{Workspace: e.Workspace, Template: e.Template, Model: e.Model},
+		mix:        estimate.Key{Workspace: e.Workspace, Template: e.Template, Model: e.Model},
 		deadline:   p.now.Add(e.DeadlineIn),
 		enqueuedAt: p.now,
 	}
