--- a/pool/admission.go
+++ b/pool/admission.go
@@ -12,18 +12,18 @@
 const (
 	retryAfterMin    = 500 * time.Millisecond
 	retryAfterMax    = 30 * time.Second
-	retryAfterJitter = 0.25 // each way
-	// retryGrantShare of the grants is reckoned to be left for callers that come back:
-	// those that come for the first time go on coming.
+	retryAfterJitter = 0.25 // relative, in both directions
+	// retryGrantShare is the share of grants assumed to be available for retries. New
+	// requests keep arriving and take the rest.
 	retryGrantShare = 0.5
-	// retrySpreadMax bounds how far returns are spaced out: a burst of that length is an
-	// overload, of which nobody can say when it ends.
+	// retrySpreadMax limits the time over which retries are spread. Nobody can predict
+	// when a longer overload ends.
 	retrySpreadMax = 10 * time.Second
-	// siblingMaxAge is the age beyond which a sibling's report says nothing.
+	// siblingMaxAge is the age from which a sibling's report is ignored.
 	siblingMaxAge = 2 * time.Second
 )
 
-// sibling is another pool of the same model as it last reported.
+// sibling is the last report of another pool that serves the same model.
 type sibling struct {
 	Sibling
 	reportedAt time.Time
@@ -37,10 +37,10 @@
 	p.siblings[e.Pool] = &sibling{Sibling: e, reportedAt: p.now.Add(-e.Age)}
 }
 
-// admit lets a request wait, or gives it or another one up.
+// admit queues a request, or sheds it or another request.
 //
-// The rule, for each bound: nobody is given up while anything of a lower tier
-// waits here, nor, as far as fresh reports tell, in a sibling pool.
+// Every limit follows one rule: no request is shed while a request of a lower tier
+// waits in this pool or, according to recent reports, in a sibling pool.
 func (p *Pool) admit(w *waiter) {
 	switch p.suspectState(w) {
 	case suspect.Confirmed:
@@ -69,11 +69,10 @@
 		p.queue.WaitingOf(w.Item.Tier, w.Item.Workspace) >= w.MaxWaiting
 }
 
-// admitOverLimit decides on a request above its workspace's bound and reports
-// whether it may wait. While anything of a lower tier waits, it does, at the
-// end of its tier, and a request of its own workspace goes in its place where
-// that one is of the lowest tier that waits; so the bound never turns the
-// tiers' order around.
+// admitOverLimit handles a request above its workspace's limit and reports whether it
+// may wait. While a request of a lower tier waits, the request is admitted at the end
+// of its tier. It then replaces a lower-tier request of its own workspace, if that one
+// is in the lowest waiting tier. So the limit never inverts the order of tiers.
 func (p *Pool) admitOverLimit(w *waiter) bool {
 	if !p.lowerTierWaits(w.Item.Tier) {
 		p.redirectOrShed(w, request.ReasonWorkspaceLimit)
@@ -97,9 +96,9 @@
 	return false
 }
 
-// makeRoom evicts for w where the queue is full, and reports whether w may
-// wait. The lowest tier goes first. In the newcomer's own tier it evicts only
-// for fairness: a late request, or one of the workspace that has most waiting.
+// makeRoom evicts a request if the queue is full, and reports whether w may wait. The
+// lowest tier is evicted first. Within the tier of w it evicts only late requests, or
+// requests of the workspace with the most waiting requests.
 func (p *Pool) makeRoom(w *waiter) bool {
 	if len(p.waiting) < p.maxWaiting() {
 		return true
@@ -115,8 +114,7 @@
 	return true
 }
 
-// maxWaiting is the queue's bound: twice the configured one while the queue
-// is being rebuilt.
+// maxWaiting is the queue limit. It is doubled while a new owner rebuilds the queue.
 func (p *Pool) maxWaiting() int {
 	if p.entries.rebuilding(p.now) {
 		return 2 * p.cfg.MaxWaiting
@@ -124,7 +122,7 @@
 	return p.cfg.MaxWaiting
 }
 
-// evictExcess evicts what a rebuilt queue holds above its bound.
+// evictExcess evicts requests above the queue limit after the queue was rebuilt.
 func (p *Pool) evictExcess() {
 	for len(p.waiting) > p.maxWaiting() {
 		victim := p.evictionCandidate().Value
@@ -133,8 +131,8 @@
 	}
 }
 
-// evictionCandidate is the item to evict first. Suspects count by their tier as
-// everyone else.
+// evictionCandidate returns the item to evict first. Suspects are ranked by tier like
+// all other requests.
 func (p *Pool) evictionCandidate() *tier.Item[*waiter] {
 	last, alone := p.queue.Victim(), p.isolated.Victim()
 	if last == nil || alone != nil && alone.Tier > last.Tier {
@@ -143,7 +141,8 @@
 	return last
 }
 
-// isEvictedFor tells whether a waiting item goes before a newcomer of its own tier.
+// isEvictedFor reports whether a waiting item is evicted for a new request of the same
+// tier.
 func (p *Pool) isEvictedFor(last *tier.Item[*waiter], w *waiter) bool {
 	if last.Class != w.Class {
 		return last.Class > w.Class
@@ -155,8 +154,8 @@
 	return q.WaitingOf(last.Tier, last.Workspace) > q.WaitingOf(last.Tier, w.Item.Workspace)+1
 }
 
-// redirectOrShed ends a request that doesn't wait (any more): it goes to a sibling
-// pool where a slot is free or a lower tier waits, else it is shed.
+// redirectOrShed ends a request that is not in the queue. It is redirected to a sibling
+// pool that has a free slot or a waiting request of a lower tier; otherwise it is shed.
 func (p *Pool) redirectOrShed(w *waiter, reason request.Reason) {
 	if !w.NoRedirect {
 		if name, ok := p.pickSibling(w.Item.Tier, false); ok {
@@ -167,12 +166,11 @@
 	p.shed(&w.Enqueue, reason, p.nextRetryAfter(w.Item.Tier))
 }
 
-// nextRetryAfter is the Retry-After of a refused request: after what waits now, and after
-// all others that were refused, at the pace of the last grants.
+// nextRetryAfter returns the Retry-After of a shed request: after the current backlog
+// and after the retries of all callers shed before, at the current grant rate.
 //
-// What goes wrong without it: in a burst of seconds all refused callers are told to
-// come back in half a second, when the burst still lasts, and the one retry that each
-// has is refused too.
+// Without it, all callers shed in a burst of seconds would be told to retry after half
+// a second. The burst would still last, and their only retry would be shed too.
 func (p *Pool) nextRetryAfter(t request.Tier) time.Duration {
 	room := p.now.Add(max(p.expectedWait(t), retryAfterMin))
 	if p.retryHorizon.Before(room) {
@@ -183,9 +181,9 @@
 	return wait
 }
 
-// pickSibling picks a sibling for a request of a tier, and counts the request
-// against the sibling's report, so that one report doesn't draw a crowd.
-// freeOnly asks for a free slot.
+// pickSibling picks a sibling for a request of a tier and charges the request to the
+// sibling's report, so that one report does not attract too many requests. freeOnly
+// accepts only siblings with a free slot.
 func (p *Pool) pickSibling(t request.Tier, freeOnly bool) (string, bool) {
 	names := make([]string, 0, len(p.siblings))
 	for name, s := range p.siblings {
@@ -219,8 +217,8 @@
 	return false
 }
 
-// redirectWhileDown sends requests to siblings with free slots while no server of this
-// pool is up: they would wait here for nothing.
+// redirectWhileDown redirects requests to siblings with free slots while no server of
+// this pool is up.
 func (p *Pool) redirectWhileDown() {
 	if p.isBaseline() || len(p.siblings) == 0 || slices.ContainsFunc(p.sorted, p.up) {
 		return
@@ -245,8 +243,8 @@
 	p.emit(Shed{Request: e.Request, Entry: e.Entry, Reason: reason, RetryAfter: p.jitterRetryAfter(retry)})
 }
 
-// jitterRetryAfter bounds and jitters a wait, so that callers refused together
-// don't come back together.
+// jitterRetryAfter limits and jitters a retry delay, so that callers shed together do
+// not retry together.
 func (p *Pool) jitterRetryAfter(d time.Duration) time.Duration {
 	d = min(max(d, retryAfterMin), retryAfterMax)
 	return time.Duration(float64(d) * (1 - retryAfterJitter + 2*retryAfterJitter*p.rng.Float64()))
--- a/pool/baseline.go
+++ b/pool/baseline.go
@@ -2,19 +2,18 @@
 
 import "github.com/lycheekeel/lycheekeel/request"
 
-// The baselines go through the same events and commands as the real policy,
-// with the same servers and bounds, and do what plain routers do. They know
-// neither tiers nor prefixes, and their limit is each server's slots.
+// The baselines handle the same events and commands as PolicyLycheekeel, with the same
+// servers and queue limit, but route like simple load balancers. They ignore tiers and
+// prefixes, and limit the running requests to each server's configured slots.
 
-// dispatchesImmediately reports whether the policy has no queue of its own: such
-// routers send each request on as it comes and leave the waiting to the
-// engines.
+// dispatchesImmediately reports whether the policy has no queue of its own. Such a
+// policy sends each request on arrival and leaves the queueing to the engines.
 func (p *Pool) dispatchesImmediately() bool {
 	return p.cfg.Policy == PolicyRoundRobin || p.cfg.Policy == PolicyLeastOutstanding
 }
 
-// dispatchImmediately grants or sheds an arriving request. What is outstanding is
-// bounded by what the other policies hold, running and waiting.
+// dispatchImmediately grants or sheds an arriving request. The number of outstanding
+// requests is limited to the number that other policies hold, running and waiting.
 func (p *Pool) dispatchImmediately(w *waiter) {
 	slots := 0
 	for _, s := range p.sorted {
@@ -59,7 +58,7 @@
 	return best
 }
 
-// admitFIFO queues a request in order of age, with no tier, or sheds it.
+// admitFIFO queues a request by age in a single tier, or sheds it.
 func (p *Pool) admitFIFO(w *waiter) {
 	if p.queue.Len() >= p.cfg.MaxWaiting {
 		p.shed(&w.Enqueue, request.ReasonShed, retryAfterMin)
--- a/pool/bench_test.go
+++ b/pool/bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// BenchmarkDecision measures one enqueue-grant-release cycle with all servers
-// full and so many requests waiting, of four tiers and five workspaces, with
-// prompts that share prefixes.
+// BenchmarkDecision measures one cycle of enqueue, grant and release while all servers
+// are full and the given number of requests wait. The requests have four tiers and five
+// workspaces, and their prompts share prefixes.
 func BenchmarkDecision(b *testing.B) {
 	for _, servers := range []int{8, 32} {
 		for _, waiting := range []int{100, 10000} {
@@ -23,8 +23,8 @@
 
 const (
 	benchSlots = 16
-	// benchInterval keeps the arrivals below what the servers can serve, so
-	// that no headroom is kept and each freed slot is granted.
+	// benchInterval keeps the arrival rate below the service rate, so that no headroom is
+	// reserved and every freed slot is granted.
 	benchInterval = 20 * time.Millisecond
 )
 
--- a/pool/breaker.go
+++ b/pool/breaker.go
@@ -3,49 +3,49 @@
 import "time"
 
 const (
-	// breakerLostRuns is how many runs break in a row, without a word of their server
-	// in between, until it counts as down. A crash breaks all that run at once, so
-	// that it is found within a few milliseconds. Where a twentieth of the answers
-	// is lost on the way, one run in 160,000 would be the fourth of a row.
+	// breakerLostRuns is the number of consecutive lost runs that opens the breaker. A
+	// crash loses all runs at once, so the breaker opens within a few milliseconds. If a
+	// twentieth of the answers is lost in transit, one run in 160,000 is the fourth in a
+	// row.
 	breakerLostRuns = 4
-	// breakerFailedRuns is the same for runs that end with the server's own failure. A server
-	// that fails a seventh of what it runs is taken out once in some 800,000 runs.
+	// breakerFailedRuns is the number of consecutive failed runs that opens the breaker.
+	// A server that fails a seventh of its runs is taken out of use about once in 800,000
+	// runs.
 	breakerFailedRuns = 7
-	// maxFailingShare is the largest part of a pool's servers that are out of use because
-	// they fail: where more fail, it is no matter of single servers.
+	// maxFailingShare is the largest share of a pool's servers that may be out of use
+	// because they fail. If more of them fail, the cause is not a single server.
 	maxFailingShare = 1.0 / 3
-	// breakerBackoffMin is how long a server that counts as down is left alone before
-	// it is probed; the pause doubles at each probe that breaks, up to
-	// breakerBackoffMax. A probe costs a request of the lowest tier; a longer pause
-	// costs all slots of a server that goes down and up each second for most of the
-	// time that it is up.
+	// breakerBackoffMin is the time before the first probe of a server whose breaker is
+	// open. It doubles with each failed probe up to breakerBackoffMax. A probe risks a
+	// request of the lowest tier. A longer backoff would waste the slots of a server that
+	// fails and recovers every second for most of the time that it is up.
 	breakerBackoffMin, breakerBackoffMax = 200 * time.Millisecond, 400 * time.Millisecond
-	// breakerProbeWait is how long a probe that is due waits for a request of the
-	// lowest tier: it may well be lost.
+	// breakerProbeWait is how long a due probe waits for a request of the lowest tier,
+	// since the probe may be lost.
 	breakerProbeWait = time.Second
 )
 
-// breaker is a circuit breaker: it takes a server out of use whose connections
-// break, or that fails all it runs, until a probe gets through.
+// breaker is a server's circuit breaker. It opens if the server's connections break or
+// all its runs fail, and closes when a probe succeeds.
 //
-// What goes wrong without it: a server crashes and its address goes on to accept
-// connections, which break at once. Its slots come free within 10 ms each time; when
-// the other servers are full it is the only one with a free slot, and draws all that
-// waits, most of which can't be sent again. It is the same with a server that answers
-// each request at once with a failure, while its health check passes. Refusals do not
-// count: who refuses lives, and has not run the request.
+// Without it, a crashed server whose address still accepts connections would free its
+// slots within 10 ms each time. When the other servers are full, it would be the only
+// one with a free slot and attract all waiting requests, most of which cannot be
+// retried. The same holds for a server that fails every request at once while its
+// health check passes. Refusals do not count: a server that refuses is alive and has
+// not run the request.
 type breaker struct {
 	lostStreak, failedStreak streak
 	open                     bool
 	backoff                  time.Duration
-	lastFailure              time.Time // it opened, or the last probe broke
+	lastFailure              time.Time // when it opened or the last probe failed
 }
 
-// streak counts runs in a row that ended alike.
+// streak counts consecutive runs with the same kind of failure.
 type streak struct {
 	runs       int
-	firstEntry EntryID // of the first of them
-	// severalEntries is set once runs of more than one entry are in the row.
+	firstEntry EntryID // entry of the first run
+	// severalEntries is set once the streak has runs of more than one entry.
 	severalEntries bool
 }
 
@@ -57,35 +57,37 @@
 	s.severalEntries = s.severalEntries || r.entry != s.firstEntry
 }
 
-// reached tells whether a row has so many runs, of more than one entry where there are
-// several: a single one may be what is cut off.
+// reached reports whether the streak has the given number of runs. If the pool has
+// several entries, the runs must come from more than one: a single entry may have lost
+// its own network connection.
 func (s *streak) reached(runs, entries int) bool {
 	return s.runs >= runs && (s.severalEntries || entries <= 1)
 }
 
-// probeAt is when an open breaker lets a probe through.
+// probeAt is the time of the next probe while the breaker is open.
 func (b *breaker) probeAt() time.Time { return b.lastFailure.Add(b.backoff) }
 
-// trip takes the server out of use.
+// trip opens the breaker.
 func (b *breaker) trip(now time.Time) {
 	b.open, b.backoff, b.lastFailure = true, breakerBackoffMin, now
 }
 
-// probeFailed puts the next probe off after one that failed.
+// probeFailed increases the backoff if the failed run was granted after the last
+// failure, as a probe.
 func (b *breaker) probeFailed(now time.Time, r *run) {
 	if !r.grantedAt.Before(b.lastFailure) {
 		b.backoff, b.lastFailure = min(2*b.backoff, breakerBackoffMax), now
 	}
 }
 
-// serverSucceeded takes it that a server has begun to answer a request, or has done so.
+// serverSucceeded notes that a server has started or completed an answer.
 func (p *Pool) serverSucceeded(s *server) {
 	s.breaker.failedStreak = streak{}
 	p.serverAnswered(s)
 }
 
-// serverAnswered takes it that a server lives: it has answered, if only with a refusal or a
-// failure. One that is out of use because it fails stays so.
+// serverAnswered notes that a server is alive: it has answered, if only with a refusal
+// or a failure. A breaker that opened because of failed runs stays open.
 func (p *Pool) serverAnswered(s *server) {
 	s.breaker.lostStreak = streak{}
 	if s.breaker.open && s.breaker.failedStreak.runs < breakerFailedRuns {
@@ -94,19 +96,19 @@
 	}
 }
 
-// runFailed counts a run that ended with its server's own failure.
+// runFailed counts a run for which the server reported a failure.
 func (p *Pool) runFailed(r *run) {
 	p.serverAnswered(r.server)
 	p.countFailure(r, &r.server.breaker.failedStreak, breakerFailedRuns, p.mayOpenBreaker)
 }
 
-// runLost counts a run that broke on its server.
+// runLost counts a run whose stream was lost.
 func (p *Pool) runLost(r *run) {
 	p.countFailure(r, &r.server.breaker.lostStreak, breakerLostRuns, func() bool { return true })
 }
 
-// countFailure counts a run of a row, and takes its server out of use when there are so many,
-// and it may be.
+// countFailure adds a run to a streak, and opens the server's breaker if the streak
+// reaches the threshold and mayOpen allows it.
 func (p *Pool) countFailure(r *run, runs *streak, threshold int, mayOpen func() bool) {
 	b := &r.server.breaker
 	if b.open {
@@ -120,7 +122,8 @@
 	}
 }
 
-// mayOpenBreaker tells whether one server more may be out of use because it fails.
+// mayOpenBreaker reports whether another server may be taken out of use because its
+// runs fail.
 func (p *Pool) mayOpenBreaker() bool {
 	open, up := 1, 0
 	for _, s := range p.sorted {
--- a/pool/breaker_test.go
+++ b/pool/breaker_test.go
@@ -10,13 +10,13 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// overload is a pool of two servers, four slots each, whose slots all run and for which
-// more wait; s0 goes down. Every entry has some of the requests.
+// overload is a pool of two servers with four slots each. All slots are in use and more
+// requests wait. The requests come from three entries.
 type overload struct {
 	*harness
 	nextID         int
 	running        map[GrantID]Grant
-	lost           int // that broke on s0 after it went down
+	lost           int // runs lost or failed on the servers under test
 	breakerChanges []BreakerChanged
 }
 
@@ -30,7 +30,7 @@
 	return c
 }
 
-// arrive lets n requests come, of all tiers in turn.
+// arrive enqueues n requests that cycle through the tiers.
 func (c *overload) arrive(n int) {
 	for range n {
 		e := enqueue(fmt.Sprint("r", c.nextID), request.Tier(c.nextID%3))
@@ -67,8 +67,8 @@
 	return all
 }
 
-// step lets 10 ms pass in which requests come, and what runs on s0 breaks where it
-// is down; else it ends.
+// step advances 10 ms, in which requests arrive. The runs on s0 end; their streams are
+// lost if s0 is down.
 func (c *overload) step(down bool) {
 	c.now = c.now.Add(10 * time.Millisecond)
 	c.arrive(2)
@@ -83,17 +83,18 @@
 	c.record(c.send(Tick{}))
 }
 
-// Guards against a server that is down and, alone with a free slot, draws all that waits.
+// Guards against a server that is down and, as the only one with free slots, attracts
+// all waiting requests.
 func TestDownServerGetsOnlyProbes(t *testing.T) {
-	Convey("Given a pool that is full, and a server that goes down", t, func() {
+	Convey("Given a full pool and a server that goes down", t, func() {
 		c := newOverload()
 		for range 100 {
 			c.step(true)
 		}
-		Convey("it takes what ran there, and a probe now and then", func() {
+		Convey("it only loses the runs it had and a few probes", func() {
 			So(c.lost, ShouldBeLessThanOrEqualTo, 4+breakerLostRuns+4)
 		})
-		Convey("the probes are of the lowest tier that waits", func() {
+		Convey("the probes are requests of the lowest waiting tier", func() {
 			c.arrive(30)
 			before := len(c.running)
 			c.record(c.advance(breakerBackoffMax))
@@ -105,17 +106,17 @@
 				So(n%3, ShouldEqual, 2)
 			}
 		})
-		Convey("it is used whole as soon as a probe gets through", func() {
+		Convey("all its slots are used as soon as a probe succeeds", func() {
 			for range 110 {
 				c.step(false)
 			}
 			So(c.runningOn("s0"), ShouldHaveLength, 4)
 			So(c.breakerChanges, ShouldResemble, []BreakerChanged{{Server: "s0", Open: true}, {Server: "s0", Open: false}})
 		})
-		Convey("it counts as full to the sibling pools meanwhile", func() {
+		Convey("it reports no free slots to sibling pools in the meantime", func() {
 			So(c.Summary(c.now).Free, ShouldEqual, 0)
 		})
-		Convey("and it is new when it starts again", func() {
+		Convey("its breaker is reset when it restarts", func() {
 			all := servers(2, 4)
 			for i := range all {
 				all[i].Incarnation = "1"
@@ -126,7 +127,7 @@
 			So(c.runningOn("s0"), ShouldHaveLength, 4)
 		})
 	})
-	Convey("A server that answers in between is not down, though a part of its answers is lost", t, func() {
+	Convey("The breaker stays closed if a server loses some answers and completes others", t, func() {
 		c := newOverload()
 		for range 200 {
 			c.now = c.now.Add(10 * time.Millisecond)
@@ -141,7 +142,7 @@
 			So(c.servers["s0"].breaker.open, ShouldBeFalse)
 		}
 	})
-	Convey("Its own refusals are answers", t, func() {
+	Convey("Refusals do not open the breaker", t, func() {
 		c := newOverload()
 		for range 3 {
 			for _, g := range c.runningOn("s0") {
@@ -152,7 +153,7 @@
 		}
 		So(c.servers["s0"].breaker.open, ShouldBeFalse)
 	})
-	Convey("Failures of its own are answers, while it answers otherwise in between", t, func() {
+	Convey("Failures do not open the breaker if other runs succeed in between", t, func() {
 		c := newOverload()
 		for range 50 {
 			for i, g := range c.runningOn("s0") {
@@ -162,7 +163,7 @@
 			So(c.servers["s0"].breaker.open, ShouldBeFalse)
 		}
 	})
-	Convey("A single entry whose runs break may be what is cut off", t, func() {
+	Convey("Lost runs of a single entry do not open the breaker, since its own network may be down", t, func() {
 		c := newOverload()
 		for range 3 {
 			for _, g := range c.runningOn("s0") {
@@ -174,7 +175,7 @@
 		}
 		So(c.servers["s0"].breaker.open, ShouldBeFalse)
 	})
-	Convey("Where there is no other entry its word is enough", t, func() {
+	Convey("Lost runs of a single entry open the breaker if there is no other entry", t, func() {
 		r := newHarness(Config{}, servers(2, 1)...)
 		for i := range breakerLostRuns {
 			g := r.mustGrant(enqueue(fmt.Sprint("r", i), 0))
@@ -186,7 +187,7 @@
 		}
 		So(r.servers["s0"].breaker.open, ShouldBeTrue)
 	})
-	Convey("Where every server is down each is probed all the same", t, func() {
+	Convey("A server is probed even if all servers are down", t, func() {
 		r := newHarness(Config{}, servers(1, 1)...)
 		for i := range breakerLostRuns {
 			r.endRun(r.mustGrant(enqueue(fmt.Sprint("r", i), 0)), OutcomeStreamLost)
@@ -196,7 +197,8 @@
 	})
 }
 
-// overloadWithFailing is a crowd before three servers, of which some fail all they run, at once.
+// overloadWithFailing is an overload of three servers, of which the named ones fail all
+// their runs at once.
 func overloadWithFailing(servers ...string) *overload {
 	c := newOverload()
 	c.record(c.send(ServerSet{Servers: threeServers}))
@@ -216,13 +218,14 @@
 
 var threeServers = servers(3, 4)
 
-// Guards against a server that fails all it runs at once and, alone with a free slot, draws all that waits.
+// Guards against a server that fails all its runs at once and, as the only one with free
+// slots, attracts all waiting requests.
 func TestFailingServerGetsOnlyProbes(t *testing.T) {
-	Convey("A server that fails all it runs gets a probe now and then", t, func() {
+	Convey("A server that fails all its runs only gets probes", t, func() {
 		c := overloadWithFailing("s0")
 		probes := int(time.Second/breakerBackoffMin) + 1
 		So(c.lost, ShouldBeLessThanOrEqualTo, breakerFailedRuns+4+probes)
-		Convey("and is used whole as soon as one succeeds", func() {
+		Convey("all its slots are used as soon as a probe succeeds", func() {
 			for range 110 {
 				c.step(false)
 			}
@@ -230,7 +233,7 @@
 			So(c.servers["s0"].breaker.open, ShouldBeFalse)
 		})
 	})
-	Convey("A refusal does not bring it back: it says nothing of how its runs end", t, func() {
+	Convey("A refusal does not close its breaker, since it does not show that runs succeed", t, func() {
 		c := overloadWithFailing("s0")
 		c.arrive(30)
 		c.record(c.advance(breakerBackoffMax))
@@ -239,7 +242,7 @@
 		}
 		So(c.servers["s0"].breaker.open, ShouldBeTrue)
 	})
-	Convey("A server that was down is back when it answers a probe, if with a failure", t, func() {
+	Convey("A breaker opened by lost runs closes when a probe is answered, even with a failure", t, func() {
 		c := newOverload()
 		for range 100 {
 			c.step(true)
@@ -252,7 +255,7 @@
 		}
 		So(c.servers["s0"].breaker.open, ShouldBeFalse)
 	})
-	Convey("Where most servers fail all they run, it is no matter of single ones: one is left out", t, func() {
+	Convey("If most servers fail all their runs, only one of them is taken out of use", t, func() {
 		c := overloadWithFailing("s0", "s1")
 		open := 0
 		for _, s := range c.sorted {
@@ -262,7 +265,7 @@
 		}
 		So(open, ShouldEqual, 1)
 	})
-	Convey("A pool's only server stays in use", t, func() {
+	Convey("The only server of a pool stays in use", t, func() {
 		r := newHarness(Config{}, servers(1, 1)...)
 		for i := range 3 * breakerFailedRuns {
 			r.endRun(r.mustGrant(enqueue(fmt.Sprint("r", i), 0)), OutcomeFailed)
--- a/pool/capacity.go
+++ b/pool/capacity.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// maxKVFill is the part of a measured KV capacity that is used.
+	// maxKVFill is the share of a server's measured KV capacity that may be used.
 	maxKVFill = 0.95
-	// headroomTargetShare is the part of a first-token target in which a request of
-	// a burst should find a slot.
+	// headroomTargetShare is the share of a first-token target within which a request of a
+	// burst should find a slot.
 	headroomTargetShare = 0.4
-	// defaultServiceSeconds is assumed, in seconds, where nothing has ended yet.
+	// defaultServiceSeconds is the assumed service time, in seconds, of a server that has
+	// not completed a run.
 	defaultServiceSeconds = 1.0
-	// rateUnknown marks a rate that has to be worked out.
+	// rateUnknown marks a rate that has to be computed.
 	rateUnknown = -1
 )
 
@@ -28,13 +29,13 @@
 		n = min(n, s.engineSlots)
 	}
 	if s.straggler && p.anyHealthy || s.breaker.open {
-		n = 1 // the probe
+		n = 1 // one probe at a time
 	}
 	return p.entries.limitShare(max(1, n))
 }
 
-// refreshServers works out, once for an event, which servers may get grants and how
-// many requests each may run.
+// refreshServers determines, once per event, which servers may get grants and how many
+// requests each may run.
 func (p *Pool) refreshServers() {
 	p.anyHealthy, p.freeRate = false, rateUnknown
 	for _, s := range p.sorted {
@@ -48,9 +49,9 @@
 	}
 }
 
-// serversWithSlots returns the servers with a slot free, and how many slots are free on
-// all of them. Stragglers and servers with an overdue first token only serve
-// where no server is sound; a straggler gets its probes by scheduleProbes.
+// serversWithSlots returns the servers that have a free slot, and their total number
+// of free slots. Stragglers and servers with an overdue first token are included only
+// if no server is healthy; scheduleProbes sends a straggler its probes.
 func (p *Pool) serversWithSlots() ([]*server, int) {
 	p.usableServers = p.usableServers[:0]
 	slots := 0
@@ -65,8 +66,8 @@
 	return p.usableServers, slots
 }
 
-// fits tells whether a server's KV memory has room for so many more tokens.
-// An idle server always has: what is too large for it runs alone.
+// fits reports whether a server's KV memory has room for the given number of tokens.
+// An idle server always has room, so that a request too large for the memory runs alone.
 func (s *server) fits(tokens int) bool {
 	if len(s.running) == 0 {
 		return true
@@ -77,7 +78,7 @@
 	return float64(s.kvTokens+tokens) <= kiloToken*s.memoryLimit.Limit()
 }
 
-// reservedSlots returns how many slots a tier leaves free for those above it.
+// reservedSlots returns how many slots a tier must leave free for higher tiers.
 func (p *Pool) reservedSlots(t request.Tier) int {
 	if t == 0 {
 		return 0
@@ -91,8 +92,8 @@
 	return min(reserved, int(p.cfg.Headroom*float64(total)))
 }
 
-// slotFreeRate returns how many slots come free a second when all are in
-// use, and how many there are.
+// slotFreeRate returns how many slots are freed per second when all are in use, and
+// the number of slots.
 func (p *Pool) slotFreeRate() (float64, int) {
 	if p.freeRate != rateUnknown {
 		return p.freeRate, p.totalSlots
@@ -112,8 +113,8 @@
 	return p.freeRate, p.totalSlots
 }
 
-// expectedWait estimates how long a new request of a tier would wait: what
-// waits at its tier or above, at the pace of the work done of late.
+// expectedWait estimates the queueing delay of a new request: the backlog of its tier
+// and of those above, at the current rate of work served.
 func (p *Pool) expectedWait(t request.Tier) time.Duration {
 	backlog := 0.0
 	for higher := request.Tier(0); higher <= t; higher++ {
@@ -129,8 +130,8 @@
 	return min(time.Duration(backlog/perSecond*float64(time.Second)), retryAfterMax)
 }
 
-// fastestTimes returns the least time to a first token, and to a whole answer,
-// of any server that is up, with nothing else to compute and nothing cached.
+// fastestTimes returns the shortest time to a first token and to a whole answer on any
+// server that is up, with no other prefill pending and nothing cached.
 func (p *Pool) fastestTimes(prompt, output int) (first, whole time.Duration) {
 	if p.fastest == (score.Profile{}) {
 		p.findFastest()
@@ -139,8 +140,8 @@
 	return first, first + time.Duration(output)*p.fastest.PerToken(1)
 }
 
-// findFastest takes the best of what the servers that are up have shown. It is
-// renewed with every comparison of peers.
+// findFastest combines the best latencies of all servers that are up. compareServers
+// updates it.
 func (p *Pool) findFastest() {
 	p.fastest = score.Profile{}
 	for _, s := range p.sorted {
--- a/pool/choose.go
+++ b/pool/choose.go
@@ -8,49 +8,48 @@
 )
 
 const (
-	// prefixSavingWeight is how much the prefill time that a cached prefix saves
-	// counts in a choice, beside the wait that it saves the request itself:
-	// every other request of the server would wait for it too, and it is work
-	// thrown away once.
+	// prefixSavingWeight is the weight of the prefill time saved by a cached prefix when
+	// servers are compared. Besides the delay of the request itself, prefill delays all
+	// other requests on the server, and computing the prefix again is wasted work.
 	prefixSavingWeight = 10.0
-	// failureCost is what a run that fails costs in a choice, as a time: most of
-	// it is a try and a slot for nothing, and some requests have but one try.
-	// With 5 s a server that fails a fifth of its runs serves after those that
-	// are a second slower.
+	// failureCost is the cost of a failed run when servers are compared. Most of it is a
+	// wasted attempt and slot; some requests have only one attempt. With 5 s, a server that
+	// fails a fifth of its runs ranks behind servers that are a second slower.
 	failureCost = 5 * time.Second
-	// Predictions are stretched by this much where a target is at stake.
+	// predictionMargin and predictionSlack are added to predictions that are compared with
+	// a target.
 	predictionMargin = 1.1
 	predictionSlack  = 10 * time.Millisecond
-	// tokenTargetShare is the part of a target between tokens up to which a server
+	// tokenTargetShare is the share of a target between tokens up to which a server
 	// counts as fast enough.
 	tokenTargetShare = 0.9
-	// clearlySlow and clearlyFast are the parts of that target from which on it
-	// pays to wait for a server below the one rather than take one above the
-	// other. Nearer ones differ by chance.
+	// A request waits for a server whose time between tokens is below clearlyFast of the
+	// target if the available one is above clearlySlow of it. Smaller differences are
+	// within the noise.
 	clearlySlow, clearlyFast = 1.05, 0.85
-	// relaxedShare is the part of what is left to its targets within which a request
-	// is far from them.
+	// relaxedShare is the share of the time left to its targets within which a request
+	// must be served to count as far from them.
 	relaxedShare = 0.5
-	// minTokenTargetShare is the least part of a target between tokens that a deadline
-	// may ask for.
+	// minTokenTargetShare is the lowest share of a target between tokens to which a
+	// deadline may reduce it.
 	minTokenTargetShare = 0.5
-	// maxPrefillShare is the part of the tightest first-token target for which a
-	// server may have prefill to do, when more is sent to it.
+	// maxPrefillShare is the share of the shortest first-token target that a server's
+	// pending prefill may take if another request is added.
 	maxPrefillShare = 0.5
-	// smallPrefillTokens is the prefill that is let through in any case.
+	// smallPrefillTokens is the prefill, in tokens, that is always accepted.
 	smallPrefillTokens = 512
 )
 
-// predict is one server for one request.
+// option is the prediction for a request on a server.
 type option struct {
 	server         *server
-	cachedBlocks   int // leading blocks
-	uncachedTokens int // tokens to compute
+	cachedBlocks   int // leading blocks in the server's cache
+	uncachedTokens int // prompt tokens to compute
 	firstToken     time.Duration
-	cost           time.Duration // expected finish, less what the prefix is worth
+	cost           time.Duration // expected run time, less the value of the cached prefix
 }
 
-// predict predicts how a request would do on a server if it began now.
+// predict returns the prediction for a request if it started on a server now.
 func (p *Pool) predict(w *waiter, s *server) option {
 	cached := 0
 	if s.prefixID >= 0 {
@@ -69,12 +68,13 @@
 	return o
 }
 
-// tokensToCompute is what is left to compute; the last token always is.
+// tokensToCompute returns the uncached tokens of a prompt. The last token is always
+// computed.
 func tokensToCompute(prompt, cachedBlocks int) int {
 	return max(min(prompt, 1), prompt-cachedBlocks*engine.BlockTokens)
 }
 
-// meetsTargets tells whether a request would meet its targets with an option after
+// meetsTargets reports whether a request would meet its targets with an option after
 // a wait.
 func (p *Pool) meetsTargets(w *waiter, o option, wait time.Duration) bool {
 	first := time.Duration(predictionMargin*float64(o.firstToken)) + predictionSlack
@@ -84,22 +84,22 @@
 	return !p.now.Add(wait + p.runTime(w, o)).After(w.deadline)
 }
 
-// runTime predicts for how long a request would hold its slot.
+// runTime predicts how long a request would occupy its slot.
 func (p *Pool) runTime(w *waiter, o option) time.Duration {
 	return o.firstToken + time.Duration(w.length.Mean)*o.server.speed.PerToken(len(o.server.running)+1)
 }
 
-// meetsTokenTarget tells whether the server would need no more than a share of the
-// target between tokens, with so many more running requests.
+// meetsTokenTarget reports whether a server with the given number of extra running
+// requests would need no more than a share of the target between tokens.
 func (p *Pool) meetsTokenTarget(w *waiter, s *server, extra int, share float64) bool {
 	target := w.tokenTarget()
 	return target <= 0 || float64(s.speed.PerToken(len(s.running)+extra)) <= share*float64(target)
 }
 
-// tokenTarget is the time between tokens that a request needs: its target or,
-// where that is less, what lets a long answer of its mix end in time. A tier
-// with a target of 62 ms and a deadline of 12 s needs 30 ms for an answer of
-// 400 tokens. While the mix is unknown, the target alone counts.
+// tokenTarget is the time between tokens that a request needs: its target or, if that
+// is less, the time that lets a long answer of its kind end before the deadline. A tier
+// with a target of 62 ms and a deadline of 12 s needs 30 ms for an answer of 400
+// tokens. If the length of such answers is unknown, only the target counts.
 func (w *waiter) tokenTarget() time.Duration {
 	if !w.length.Known {
 		return w.PerToken
@@ -111,8 +111,8 @@
 	return w.PerToken
 }
 
-// hasRoom tells whether a server has memory for a request, and not so much
-// prefill to do that this and later requests would wait for it.
+// hasRoom reports whether a server has the memory for a request, and little enough
+// pending prefill not to delay this request and later ones.
 func (p *Pool) hasRoom(w *waiter, o option) bool {
 	s := o.server
 	if !s.fits(w.PromptTokens + w.length.High) {
@@ -125,7 +125,7 @@
 	return bound == 0 || s.speed.PrefillTime(s.pendingPrefill+o.uncachedTokens) <= time.Duration(maxPrefillShare*float64(bound))
 }
 
-// shortestFirstTokenTarget is the shortest first-token target seen.
+// shortestFirstTokenTarget is the shortest first-token target of all tiers.
 func (p *Pool) shortestFirstTokenTarget() time.Duration {
 	var least time.Duration
 	for _, d := range p.firstTokenTargets {
@@ -136,13 +136,13 @@
 	return least
 }
 
-// grade tells how well an option serves a request.
+// grade ranks how well an option meets a request's targets.
 type grade int
 
 // The grades, from worst to best.
 const (
-	tooLate grade = iota // its first token or its end is late
-	tooSlow              // only its time between tokens is
+	tooLate grade = iota // the first token or the end is late
+	tooSlow              // only the time between tokens misses its target
 	onTarget
 )
 
@@ -157,8 +157,8 @@
 	}
 }
 
-// bestOption returns the cheapest option among servers of those with the best
-// grade. It reports false where none has room.
+// bestOption returns the cheapest of the options with the best grade. It reports false
+// if no server has room.
 func (p *Pool) bestOption(w *waiter, servers []*server) (o option, g grade, ok bool) {
 	for _, s := range servers {
 		if p.mustAvoid(w, s) {
@@ -179,7 +179,7 @@
 	return o, g, ok
 }
 
-// isRelaxed tells whether a request is far from any of its targets with an option.
+// isRelaxed reports whether an option is far from missing any of a request's targets.
 func (p *Pool) isRelaxed(w *waiter, o option) bool {
 	if !w.firstTokenDue.IsZero() && p.now.Add(time.Duration(float64(o.firstToken)/relaxedShare)).After(w.firstTokenDue) {
 		return false
@@ -188,9 +188,9 @@
 	return !p.now.Add(time.Duration(float64(whole) / relaxedShare)).After(w.deadline)
 }
 
-// loadCost is the cost of an option for an easy request: the part of the server's
-// slots that is taken. So the fast servers have slots left for long answers, which would
-// miss their deadlines on slow ones.
+// loadCost is the cost of an option for a relaxed request: mainly the share of the
+// server's slots in use. It leaves slots of fast servers for long answers, which would
+// miss their deadlines on slow servers.
 func (p *Pool) loadCost(w *waiter, o option) time.Duration {
 	s := o.server
 	load := float64(len(s.running)) / float64(max(1, s.maxRunning))
@@ -199,9 +199,9 @@
 		time.Duration(s.failureRate.at(p.now)*float64(failureCost))
 }
 
-// mustAvoid tells whether a request must not go to a server: it was sent there
-// before and failed, and there is another one, if not with a slot free now.
-// A server that fails many of its requests is the first to be free again.
+// mustAvoid reports whether a request must not be sent to a server: an earlier attempt
+// there failed, and another server can get grants, even if it has no free slot now. A
+// server that fails many of its requests would otherwise be the first to be free again.
 func (p *Pool) mustAvoid(w *waiter, s *server) bool {
 	if !slices.Contains(w.SentTo, s.info.Name) {
 		return false
@@ -211,9 +211,9 @@
 	})
 }
 
-// worthWaiting tells whether an option is surely too slow and a server
-// without a free slot would surely be fast enough, once it has one. Without any, waiting would only add a late first
-// token to the late ones after it.
+// worthWaiting reports whether an option is clearly too slow while a server without a
+// free slot is clearly fast enough. If there is no such server, waiting would only delay
+// the first token of a request whose other tokens are late too.
 func (p *Pool) worthWaiting(w *waiter, o option) bool {
 	if p.meetsTokenTarget(w, o.server, 1, clearlySlow) {
 		return false
@@ -226,18 +226,18 @@
 	return false
 }
 
-// minFinishLengthShare is the part of an answer's expected length that a request must
-// still have time for, for it not to be doomed: the estimate may be too long.
+// minFinishLengthShare is the share of an answer's expected length that must still be
+// possible before the deadline. It is below 1 because the estimate may be too long.
 const minFinishLengthShare = 0.5
 
-// cannotMeetDeadline tells whether a request can't end before its deadline any more.
+// cannotMeetDeadline reports whether a request cannot end before its deadline any more.
 func (p *Pool) cannotMeetDeadline(w *waiter) bool {
 	_, whole := p.fastestTimes(1, int(minFinishLengthShare*float64(w.length.Mean)))
 	return p.now.Add(whole).After(w.deadline)
 }
 
-// cannotMeetTargets tells whether no server at all could meet the request's targets,
-// were it to begin there at once.
+// cannotMeetTargets reports whether no server could meet a request's targets even if
+// the request started there at once.
 func (p *Pool) cannotMeetTargets(w *waiter) bool {
 	for _, s := range p.sorted {
 		if !s.grantable || s.overdue || s.straggler && p.anyHealthy || p.mustAvoid(w, s) {
--- a/pool/config.go
+++ b/pool/config.go
@@ -17,53 +17,53 @@
 	defaultHeadroom   = 0.2
 )
 
-// Config is what a pool needs to know at its start. Only MaxWaiting changes
-// later, by QueueBound.
+// Config configures a pool. Only MaxWaiting can change later, by QueueBound.
 type Config struct {
-	// Name is the pool's name, Policy how it schedules; empty means
+	// Name is the pool's name. Policy is its scheduling policy; empty means
 	// PolicyLycheekeel.
 	Name   string
 	Policy Policy
-	// Epoch goes into every GrantID: random per owner start, never reused.
+	// Epoch is part of every GrantID. It is random per start of a pool owner and never
+	// reused.
 	Epoch uint64
-	// MaxWaiting bounds the queue; 0 means a default.
+	// MaxWaiting limits the number of waiting requests; 0 means a default.
 	MaxWaiting int
-	// DefaultSlots is the number of slots of a server that names none; 0
+	// DefaultSlots is the number of slots of a server whose configuration has none; 0
 	// means a default.
 	DefaultSlots int
-	// Law is the control law of the servers' limits; empty means the default.
+	// Law is the algorithm that sets the servers' concurrency limits; empty means the
+	// default.
 	Law limit.Name
-	// SuspectTTL is how long a request stays suspected or convicted of crashing
-	// servers; 0 means a default.
+	// SuspectTTL is how long a request stays suspected or confirmed to crash servers; 0
+	// means a default.
 	SuspectTTL time.Duration
-	// MaxWaitShare is the part of its first-token target, or without one of its
-	// deadline, for which a request may wait before it is shed; 0 means the
-	// whole deadline. A caller that learns early that there is no room may
-	// find some elsewhere or later.
+	// MaxWaitShare is the share of its first-token target, or of its deadline if it has
+	// no such target, that a request may wait before it is shed; 0 means the whole
+	// deadline. An early refusal leaves the caller time to try elsewhere or later.
 	MaxWaitShare float64
-	// ExtendedWaitShare is the same for a request that will have a slot by then, as
-	// far as the pace of grants tells; no more than Patience means none.
+	// ExtendedWaitShare is the same for a request that is expected to get a slot by
+	// then, at the current grant rate. It has no effect unless it exceeds MaxWaitShare.
 	ExtendedWaitShare float64
-	// KeepStragglers leaves a server in use that has become slow: it is chosen
-	// after the others, for what it still serves in time. Without it, such a
-	// server gets probes alone.
+	// KeepStragglers keeps sending requests to a server that has become slow. Such a
+	// server ranks behind the others and gets the requests that it can still serve in
+	// time. Otherwise a straggler only gets probes.
 	KeepStragglers bool
-	// SpareFastServers sends a request that is far from its targets on any server to
-	// the one with most slots free, not to the fastest.
+	// SpareFastServers sends a request that is far from its targets to the least loaded
+	// server instead of the fastest.
 	SpareFastServers bool
-	// ReleaseGrace, where entries end every run at its deadline, is how long after
-	// that its release may take; its slot is freed then. 0: runs may go on
-	// past their deadlines.
+	// ReleaseGrace is how long a release may take after a run's deadline, if entries end
+	// every run at its deadline; then the slot is freed. 0 means that runs may continue
+	// after their deadlines.
 	ReleaseGrace time.Duration
-	// Headroom is the largest part of all slots kept free of lower tiers for
-	// higher ones; 0 means a default.
+	// Headroom is the largest share of all slots that is reserved for higher tiers; 0
+	// means a default.
 	Headroom float64
-	// Seed seeds the jitter of RetryAfter; equal seeds and events give equal
+	// Seed seeds the jitter of RetryAfter. The same seed and events produce the same
 	// commands.
 	Seed uint64
 }
 
-// Validate reports what is wrong with the configuration.
+// Validate reports the first error in the configuration.
 func (c Config) Validate() error {
 	switch c.Policy {
 	case "", PolicyLycheekeel, PolicyRoundRobin, PolicyLeastOutstanding, PolicyFIFO:
@@ -72,20 +72,20 @@
 	}
 	switch {
 	case c.Name == "":
-		return errors.New("pool without a name")
+		return errors.New("pool has no name")
 	case c.MaxWaiting < 0 || c.DefaultSlots < 0 || c.SuspectTTL < 0 || c.ReleaseGrace < 0:
-		return errors.Errorf("pool %q: a bound is negative", c.Name)
+		return errors.Errorf("pool %q: max waiting, default slots, suspect TTL or release grace is negative", c.Name)
 	case c.Headroom < 0 || c.Headroom > 1:
-		return errors.Errorf("pool %q: headroom %v is no share", c.Name, c.Headroom)
+		return errors.Errorf("pool %q: headroom %v is not between 0 and 1", c.Name, c.Headroom)
 	case c.MaxWaitShare < 0 || c.MaxWaitShare > 1 || c.ExtendedWaitShare < 0 || c.ExtendedWaitShare > 1:
-		return errors.Errorf("pool %q: patience %v or %v is no share", c.Name, c.MaxWaitShare, c.ExtendedWaitShare)
+		return errors.Errorf("pool %q: max wait share %v or extended wait share %v is not between 0 and 1", c.Name, c.MaxWaitShare, c.ExtendedWaitShare)
 	case !c.Law.Valid():
-		return errors.Errorf("pool %q: unknown control law %q", c.Name, c.Law)
+		return errors.Errorf("pool %q: unknown limit algorithm %q", c.Name, c.Law)
 	}
 	return nil
 }
 
-// withDefaults fills the fields that were left zero.
+// withDefaults returns c with defaults for the fields that are zero.
 func (c Config) withDefaults() Config {
 	if c.Policy == "" {
 		c.Policy = PolicyLycheekeel
--- a/pool/crash.go
+++ b/pool/crash.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// crashWindow is the time within which signs of a crash are signs of one.
+	// crashWindow is the time within which several signs of a crash count as one crash.
 	crashWindow = 5 * time.Second
-	// suspectRetryAfter is the wait told to a suspect that must come back.
+	// suspectRetryAfter is the Retry-After of a suspect that is shed.
 	suspectRetryAfter = 5 * time.Second
-	// maxIsolatedSuspects bounds the suspects that wait.
+	// maxIsolatedSuspects limits the number of waiting suspects.
 	maxIsolatedSuspects = 64
-	// maxLostRuns bounds the lost runs remembered of a server.
+	// maxLostRuns limits the number of lost runs remembered per server.
 	maxLostRuns = 256
 )
 
-// isolated tells whether the request waits among the suspects.
+// isolated reports whether the request waits in the queue of suspects.
 func (w *waiter) isolated() bool { return w.suspect }
 
 func (p *Pool) shedConfirmed(w *waiter) {
@@ -29,7 +29,7 @@
 	})
 }
 
-// admitSuspect lets a suspect wait for its turn to run alone.
+// admitSuspect queues a suspect until it can run alone.
 func (p *Pool) admitSuspect(w *waiter) {
 	if p.isolated.Len() >= maxIsolatedSuspects {
 		p.shed(&w.Enqueue, request.ReasonSuspectBusy, suspectRetryAfter)
@@ -41,9 +41,9 @@
 	p.isolated.Push(&w.Item)
 }
 
-// scheduleSuspects runs suspects, one at a time in the pool: a server is emptied
-// for it, and nothing else is granted there until it has ended. Otherwise a
-// crash would prove nothing of it and harm others.
+// scheduleSuspects runs suspects, one at a time per pool. It drains a server for the
+// suspect and grants nothing else there until the suspect has ended. Otherwise a crash
+// would not prove that the suspect caused it, and would harm other requests.
 func (p *Pool) scheduleSuspects() {
 	if p.isolation != nil && !p.up(p.isolation) && len(p.isolation.running) == 0 {
 		p.isolation = nil
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// readmitCleared puts a request that is no suspect any more among the others.
+// readmitCleared moves a request that is no longer a suspect to the regular queue.
 func (p *Pool) readmitCleared(w *waiter) {
 	p.removeWaiter(w)
 	w.suspect = false
@@ -94,9 +94,9 @@
 	p.admit(w)
 }
 
-// pickIsolationServer returns the server with the least running, for a suspect. Where a
-// server has just crashed and was not seen to run since, another crash could
-// not be told from the last one, and would convict nobody.
+// pickIsolationServer returns the server with the fewest running requests. It skips a
+// server that has just crashed and has not recovered: another crash could not be told
+// from the last one, and would confirm no suspect.
 func (p *Pool) pickIsolationServer() *server {
 	var best *server
 	for _, s := range p.sorted {
@@ -108,16 +108,16 @@
 	return best
 }
 
-// suspectEnded frees the server of a suspect that ran alone. One that was not
-// dispatched, or whose caller left, stays a suspect.
+// suspectEnded frees the server of a suspect that ran alone. A suspect that was not
+// dispatched, or whose caller left, remains a suspect.
 func (p *Pool) suspectEnded(r *run, _ Outcome) {
 	if p.isolation == r.server {
 		p.isolation = nil
 	}
 }
 
-// recordLostRun remembers a run that was lost with its stream: whether its server
-// crashed is told only later, by the monitor.
+// recordLostRun remembers a run whose stream was lost. The health monitor only reports
+// later whether its server crashed.
 func (p *Pool) recordLostRun(r *run) {
 	s := r.server
 	s.lostRuns = slices.DeleteFunc(s.lostRuns, func(x *run) bool { return p.now.Sub(x.lastReport) > crashWindow })
@@ -127,11 +127,11 @@
 	}
 }
 
-// serverCrashed makes a suspect of every request that ran on a server when it
-// crashed; one that ran alone as a suspect is convicted. A crash shows several
-// times: at each of its runs' entries and at the monitor. Signs within a short
-// time are one crash; a run that began after the first sign had no part in it,
-// unless the server was seen to run again before: then it crashed again.
+// serverCrashed makes a suspect of every request that ran on a server when it crashed.
+// A suspect that ran alone is confirmed. A crash is reported several times: by the entry
+// of each run and by the health monitor. Reports within crashWindow count as one crash.
+// A run that started after the first report is not involved, unless the server recovered
+// in between: then it is a second crash.
 func (p *Pool) serverCrashed(s *server, reporter *run) {
 	if p.isBaseline() {
 		return
@@ -176,7 +176,7 @@
 	p.emit(ShareSuspect{Fingerprint: fingerprint, State: s, ExpiresIn: p.suspects.ExpiresIn(p.now, fingerprint)})
 }
 
-// shedWaitingConfirmed answers those that wait with a convicted fingerprint at once.
+// shedWaitingConfirmed sheds the waiting requests with a confirmed fingerprint.
 func (p *Pool) shedWaitingConfirmed(fingerprint uint64) {
 	for _, w := range p.sortedWaiters() {
 		if w.Fingerprint == fingerprint {
@@ -186,7 +186,7 @@
 	}
 }
 
-// mergeSuspect takes in what another pool found out.
+// mergeSuspect merges a fingerprint's state that another pool found.
 func (p *Pool) mergeSuspect(e SuspectShared) {
 	p.suspects.Merge(p.now, e.Fingerprint, suspect.State(e.State), e.ExpiresIn)
 	if p.suspects.State(p.now, e.Fingerprint) == suspect.Confirmed {
--- a/pool/crash_test.go
+++ b/pool/crash_test.go
@@ -9,9 +9,10 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Guards against a second crash within seconds that is taken for another sign of the first.
+// Guards against a second crash within seconds that is taken for a repeated report of
+// the first.
 func TestSecondCrashWithinWindowConfirmsSuspect(t *testing.T) {
-	Convey("Given a server that crashed under a request, as its entry reports", t, func() {
+	Convey("Given a server that crashed while running a request, as reported by the entry", t, func() {
 		r := newHarness(Config{}, servers(1, 3)...)
 		r.send(ServerHealth{Server: "s0", Incarnation: 1})
 		bad := r.mustGrant(fingerprinted("bad", 1))
@@ -20,13 +21,13 @@
 		r.endRun(bad, OutcomeCrashed)
 		So(grants(r.send(fingerprinted("bad2", 1))), ShouldBeEmpty)
 
-		Convey("The suspect waits until the server is seen to run again", func() {
+		Convey("The suspect waits until the server has recovered", func() {
 			So(grants(r.advance(3*time.Second)), ShouldBeEmpty)
-			r.endRun(late, OutcomeCrashed) // of the first crash, too
+			r.endRun(late, OutcomeCrashed) // another report of the first crash
 			again := grants(r.send(ServerHealth{Server: "s0", Incarnation: 2}))
 			So(again, ShouldHaveLength, 1)
 
-			Convey("and a second crash within seconds convicts it, and only it", func() {
+			Convey("a second crash within seconds confirms this suspect only", func() {
 				r.advance(500 * time.Millisecond)
 				r.endRun(again[0], OutcomeCrashed)
 				So(shedReason(r.send(fingerprinted("bad3", 1))), ShouldEqual, request.ReasonConvicted)
@@ -34,7 +35,7 @@
 				r.advance(time.Second)
 				So(grants(r.send(fingerprinted("late2", 2))), ShouldHaveLength, 1)
 			})
-			Convey("and so does a restart that the monitor sees first", func() {
+			Convey("a restart that the monitor reports first confirms it too", func() {
 				r.advance(500 * time.Millisecond)
 				r.send(ServerHealth{Server: "s0", Incarnation: 3})
 				So(shedReason(r.send(fingerprinted("bad3", 1))), ShouldEqual, request.ReasonConvicted)
@@ -43,7 +44,7 @@
 	})
 }
 
-// Guards against a server that gets nothing for seconds because the release of one run was lost.
+// Guards against a server that gets no grants for seconds because one release was lost.
 func TestLostReleaseDoesNotBlockServer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	newPool := func() *Pool {
@@ -56,7 +57,7 @@
 	call := func(id string, deadline time.Duration) Enqueue {
 		return Enqueue{Request: request.ID(id), Entry: "e", Workspace: "w", DeadlineIn: deadline, FirstTokenIn: 300 * time.Millisecond}
 	}
-	Convey("A run whose time is up is freed after the grace, and its server is no stuck one", t, func() {
+	Convey("A run past its deadline is removed after the grace time and does not mark its server overdue", t, func() {
 		p := newPool()
 		cmds := p.Handle(now, call("lost", 2*time.Second), nil)
 		So(len(cmds), ShouldEqual, 1)
@@ -69,7 +70,7 @@
 		So(p.Summary(at).Running, ShouldEqual, 0)
 		So(p.Summary(at).LostRuns, ShouldEqual, 1)
 	})
-	Convey("A run that an earlier owner granted stays counted: its deadline is not known", t, func() {
+	Convey("A run that an earlier owner granted stays counted, since its deadline is unknown", t, func() {
 		p := newPool()
 		p.Handle(now, Running{Entry: "e", Request: "r", Grant: GrantID{9, 9}, Server: "a"}, nil)
 		at := now.Add(10 * time.Second)
--- a/pool/entries.go
+++ b/pool/entries.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// reportTimeout is how long a new owner waits for entries to report.
+	// reportTimeout is how long a new owner waits for the reports of the entries.
 	reportTimeout = time.Second
-	// entryGrace is how long the runs of an entry that left stay counted: an
-	// engine goes on for a moment before it notices.
+	// entryGrace is how long the runs of an entry that is gone stay counted. An engine
+	// continues a run until it notices the lost connection.
 	entryGrace = 2 * time.Second
-	// withdrawnGrace is how long a withdrawn grant may stay unanswered.
+	// withdrawnGrace is how long a withdrawn grant may remain without a release.
 	withdrawnGrace = 5 * time.Second
-	// silentRunGrace is how long past its deadline a run may be silent.
+	// silentRunGrace is how long after its deadline a run may go without a report.
 	silentRunGrace = 60 * time.Second
 )
 
-// entries are the entries that hold requests of the pool.
+// entries tracks the entries that hold requests of the pool.
 type entries struct {
 	known      map[EntryID]*entry
-	firstSetAt time.Time // of the first EntrySet; zero: none yet
+	firstSetAt time.Time // time of the first EntrySet; zero means none yet
 	complete   bool
 	alive      int
 }
 
 type entry struct {
 	reported  bool
-	goneSince time.Time // zero: alive
+	goneSince time.Time // zero means alive
 }
 
-// limitShare returns the part of a limit that a new owner grants before every
-// entry has told what it runs: an entry that hasn't may be using its equal
-// share. What goes wrong without it: the new owner grants full limits beside
-// all that the old one granted, and each engine gets twice its load; one
-// would see first tokens late just after an owner change.
+// limitShare returns the part of a limit that a new owner may use before all entries
+// have reported their runs. An entry that has not reported may be using its equal
+// share. Otherwise the new owner would grant full limits on top of the old owner's
+// grants, each engine would get twice its load, and first tokens would be late after an
+// owner change.
 func (e *entries) limitShare(limit int) int {
 	if e.complete || e.alive == 0 {
 		return limit
@@ -44,7 +44,8 @@
 	return int(math.Ceil(float64(limit) * float64(e.reportedCount()) / float64(e.alive)))
 }
 
-// updateComplete notes, once for good, that all have reported or had time to.
+// updateComplete sets complete once all entries have reported or reportTimeout has
+// passed.
 func (e *entries) updateComplete(now time.Time) {
 	if !e.complete && e.alive > 0 {
 		e.complete = now.Sub(e.firstSetAt) >= reportTimeout || e.reportedCount() >= e.alive
@@ -61,9 +62,9 @@
 	return n
 }
 
-// rebuilding tells whether a new owner may not yet know all that waits. Until
-// then it sheds nobody for a bound: it would shed a request of a high tier
-// because one of a lower tier that waits as well hasn't been named yet.
+// rebuilding reports whether a new owner may not know all waiting requests yet. Until
+// then it sheds no request because of a limit: it could shed a high-tier request while
+// a waiting request of a lower tier has not been announced.
 func (e *entries) rebuilding(now time.Time) bool {
 	return !e.firstSetAt.IsZero() && now.Sub(e.firstSetAt) < reportTimeout
 }
@@ -87,8 +88,8 @@
 	p.entry(e.Entry).reported = true
 }
 
-// setEntries drops what waits for entries that left; their callers are gone
-// with them. Their runs are freed after a grace time.
+// setEntries removes the waiting requests of entries that are gone, since their callers
+// lost their connections too. Their runs are removed after a grace time.
 func (p *Pool) setEntries(e EntrySet) {
 	if p.entries.firstSetAt.IsZero() {
 		p.entries.firstSetAt = p.now
@@ -118,13 +119,12 @@
 	}
 }
 
-// entryEnded drops what waits for an entry whose process has ended, and frees
-// its runs.
+// entryEnded removes the waiting requests and the runs of an entry whose process has
+// ended.
 //
-// What goes wrong where they stay counted like those of an entry that is only
-// out of reach: eight of nine daemons are killed and are back half a second
-// later; for four seconds their runs fill a pool whose servers are idle, and
-// everybody is shed. One would notice a pool without a free slot whose servers are idle.
+// If they stayed counted like those of an unreachable entry, a restart of eight of nine
+// daemons within half a second would fill the pool with dead runs for four seconds: all
+// requests would be shed while the servers are idle.
 func (p *Pool) entryEnded(e EntryEnded) {
 	for _, w := range p.sortedWaiters() {
 		if w.Entry == e.Entry {
@@ -135,9 +135,9 @@
 	p.reclaimLostRuns()
 }
 
-// reclaimLostRuns frees the runs that nobody will release: of entries that left, of
-// withdrawn grants that were lost on the way, and of those that have been
-// silent long past their deadline.
+// reclaimLostRuns removes runs that no entry will release: runs of entries that are
+// gone, withdrawn grants that were lost in transit, and runs without a report long
+// after their deadline.
 func (p *Pool) reclaimLostRuns() {
 	for _, r := range p.sortedRuns(p.isLost) {
 		p.removeRun(r)
--- a/pool/failures.go
+++ b/pool/failures.go
@@ -6,26 +6,25 @@
 )
 
 const (
-	// failureWeight is the weight of one run's end in the share of failures:
-	// three failures in a row make it a quarter.
+	// failureWeight is the weight of one run in the failure rate. Three consecutive
+	// failures raise the rate to about a quarter.
 	failureWeight = 0.1
-	// failureDecay is how fast a failure is forgotten while nothing ends there,
-	// so that a server that got well is tried again.
+	// failureDecay is the time constant with which the rate decays while no run ends on
+	// the server, so that a recovered server is tried again.
 	failureDecay = 10 * time.Second
 )
 
-// failureRate is the share of a server's last runs that failed: by the server's
-// own word, or because their answer was lost.
+// failureRate is a moving average of a server's runs that failed or whose answer was
+// lost.
 //
-// What goes wrong without it: a server that fails its runs at once is free
-// again first, looks like the fastest one, and draws the requests of all the
-// others, while its health check passes.
+// Without it, a server that fails its runs at once would be free again first, look like
+// the fastest server and attract most requests, while its health check passes.
 type failureRate struct {
 	mean      float64
 	updatedAt time.Time
 }
 
-// add counts the end of a run.
+// add records the end of a run.
 func (f *failureRate) add(now time.Time, failed bool) {
 	f.mean = f.at(now)
 	f.updatedAt = now
@@ -36,7 +35,7 @@
 	}
 }
 
-// at returns the share of runs that fail, as far as they are remembered.
+// at returns the decayed failure rate, from 0 to 1.
 func (f *failureRate) at(now time.Time) float64 {
 	if f.mean == 0 {
 		return 0
--- a/pool/failures_test.go
+++ b/pool/failures_test.go
@@ -11,7 +11,8 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Guards against a failing server that is chosen first, and again for the same request, since it is free again first.
+// Guards against a failing server that is preferred, even for a request that it has
+// failed before, because its slots are free again first.
 func TestFailingServerIsChosenLast(t *testing.T) {
 	call := func(id string, sentTo ...string) Enqueue {
 		return Enqueue{
@@ -19,7 +20,7 @@
 			FirstTokenIn: 300 * time.Millisecond, DeadlineIn: 4 * time.Second, SentTo: sentTo,
 		}
 	}
-	Convey("Given a server that fails at once and two that take their time", t, func() {
+	Convey("Given one server that fails its runs at once and two that complete theirs", t, func() {
 		r := newHarness(Config{}, servers(3, 4)...)
 		failed := 0
 		for i := range 120 {
@@ -32,10 +33,10 @@
 			}
 			r.send(end)
 		}
-		Convey("it soon gets little while the others have free slots", func() {
+		Convey("it soon gets few requests while the others have free slots", func() {
 			So(failed, ShouldBeLessThan, 20)
 		})
-		Convey("it is well again when its runs succeed", func() {
+		Convey("its failure rate falls when its runs succeed", func() {
 			before := r.servers["s0"].failureRate.at(r.now)
 			for i := range 9 {
 				g := r.mustGrant(call(fmt.Sprint("again", i), "s1", "s2"))
@@ -44,23 +45,23 @@
 			}
 			So(r.servers["s0"].failureRate.at(r.now), ShouldBeLessThan, before/2)
 		})
-		Convey("it is tried again after a while", func() {
+		Convey("its failure rate decays without runs", func() {
 			r.now = r.now.Add(2 * time.Minute)
 			So(r.servers["s0"].failureRate.at(r.now), ShouldBeLessThan, 0.001)
 		})
-		Convey("it serves where the others are full", func() {
+		Convey("it gets requests when the others are full", func() {
 			for i := range 8 {
 				r.mustGrant(call(fmt.Sprint("full", i)))
 			}
 			So(r.mustGrant(call("more")).Server, ShouldEqual, "s0")
 		})
 	})
-	Convey("A lost answer counts like a failure", t, func() {
+	Convey("A lost answer counts as a failure", t, func() {
 		r := newHarness(Config{}, servers(1, 1)...)
 		r.endRun(r.mustGrant(call("lost")), OutcomeStreamLost)
 		So(r.servers["s0"].failureRate.at(r.now), ShouldAlmostEqual, failureWeight)
 	})
-	Convey("A slow server is taken although a fast one is busy, where that one failed the request", t, func() {
+	Convey("A request that failed on a fast server does not wait for it but takes a slow one", t, func() {
 		r := newHarness(Config{}, ServerInfo{Name: "fast", Generation: "fast", Slots: 1}, ServerInfo{Name: "slow", Generation: "slow", Slots: 1})
 		for range 20 {
 			r.servers["fast"].speed.ObservePerToken(1, 4*time.Millisecond, 4*time.Millisecond, score.Profile{})
@@ -73,7 +74,7 @@
 		again.Request, again.SentTo = "sent", []string{"fast"}
 		So(r.mustGrant(again).Server, ShouldEqual, "slow")
 	})
-	Convey("A request that was sent to a server before waits for another one", t, func() {
+	Convey("A request waits for a server that it has not been sent to", t, func() {
 		r := newHarness(Config{}, servers(2, 1)...)
 		first := r.mustGrant(call("first"))
 		other := "s0"
--- a/pool/hint_test.go
+++ b/pool/hint_test.go
@@ -11,7 +11,8 @@
 	"github.com/lycheekeel/lycheekeel/pool/score"
 )
 
-// Guards against long streams cut at their deadline at slow servers while short ones run at fast ones.
+// Guards against long answers that miss their deadlines on slow servers while short ones
+// run on fast servers.
 func TestLengthHintsChooseServer(t *testing.T) {
 	newFastAndSlow := func() *harness {
 		r := newHarness(Config{}, ServerInfo{Name: "fast", Generation: "fast", Slots: 1}, ServerInfo{Name: "slow", Generation: "slow", Slots: 4})
@@ -27,13 +28,13 @@
 		e.DeadlineIn, e.MaxTokens, e.ExpectedTokens = 12*time.Second, 4000, tokens
 		return e
 	}
-	Convey("Given a fast server that is full and a slow one", t, func() {
+	Convey("Given a fast server that is full and a slow server", t, func() {
 		r := newFastAndSlow()
 		first := r.mustGrant(hinted("first", 1000))
 		So(first.Server, ShouldEqual, "fast")
-		Convey("a long request waits for the fast one", func() {
+		Convey("a long request waits for the fast server", func() {
 			So(grants(r.send(hinted("long", 1000))), ShouldBeEmpty)
-			Convey("a short one takes the slow one at once", func() {
+			Convey("a short request takes the slow server at once", func() {
 				So(r.mustGrant(hinted("short", 50)).Server, ShouldEqual, "slow")
 			})
 			So(grants(r.endRun(first, OutcomeDone))[0].Server, ShouldEqual, "fast")
@@ -47,7 +48,7 @@
 		e.MaxTokens, e.ExpectedTokens = 4000, hint
 		return r.mustGrant(e)
 	}
-	Convey("Answers half as long as their hints halve what is expected of others", t, func() {
+	Convey("Answers half as long as their hints halve the expected length of others", t, func() {
 		r := newHarness(Config{}, servers(1, 4)...)
 		for i := range 8 {
 			g := run(r, fmt.Sprint(i), 20)
@@ -55,7 +56,7 @@
 		}
 		So(r.expectLength(estimate.Key{Workspace: "w", Template: "t", Model: "m"}, 1000, 4000).Mean, ShouldEqual, 500)
 	})
-	Convey("What is still to come of an answer is sized by its hint", t, func() {
+	Convey("The remaining length of an answer is estimated from its hint", t, func() {
 		r := newHarness(Config{}, servers(1, 4)...)
 		g := run(r, "a", 100)
 		before := r.servers["s0"].kvTokens
@@ -64,7 +65,8 @@
 	})
 }
 
-// Guards against short requests that take the fast servers, which long ones need to end in time.
+// Guards against short requests that take the slots of fast servers, which long requests
+// need to meet their deadlines.
 func TestRelaxedRequestsLeaveFastServersFree(t *testing.T) {
 	newFastAndSlow := func(spare bool) *harness {
 		r := newHarness(Config{SpareFastServers: spare}, ServerInfo{Name: "fast", Generation: "fast", Slots: 4}, ServerInfo{Name: "slow", Generation: "slow", Slots: 4})
@@ -79,7 +81,7 @@
 		e.DeadlineIn, e.MaxTokens, e.ExpectedTokens = 12*time.Second, 4000, tokens
 		return e
 	}
-	// short sends four short requests and counts where they go.
+	// sendShort sends four short requests and counts them by server.
 	sendShort := func(r *harness) map[string]int {
 		at := map[string]int{}
 		for i := range 4 {
@@ -87,17 +89,17 @@
 		}
 		return at
 	}
-	Convey("Short requests go where most slots are free, long ones where they end in time", t, func() {
+	Convey("Short requests go to the least loaded server, long ones to the server that meets their deadline", t, func() {
 		r := newFastAndSlow(true)
 		So(sendShort(r), ShouldResemble, map[string]int{"fast": 2, "slow": 2})
 		for i := range 2 {
 			So(r.mustGrant(hinted(fmt.Sprint("long", i), 2000)).Server, ShouldEqual, "fast")
 		}
 	})
-	Convey("Without that, they fill the fast server", t, func() {
+	Convey("Without SpareFastServers, short requests fill the fast server", t, func() {
 		So(sendShort(newFastAndSlow(false)), ShouldResemble, map[string]int{"fast": 4})
 	})
-	Convey("One that is near its target goes where it ends first", t, func() {
+	Convey("A request close to its deadline goes to the fastest server", t, func() {
 		r := newFastAndSlow(true)
 		e := hinted("near", 20)
 		e.DeadlineIn = 400 * time.Millisecond
--- a/pool/hold.go
+++ b/pool/hold.go
@@ -9,22 +9,21 @@
 )
 
 const (
-	// holdSlackShare is the part of a request's slack for which it may be held.
+	// holdSlackShare is the share of a request's slack for which it may be held.
 	holdSlackShare = 0.5
-	// holdMin is the least saving, and the least slack, worth a hold.
+	// holdMin is the smallest saving, and the smallest slack, that justifies a hold.
 	holdMin = 10 * time.Millisecond
-	// holdMax bounds a hold.
+	// holdMax limits the duration of a hold.
 	holdMax = 2 * time.Second
-	// heldPerSlot bounds how many requests are held for one server.
+	// heldPerSlot limits the requests held for a server, per slot.
 	heldPerSlot = 2
-	// holdMinBlocks is the least prefix worth a hold.
+	// holdMinBlocks is the shortest prefix, in blocks, that justifies a hold.
 	holdMinBlocks = 4
 )
 
-// holdFor decides whether a request should wait a moment for a server that
-// holds its prefix, or is computing it, rather than take an option now. The
-// prefix is worth it while expected finish and prefill saved say so, and the
-// targets stay in reach.
+// holdFor holds a request for a server that caches its prefix or is computing it, if
+// that beats the current option: the expected cost including the wait is lower and the
+// targets are still met. It reports whether the request is held.
 func (p *Pool) holdFor(w *waiter, current option) bool {
 	if w.noHold || len(w.Blocks) < holdMinBlocks {
 		return false
@@ -41,8 +40,8 @@
 	return true
 }
 
-// holdSlack is how long a request may be held and still be served elsewhere in
-// time.
+// holdSlack returns how long a request may be held and still be served on the current
+// option in time.
 func (p *Pool) holdSlack(w *waiter, current option) time.Duration {
 	slack := holdMax
 	if !w.firstTokenDue.IsZero() {
@@ -52,9 +51,9 @@
 	return slack
 }
 
-// bestFutureOption returns the best option that is not yet to be had, with the
-// wait for it: a server that holds a longer prefix but has no slot, or one
-// where a run is computing it.
+// bestFutureOption returns the best option that is not available yet, with the wait for
+// it: a server that caches a longer prefix but has no free slot, or one on which a run is
+// computing the prefix. It also returns that run.
 func (p *Pool) bestFutureOption(w *waiter, current option) (best option, wait time.Duration, computing *run) {
 	maxCost := current.cost - holdMin
 	try := func(s *server, blocks int, after time.Duration, by *run) {
@@ -85,7 +84,7 @@
 	})
 }
 
-// tryComputing finds a run that computes the prefix now.
+// tryComputing considers the run that is computing the longest part of the prefix.
 func (p *Pool) tryComputing(w *waiter, current option, try func(*server, int, time.Duration, *run)) {
 	low, high := 0, len(w.Blocks)/computingStride
 	for low < high {
@@ -112,8 +111,8 @@
 	try(r.server, low, after, r)
 }
 
-// slotWait estimates when a full server's next slot comes free, for the last
-// of those held for it.
+// slotWait estimates when a full server will have a slot for the last of the requests
+// held for it.
 func (p *Pool) slotWait(s *server) time.Duration {
 	n := max(1, len(s.running))
 	return time.Duration(s.meanService * float64(s.heldCount+1) / float64(n) * float64(time.Second))
@@ -126,7 +125,7 @@
 	p.queue.SetClass(&w.Item, tier.Held)
 }
 
-// removeHold takes a request out of the held ones; it stays in the queue.
+// removeHold ends a request's hold. The request stays in the queue.
 func (p *Pool) removeHold(w *waiter) {
 	w.heldFor.heldCount--
 	w.heldFor, w.heldRun = nil, nil
@@ -134,9 +133,9 @@
 	p.held = slices.Delete(p.held, i, i+1)
 }
 
-// endHolds puts held requests back: those whose time is up or whose server
-// gets no grants go anywhere; those whose prefix is ready where a slot is free
-// are chosen anew, and find it.
+// endHolds ends holds. If the time is up or the server gets no grants, the request may
+// go to any server and is not held again. If the prefix is ready and a slot is free, the
+// request is scheduled again and finds the cached prefix.
 func (p *Pool) endHolds() {
 	for i := 0; i < len(p.held); {
 		w := p.held[i]
--- a/pool/late.go
+++ b/pool/late.go
@@ -5,22 +5,23 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// maxGrantsBeforeLate is how many live requests of a tier go before its late ones in a row, where
-// requests wait up to their deadlines.
+// maxGrantsBeforeLate is the number of consecutive grants to on-time requests of a tier
+// while a late one waits, if requests may wait until their deadlines.
 const maxGrantsBeforeLate = 8
 
-// isLateTurn tells whether a tier's late requests were passed often enough for one of them
-// to have its turn. Where patience ends a wait early, a late request is refused in time
-// for its caller to go elsewhere, and has none.
+// isLateTurn reports whether a tier's next grant goes to a late request. This only
+// applies without a maximum wait: with one, a late request is shed early enough for its
+// caller to try elsewhere.
 //
-// What goes wrong without it: callers fill the slots without an overload, and each live
-// request goes before the few that have once become late, which expire in the end although
-// all others are served in time.
+// Without it, callers that fill the slots without overloading the pool would starve the
+// few requests that became late. These would expire although all others are served in
+// time.
 func (p *Pool) isLateTurn(t request.Tier) bool {
 	return p.cfg.MaxWaitShare == 0 && p.grantsSinceLate[t] >= maxGrantsBeforeLate && p.queue.Head(t, tier.Late) != nil
 }
 
-// countGrantsSinceLate counts how often a tier's late requests are passed.
+// countGrantsSinceLate counts the grants to on-time requests while a late one of the tier
+// waits.
 func (p *Pool) countGrantsSinceLate(w *waiter) {
 	t := w.Item.Tier
 	if w.Class == tier.Late || p.queue.Head(t, tier.Late) == nil {
--- a/pool/late_retry.go
+++ b/pool/late_retry.go
@@ -7,38 +7,40 @@
 )
 
 const (
-	// deadlineWindow is over how long the longest deadline is looked for, this time
-	// and the time before. Callers that begin to give shorter ones count as late for
-	// no longer than two of them.
+	// deadlineWindow is the length of a window in which the longest deadline is tracked;
+	// the current and the previous window count. If callers switch to shorter deadlines,
+	// their requests count as late retries for at most two windows.
 	deadlineWindow = 5 * time.Second
-	// deadlineMinSamples is how many requests must have shown their deadlines before any
-	// is judged by them.
+	// deadlineMinSamples is the number of deadlines needed before a request is compared
+	// with them.
 	deadlineMinSamples = 8
-	// firstAttemptShare is the part of the usual deadline that a first attempt has
-	// left at the least. Callers of one mix were seen to differ by a sixth; one that
-	// was refused, waited as it was told, and comes back has less.
+	// firstAttemptShare is the smallest share of the usual deadline that a first attempt
+	// has left. The deadlines within one mix differ by up to a sixth; a retry after
+	// a refusal and its Retry-After has less left.
 	firstAttemptShare = 0.75
-	// maxMixes bounds the memory; beyond it all is learnt anew.
+	// maxMixes limits the number of mixes kept in memory. When it is reached, all of them
+	// are forgotten.
 	maxMixes = 10_000
 )
 
-// deadlines knows the deadline that the callers of each mix usually give, and by that
-// which requests have been under way before they came: refused once, and back.
+// deadlines tracks the usual deadline of each mix (workspace, template and model), to
+// detect retries: requests that were refused before and come with a shorter deadline.
 //
-// What goes wrong without it: a request that comes back in an overload looks like a
-// new one. Its target has long passed for its caller; it takes the slot of one that
-// would still be in time, which is refused, and comes back late in its turn.
+// Without it, a retry in an overload would look like a new request. Its target has
+// passed for its caller, and it would take the slot of a request that could be in time.
+// That one would be shed and return late in turn.
 type deadlines map[estimate.Key]*usualDeadline
 
-// usualDeadline is the longest deadline of the current window and of the one before.
+// usualDeadline is the longest deadline of the current and the previous window.
 type usualDeadline struct {
 	windowStart              time.Time
 	longest, previousLongest time.Duration
 	samples, previousSamples int
 }
 
-// sinceFirstAttempt notes the deadline that a request came with, and returns for how long its
-// caller has been waiting before that, as far as can be known.
+// sinceFirstAttempt records the deadline of a request, and estimates the time since the
+// caller's first attempt: the difference to the usual deadline, or zero for a first
+// attempt.
 func (d deadlines) sinceFirstAttempt(now time.Time, mix estimate.Key, deadline time.Duration) time.Duration {
 	u := d[mix]
 	if u == nil {
@@ -58,7 +60,7 @@
 	return usual - deadline
 }
 
-// rotate begins a new window where the current one is over.
+// rotate starts a new window if the current one is over.
 func (u *usualDeadline) rotate(now time.Time) {
 	switch age := now.Sub(u.windowStart); {
 	case age < deadlineWindow:
--- a/pool/late_retry_test.go
+++ b/pool/late_retry_test.go
@@ -10,7 +10,8 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Guards against returning requests that take the slots of new ones, which come back late in their turn.
+// Guards against late retries that take the slots of new requests, which are then shed
+// and retried late in turn.
 func TestLateRetriesWaitBehindTimelyRequests(t *testing.T) {
 	const fullDeadline = 15 * time.Second
 	withDeadline := func(id string, t request.Tier, deadline time.Duration) Enqueue {
@@ -18,7 +19,8 @@
 		e.DeadlineIn = deadline
 		return e
 	}
-	// full returns a pool of one slot, which runs; it has seen the callers' deadlines.
+	// newFullPool returns a pool with one slot, which is in use. The pool has seen the
+	// callers' deadlines.
 	newFullPool := func(deadline func(i int) time.Duration) (*harness, Grant) {
 		r := newHarness(Config{MaxWaitShare: 0.1, ExtendedWaitShare: 1}, servers(1, 1)...)
 		g := r.mustGrant(withDeadline("first", 0, fullDeadline))
@@ -35,7 +37,7 @@
 	}
 	usualDeadlineOf := func(i int) time.Duration { return fullDeadline - time.Duration(i%5)*500*time.Millisecond }
 
-	Convey("It goes after those of its tier that can be in time, and before the tiers below", t, func() {
+	Convey("A late retry goes after the timely requests of its tier and before lower tiers", t, func() {
 		r, g := newFullPool(usualDeadlineOf)
 		r.send(withDeadline("below", 1, fullDeadline))
 		r.send(withDeadline("back", 0, 9*time.Second))
@@ -47,7 +49,7 @@
 		id, _ = next(r, g)
 		So(id, ShouldEqual, request.ID("below"))
 	})
-	Convey("It hears at once that there is no room, where those in time take all", t, func() {
+	Convey("A late retry is shed at its maximum wait if timely requests take all slots", t, func() {
 		r, g := newFullPool(usualDeadlineOf)
 		for i := range 60 {
 			r.now = r.now.Add(25 * time.Millisecond)
@@ -63,14 +65,14 @@
 		}
 		So(shed, ShouldContain, request.ID("back"))
 	})
-	Convey("One that comes back before its target has passed is like a new one", t, func() {
+	Convey("A retry before its target has passed is treated as a new request", t, func() {
 		r, g := newFullPool(usualDeadlineOf)
 		r.send(withDeadline("back", 0, fullDeadline-900*time.Millisecond))
 		r.send(withDeadline("new", 0, fullDeadline))
 		id, _ := next(r, g)
 		So(id, ShouldEqual, request.ID("back"))
 	})
-	Convey("A deadline that all have is no sign, however short it is", t, func() {
+	Convey("A short deadline that all requests have does not mark a retry", t, func() {
 		r, g := newFullPool(func(int) time.Duration { return 4 * time.Second })
 		r.now = r.now.Add(2 * deadlineWindow)
 		for i := range deadlineMinSamples {
@@ -79,7 +81,7 @@
 		}
 		So(r.isLateRetry(r.newWaiter(withDeadline("x", 0, 4*time.Second))), ShouldBeFalse)
 	})
-	Convey("Callers that begin to give shorter deadlines are new ones again after two windows", t, func() {
+	Convey("Requests of callers that switch to shorter deadlines count as new after two windows", t, func() {
 		r, _ := newFullPool(usualDeadlineOf)
 		short := func(i int) bool {
 			return r.isLateRetry(r.newWaiter(withDeadline(fmt.Sprint("s", i), 0, 5*time.Second)))
@@ -91,13 +93,13 @@
 		}
 		So(short(12), ShouldBeFalse)
 	})
-	Convey("Another workspace's deadlines say nothing", t, func() {
+	Convey("Deadlines of other workspaces do not count", t, func() {
 		r, _ := newFullPool(usualDeadlineOf)
 		e := withDeadline("x", 0, 4*time.Second)
 		e.Workspace = "other"
 		So(r.isLateRetry(r.newWaiter(e)), ShouldBeFalse)
 	})
-	Convey("Too few say nothing", t, func() {
+	Convey("Too few deadlines do not mark a retry", t, func() {
 		d := deadlines{}
 		now := start
 		So(d.sinceFirstAttempt(now, testMix, fullDeadline), ShouldEqual, 0)
--- a/pool/late_test.go
+++ b/pool/late_test.go
@@ -10,15 +10,15 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// closedLoop is callers that each send their next request when the last one has ended,
-// in four tiers in turn, to a pool whose requests wait up to their deadlines.
+// closedLoop simulates callers that each send their next request when the last one has
+// ended. Their requests cycle through four tiers and may wait until their deadlines.
 type closedLoop struct {
 	*simulation
-	runTime  time.Duration // a request
+	runTime  time.Duration // time from grant to release
 	sent     int
 	expired  int
-	callerOf map[request.ID]int // the caller of each request
-	sentBy   []int              // the requests of each caller
+	callerOf map[request.ID]int // caller of each request
+	sentBy   []int              // number of requests sent by each caller
 }
 
 const (
@@ -26,7 +26,7 @@
 	loopLength = 2 * time.Minute
 )
 
-// runClosedLoop returns how many requests expired.
+// runClosedLoop returns the number of requests that expired.
 func runClosedLoop(callers int, runTime time.Duration) (expired int) {
 	x := &closedLoop{simulation: &simulation{pool: newHarness(Config{}, servers(2, 3)...)}, runTime: runTime, callerOf: map[request.ID]int{}, sentBy: make([]int, callers)}
 	for i := range callers {
@@ -73,39 +73,41 @@
 	})
 }
 
-// Guards against late requests that expire while live ones of their tier go first for ever.
-func TestLateRequestsDoNotExpireBehindLiveOnes(t *testing.T) {
+// Guards against late requests that expire because on-time requests of their tier always go
+// first.
+func TestLateRequestsDoNotExpireBehindOnTimeOnes(t *testing.T) {
 	for _, callers := range []int{7, 8, 9, 10} {
 		for _, runTime := range []time.Duration{400 * time.Millisecond, 600 * time.Millisecond, 900 * time.Millisecond} {
-			Convey(fmt.Sprintf("None of %d callers for six slots expires, at %v a request", callers, runTime), t, func() {
+			Convey(fmt.Sprintf("No request of %d callers for six slots expires if each takes %v", callers, runTime), t, func() {
 				So(runClosedLoop(callers, runTime), ShouldEqual, 0)
 			})
 		}
 	}
 }
 
-// Guards against late requests that take the slots of live ones where patience ends waits.
+// Guards against late requests that take the slots of on-time ones in a pool with a maximum
+// wait.
 func TestLateRequestsHaveNoTurnWithMaxWait(t *testing.T) {
-	for patience, first := range map[float64]request.ID{0: "late", 0.9: "live9"} {
-		Convey(fmt.Sprintf("With a patience of %v %s goes first after eight that passed", patience, first), t, func() {
+	for patience, first := range map[float64]request.ID{0: "late", 0.9: "ontime9"} {
+		Convey(fmt.Sprintf("With a max wait share of %v, %s is next after eight on-time requests", patience, first), t, func() {
 			r := newHarness(Config{MaxWaitShare: patience}, servers(1, 1)...)
 			g := r.mustGrant(enqueue("runs", 0))
 			late := enqueue("late", 0)
 			late.FirstTokenIn = time.Millisecond
 			late.DeadlineIn = time.Hour
 			if patience > 0 {
-				late.SentTo = []string{"gone"} // it waits up to its deadline all the same
+				late.SentTo = []string{"gone"} // so that it may wait until its deadline
 			}
 			r.send(late)
 			r.now = r.now.Add(10 * time.Millisecond)
 			for i := 1; i <= maxGrantsBeforeLate+1; i++ {
-				live := enqueue(fmt.Sprint("live", i), 0)
+				live := enqueue(fmt.Sprint("ontime", i), 0)
 				live.FirstTokenIn, live.DeadlineIn = time.Minute, time.Hour
 				r.send(live)
 			}
 			for i := 1; i <= maxGrantsBeforeLate; i++ {
 				g = grants(r.endRun(g, OutcomeDone))[0]
-				So(g.Request, ShouldEqual, request.ID(fmt.Sprint("live", i)))
+				So(g.Request, ShouldEqual, request.ID(fmt.Sprint("ontime", i)))
 			}
 			So(grants(r.endRun(g, OutcomeDone))[0].Request, ShouldEqual, first)
 		})
--- a/pool/length.go
+++ b/pool/length.go
@@ -2,8 +2,8 @@
 
 import "github.com/lycheekeel/lycheekeel/pool/estimate"
 
-// expectLength estimates an answer's length before it begins: by the caller's
-// hint where there is one, else by the recent answers of its mix.
+// expectLength estimates the length of an answer, in tokens, from the caller's hint or,
+// without one, from recent answers for the same workspace, template and model.
 func (p *Pool) expectLength(m estimate.Key, hint, maxTokens int) estimate.Length {
 	if hint > 0 {
 		return p.hints.Estimate(m, hint, maxTokens)
@@ -11,7 +11,7 @@
 	return p.lengths.Estimate(m, maxTokens)
 }
 
-// remainingTokens estimates what is still to come of a run's answer.
+// remainingTokens estimates the tokens that a run has still to generate.
 func (p *Pool) remainingTokens(r *run) int {
 	if r.hint > 0 {
 		return p.hints.Remaining(r.mix, r.hint, r.maxTokens, r.generated)
@@ -19,8 +19,8 @@
 	return p.lengths.Remaining(r.mix, r.maxTokens, r.generated)
 }
 
-// growLength corrects the estimate of an answer that grows beyond it: the
-// memory it will need, and what its workspace is charged for.
+// growLength raises a run's expected memory and its workspace's charge when the answer
+// exceeds its estimate.
 func (p *Pool) growLength(r *run) {
 	rest := p.remainingTokens(r)
 	if tokens := r.promptTokens + r.generated + rest; tokens > r.kvTokens {
@@ -33,8 +33,8 @@
 	}
 }
 
-// recordLength corrects the workspace's charge to the true cost, and the
-// estimate of its answers' length.
+// recordLength updates the length estimate from a completed answer and corrects the
+// workspace's charge to the actual cost.
 func (p *Pool) recordLength(r *run, e Release) {
 	if r.maxTokens == 0 {
 		return
--- a/pool/max_wait.go
+++ b/pool/max_wait.go
@@ -7,7 +7,8 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// waitUntil is until when a request may wait with so much patience.
+// waitUntil returns until when a request may wait, given the share of its target. A share
+// of zero, or an earlier attempt at a server, allows the whole deadline.
 func (p *Pool) waitUntil(w *waiter, share float64) time.Time {
 	if share == 0 || len(w.SentTo) > 0 {
 		return w.deadline
@@ -20,17 +21,17 @@
 	return w.enqueuedAt.Add(time.Duration(share*float64(whole)) - w.Waited)
 }
 
-// extendedDeadlineShare is the part of its deadline up to which a request may wait on. A caller
-// that is refused after all needs the rest to come back, and one whose target is near
-// its deadline would be granted a slot that it has no time left to use.
+// extendedDeadlineShare is the share of its deadline up to which a request's wait may be
+// extended. A caller that is shed needs the rest for a retry, and a request whose target
+// is close to its deadline could not use a slot granted later.
 const extendedDeadlineShare = 0.25
 
-// extendWait lets a request whose patience is over wait on where the grants of
-// its tier and of those above come fast enough.
+// extendWait extends the wait of a request past its maximum wait, if the predicted wait
+// for a slot ends before the extended one. It reports whether it did.
 //
-// What goes wrong without it: the calls of a plain service with a target of
-// 300 ms are shed after 36 ms at each little queue, without any overload, although
-// each would have a slot some milliseconds later.
+// Without it, calls to a plain service with a target of 300 ms would be shed after 36 ms
+// in every short queue, without an overload, although each would get a slot some
+// milliseconds later.
 func (p *Pool) extendWait(w *waiter) bool {
 	if w.extended || p.cfg.ExtendedWaitShare <= p.cfg.MaxWaitShare {
 		return false
@@ -38,7 +39,7 @@
 	until := p.waitUntil(w, p.cfg.ExtendedWaitShare)
 	latest := w.enqueuedAt.Add(time.Duration(extendedDeadlineShare*float64(w.DeadlineIn+w.Waited)) - w.Waited)
 	if w.Class == tier.Late || latest.Before(until) {
-		until = latest // a late one has no target to be missed
+		until = latest // a late request has no target left to miss
 	}
 	if until.After(w.deadline) || p.now.Add(p.predictWait(w)).After(until) {
 		return false
@@ -49,10 +50,10 @@
 	return true
 }
 
-// predictWait is how long a request whose patience is just over will wait for its slot:
-// until all above its tier, and all of its tier that came before it, have theirs. Of
-// these only the ones that wait on are still there. Before a late one go all of its
-// tier.
+// predictWait predicts how long a request at the end of its maximum wait will still wait
+// for a slot. All requests of higher tiers go first, and all earlier ones of its own
+// tier; of the latter, only those with an extended wait are still in the queue. All
+// requests of its tier go before a late one.
 func (p *Pool) predictWait(w *waiter) time.Duration {
 	t, waiting := w.Item.Tier, 1+p.extendedCount[w.Item.Tier]
 	if w.Class == tier.Late {
@@ -68,7 +69,7 @@
 	return time.Duration(float64(waiting) / slotRate * float64(time.Second))
 }
 
-// expire ends what has waited too long.
+// expire ends requests whose maximum wait or deadline has passed.
 func (p *Pool) expire() {
 	for it := p.queue.Expired(p.now); it != nil; it = p.queue.Expired(p.now) {
 		if p.extendWait(it.Value) {
@@ -88,9 +89,9 @@
 	}
 }
 
-// shedLowerTiers gives up what waits at the tiers below t, before a request of t is
-// shed while it still has time. Nothing is granted to them before those of t,
-// and their patience may be the longer one.
+// shedLowerTiers sheds all requests of tiers below t, before a request of t is shed
+// ahead of its deadline. They get no grants before t, although their maximum wait may be
+// longer.
 func (p *Pool) shedLowerTiers(t request.Tier) {
 	for last := p.evictionCandidate(); last != nil && last.Tier > t; last = p.evictionCandidate() {
 		p.removeWaiter(last.Value)
--- a/pool/max_wait_test.go
+++ b/pool/max_wait_test.go
@@ -10,27 +10,28 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Guards against callers that are refused only when nobody else could serve them in time any more.
+// Guards against refusals that come too late for the caller to be served elsewhere in
+// time.
 func TestMaxWait(t *testing.T) {
 	newFullPool := func() *harness {
 		r := newHarness(Config{MaxWaitShare: 0.1}, servers(1, 1)...)
 		r.mustGrant(enqueue("running", 0))
 		return r
 	}
-	Convey("A request is shed after its part of the first-token target", t, func() {
+	Convey("A request is shed after a share of its first-token target", t, func() {
 		r := newFullPool()
 		r.send(enqueue("waits", 0))
 		So(sheds(r.advance(99*time.Millisecond)), ShouldBeEmpty)
 		So(shedReason(r.advance(time.Millisecond)), ShouldEqual, request.ReasonShed)
 	})
-	Convey("Time that it waited at its entry counts", t, func() {
+	Convey("The time that it waited at its entry counts", t, func() {
 		r := newFullPool()
 		e := enqueue("waits", 0)
 		e.Waited, e.FirstTokenIn = 60*time.Millisecond, 940*time.Millisecond
 		r.send(e)
 		So(shedReason(r.advance(40*time.Millisecond)), ShouldEqual, request.ReasonShed)
 	})
-	Convey("Without a target it is a part of the deadline", t, func() {
+	Convey("Without a first-token target it is shed after a share of its deadline", t, func() {
 		r := newFullPool()
 		e := enqueue("waits", 0)
 		e.FirstTokenIn, e.DeadlineIn = 0, 10*time.Second
@@ -38,7 +39,7 @@
 		So(sheds(r.advance(999*time.Millisecond)), ShouldBeEmpty)
 		So(shedReason(r.advance(time.Millisecond)), ShouldEqual, request.ReasonShed)
 	})
-	Convey("One that was sent before waits up to its deadline", t, func() {
+	Convey("A request that was sent before may wait until its deadline", t, func() {
 		r := newFullPool()
 		e := enqueue("sent", 0)
 		e.DeadlineIn, e.SentTo = 10*time.Second, []string{"gone"}
@@ -46,7 +47,7 @@
 		So(sheds(r.advance(9999*time.Millisecond)), ShouldBeEmpty)
 		So(shedReason(r.advance(time.Millisecond)), ShouldEqual, request.ReasonExpired)
 	})
-	Convey("Nobody is shed while a lower tier, whose patience is longer, goes on waiting", t, func() {
+	Convey("A request of a lower tier with a longer maximum wait is shed first", t, func() {
 		r := newFullPool()
 		low := enqueue("low", 2)
 		low.FirstTokenIn = 10 * time.Second
@@ -57,7 +58,7 @@
 		So(out[0].Request, ShouldEqual, request.ID("low"))
 		So(out[1].Request, ShouldEqual, request.ID("high"))
 	})
-	Convey("One whose patience is over goes to a sibling with a free slot", t, func() {
+	Convey("A request that reaches its maximum wait is redirected to a sibling with a free slot", t, func() {
 		r := newFullPool()
 		r.send(enqueue("waits", 0))
 		r.send(Sibling{Pool: "q", Free: 1})
@@ -65,10 +66,11 @@
 	})
 }
 
-// Guards against requests that are refused at each little queue though slots come free every few milliseconds.
+// Guards against requests that are shed in every short queue although slots are freed
+// every few milliseconds.
 func TestExtendedWait(t *testing.T) {
-	// paced returns a pool of one slot that grants a request each 10 ms, with
-	// one running and n waiting.
+	// newPacedPool returns a pool with one slot that has granted a request every 10 ms. One
+	// request runs and n wait.
 	newPacedPool := func(n int) (*harness, Grant) {
 		r := newHarness(Config{MaxWaitShare: 0.1, ExtendedWaitShare: 0.5}, servers(1, 1)...)
 		var g Grant
@@ -84,21 +86,21 @@
 		}
 		return r, g
 	}
-	Convey("One who will have a slot soon waits on, up to the longer patience", t, func() {
+	Convey("A request that will get a slot soon waits up to the extended wait", t, func() {
 		r, _ := newPacedPool(5)
 		So(sheds(r.advance(100*time.Millisecond)), ShouldBeEmpty)
 		So(sheds(r.advance(399*time.Millisecond)), ShouldBeEmpty)
 		So(sheds(r.advance(time.Millisecond)), ShouldHaveLength, 5)
 	})
-	Convey("The queue's end, which won't, is shed at once", t, func() {
+	Convey("The end of the queue, which will not get a slot in time, is shed at its maximum wait", t, func() {
 		r, g := newPacedPool(80)
 		shed := sheds(r.advance(100 * time.Millisecond))
 		So(len(shed), ShouldBeBetween, 30, 60)
-		Convey("and the others keep their order", func() {
+		Convey("the others keep their order", func() {
 			So(grants(r.endRun(g, OutcomeDone))[0].Request, ShouldEqual, request.ID("w0"))
 		})
 	})
-	Convey("Those of the tiers above count as well", t, func() {
+	Convey("Waiting requests of higher tiers count towards the predicted wait", t, func() {
 		r, _ := newPacedPool(0)
 		for i := range 80 {
 			above := enqueue(fmt.Sprint("above", i), 0)
@@ -110,7 +112,7 @@
 		So(shed, ShouldHaveLength, 1)
 		So(shed[0].Request, ShouldEqual, request.ID("below"))
 	})
-	Convey("Those that had their slot do not count any more", t, func() {
+	Convey("Granted requests no longer count towards the predicted wait", t, func() {
 		r, g := newPacedPool(0)
 		for round := range 20 {
 			for i := range 5 {
@@ -122,7 +124,7 @@
 			}
 		}
 	})
-	Convey("Without a pace nobody waits on", t, func() {
+	Convey("No wait is extended without recent grants", t, func() {
 		r := newHarness(Config{MaxWaitShare: 0.1, ExtendedWaitShare: 0.5}, servers(1, 1)...)
 		r.mustGrant(enqueue("running", 0))
 		r.now = r.now.Add(time.Minute)
@@ -131,10 +133,11 @@
 	})
 }
 
-// Guards against lower tiers that wait on for slots which go to those who keep coming above.
+// Guards against lower tiers whose wait is extended for slots that go to future arrivals
+// of higher tiers.
 func TestExtendedWaitCountsArrivalsAbove(t *testing.T) {
-	// busy returns a pool of one slot that grants a request each 10 ms, nine of ten of
-	// them of the top tier, and what one more round of that does.
+	// newBusyPool returns a pool with one slot that grants a request every 10 ms, nine in
+	// ten of them of the top tier, and a function that runs one more round.
 	newBusyPool := func() (*harness, func() []Command) {
 		r := newHarness(Config{MaxWaitShare: 0.1, ExtendedWaitShare: 0.5}, servers(1, 1)...)
 		g := r.mustGrant(enqueue("first", 0))
@@ -158,7 +161,7 @@
 		}
 		return r, step
 	}
-	Convey("Given a lower tier of which more wait than the slots that are left for it", t, func() {
+	Convey("Given a lower tier with more waiting requests than remaining slots", t, func() {
 		r, step := newBusyPool()
 		for i := range 12 {
 			r.send(enqueue(fmt.Sprint("w", i), 1))
@@ -172,12 +175,12 @@
 				}
 			}
 		}
-		Convey("those that won't have one hear it when their first patience is over", func() {
+		Convey("requests that will not get a slot are shed at their maximum wait", func() {
 			for range 12 {
 				count(step())
 			}
 			So(refused, ShouldBeBetweenOrEqual, 6, 9)
-			Convey("and those that wait on have one in time, but for one or two", func() {
+			Convey("almost all requests with an extended wait get a slot in time", func() {
 				for range 50 {
 					count(step())
 				}
@@ -188,10 +191,11 @@
 	})
 }
 
-// Guards against refused callers who are all told the same short time and are refused again together.
+// Guards against callers that are all told the same short delay and are shed again
+// together.
 func TestRetryAfterIsSpread(t *testing.T) {
-	// refuse returns what n callers are told that are refused at one moment by a pool
-	// that grants a request each 100 ms.
+	// shedTogether sheds n requests at once in a pool that grants a request every 100 ms,
+	// and returns their Retry-After values.
 	shedTogether := func(n int) (retryAfters []time.Duration, r *harness) {
 		r = newHarness(Config{MaxWaitShare: 0.1}, servers(1, 1)...)
 		g := r.mustGrant(enqueue("first", 0))
@@ -201,28 +205,28 @@
 			g = r.mustGrant(enqueue(fmt.Sprint("paced", i), 0))
 		}
 		for i := range n {
-			r.send(enqueue(fmt.Sprint("crowd", i), 0))
+			r.send(enqueue(fmt.Sprint("burst", i), 0))
 		}
 		for _, s := range sheds(r.advance(100 * time.Millisecond)) {
 			retryAfters = append(retryAfters, s.RetryAfter)
 		}
 		return retryAfters, r
 	}
-	Convey("They are told times apart, as there will be room for them", t, func() {
+	Convey("Their retries are spread over the time in which slots are expected", t, func() {
 		retryAfters, _ := shedTogether(20)
 		So(retryAfters, ShouldHaveLength, 20)
 		for i := 10; i < len(retryAfters); i++ {
-			So(retryAfters[i]-retryAfters[i-10], ShouldBeGreaterThan, 0) // two seconds, but for the jitter
+			So(retryAfters[i]-retryAfters[i-10], ShouldBeGreaterThan, 0) // two seconds without the jitter
 		}
 		So(retryAfters[19]-retryAfters[0], ShouldBeGreaterThan, 1500*time.Millisecond)
 	})
-	Convey("Nobody is told more than the bound, give or take its jitter", t, func() {
+	Convey("No delay exceeds the limit plus its jitter", t, func() {
 		retryAfters, _ := shedTogether(400)
 		for _, d := range retryAfters {
 			So(d, ShouldBeLessThanOrEqualTo, retrySpreadMax*5/4)
 		}
 	})
-	Convey("A crowd is forgotten once its time is over", t, func() {
+	Convey("Earlier refusals no longer count once their retries are due", t, func() {
 		_, r := shedTogether(20)
 		r.now = r.now.Add(time.Minute)
 		r.send(enqueue("later", 0))
@@ -230,9 +234,10 @@
 	})
 }
 
-// Guards against requests that wait until they have no time left to use a slot or to come back.
+// Guards against requests that wait until too little time is left to use a slot or to
+// retry.
 func TestExtendedWaitLeavesTimeToRetry(t *testing.T) {
-	Convey("Nobody waits on beyond a quarter of the deadline", t, func() {
+	Convey("No wait is extended beyond a quarter of the deadline", t, func() {
 		r := newHarness(Config{MaxWaitShare: 0.1, ExtendedWaitShare: 1}, servers(1, 1)...)
 		g := r.mustGrant(enqueue("first", 0))
 		for i := range 100 {
--- a/pool/messages.go
+++ b/pool/messages.go
@@ -1,6 +1,7 @@
-// Package pool is the scheduler of one pool: the one queue and the one count
-// of what runs where. It is a pure aggregate: events go in, commands come out,
-// the clock is injected, and one goroutine at a time uses it.
+// Package pool implements the scheduler of one pool of backend servers. It owns
+// the pool's only queue and the only count of the requests running on each server.
+// The scheduler does no I/O: Handle takes an event and the current time, and returns
+// the commands that follow. One goroutine at a time may use it.
 package pool
 
 import (
@@ -10,10 +11,10 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Policy names how a pool schedules.
+// Policy selects the scheduling policy of a pool.
 type Policy string
 
-// The policies. All but PolicyLycheekeel are plain baselines to compare with.
+// The policies. All but PolicyLycheekeel are baselines for comparison.
 const (
 	PolicyLycheekeel       Policy = "lycheekeel"
 	PolicyRoundRobin       Policy = "round-robin"
@@ -21,22 +22,23 @@
 	PolicyFIFO             Policy = "fifo"
 )
 
-// EntryID names the entry (daemon) that holds a request: its member name with
-// its incarnation, so that a restarted daemon is another entry.
+// EntryID identifies an entry: a daemon that accepts requests from callers and asks
+// the pool for slots. It holds the daemon's member name and incarnation, so that a
+// restarted daemon is a new entry.
 type EntryID string
 
-// GrantID identifies a grant: the owner's epoch and a sequence in it.
+// GrantID identifies a grant by the epoch of the pool owner and a sequence number.
 type GrantID struct {
-	Epoch uint64 // random per pool-owner start, never reused
+	Epoch uint64 // random per start of a pool owner, never reused
 	Seq   uint64
 }
 
-// Event is what a pool is told. Durations are relative to the moment of
-// sending, because clocks of different VMs do not agree.
+// Event is an input of a pool. Durations are relative to the time of sending,
+// because the clocks of VMs differ.
 type Event interface{ event() }
 
-// Enqueue asks for a slot. A second Enqueue of a request that waits already
-// replaces it and keeps its place.
+// Enqueue asks for a slot. A second Enqueue of a waiting request replaces the first
+// and keeps the request's place in the queue.
 type Enqueue struct {
 	Request   request.ID
 	Entry     EntryID
@@ -44,62 +46,65 @@
 	Template  string
 	Model     string
 	Tier      request.Tier
-	// Waited is how long the request has waited at its entry already.
+	// Waited is how long the request has already waited at its entry.
 	Waited time.Duration
-	// FirstTokenIn and DeadlineIn are what is left of its targets; zero or
-	// negative DeadlineIn has expired. PerToken is the target between tokens.
+	// FirstTokenIn and DeadlineIn are the time left until the first-token target and
+	// until the deadline. A DeadlineIn of zero or less has expired; a FirstTokenIn of
+	// zero means no target. PerToken is the target between tokens; zero means none.
 	FirstTokenIn time.Duration
 	DeadlineIn   time.Duration
 	PerToken     time.Duration
 	PromptTokens int
 	MaxTokens    int
-	// ExpectedTokens is the caller's own estimate of its answer; 0: none.
+	// ExpectedTokens is the caller's estimate of the answer's length; 0 means none.
 	ExpectedTokens int
-	Blocks         []uint64
-	Fingerprint    uint64
-	// MaxWaiting bounds the workspace's waiting requests in the tier; 0: none.
+	// Blocks are chained hashes of the prompt's blocks of engine.BlockTokens tokens.
+	Blocks []uint64
+	// Fingerprint identifies the request's content across retries; 0 means none.
+	Fingerprint uint64
+	// MaxWaiting limits the workspace's waiting requests in the tier; 0 means no limit.
 	MaxWaiting int
-	// SentTo are the servers that the request was sent to before. It goes to
-	// another one, and waits up to its deadline where there are some: no
-	// refusal could tell any more that it was not run.
+	// SentTo names the servers that have already been sent the request. The scheduler
+	// prefers other servers. Such a request may wait until its deadline, because a
+	// refusal could no longer assure the caller that it has not run.
 	SentTo []string
-	// NoRedirect is set on a request that was redirected once already.
+	// NoRedirect is set on a request that has already been redirected.
 	NoRedirect bool
 }
 
-// Withdraw takes a waiting request back (its caller left), or a grant that
-// may be under way: the entry answers such a grant with Release{NotDispatched}.
+// Withdraw cancels a waiting request whose caller has left. If a grant is already on
+// its way, the entry answers it with Release and OutcomeNotDispatched.
 type Withdraw struct {
 	Request request.ID
 	Entry   EntryID
 }
 
-// Progress tells how a running request does. Sent at the first token and then
-// at intervals, not per token.
+// Progress reports on a running request. It is sent at the first token and then at
+// intervals, not per token.
 type Progress struct {
 	Request request.ID
 	Grant   GrantID
 	Server  string
-	// FirstToken is the time from dispatch to first token; zero: none yet.
+	// FirstToken is the time from dispatch to the first token; zero means none yet.
 	FirstToken time.Duration
 	Tokens     int
-	// PerToken is the mean time between tokens since the last Progress.
+	// PerToken is the mean time between tokens since the previous Progress.
 	PerToken time.Duration
 }
 
-// Outcome is how a dispatched (or not dispatched) grant ended.
+// Outcome tells how a grant ended.
 type Outcome uint8
 
 // The outcomes.
 const (
-	OutcomeDone          Outcome = iota // whole answer
-	OutcomeNotDispatched                // grant returned unused
-	OutcomeNotSent                      // connect failed, nothing left
-	OutcomeRefused                      // engine said it did not run it
-	OutcomeCanceled                     // caller left, run cancelled
-	OutcomeStreamLost                   // stream lost, run's fate unknown
-	OutcomeCrashed                      // engine lost its runs (restart seen)
-	OutcomeFailed                       // engine reported a failure
+	OutcomeDone          Outcome = iota // the whole answer was received
+	OutcomeNotDispatched                // the entry returned the grant unused
+	OutcomeNotSent                      // the connection failed before anything was sent
+	OutcomeRefused                      // the engine reported that it did not run the request
+	OutcomeCanceled                     // the caller left and the run was canceled
+	OutcomeStreamLost                   // the stream was lost; the run's result is unknown
+	OutcomeCrashed                      // the engine restarted and lost its runs
+	OutcomeFailed                       // the engine reported a failure
 )
 
 // Release ends a grant and frees its slot.
@@ -114,12 +119,12 @@
 	OutputTokens    int
 	PromptTokens    int
 	PrefillComputed int
-	// RefusedLeaving is set where the engine refused because it is leaving.
+	// RefusedLeaving is set if the engine refused because it is leaving.
 	RefusedLeaving bool
 }
 
-// Running tells a new owner what an entry still runs on a server, granted by
-// an earlier owner or in degraded mode; it is counted before new grants.
+// Running reports to a new pool owner a run that an earlier owner granted or that the
+// entry started without a grant in degraded mode. It is counted before new grants.
 type Running struct {
 	Entry       EntryID
 	Request     request.ID
@@ -130,8 +135,8 @@
 	Model       string
 	Tier        request.Tier
 	Fingerprint uint64
-	// PromptTokens, MaxTokens, ExpectedTokens and Tokens (so far) size what it
-	// still needs.
+	// PromptTokens, MaxTokens, ExpectedTokens and Tokens (generated so far) determine
+	// the memory that the run will need.
 	PromptTokens   int
 	MaxTokens      int
 	ExpectedTokens int
@@ -139,39 +144,39 @@
 	Blocks         []uint64
 }
 
-// EntryReported ends an entry's Running reports after an owner change.
+// EntryReported ends the Running reports of an entry after an owner change.
 type EntryReported struct{ Entry EntryID }
 
-// EntrySet tells which entries are alive; those that left lose their waiting
-// requests and, after a grace time, their running ones.
+// EntrySet lists the live entries. An entry that is gone loses its waiting requests
+// at once and its running ones after a grace time.
 type EntrySet struct{ Entries []EntryID }
 
-// EntryEnded tells that an entry's process has ended. Its connections closed
-// with it, so its requests wait and run no more.
+// EntryEnded reports that an entry's process has ended. Its connections closed with
+// it, so its requests neither wait nor run any longer.
 type EntryEnded struct{ Entry EntryID }
 
-// ServerInfo is what configuration says of a server.
+// ServerInfo is the configuration of a server.
 type ServerInfo struct {
 	Name             string
 	AvailabilityZone string
 	Generation       string
 	Slots            int
-	// Incarnation changes when the server starts again; empty: unknown.
+	// Incarnation changes when the server restarts; empty means unknown.
 	Incarnation string
 }
 
-// ServerSet replaces the pool's servers. One that is gone gets no new grant;
-// its running requests are counted until released.
+// ServerSet replaces the pool's servers. A removed server gets no new grants; its
+// running requests are counted until they are released.
 type ServerSet struct{ Servers []ServerInfo }
 
-// QueueBound changes how many requests may wait; 0 means the default. A lower
-// bound evicts what waits above it, lowest tier first.
+// QueueBound sets the maximum number of waiting requests; 0 means the default. A lower
+// limit evicts the excess, lowest tier first.
 type QueueBound struct{ MaxWaiting int }
 
-// Health is a server's state as its owner's monitor sees it.
+// Health is the state of a server as reported by the pool owner's health monitor.
 type Health uint8
 
-// The states of a server. Only Up servers get grants.
+// The states of a server. Only servers in HealthUp get grants.
 const (
 	HealthUp Health = iota
 	HealthWarming
@@ -180,38 +185,39 @@
 	HealthGone
 )
 
-// ServerHealth tells a server's state. A new Incarnation means that the
-// engine restarted and lost what it ran and cached.
+// ServerHealth reports a server's state. A new Incarnation means that the engine
+// restarted and lost its runs and its cache.
 type ServerHealth struct {
 	Server      string
 	Health      Health
 	Incarnation uint64
 }
 
-// ServerLoad is an engine's own stale load report.
+// ServerLoad carries an engine's own load report, which may be stale.
 type ServerLoad struct {
 	Server string
 	Report engine.LoadReport
 }
 
-// ServerCache carries cache events; Gap tells that events were missed.
+// ServerCache carries cache events of a server. Gap means that events were missed.
 type ServerCache struct {
 	Server string
 	Events []engine.CacheEvent
 	Gap    bool
 }
 
-// Sibling tells how another pool of the same model stands.
+// Sibling reports the load of another pool that serves the same model.
 type Sibling struct {
 	Pool string
-	// Waiting by tier and free slots, as of Age ago.
+	// Waiting requests by tier and free slots, as they were Age ago.
 	Waiting [request.MaxTiers]int
 	Free    int
 	Age     time.Duration
 	Gone    bool
 }
 
-// SuspectState is what is known of a fingerprint.
+// SuspectState tells whether requests with a fingerprint are suspected of crashing
+// servers.
 type SuspectState uint8
 
 // The states of a fingerprint.
@@ -221,14 +227,14 @@
 	SuspectConfirmed
 )
 
-// SuspectShared tells of a fingerprint learnt by another pool or owner.
+// SuspectShared reports a fingerprint's state that another pool or owner found.
 type SuspectShared struct {
 	Fingerprint uint64
 	State       SuspectState
 	ExpiresIn   time.Duration
 }
 
-// Tick lets time pass: expiry, probes, limits.
+// Tick advances time: it triggers expiry, probes and the comparison of servers.
 type Tick struct{}
 
 func (Enqueue) event()       {}
@@ -248,11 +254,11 @@
 func (SuspectShared) event() {}
 func (Tick) event()          {}
 
-// Command is what a pool wants done.
+// Command is an output of a pool, for its owner to carry out.
 type Command interface{ command() }
 
-// Grant gives a waiting request a slot on a server. The entry answers it with
-// Release, whatever happens.
+// Grant assigns a slot on a server to a waiting request. The entry answers every grant
+// with a Release.
 type Grant struct {
 	Request request.ID
 	Entry   EntryID
@@ -260,7 +266,7 @@
 	Server  string
 }
 
-// Shed ends a waiting request; it certainly was not granted by this owner.
+// Shed ends a waiting request that this owner has not granted.
 type Shed struct {
 	Request    request.ID
 	Entry      EntryID
@@ -268,23 +274,23 @@
 	RetryAfter time.Duration
 }
 
-// Redirect sends a waiting request to a sibling pool, where a lower tier
-// waits or a slot is free.
+// Redirect sends a waiting request to a sibling pool that has a free slot or a waiting
+// request of a lower tier.
 type Redirect struct {
 	Request request.ID
 	Entry   EntryID
 	Pool    string
 }
 
-// ShareSuspect tells every other pool of a fingerprint's state.
+// ShareSuspect announces a fingerprint's state to all other pools.
 type ShareSuspect struct {
 	Fingerprint uint64
 	State       SuspectState
 	ExpiresIn   time.Duration
 }
 
-// BreakerChanged tells that a server counts as down, since its connections break, or
-// that it answers again. It is for the log.
+// BreakerChanged reports that a server's circuit breaker opened or closed. It is only
+// logged.
 type BreakerChanged struct {
 	Server string
 	Open   bool
@@ -296,22 +302,23 @@
 func (ShareSuspect) command()   {}
 func (BreakerChanged) command() {}
 
-// Summary is a pool's standing, for siblings, entries and placement.
+// Summary is a snapshot of a pool's load, for sibling pools, entries and placement.
 type Summary struct {
 	Pool    string
 	Waiting [request.MaxTiers]int
 	Running int
 	Free    int
-	// LostRuns is how many runs were freed, ever, that nobody released.
+	// LostRuns counts the runs whose slots were reclaimed without a release, since the
+	// pool's start.
 	LostRuns int
-	// Tally is what became of the requests of each tier. It does not travel.
+	// Tally counts the results of requests by tier. It is not sent to other processes.
 	Tally Tally
-	// ExpectedWait is the estimated wait of a new request of each tier.
+	// ExpectedWait is the estimated queueing delay of a new request, by tier.
 	ExpectedWait [request.MaxTiers]time.Duration
 	Servers      []ServerSummary
 }
 
-// ServerSummary is one server's standing in a Summary.
+// ServerSummary is the load of one server in a Summary.
 type ServerSummary struct {
 	Name      string
 	Health    Health
--- a/pool/observe.go
+++ b/pool/observe.go
@@ -8,28 +8,31 @@
 )
 
 const (
-	// A first token that takes more than lateTokenFactor times the predicted time
-	// and lateTokenSlack waited inside the engine: too much was sent to it.
+	// A first token that takes longer than lateTokenFactor times the predicted time plus
+	// lateTokenSlack was queued inside the engine: too many requests were sent to it.
 	lateTokenFactor = 3
 	lateTokenSlack  = 100 * time.Millisecond
-	// Ratios told to a control law that has no target of its own.
+	// Ratios of measured time to target that are reported to a limit algorithm without a
+	// target of its own.
 	ratioGood, ratioBad = 0.5, 1.5
-	// manyRunningShare is the part of a limit from which on a late first token is
-	// put down to it.
+	// manyRunningShare is the share of the slot limit from which a late first token is
+	// attributed to the number of running requests.
 	manyRunningShare = 0.75
-	// kiloToken is the unit of the limit on KV memory.
+	// kiloToken is the unit, in tokens, of the limit on KV memory.
 	kiloToken = 1000.0
-	// compareInterval is how often peers are compared.
+	// compareInterval is the time between comparisons of servers.
 	compareInterval = 100 * time.Millisecond
-	// Stragglers are probed after this time, doubled at each failed probe.
+	// A straggler is first probed after stragglerBackoffMin. The time doubles with each
+	// failed probe, up to stragglerBackoffMax.
 	stragglerBackoffMin, stragglerBackoffMax = time.Second, 30 * time.Second
-	// minPeers is how many measured servers make a generation comparable.
+	// minPeers is the number of measured servers from which a generation has a common
+	// latency profile.
 	minPeers = 3
-	// kvCapacityWeight is the weight of a new measurement of KV capacity; reports of
-	// less use than kvMinUse say too little.
+	// kvCapacityWeight is the weight of a new measurement of KV capacity. Reports with a
+	// KV use below kvMinUse are too inaccurate.
 	kvCapacityWeight, kvMinUse = 0.1, 0.2
-	// minStepShare is the part of a measured time between tokens that is left at
-	// the least after prefill of others was taken off.
+	// minStepShare is the share of a measured time between tokens that remains at least
+	// when the prefill of other requests is subtracted.
 	minStepShare = 0.2
 )
 
@@ -40,7 +43,7 @@
 	return score.DefaultProfile()
 }
 
-// observeFirstToken learns from a run's first token.
+// observeFirstToken records the time to a run's first token.
 func (p *Pool) observeFirstToken(r *run, took time.Duration) {
 	s := r.server
 	if s.speed == nil {
@@ -54,8 +57,8 @@
 	p.updateStraggler(s)
 }
 
-// observeQueueing tells the limits whether a request waited inside the engine.
-// Among many running requests it waited for a slot; among few for memory.
+// observeQueueing tells the limits whether a request was queued inside the engine. With
+// many running requests it waited for a slot, with few for memory.
 func (p *Pool) observeQueueing(r *run, late bool) {
 	s := r.server
 	slots := limit.Sample{Ratio: ratioGood, Used: float64(r.runningAtGrant)}
@@ -70,10 +73,9 @@
 	s.memoryLimit.Observe(memory)
 }
 
-// observeToken learns from a mean time between so many tokens. Prefill that
-// the engine did for others in between is taken off before the server's speed
-// is judged, but not before its limit is: the caller's target holds whatever
-// the reason.
+// observeToken records the mean time between the given number of tokens. The engine's
+// prefill for other requests is subtracted before the server's latency model is updated,
+// but not before its limit is: the target applies whatever caused the delay.
 func (p *Pool) observeToken(r *run, took time.Duration, tokens int) {
 	s := r.server
 	if s.speed == nil {
@@ -89,8 +91,8 @@
 	p.updateStraggler(s)
 }
 
-// observeCall learns from a call to a plain service, which has no tokens: the
-// limit keeps the whole call within its target.
+// observeCall records a call to a plain service, which has no tokens. The limit keeps
+// the whole call within its target.
 func (p *Pool) observeCall(r *run, took time.Duration) {
 	s := r.server
 	if s.speed == nil || took <= 0 {
@@ -104,8 +106,8 @@
 	p.updateStraggler(s)
 }
 
-// shortestTokenTarget is the shortest target between tokens of what runs on the
-// server: its limit must keep that one, whichever request is measured.
+// shortestTokenTarget is the shortest target between tokens of the server's running
+// requests. The server's limit must meet it, whichever request is measured.
 func (s *server) shortestTokenTarget() time.Duration {
 	var least time.Duration
 	for _, r := range s.running {
@@ -116,7 +118,7 @@
 	return least
 }
 
-// updateStraggler ejects a straggler softly, or takes it back.
+// updateStraggler updates whether a server is a straggler and schedules its probes.
 func (p *Pool) updateStraggler(s *server) {
 	if p.cfg.KeepStragglers {
 		return
@@ -157,8 +159,8 @@
 	}
 }
 
-// detectOverdue judges servers whose first tokens don't come, before they do:
-// a straggler would otherwise be found out only by what it has cost.
+// detectOverdue marks servers whose first tokens are overdue before these arrive.
+// Otherwise a straggler would only be detected after it has delayed requests.
 func (p *Pool) detectOverdue() {
 	if p.isBaseline() {
 		return
@@ -171,18 +173,16 @@
 		}
 		for _, r := range s.running {
 			waited := p.now.Sub(r.grantedAt)
-			// A run that was withdrawn, or whose time is up, has ended at its
-			// entry; that its release is late says nothing of the server.
-			// Without this, one lost release kept a server without work for
-			// seconds, a quarter of a pool of four.
+			// A run that was withdrawn, or is past its deadline, has ended at its entry. Its
+			// missing release says nothing about the server. Without this check, one lost
+			// release would leave a server idle for seconds: a quarter of a pool of four.
 			if !r.withdrawnAt.IsZero() || p.now.After(r.deadline) && !r.deadline.IsZero() {
 				continue
 			}
 			maxWait := lateTokenFactor*s.speed.FirstToken(r.prefillAhead+r.uncachedTokens) + lateTokenSlack
-			// A server that answers others meanwhile is not stuck: the grant
-			// may be with a slow entry, or one answer may be lost. Without
-			// this, a slow entry VM stops each server that it has a grant of:
-			// slots stand free while requests wait.
+			// A server that makes progress on other requests is not stuck: the grant may be
+			// at a slow entry, or one answer may be lost. Without this check, a slow entry
+			// VM would stop every server on which it holds a grant.
 			if r.prefillDone || waited <= maxWait || p.now.Sub(s.lastProgress) <= maxWait {
 				continue
 			}
@@ -196,9 +196,9 @@
 	}
 }
 
-// updateLoad takes what an engine says that hardly ages: its slots and, against
-// what we know to run there, its KV capacity. How much runs there at the
-// moment is known better here.
+// updateLoad uses the parts of an engine's load report that change slowly: its slots
+// and, in relation to the runs counted here, its KV capacity. The pool's own count of
+// running requests is more recent than the report's.
 func (p *Pool) updateLoad(e ServerLoad) {
 	s := p.servers[e.Server]
 	if s == nil {
@@ -208,7 +208,7 @@
 	if e.Report.Leaving {
 		s.leavingUntil = p.now.Add(leavingTimeout)
 	}
-	if !(e.Report.KVUsed >= kvMinUse) || s.kvTokens == 0 { // not a number included
+	if !(e.Report.KVUsed >= kvMinUse) || s.kvTokens == 0 { // also true for NaN
 		return
 	}
 	capacity := float64(s.kvTokens) / e.Report.KVUsed
@@ -218,6 +218,6 @@
 	s.kvCapacity += kvCapacityWeight * (capacity - s.kvCapacity)
 }
 
-// servedWorkWindow steadies the pace of the work done, by which callers are told when to
-// come back.
+// servedWorkWindow is the time constant of the rate of served work, from which retry
+// delays are computed.
 const servedWorkWindow = 5 * time.Second
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -16,12 +16,12 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// TickInterval is how often a pool should be sent a Tick at the least. Held
-// requests, probes and expiry are as exact as the ticks.
+// TickInterval is the longest time that should pass between two Ticks. It limits the
+// accuracy of holds, probes and expiry.
 const TickInterval = 25 * time.Millisecond
 
-// Pool is one pool's scheduler. It is not safe for concurrent use. Equal
-// configurations and equal events give equal commands.
+// Pool is the scheduler of one pool. It is not safe for concurrent use. The same
+// configuration and events always produce the same commands.
 type Pool struct {
 	cfg      Config
 	rng      *rand.Rand
@@ -41,62 +41,64 @@
 	fairShare *fairshare.Ledger
 }
 
-// waiters are the requests that wait, and what those were told that don't any more.
+// waiters holds the waiting requests and the state of shedding.
 type waiters struct {
 	queue           *tier.Queue[*waiter]
 	isolated        *tier.Queue[*waiter] // suspects, which run alone
 	waiting         map[request.ID]*waiter
-	held            []*waiter             // of all servers, in the order in which they were held
-	extendedCount   [request.MaxTiers]int // waiters beyond their shorter patience
-	grantsSinceLate [request.MaxTiers]int // live ones granted since a late one, while some waited
-	// retryHorizon is when all callers that were refused will have had room.
+	held            []*waiter             // of all servers, in the order of their holds
+	extendedCount   [request.MaxTiers]int // waiters on an extended wait, by tier
+	grantsSinceLate [request.MaxTiers]int // on-time requests granted since the last late one, while a late one waited
+	// retryHorizon is the time by which all callers that were shed should have had the
+	// chance to get a slot on a retry.
 	retryHorizon time.Time
 }
 
-// backends are the backend servers, and what their caches hold.
+// backends holds the backend servers and the index of their prefix caches.
 type backends struct {
 	servers    map[string]*server
-	sorted     []*server // the present servers, by name
+	sorted     []*server // configured servers, by name
 	byPrefixID [prefix.MaxServers]*server
-	nextServer int // round robin's next server
+	nextServer int // next server for round robin
 	prefixes   *prefix.Index
-	isolation  *server // drains for, or runs, a suspect
+	isolation  *server // drains for a suspect, or runs one
 }
 
-// runs are the requests that run, by grant and by request.
+// runs holds the running requests by grant and by request.
 type runs struct {
-	grantSeq      uint64 // of grants
+	grantSeq      uint64 // sequence number of the last grant
 	byGrant       map[GrantID]*run
 	byRequest     map[request.ID]*run
-	computing     map[uint64]*run // the run that is computing a block now
-	reclaimedRuns int             // freeRate that nobody released
+	computing     map[uint64]*run // by block: the run that is computing it
+	reclaimedRuns int             // runs removed without a release
 }
 
-// observations is what the pool has seen of its callers' requests and its servers' speed.
+// observations holds statistics of requests and of server latencies.
 type observations struct {
 	lengths           *estimate.Estimator
 	hints             *estimate.Hints
-	priors            map[string]score.Profile // comparedAt speed by generation
-	fastest           score.Profile            // the best of all servers; zero: unknown
+	priors            map[string]score.Profile // measured latency profile by generation
+	fastest           score.Profile            // best latencies of all servers; zero means unknown
 	comparedAt        time.Time
 	arrivals          [request.MaxTiers]headroom.Arrivals
-	firstTokenTargets [request.MaxTiers]time.Duration // first token, by tier
+	firstTokenTargets [request.MaxTiers]time.Duration // latest first-token target, by tier
 	servedWork        decay.Rate
 	rates             tierRates
 	deadlines         deadlines
 }
 
-// scratch is worked out anew for each event that may grant, by refresh, and scratch space.
+// scratch holds values that refreshServers computes for each event that may lead to a
+// grant, and reusable buffers.
 type scratch struct {
-	anyHealthy    bool    // a server is up that is no straggler
-	freeRate      float64 // totalSlots that come free a second, of so many
+	anyHealthy    bool    // a server can get grants and is neither a straggler nor overdue
+	freeRate      float64 // slots freed per second when all totalSlots are in use
 	totalSlots    int
 	usableServers []*server
 	candidates    []*tier.Item[*waiter]
 }
 
-// New returns a pool. An unknown policy schedules as PolicyLycheekeel; check
-// with Config.Validate first.
+// New returns a pool. An unknown policy is treated as PolicyLycheekeel; callers should
+// check the configuration with Config.Validate first.
 func New(cfg Config) *Pool {
 	cfg = cfg.withDefaults()
 	return &Pool{
@@ -127,8 +129,8 @@
 	}
 }
 
-// Handle takes one event at the time now, and appends the commands that
-// follow from it to out. now never goes back.
+// Handle processes one event at time now and appends the resulting commands to out.
+// now must not decrease between calls.
 func (p *Pool) Handle(now time.Time, ev Event, out []Command) []Command {
 	p.now, p.commands = now, out
 	p.apply(ev)
@@ -186,5 +188,5 @@
 
 func (p *Pool) emit(c Command) { p.commands = append(p.commands, c) }
 
-// isBaseline tells whether the pool schedules as a baseline does.
+// isBaseline reports whether the pool runs a baseline policy.
 func (p *Pool) isBaseline() bool { return p.cfg.Policy != PolicyLycheekeel }
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -43,7 +43,7 @@
 }
 
 func TestGrantsFollowTiers(t *testing.T) {
-	Convey("A freed slot goes to the most urgent tier that waits", t, func() {
+	Convey("A freed slot goes to the most urgent waiting tier", t, func() {
 		p := New(Config{Name: "p", Epoch: 1})
 		oneServer(p, 1)
 		first := grants(p.Handle(start, enqueue("a", 2), nil))
@@ -57,7 +57,7 @@
 }
 
 func TestOverflowEvictsTheLowestTier(t *testing.T) {
-	Convey("A full queue sheds its lowest tier for a higher one, and nothing else", t, func() {
+	Convey("A full queue only sheds a request of its lowest tier for one of a higher tier", t, func() {
 		p := New(Config{Name: "p", Epoch: 1, MaxWaiting: 1})
 		So(sheds(p.Handle(start, enqueue("low", 1), nil)), ShouldBeEmpty)
 		So(sheds(p.Handle(start, enqueue("high", 0), nil))[0].Request, ShouldEqual, request.ID("low"))
--- a/pool/probe.go
+++ b/pool/probe.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// stragglerProbeWait is how long a due probe waits for a request of the lowest
-	// tier that arrives, before a more urgent one is taken.
+	// stragglerProbeWait is how long a due probe of a straggler waits for a request of
+	// the lowest tier before it takes one of a higher tier.
 	stragglerProbeWait = 10 * time.Second
-	// probeMinArrivals is the recent peak rate from which a tier counts as
-	// arriving, in requests a second.
+	// probeMinArrivals is the recent peak rate, in requests per second, from which a tier
+	// is expected to supply a probe.
 	probeMinArrivals = 0.05
 )
 
-// scheduleProbes sends a straggler, and a server that counts as down, now and then
-// one request of the lowest tier, to see whether it has recovered.
+// scheduleProbes sends probes to stragglers and to servers with an open breaker: single
+// requests of the lowest tier that show whether the server has recovered.
 func (p *Pool) scheduleProbes() {
 	for _, s := range p.sorted {
 		if !p.up(s) || s == p.isolation {
@@ -45,14 +45,14 @@
 	}
 }
 
-// isProbing tells whether a probe runs on a server that counts as down. What began
-// there before may stay counted for long.
+// isProbing reports whether a probe runs on a server with an open breaker. Runs that
+// started before the breaker opened do not count; they may stay counted for long.
 func (s *server) isProbing() bool {
 	return slices.ContainsFunc(s.running, func(r *run) bool { return !r.grantedAt.Before(s.breaker.lastFailure) })
 }
 
-// pickProbe picks the request to probe with, or nil; the probe was due at a time and
-// waits for a request of the lowest tier for so long.
+// pickProbe returns the request for a probe, or nil. The probe is due at the given time
+// and waits up to maxWait for a request of the lowest tier.
 func (p *Pool) pickProbe(due time.Time, maxWait time.Duration) *waiter {
 	for t := request.MaxTiers - 1; t >= 0; t-- {
 		lowest := request.Tier(t)
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// deferProbe puts the next probe off.
+// deferProbe doubles the time until the next probe of a straggler.
 func (p *Pool) deferProbe(s *server) {
 	s.probeBackoff = min(max(2*s.probeBackoff, stragglerBackoffMin), stragglerBackoffMax)
 	s.probeAt = p.now.Add(s.probeBackoff)
--- a/pool/property_test.go
+++ b/pool/property_test.go
@@ -12,7 +12,7 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// model is an independent count of what a pool was told and what it said.
+// model is an independent account of the events sent to a pool and of its commands.
 type model struct {
 	t            *rapid.T
 	p            *Pool
@@ -24,12 +24,12 @@
 	outputs      [][]Command
 	waiting      map[request.ID]Enqueue
 	running      map[GrantID]Running
-	ended        []Release // to be sent again, late
+	ended        []Release // sent again later
 	health       map[string]Health
 	slots        map[string]int
 	leftAt       map[EntryID]time.Time // when an entry left
 	incarnations [propertyServers]int  // of each server
-	// maxWaitShare is Config.Patience.
+	// maxWaitShare is Config.MaxWaitShare.
 	maxWaitShare float64
 }
 
@@ -37,7 +37,7 @@
 
 func newModel(t *rapid.T) *model {
 	m := &model{
-		t: t, now: start, epoch: 1, maxWaitShare: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "patience"), waiting: map[request.ID]Enqueue{}, running: map[GrantID]Running{},
+		t: t, now: start, epoch: 1, maxWaitShare: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "max wait share"), waiting: map[request.ID]Enqueue{}, running: map[GrantID]Running{},
 		health: map[string]Health{}, slots: map[string]int{}, leftAt: map[EntryID]time.Time{},
 	}
 	m.startOwner()
@@ -48,7 +48,7 @@
 	return Config{Name: "p", Epoch: m.epoch, MaxWaiting: 8, Seed: 7, MaxWaitShare: m.maxWaitShare, ExtendedWaitShare: 2 * m.maxWaitShare}
 }
 
-// startOwner starts a new owner of the pool that knows the servers and entries.
+// startOwner starts a new pool owner that knows the servers and entries.
 func (m *model) startOwner() {
 	m.p = New(m.config())
 	m.events, m.times, m.outputs = nil, nil, nil
@@ -68,8 +68,7 @@
 	return set
 }
 
-// restartServer starts a server again: what ran there has ended, and its releases come
-// late.
+// restartServer restarts a server: its runs end and their releases arrive late.
 func (m *model) restartServer(t *rapid.T) {
 	i := rapid.IntRange(0, propertyServers-1).Draw(t, "server")
 	m.incarnations[i]++
@@ -105,24 +104,24 @@
 	case Grant:
 		e, ok := m.waiting[c.Request]
 		if !ok || e.Entry != c.Entry {
-			m.t.Fatalf("grant of %s, which doesn't wait", c.Request)
+			m.t.Fatalf("grant of %s, which is not waiting", c.Request)
 		}
 		if m.health[c.Server] != HealthUp {
 			m.t.Fatalf("grant on %s, which is not up", c.Server)
 		}
 		if _, twice := m.running[c.Grant]; twice {
-			m.t.Fatalf("grant %v twice", c.Grant)
+			m.t.Fatalf("grant %v was issued twice", c.Grant)
 		}
 		delete(m.waiting, c.Request)
 		m.running[c.Grant] = Running{Entry: c.Entry, Request: c.Request, Grant: c.Grant, Server: c.Server, Workspace: e.Workspace,
 			Tier: e.Tier, Fingerprint: e.Fingerprint, PromptTokens: e.PromptTokens, MaxTokens: e.MaxTokens, ExpectedTokens: e.ExpectedTokens}
 		if n := m.runningOn(c.Server); n > m.slots[c.Server] {
-			m.t.Fatalf("%d run on %s, which has %d slots", n, c.Server, m.slots[c.Server])
+			m.t.Fatalf("%d requests run on %s, which has %d slots", n, c.Server, m.slots[c.Server])
 		}
 	case Shed:
 		e, ok := m.waiting[c.Request]
 		if !ok {
-			m.t.Fatalf("shed of %s, which doesn't wait", c.Request)
+			m.t.Fatalf("shed of %s, which is not waiting", c.Request)
 		}
 		delete(m.waiting, c.Request)
 		m.checkShed(c, e)
@@ -131,14 +130,14 @@
 
 func (m *model) checkShed(c Shed, e Enqueue) {
 	if c.RetryAfter <= 0 {
-		m.t.Fatalf("shed of %s without a time to come back", c.Request)
+		m.t.Fatalf("shed of %s without Retry-After", c.Request)
 	}
 	if c.Reason != request.ReasonShed && c.Reason != request.ReasonWorkspaceLimit {
 		return
 	}
 	for id, w := range m.waiting {
 		if w.Tier > e.Tier {
-			m.t.Fatalf("%s of tier %d shed (%s) while %s of tier %d waits", c.Request, e.Tier, c.Reason, id, w.Tier)
+			m.t.Fatalf("%s of tier %d was shed (%s) while %s of tier %d waits", c.Request, e.Tier, c.Reason, id, w.Tier)
 		}
 	}
 }
@@ -195,15 +194,15 @@
 	m.send(rel)
 }
 
-// checkCounts compares the pool's counts with the books.
+// checkCounts compares the pool's counts with the model.
 func (m *model) checkCounts(t *rapid.T) {
 	sum := m.p.Summary(m.now)
 	if sum.Running != len(m.running) {
-		t.Fatalf("counts %d running, not %d", sum.Running, len(m.running))
+		t.Fatalf("pool counts %d running requests, want %d", sum.Running, len(m.running))
 	}
 	for _, s := range sum.Servers {
 		if s.Running != m.runningOn(s.Name) {
-			t.Fatalf("counts %d on %s, not %d", s.Running, s.Name, m.runningOn(s.Name))
+			t.Fatalf("pool counts %d requests on %s, want %d", s.Running, s.Name, m.runningOn(s.Name))
 		}
 	}
 	waiting := 0
@@ -211,7 +210,7 @@
 		waiting += n
 	}
 	if waiting != len(m.waiting) || waiting > m.p.maxWaiting() {
-		t.Fatalf("counts %d waiting, not %d", waiting, len(m.waiting))
+		t.Fatalf("pool counts %d waiting requests, want %d", waiting, len(m.waiting))
 	}
 	m.checkSuspectsIsolated(t)
 	for _, s := range m.p.sorted {
@@ -223,7 +222,7 @@
 			}
 		}
 		if prefill != s.pendingPrefill || tokens != s.kvTokens || s.heldCount != m.heldFor(s) {
-			t.Fatalf("%s: books of prefill, memory or holds are off", s.info.Name)
+			t.Fatalf("%s: count of prefill, memory or holds is wrong", s.info.Name)
 		}
 	}
 }
@@ -238,7 +237,7 @@
 	return n
 }
 
-// checkSuspectsIsolated checks that a suspect runs alone, and one at a time.
+// checkSuspectsIsolated checks that a suspect runs alone, and only one at a time.
 func (m *model) checkSuspectsIsolated(t *rapid.T) {
 	n := 0
 	for _, r := range m.p.byGrant {
@@ -247,7 +246,7 @@
 		}
 		n++
 		if len(r.server.running) != 1 {
-			t.Fatalf("a suspect shares %s", r.server.info.Name)
+			t.Fatalf("a suspect runs beside other requests on %s", r.server.info.Name)
 		}
 	}
 	if n > 1 {
@@ -255,9 +254,10 @@
 	}
 }
 
-// Under any order of events, crashes, silence, late releases, entries that
-// leave and owner changes included, nothing is lost or granted twice, counts
-// are grants less releases, limits hold, and no tier is shed before a lower.
+// Checks the invariants of a pool under any order of events, including crashes, missed
+// health checks, late releases, leaving entries and owner changes: no request is lost or
+// granted twice, counts match grants and releases, limits hold, and no tier is shed
+// before a lower one.
 func TestInvariantsUnderAnyEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -278,9 +278,9 @@
 					FirstToken: time.Duration(rapid.IntRange(1, 3000).Draw(t, "first")) * time.Millisecond,
 					PerToken:   time.Duration(rapid.IntRange(0, 200).Draw(t, "per")) * time.Millisecond})
 			},
-			"late": func(t *rapid.T) {
+			"late release": func(t *rapid.T) {
 				if len(m.ended) > 0 {
-					m.send(rapid.SampledFrom(m.ended).Draw(t, "again"))
+					m.send(rapid.SampledFrom(m.ended).Draw(t, "release"))
 				}
 			},
 			"health": func(t *rapid.T) {
@@ -297,18 +297,18 @@
 				}
 				m.send(Tick{})
 			},
-			"again": m.restartServer,
-			"entry": func(*rapid.T) { m.leaveOrReturn("e1") },
-			"ended": func(*rapid.T) { m.restartEntry("e1") },
-			"owner": func(t *rapid.T) { m.changeOwner() },
-			"":      func(t *rapid.T) { m.checkCounts(t) },
+			"restart server":  m.restartServer,
+			"leave or return": func(*rapid.T) { m.leaveOrReturn("e1") },
+			"restart entry":   func(*rapid.T) { m.restartEntry("e1") },
+			"change owner":    func(t *rapid.T) { m.changeOwner() },
+			"":                func(t *rapid.T) { m.checkCounts(t) },
 		})
 		m.checkDeterminism(t)
 	})
 }
 
-// leaveOrReturn lets an entry leave: what waits for it is gone at once, what it
-// runs after the grace time, unless it returns.
+// leaveOrReturn lets an entry leave or return. Its waiting requests are removed at once,
+// its runs after the grace time unless it returns.
 func (m *model) leaveOrReturn(id EntryID) {
 	if !m.leftAt[id].IsZero() {
 		delete(m.leftAt, id)
@@ -324,8 +324,8 @@
 	m.send(EntrySet{Entries: m.entries()})
 }
 
-// restartEntry ends an entry's process: what waits for it and what it runs are gone
-// at once, and another process takes its place.
+// restartEntry ends an entry's process and starts another one. Its waiting requests and
+// runs are removed at once.
 func (m *model) restartEntry(id EntryID) {
 	for r, e := range m.waiting {
 		if e.Entry == id {
@@ -343,7 +343,8 @@
 	}
 }
 
-// changeOwner starts a new owner; the entries report and ask again.
+// changeOwner starts a new owner. The entries report their runs and enqueue their
+// waiting requests again.
 func (m *model) changeOwner() {
 	m.epoch++
 	waiting := m.p.sortedWaiters()
@@ -351,7 +352,7 @@
 	m.health = map[string]Health{}
 	for id, r := range m.running {
 		if !m.leftAt[r.Entry].IsZero() {
-			delete(m.running, id) // nobody will report it
+			delete(m.running, id) // no entry will report it
 		}
 	}
 	m.startOwner()
@@ -380,18 +381,18 @@
 	return all
 }
 
-// checkDeterminism checks that the same events give the same commands.
+// checkDeterminism checks that the same events produce the same commands.
 func (m *model) checkDeterminism(t *rapid.T) {
 	p := New(m.config())
 	for i, ev := range m.events {
 		if out := p.Handle(m.times[i], ev, nil); !reflect.DeepEqual(out, m.outputs[i]) {
-			t.Fatalf("event %d (%T) gave %v, then %v", i, ev, m.outputs[i], out)
+			t.Fatalf("event %d (%T) produced %v, then %v", i, ev, m.outputs[i], out)
 		}
 	}
 }
 
-// With one slot and targets far away, each grant goes to the most urgent tier
-// that waits.
+// Checks that each grant goes to the most urgent waiting tier, with one slot and distant
+// targets.
 func TestTierOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(Config{Name: "p", Epoch: 1})
@@ -409,11 +410,11 @@
 		for seq := uint64(1); len(waiting) > 0; seq++ {
 			out := grants(p.Handle(start, Release{Entry: "e1", Grant: GrantID{1, seq}, Outcome: OutcomeDone}, nil))
 			if len(out) != 1 {
-				t.Fatalf("%d grants for a slot", len(out))
+				t.Fatalf("%d grants for one slot", len(out))
 			}
 			for id, tr := range waiting {
 				if tr < waiting[out[0].Request] {
-					t.Fatalf("tier %d before %s of tier %d", waiting[out[0].Request], id, tr)
+					t.Fatalf("tier %d was granted before %s of tier %d", waiting[out[0].Request], id, tr)
 				}
 			}
 			delete(waiting, out[0].Request)
--- a/pool/rates.go
+++ b/pool/rates.go
@@ -7,10 +7,11 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// rateWindow is over how long the pace is taken. A burst changes it at once.
+// rateWindow is the time constant of the rates. It is short enough for a burst to
+// change them at once.
 const rateWindow = 500 * time.Millisecond
 
-// tierRates is how fast requests of each tier have come and were granted of late.
+// tierRates holds the recent rates of arrivals and grants by tier.
 type tierRates struct {
 	arrived, granted [request.MaxTiers]decay.Rate
 }
@@ -22,7 +23,7 @@
 	return r
 }
 
-// grantRate is how many grants a second the pool gives.
+// grantRate is the number of grants per second, over all tiers.
 func (r *tierRates) grantRate(now time.Time) float64 {
 	sum := 0.0
 	for t := range r.granted {
@@ -31,7 +32,7 @@
 	return sum
 }
 
-// arrivalRateAbove is how many requests a second come for the tiers above t.
+// arrivalRateAbove is the number of arrivals per second in the tiers above t.
 func (r *tierRates) arrivalRateAbove(now time.Time, t request.Tier) float64 {
 	sum := 0.0
 	for higher := request.Tier(0); higher < t; higher++ {
@@ -40,13 +41,13 @@
 	return sum
 }
 
-// slotRateFor is how many slots a second come free for a tier and those below: what
-// the pool grants, or could if it were full, less what comes above the tier.
+// slotRateFor is the number of slots per second available to a tier and those below:
+// the pool's grant rate, or its rate at full load if that is higher, less the arrivals
+// of higher tiers.
 //
-// What goes wrong where those that will come above are left out: in a burst of all
-// tiers the requests of the lower ones wait on for slots that go to the higher ones
-// who keep coming, and are refused in the end, when their target is over and they
-// have that much less time to come back.
+// If future arrivals of higher tiers were ignored, a burst of all tiers would make
+// requests of lower tiers wait for slots that go to higher ones. They would be shed in
+// the end, past their target and with less time left for a retry.
 func (p *Pool) slotRateFor(t request.Tier) float64 {
 	slotRate, _ := p.slotFreeRate()
 	return max(p.rates.grantRate(p.now), slotRate) - p.rates.arrivalRateAbove(p.now, t)
--- a/pool/run.go
+++ b/pool/run.go
@@ -9,8 +9,8 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// computingStride is how many blocks apart the prefixes that are being computed
-// are remembered: finer would cost a map access a block for little.
+// computingStride is the distance, in blocks, between the recorded prefixes of prompts
+// being computed. Recording every block would cost a map access each for little gain.
 const computingStride = 4
 
 // run is a grant that has not been released.
@@ -28,27 +28,27 @@
 	suspect     bool // granted as a suspect
 
 	promptTokens, maxTokens int
-	hint                    int // the caller's estimate of the answer; 0: none
+	hint                    int // caller's estimate of the answer, in tokens; 0 means none
 	blocks                  []uint64
-	perToken                time.Duration // target
-	cost                    float64       // as charged
+	perToken                time.Duration // target between tokens
+	cost                    float64       // as charged to the workspace
 	deadline                time.Time
 
-	cachedBlocks   int // leading blocks believed to be cached
-	uncachedTokens int // promptTokens tokens to compute
-	prefillAhead   int // prefill tokens on the server before it
-	kvTokens       int // KV memory that it will need
-	runningAtGrant int // running requests when it began
+	cachedBlocks   int // leading blocks expected in the cache
+	uncachedTokens int // prompt tokens to compute
+	prefillAhead   int // prefill tokens pending on the server before this run
+	kvTokens       int // KV memory that it will need, in tokens
+	runningAtGrant int // running requests on the server, including this one, when it was granted
 
-	prefillDone       bool // its first token has come, or it was released
-	generated         int  // kvTokens so far
-	prefilledAtReport int  // server.prefilled at its last report
+	prefillDone       bool // its first token has arrived, or it has been removed
+	generated         int  // answer tokens so far
+	prefilledAtReport int  // server.prefillTotal at its last report
 	lastReport        time.Time
 	withdrawnAt       time.Time
-	crashed           bool // its server crashed under it
+	crashed           bool // its server crashed while it ran
 }
 
-// isCall tells whether the run is a call to a plain service: it has no tokens.
+// isCall reports whether the run is a call to a plain service, which has no tokens.
 func (r *run) isCall() bool { return r.promptTokens == 0 && r.maxTokens == 0 }
 
 func (p *Pool) addRun(r *run) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// endPrefill takes a run's prompt off what its server still has to compute.
+// endPrefill removes a run's prompt from its server's pending prefill.
 func (p *Pool) endPrefill(r *run) {
 	if r.prefillDone {
 		return
@@ -124,7 +124,7 @@
 	p.growLength(r)
 }
 
-// firstTokenDue learns from a first token: the prompt is computed and cached.
+// recordFirstToken handles a run's first token: its prompt is computed and cached.
 func (p *Pool) recordFirstToken(r *run, took time.Duration) {
 	p.endPrefill(r)
 	r.prefilledAtReport = r.server.prefillTotal
@@ -134,8 +134,8 @@
 	}
 }
 
-// release frees a grant's slot. A late, doubled or unknown release finds no
-// run and does nothing.
+// release frees a grant's slot. It is idempotent: a release of an unknown or already
+// released grant has no effect.
 func (p *Pool) release(e Release) {
 	r := p.byGrant[e.Grant]
 	if r == nil || r.entry != e.Entry {
@@ -179,7 +179,7 @@
 	p.pauseServer(s)
 }
 
-// handleDone learns from a whole answer.
+// handleDone updates the statistics from a complete answer.
 func (p *Pool) handleDone(r *run, e Release) {
 	s := r.server
 	s.backoff, s.lastProgress = 0, p.now
@@ -206,9 +206,9 @@
 	}
 }
 
-const serviceWeight = 0.1 // weight of a new service time in the mean
+const serviceWeight = 0.1 // weight of a new service time in the moving average
 
-// confirmPrefix compares what was believed to be cached with what was.
+// confirmPrefix compares the expected length of the cached prefix with the actual one.
 func (p *Pool) confirmPrefix(r *run, e Release) {
 	if r.server.prefixID < 0 || len(r.blocks) == 0 || e.PromptTokens == 0 || e.PrefillComputed == 0 {
 		return
@@ -217,16 +217,15 @@
 	p.prefixes.Reconcile(r.server.prefixID, r.blocks, r.cachedBlocks, found)
 }
 
-// refund gives a workspace back what it was charged too much; it may be
-// negative.
+// refund returns a part of its charge to a workspace; a negative amount charges more.
 func (p *Pool) refund(r *run, amount float64) {
 	if !p.isBaseline() {
 		p.queue.AdjustCharge(r.tier, r.workspace, -amount)
 	}
 }
 
-// adopt counts a run that an earlier owner granted, or that an entry began by
-// itself.
+// adopt counts a run that an earlier owner granted or that an entry started without a
+// grant.
 func (p *Pool) adopt(e Running) {
 	e.PromptTokens, e.MaxTokens, e.ExpectedTokens = max(0, e.PromptTokens), max(0, e.MaxTokens), max(0, e.ExpectedTokens)
 	p.markEntryAlive(e.Entry)
--- a/pool/scenario_test.go
+++ b/pool/scenario_test.go
@@ -11,7 +11,7 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// harness drives a pool by hand, with a clock of its own.
+// harness drives a pool with a manual clock.
 type harness struct {
 	*Pool
 	now time.Time
@@ -39,7 +39,7 @@
 	return r.send(Tick{})
 }
 
-// mustGrant asks for a slot and returns the grant; it must come at once.
+// mustGrant enqueues a request and returns its grant, which must be issued at once.
 func (r *harness) mustGrant(e Enqueue) Grant {
 	out := grants(r.send(e))
 	So(out, ShouldHaveLength, 1)
@@ -64,9 +64,10 @@
 	return ""
 }
 
-// Guards against one request that crashes server after server, since its caller sends it again.
+// Guards against a request that crashes one server after another because its caller
+// retries it.
 func TestCrashingRequestIsConfirmed(t *testing.T) {
-	Convey("Given a server that crashed under three requests", t, func() {
+	Convey("Given a server that crashed while running three requests", t, func() {
 		r := newHarness(Config{}, servers(1, 3)...)
 		bad, good := r.mustGrant(fingerprinted("bad", 1)), r.mustGrant(fingerprinted("good", 2))
 		r.mustGrant(fingerprinted("other", 3))
@@ -77,49 +78,49 @@
 		r.endRun(good, OutcomeCrashed)
 		r.send(ServerSet{Servers: servers(4, 3)})
 
-		Convey("A suspect runs alone, another waits for it, others run elsewhere", func() {
+		Convey("A suspect runs alone, another suspect waits for it, other requests run elsewhere", func() {
 			again := r.mustGrant(fingerprinted("bad2", 1))
 			So(r.send(fingerprinted("good2", 2)), ShouldBeEmpty)
 			innocent := r.mustGrant(fingerprinted("new", 9))
 			So(innocent.Server, ShouldNotEqual, again.Server)
 
-			Convey("The second crash convicts it, and only it", func() {
+			Convey("A second crash confirms this suspect only", func() {
 				out := r.endRun(again, OutcomeCrashed)
 				So(out[0], ShouldResemble, ShareSuspect{Fingerprint: 1, State: SuspectConfirmed, ExpiresIn: defaultSuspectTTL})
 				So(shedReason(r.send(fingerprinted("bad3", 1))), ShouldEqual, request.ReasonConvicted)
 				So(r.suspects.State(r.now, 9), ShouldEqual, 0)
-				So(grants(out), ShouldHaveLength, 1) // good2's turn to run alone
+				So(grants(out), ShouldHaveLength, 1) // good2 runs alone next
 				cleared := r.endRun(grants(out)[0], OutcomeDone)
 				So(cleared, ShouldContain, ShareSuspect{Fingerprint: 2, State: SuspectCleared})
 				So(r.mustGrant(fingerprinted("good3", 2)).Request, ShouldEqual, request.ID("good3"))
 
-				Convey("Until the verdict expires", func() {
+				Convey("until its TTL expires", func() {
 					r.advance(defaultSuspectTTL + time.Second)
 					So(r.mustGrant(fingerprinted("bad4", 1)).Request, ShouldEqual, request.ID("bad4"))
 				})
 			})
-			Convey("One that expires in the meantime is told why", func() {
+			Convey("A suspect that expires in the meantime gets its own reason", func() {
 				So(shedReason(r.advance(61*time.Second)), ShouldEqual, request.ReasonSuspectBusy)
 			})
 		})
-		Convey("What another pool found out counts", func() {
+		Convey("States from other pools are merged", func() {
 			r.send(SuspectShared{Fingerprint: 7, State: SuspectConfirmed, ExpiresIn: time.Minute})
 			So(shedReason(r.send(fingerprinted("x", 7))), ShouldEqual, request.ReasonConvicted)
 			r.send(SuspectShared{Fingerprint: 1, State: SuspectCleared})
 			r.mustGrant(fingerprinted("bad2", 1))
-			r.mustGrant(fingerprinted("good3", 1)) // no suspect: both run
+			r.mustGrant(fingerprinted("good3", 1)) // cleared: both run
 		})
 	})
 }
 
-// Guards against a new owner that grants beside all that the old one granted.
+// Guards against a new owner that grants full limits on top of the old owner's grants.
 func TestNewOwnerCountsAdoptedRuns(t *testing.T) {
 	Convey("Given a new owner and two entries that have not reported", t, func() {
 		r := newHarness(Config{}, servers(1, 4)...)
 		r.send(EntrySet{Entries: []EntryID{"e1", "e2"}})
 		So(grants(r.send(enqueue("a", 0))), ShouldBeEmpty)
 
-		Convey("A report opens its entry's share, less what runs", func() {
+		Convey("A report releases its entry's share of the limit, less its runs", func() {
 			r.send(Running{Entry: "e1", Request: "old", Grant: GrantID{9, 9}, Server: "s0"})
 			So(grants(r.send(EntryReported{Entry: "e1"})), ShouldHaveLength, 1)
 			So(grants(r.send(enqueue("b", 0))), ShouldBeEmpty)
@@ -127,10 +128,10 @@
 			r.send(Release{Request: "old", Entry: "e1", Grant: GrantID{9, 9}, Server: "s0"})
 			So(r.Summary(r.now).Running, ShouldEqual, 2)
 		})
-		Convey("An entry that stays silent holds nobody up for long", func() {
+		Convey("An entry that does not report only delays grants until the timeout", func() {
 			So(grants(r.advance(reportTimeout)), ShouldHaveLength, 1)
 		})
-		Convey("What an entry ran that left is freed after a grace time", func() {
+		Convey("The runs of an entry that left are removed after a grace time", func() {
 			r.send(Running{Entry: "e2", Request: "old", Grant: GrantID{9, 9}, Server: "s0"})
 			r.send(EntrySet{Entries: []EntryID{"e1"}})
 			So(r.Summary(r.now).Running, ShouldEqual, 1)
@@ -138,7 +139,7 @@
 			So(r.byGrant[GrantID{9, 9}], ShouldBeNil)
 		})
 	})
-	Convey("What an entry waits for and runs whose process has ended is freed at once", t, func() {
+	Convey("The waiting requests and runs of an entry whose process ended are removed at once", t, func() {
 		r := newHarness(Config{}, servers(1, 1)...)
 		r.send(EntrySet{Entries: []EntryID{"e1", "e2"}})
 		r.send(EntryReported{Entry: "e1"})
@@ -153,7 +154,7 @@
 		So(out[0].Request, ShouldEqual, request.ID("other"))
 		So(r.Summary(r.now).Waiting[0], ShouldEqual, 0)
 	})
-	Convey("A grant that was lost on the way is given again, not twice", t, func() {
+	Convey("A grant lost in transit is repeated and not counted twice", t, func() {
 		r := newHarness(Config{}, servers(1, 4)...)
 		first := r.mustGrant(enqueue("a", 0))
 		So(r.mustGrant(enqueue("a", 0)), ShouldResemble, first)
@@ -164,7 +165,8 @@
 	})
 }
 
-// Guards against a slow server that goes on getting its share, since its health check passes.
+// Guards against a slow server that keeps its share of requests because its health check
+// passes.
 func TestStragglerIsProbed(t *testing.T) {
 	Convey("Given four servers, one of them ten times slower", t, func() {
 		r := newHarness(Config{}, servers(4, 2)...)
@@ -195,7 +197,7 @@
 		}
 		So(s.straggler, ShouldBeTrue)
 
-		Convey("It gets no more than a probe now and then, and comes back by them", func() {
+		Convey("It only gets probes, and recovers through them", func() {
 			r.advance(10 * time.Millisecond)
 			So(round()["s0"], ShouldEqual, 0)
 			r.advance(stragglerBackoffMin)
@@ -208,7 +210,7 @@
 			So(s.straggler, ShouldBeFalse)
 		})
 	})
-	Convey("Servers that are not up get nothing", t, func() {
+	Convey("Servers that are not up get no grants", t, func() {
 		for _, h := range []Health{HealthWarming, HealthLeaving, HealthUnresponsive, HealthGone} {
 			r := newHarness(Config{}, servers(1, 2)...)
 			r.send(ServerHealth{Server: "s0", Health: h, Incarnation: 1})
@@ -234,7 +236,7 @@
 	Convey("Given a request that computes a long prefix on one of two servers", t, func() {
 		r := newHarness(Config{}, servers(2, 2)...)
 		first := r.mustGrant(longPrompt("a", 1))
-		Convey("Another with the same prefix is held until it is cached, then runs there", func() {
+		Convey("A request with the same prefix is held until the prefix is cached, then runs there", func() {
 			So(grants(r.send(longPrompt("b", 1))), ShouldBeEmpty)
 			So(r.mustGrant(longPrompt("c", 2)).Server, ShouldNotEqual, first.Server)
 			r.now = r.now.Add(100 * time.Millisecond)
@@ -243,14 +245,14 @@
 			So(out[0].Server, ShouldEqual, first.Server)
 			So(r.byGrant[out[0].Grant].uncachedTokens, ShouldEqual, 1)
 		})
-		Convey("It is not held beyond its slack, nor for a server that is gone", func() {
+		Convey("It is not held beyond its slack or for a server that is gone", func() {
 			r.send(longPrompt("b", 1))
 			So(grants(r.advance(holdMax)), ShouldHaveLength, 1)
 			r.send(longPrompt("d", 1))
 			r.send(ServerHealth{Server: first.Server, Health: HealthGone, Incarnation: 1})
 			So(r.servers[first.Server].heldCount, ShouldEqual, 0)
 		})
-		Convey("A restart forgets the prefix", func() {
+		Convey("A restart clears the prefix", func() {
 			r.send(Progress{Request: "a", Grant: first.Grant, FirstToken: 100 * time.Millisecond, Tokens: 1})
 			s := r.servers[first.Server]
 			So(r.prefixes.CachedPrefix(s.prefixID, longPrompt("x", 1).Blocks), ShouldEqual, 64)
@@ -267,14 +269,14 @@
 		r.mustGrant(enqueue("running", 0))
 		return r
 	}
-	Convey("A request goes to a fresh sibling that has room or a lower tier waiting", t, func() {
+	Convey("A request is redirected to a sibling with a recent report and a waiting lower tier", t, func() {
 		r := full(Config{MaxWaiting: 1})
 		r.send(enqueue("waits", 1))
 		sibling := Sibling{Pool: "q", Age: 100 * time.Millisecond}
 		sibling.Waiting[2] = 1
 		r.send(sibling)
 		So(r.send(enqueue("a", 1)), ShouldContain, Redirect{Request: "a", Entry: "e1", Pool: "q"})
-		So(shedReason(r.send(enqueue("b", 1))), ShouldEqual, request.ReasonShed) // one report is no crowd
+		So(shedReason(r.send(enqueue("b", 1))), ShouldEqual, request.ReasonShed) // one report attracts one request
 		r.send(sibling)
 		again := enqueue("c", 1)
 		again.NoRedirect = true
@@ -282,7 +284,7 @@
 		r.now = r.now.Add(siblingMaxAge)
 		So(shedReason(r.send(enqueue("d", 1))), ShouldEqual, request.ReasonShed)
 	})
-	Convey("While no server is up, requests go where slots are free", t, func() {
+	Convey("While no server is up, requests are redirected to siblings with free slots", t, func() {
 		r := newHarness(Config{}, servers(1, 1)...)
 		r.send(ServerHealth{Server: "s0", Health: HealthGone, Incarnation: 1})
 		r.send(enqueue("a", 0))
@@ -291,7 +293,7 @@
 		So(r.advance(time.Millisecond), ShouldResemble, []Command{Redirect{Request: "a", Entry: "e1", Pool: "q"}})
 		So(r.Summary(r.now).Waiting[1], ShouldEqual, 1)
 	})
-	Convey("A grant that was not used costs its workspace nothing", t, func() {
+	Convey("A workspace is not charged for a grant that was not dispatched", t, func() {
 		r := newHarness(Config{}, servers(1, 1)...)
 		of := func(id, workspace string) Enqueue {
 			e := enqueue(id, 0)
@@ -304,7 +306,7 @@
 		out := grants(r.endRun(g, OutcomeNotDispatched))
 		So(out[0].Request, ShouldEqual, request.ID("a2"))
 	})
-	Convey("A hopeless request goes to the end of its tier and expires at its deadline only", t, func() {
+	Convey("A request that cannot meet its targets moves to the end of its tier and only expires at its deadline", t, func() {
 		r := full(Config{})
 		r.send(enqueue("old", 0))
 		r.send(enqueue("low", 1))
@@ -316,7 +318,7 @@
 		So(shedReason(r.advance(57*time.Second)), ShouldEqual, request.Reason(""))
 		So(sheds(r.advance(time.Second)), ShouldHaveLength, 2)
 	})
-	Convey("A workspace above its bound only delays itself", t, func() {
+	Convey("A workspace above its limit only delays its own requests", t, func() {
 		r := full(Config{})
 		flood := func(id string, tier request.Tier) Enqueue {
 			e := enqueue(id, tier)
@@ -326,12 +328,12 @@
 		r.send(flood("a", 0))
 		So(shedReason(r.send(flood("b", 0))), ShouldEqual, request.ReasonWorkspaceLimit)
 		r.send(enqueue("low", 1))
-		So(r.send(flood("c", 0)), ShouldBeEmpty) // a lower tier waits: it may wait too, last
+		So(r.send(flood("c", 0)), ShouldBeEmpty) // a lower tier waits, so it is queued last
 		r.send(enqueue("other", 0))
 		out := grants(r.send(Release{Request: "running", Entry: "e1", Grant: GrantID{1, 1}, Outcome: OutcomeDone}))
 		So(out[0].Request, ShouldNotEqual, request.ID("c"))
 	})
-	Convey("Refused callers are told to come back at different times, later with more waiting", t, func() {
+	Convey("Shed callers get different Retry-After values within the limits", t, func() {
 		r := full(Config{MaxWaiting: 1})
 		r.send(enqueue("waits", 0))
 		seen := map[time.Duration]bool{}
@@ -344,9 +346,10 @@
 	})
 }
 
-// Guards against long prompts that expire while small requests take each piece of memory that comes free.
+// Guards against long prompts that expire because small requests take all memory as it
+// is freed.
 func TestLongPromptsDoNotStarve(t *testing.T) {
-	Convey("A request that fits nowhere lets smaller ones go first for a moment only", t, func() {
+	Convey("Smaller requests only go before a request without memory for a limited time", t, func() {
 		r := newHarness(Config{}, servers(1, 50)...)
 		r.servers["s0"].kvCapacity = 10_000
 		var running []Grant
@@ -382,9 +385,9 @@
 }
 
 func TestHeadroom(t *testing.T) {
-	Convey("After a burst of a higher tier lower ones leave slots free for the next", t, func() {
+	Convey("After a burst of a higher tier, lower tiers leave slots free for the next one", t, func() {
 		r := newHarness(Config{}, servers(1, 20)...)
-		r.servers["s0"].meanService = 30 // seconds: no slot comes free in time
+		r.servers["s0"].meanService = 30 // seconds; no slot is freed in time
 		for i := range 10 {
 			r.endRun(r.mustGrant(enqueue(fmt.Sprint("burst", i), 0)), OutcomeCanceled)
 		}
@@ -399,7 +402,7 @@
 }
 
 func TestBaselines(t *testing.T) {
-	Convey("The baselines do what plain routers do", t, func() {
+	Convey("The baselines route like simple load balancers", t, func() {
 		for policy, want := range map[Policy][]string{
 			PolicyRoundRobin:       {"s0", "s1", "s0", "s1"},
 			PolicyLeastOutstanding: {"s1", "s0", "s1", "s0"},
@@ -417,7 +420,7 @@
 		r.send(enqueue("c", 0))
 		So(grants(r.endRun(g, OutcomeDone))[0].Request, ShouldEqual, request.ID("b"))
 	})
-	Convey("A configuration is checked", t, func() {
+	Convey("Invalid configurations are rejected", t, func() {
 		So(Config{Name: "p"}.Validate(), ShouldBeNil)
 		for _, bad := range []Config{{}, {Name: "p", Policy: "x"}, {Name: "p", MaxWaiting: -1}, {Name: "p", Law: "x"}} {
 			So(bad.Validate(), ShouldNotBeNil)
--- a/pool/schedule.go
+++ b/pool/schedule.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// maxCandidates is how many requests near the head of a tier are looked at.
+	// maxCandidates is the number of requests near the head of a tier that are considered.
 	maxCandidates = 64
-	// maxOptions bounds the options looked at in one choice.
+	// maxOptions limits the number of options evaluated for one grant.
 	maxOptions = 128
-	// maxLateCandidates is how many late requests near the head are looked at for one
-	// whose prefix is warm.
+	// maxLateCandidates is the number of late requests near the head that are considered
+	// for one with a warm prefix.
 	maxLateCandidates = 64
-	// maxBypasses is how often the head of a tier may be passed by requests
-	// whose prefix is warm.
+	// maxBypasses limits how often requests with a warm prefix may bypass the head of a
+	// tier.
 	maxBypasses = 32
-	// warmPromptShare is the part of a prompt that must be cached for it to pass.
+	// warmPromptShare is the share of a prompt that must be cached for a bypass.
 	warmPromptShare = 0.5
-	// bypassSlack is what the head must have left, beyond its own first token,
-	// to be passed.
+	// bypassSlack is the time that the head must have left, beyond its own first token,
+	// to be bypassed.
 	bypassSlack = 200 * time.Millisecond
-	// memoryStarveAfter is how long smaller requests may go before one for which no
-	// server has memory.
+	// memoryStarveAfter is how long smaller requests may be granted before a request for
+	// which no server has memory.
 	memoryStarveAfter = 500 * time.Millisecond
-	// bypassQueueLength is how many waiting requests of a tier lift that condition:
-	// some of them will be late anyway, and computing cold prompts for those
-	// that are due next makes more of them late.
+	// bypassQueueLength is the number of waiting requests of a tier from which bypassSlack
+	// does not apply. Some of them will be late in any case, and computing cold prompts
+	// for those due next would make more of them late.
 	bypassQueueLength = 16
 )
 
-// schedule grants while a request waits and a slot is free: the most urgent
-// tier first, in a tier the live requests before the late ones.
+// schedule grants while requests wait and slots are free. The most urgent tier goes
+// first; within a tier, on-time requests go before late ones.
 func (p *Pool) schedule() {
 	if p.isBaseline() {
 		p.scheduleFIFO()
@@ -57,8 +57,8 @@
 	p.scheduleBestEffort()
 }
 
-// scheduleTier grants to one tier. It reports whether slots may be left for
-// lower tiers.
+// scheduleTier grants requests of one tier. It reports whether lower tiers may use the
+// remaining slots.
 func (p *Pool) scheduleTier(t request.Tier) bool {
 	for {
 		servers, slots := p.serversWithSlots()
@@ -74,8 +74,8 @@
 	}
 }
 
-// pick returns the tier's next request, with its option: a live one before a late one,
-// but for the turn of one that was passed often.
+// pick returns the tier's next request with its option. On-time requests go before late
+// ones, unless it is the turn of a late one.
 func (p *Pool) pick(t request.Tier, servers []*server) (w *waiter, o option) {
 	if p.isLateTurn(t) && !p.memoryStarved(t) {
 		w, o = p.pickLate(t, servers)
@@ -89,9 +89,9 @@
 	return w, o
 }
 
-// pickLive returns the next live request to be granted, with its option. On
-// its way it moves hopeless requests to the end of the tier, suspects to
-// their own queue, and holds those that should wait for a prefix.
+// pickLive returns the next on-time request to grant, with its option. It also moves
+// requests that cannot meet their targets to the end of the tier and suspects to their
+// own queue, and holds requests that should wait for a prefix.
 func (p *Pool) pickLive(t request.Tier, servers []*server) (*waiter, option) {
 	budget := maxOptions
 	for {
@@ -118,7 +118,7 @@
 				moved = true
 				continue
 			case g == tooLate || g == tooSlow && p.worthWaiting(w, o):
-				continue // a server that can is busy
+				continue // a server that meets its targets is busy
 			case p.holdFor(w, o):
 				moved = true
 				continue
@@ -131,10 +131,10 @@
 	}
 }
 
-// memoryStarved tells whether a tier's head has waited too long while no server has
-// memory for it. Then nothing else is granted, until one has: smaller requests
-// would take what comes free each time, and one would see long prompts expire
-// while tags are served.
+// memoryStarved reports whether a tier's head has waited too long because no server has
+// memory for it. Nothing else is granted until a server has: smaller requests would take
+// the memory each time it is freed, and long prompts would expire while short requests
+// are served.
 func (p *Pool) memoryStarved(t request.Tier) bool {
 	head := p.queue.Head(t, tier.OnTime)
 	if head == nil || p.now.Sub(head.Value.enqueuedAt) < memoryStarveAfter {
@@ -149,9 +149,9 @@
 	return true
 }
 
-// pickLate returns the late request to be granted, with its option: the first
-// for which a server has room or, since none of them can meet its target any
-// more, one near it whose prefix is warm there.
+// pickLate returns the next late request to grant, with its option: the first one for
+// which a server has room, or one near it whose prefix is warm on that server. The order
+// may change because none of them can meet its target.
 func (p *Pool) pickLate(t request.Tier, servers []*server) (*waiter, option) {
 	for {
 		moved := false
@@ -179,9 +179,9 @@
 	return true
 }
 
-// scheduleBestEffort grants what is left to requests that can't end in time: they
-// may only have what nobody else wants. Their answer is not withheld, since
-// the estimate may be wrong; but a slot that another could use is not spent.
+// scheduleBestEffort grants the remaining slots to requests that cannot meet their
+// deadlines. They only get slots that no other request can use. They are still served,
+// since the estimate of their length may be wrong.
 func (p *Pool) scheduleBestEffort() {
 	servers, slots := p.serversWithSlots()
 	for t := request.Tier(0); t < request.MaxTiers; t++ {
@@ -203,7 +203,7 @@
 	}
 }
 
-// preferWarmLate is warmer among late requests.
+// preferWarmLate is preferWarm for late requests.
 func (p *Pool) preferWarmLate(head *waiter, o option, others []*tier.Item[*waiter]) (*waiter, option) {
 	s := o.server
 	if s.prefixID < 0 || head.bypassed >= maxBypasses || p.isWarm(head, s) {
@@ -222,10 +222,10 @@
 	return head, o
 }
 
-// preferWarm lets a request near the head pass it on the chosen server, where the
-// server holds its prefix and not the head's, and the head can wait or the
-// tier is crowded: the head may find its own prefix at the next slot. How
-// often a head is passed is bounded, and whoever passes is charged.
+// preferWarm lets a request near the head bypass it on the chosen server, if the server
+// caches the prefix of that request but not the head's, and the head has slack or the
+// queue is long. The head may find its own prefix with the next slot. The number of
+// bypasses is limited, and the bypassing request's workspace is charged.
 func (p *Pool) preferWarm(head *waiter, o option, others []*tier.Item[*waiter]) (*waiter, option) {
 	s := o.server
 	short := p.holdSlack(head, o) < bypassSlack && p.queue.Waiting(head.Item.Tier) < bypassQueueLength
@@ -246,14 +246,14 @@
 	return head, o
 }
 
-// isWarm tells whether a server holds a good part of a request's prompt.
+// isWarm reports whether a server caches a large part of a request's prompt.
 func (p *Pool) isWarm(w *waiter, s *server) bool {
 	blocks := int(warmPromptShare*float64(w.PromptTokens)) / engine.BlockTokens
 	return p.prefixes.Holds(s.prefixID, w.Blocks, max(blocks, holdMinBlocks))
 }
 
-// divertSuspect takes a convict or a suspect out of the queue and reports whether
-// it did.
+// divertSuspect removes a suspected or confirmed request from the regular queue, and
+// reports whether it did.
 func (p *Pool) divertSuspect(w *waiter) bool {
 	switch p.suspectState(w) {
 	case suspect.Confirmed:
@@ -268,13 +268,13 @@
 	return true
 }
 
-// grant gives a waiting request a slot in turn.
+// grant gives a slot to a waiting request in its turn.
 func (p *Pool) grant(w *waiter, o option) {
 	p.fairShare.RecordGrant(p.now, w.Item.Tier, p.slotTime(w, o))
 	p.startRun(w, o)
 }
 
-// startRun gives a waiting request a slot.
+// startRun gives a slot to a waiting request.
 func (p *Pool) startRun(w *waiter, o option) {
 	if p.waiting[w.Request] == w {
 		p.removeWaiter(w)
--- a/pool/server.go
+++ b/pool/server.go
@@ -10,53 +10,53 @@
 )
 
 const (
-	// leavingTimeout is how long a server's own word that it leaves outweighs a
-	// monitor that hasn't noticed.
+	// leavingTimeout is how long a server's own report that it is leaving overrides the
+	// health monitor, which may not have noticed yet.
 	leavingTimeout = 10 * time.Second
-	// unreachableBackoffMin and unreachableBackoffMax bound how long a server that couldn't be reached
-	// is left alone; the time doubles at each failure in a row.
+	// An unreachable server gets no grants for unreachableBackoffMin. The time doubles
+	// with each consecutive failure, up to unreachableBackoffMax.
 	unreachableBackoffMin, unreachableBackoffMax = 250 * time.Millisecond, 5 * time.Second
-	// Bounds of the limit on tokens, in thousands.
+	// Range of the limit on KV memory, in thousands of tokens.
 	kiloTokensMin, kiloTokensMax = 4, 4096
 )
 
-// server is one backend server and what the pool knows to run there.
+// server is a backend server and the pool's knowledge of its state.
 type server struct {
 	info           ServerInfo
-	prefixID       int  // in the prefix index; -1: none
-	configured     bool // in the newest ServerSet
+	prefixID       int  // ID in the prefix index; -1 means none
+	configured     bool // listed in the latest ServerSet
 	health         Health
 	incarnation    uint64
 	running        []*run
-	pendingPrefill int // kvTokens of granted prompts whose first token hasn't come
+	pendingPrefill int // prompt tokens of granted requests without a first token
 	kvTokens       int // KV memory that the running requests will need, in tokens
-	prefillTotal   int // pendingPrefill tokens computed, ever
+	prefillTotal   int // prefill tokens computed since the start
 
 	speed          *score.LatencyModel
-	tokenRateLimit limit.Algorithm // running requests, by time between tokens
-	queueingLimit  limit.Algorithm // running requests, by waiting inside the engine
-	memoryLimit    limit.Algorithm // thousands of tokens in KV memory
-	kvCapacity     float64         // measured KV capacity in tokens; zero: unknown
-	engineSlots    int             // as the engine itself says; zero: unknown
-	// lastProgress is when a run here last showed that the server works.
+	tokenRateLimit limit.Algorithm // limit on running requests, from the time between tokens
+	queueingLimit  limit.Algorithm // limit on running requests, from queueing inside the engine
+	memoryLimit    limit.Algorithm // limit on KV memory, in thousands of tokens
+	kvCapacity     float64         // measured KV capacity, in tokens; zero means unknown
+	engineSlots    int             // slots reported by the engine; zero means unknown
+	// lastProgress is when a run last showed that the server works.
 	lastProgress time.Time
-	meanService  float64 // mean seconds from grant to release
+	meanService  float64 // mean time from grant to release, in seconds
 	failureRate  failureRate
 	breaker      breaker
 	heldCount    int
 
-	grantable    bool // may get grants; by refresh
-	maxRunning   int  // running requests allowed; by refresh
-	straggler    bool
-	overdue      bool
+	grantable    bool // may get grants; set by refreshServers
+	maxRunning   int  // limit on running requests; set by refreshServers
+	straggler    bool // much slower than its peers
+	overdue      bool // a first token is overdue
 	probeAt      time.Time
 	probeBackoff time.Duration
 	leavingUntil time.Time
 	pausedUntil  time.Time
 	backoff      time.Duration
-	crashedAt    time.Time // the last crash
-	recoveredAt  time.Time // when it was first seen to run after that; zero: not yet
-	lostRuns     []*run    // released as broken of late
+	crashedAt    time.Time // time of the last crash
+	recoveredAt  time.Time // when it was first seen running after the crash; zero means not yet
+	lostRuns     []*run    // runs whose streams were lost recently
 }
 
 func (p *Pool) setServers(e ServerSet) {
@@ -81,8 +81,8 @@
 	p.fastest = score.Profile{}
 }
 
-// configure sets what the configuration says. A changed number of slots or
-// generation starts the limits or the speed afresh.
+// configure applies a server's configuration. A changed number of slots resets the
+// limits; a changed generation resets the latency model.
 func (p *Pool) configure(s *server, info ServerInfo) {
 	if s.tokenRateLimit == nil || s.info.Slots != info.Slots {
 		bounds := limit.Bounds{Min: 1, Max: float64(info.Slots), Start: float64(info.Slots)}
@@ -105,13 +105,12 @@
 	}
 }
 
-// resetIncarnation forgets what was true of a server's former incarnation: what ran
-// there has ended, what it cached is lost, and why it was left alone is over. Its
-// speed is the machine's and stays.
+// resetIncarnation discards the state of a server's previous incarnation: its runs, its
+// cache, its failures and its backoff. The latency model describes the machine and stays.
 //
-// What goes wrong without it: a server that crashed and is back stands idle while
-// the runs of its former incarnation count, for as long as their entries wait for
-// answers, and while it is left alone for that one's failures.
+// Without it, a restarted server would stay idle while the runs of its previous
+// incarnation are counted, until their entries stop waiting for answers, and while the
+// backoff for the old failures lasts.
 func (p *Pool) resetIncarnation(s *server) {
 	for len(s.running) > 0 {
 		r := s.running[len(s.running)-1]
@@ -135,8 +134,8 @@
 	return -1
 }
 
-// server returns the named server; one that is not in the newest ServerSet
-// gets no grant, but what runs there is counted.
+// server returns the named server. A server that is not in the latest ServerSet is
+// added without grants, so that its runs are counted.
 func (p *Pool) server(name string) *server {
 	s := p.servers[name]
 	if s == nil {
@@ -146,7 +145,7 @@
 	return s
 }
 
-// removeIdleServers drops servers that are gone and on which nothing runs.
+// removeIdleServers removes servers that are not configured and have no runs.
 func (p *Pool) removeIdleServers() {
 	for name, s := range p.servers {
 		if s.configured || len(s.running) > 0 {
@@ -160,8 +159,8 @@
 	}
 }
 
-// setHealth takes the monitor's word. A new incarnation means that the engine
-// restarted: it lost what it ran and cached.
+// setHealth applies a report of the health monitor. A new incarnation means that the
+// engine restarted and lost its runs and its cache.
 func (p *Pool) setHealth(e ServerHealth) {
 	s := p.servers[e.Server]
 	if s == nil {
@@ -175,7 +174,7 @@
 	}
 	if restarted || e.Health == HealthGone && was != HealthGone {
 		if restarted && !s.recoveredAt.IsZero() {
-			s.crashedAt = time.Time{} // it was seen to run since that crash
+			s.crashedAt = time.Time{} // it has run since that crash
 		}
 		p.serverCrashed(s, nil)
 	}
@@ -196,13 +195,14 @@
 	}
 }
 
-// up tells whether a server may get a grant at all.
+// up reports whether a server is configured, healthy and neither leaving nor in
+// backoff.
 func (p *Pool) up(s *server) bool {
 	return s.configured && s.health == HealthUp && !p.now.Before(s.leavingUntil) && !p.now.Before(s.pausedUntil)
 }
 
-// pauseServer stops grants to a server that could not be reached, for longer
-// at each failure in a row.
+// pauseServer stops grants to an unreachable server. The pause doubles with each
+// consecutive failure.
 func (p *Pool) pauseServer(s *server) {
 	s.backoff = min(max(2*s.backoff, unreachableBackoffMin), unreachableBackoffMax)
 	s.pausedUntil = p.now.Add(s.backoff)
@@ -225,7 +225,7 @@
 	}
 }
 
-// prefixSet is the servers of a list as a set of the prefix index.
+// prefixSet returns the servers as a bit set of prefix IDs.
 func prefixSet(servers []*server) uint64 {
 	var set uint64
 	for _, s := range servers {
--- a/pool/simulation_test.go
+++ b/pool/simulation_test.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// simulation drives a pool in simulated time by what happens at set times.
+// simulation is a discrete-event simulation of a pool.
 type simulation struct {
 	pool   *harness
 	events eventQueue
 }
 
-// at lets something happen at a time.
+// at schedules a function at a time.
 func (s *simulation) at(at time.Time, do func()) { heap.Push(&s.events, timedEvent{at, do}) }
 
-// tick lets time pass for the pool, for so long; take gets its commands.
+// tick schedules Ticks for the given time; handle gets their commands.
 func (s *simulation) tick(length time.Duration, handle func([]Command)) {
 	for at := time.Duration(0); at < length; at += TickInterval {
 		s.at(start.Add(at), func() { handle(s.pool.send(Tick{})) })
 	}
 }
 
-// run lets everything happen, in order.
+// run executes all events in order of time.
 func (s *simulation) run() {
 	for len(s.events) > 0 {
 		next := heap.Pop(&s.events).(timedEvent)
@@ -30,13 +30,13 @@
 	}
 }
 
-// timedEvent is something at a time.
+// timedEvent is a function to call at a time.
 type timedEvent struct {
 	at time.Time
 	do func()
 }
 
-// eventQueue is a heap of what will happen, earliest first.
+// eventQueue is a heap of events, earliest first.
 type eventQueue []timedEvent
 
 func (a eventQueue) Len() int           { return len(a) }
--- a/pool/starved.go
+++ b/pool/starved.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// minCheapShare and minCostlyShare are the parts of the service of all tiers below which
-	// a tier of short and one of long requests gets slots out of turn.
+	// minCheapShare and minCostlyShare are the shares of the service of all tiers below
+	// which a tier of short requests and one of long requests get slots out of turn.
 	minCheapShare, minCostlyShare = 0.5, 0.35
-	// starvedMaxShare is the largest part of the slot time that starved tiers get out of turn.
+	// starvedMaxShare is the largest share of slot time that starved tiers get out of turn.
 	starvedMaxShare = 0.1
-	// starvedMaxCredit is how much slot time a starved tier saves up, in seconds.
+	// starvedMaxCredit is the slot time, in seconds, that a starved tier can accumulate.
 	starvedMaxCredit = 1.0
-	// starvedWindow is the time over which the service of the tiers is compared.
+	// starvedWindow is the time over which the service of tiers is compared.
 	starvedWindow = 10 * time.Second
 )
 
@@ -25,12 +25,12 @@
 	})
 }
 
-// scheduleStarved grants to the tiers that strict order starves what their least share
-// of the slot time allows.
+// scheduleStarved grants requests of tiers that strict priority starves, up to their
+// minimum share of slot time.
 //
-// What goes wrong without it: the tiers above ask for all slots for as long as an
-// overload lasts, and of the lowest tier next to nothing is served. One notices a tier
-// that is refused in every second while others are granted (pool_shed, pool_granted).
+// Without it, the higher tiers would take all slots during an overload and the lowest
+// tier would get almost none. The symptom is a tier whose requests are shed every second
+// while others are granted (pool_shed, pool_granted).
 func (p *Pool) scheduleStarved() {
 	for t := request.Tier(request.MaxTiers - 1); t > 0; t-- {
 		for p.queue.Waiting(t) > 0 && p.fairShare.IsStarved(p.now, t) && p.grantOutOfTurn(t) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// grantOutOfTurn grants one request of a tier whose turn it is not, and reports whether
-// it did. Where a long prompt above waits for memory to come free, nobody goes before it.
+// grantOutOfTurn grants one request of a tier out of turn, and reports whether it did. It
+// grants nothing while a long prompt of a higher tier waits for memory.
 func (p *Pool) grantOutOfTurn(t request.Tier) bool {
 	servers, slots := p.serversWithSlots()
 	if slots == 0 || p.inTurn(t, slots) || p.memoryStarvedAbove(t) {
@@ -58,14 +58,15 @@
 	return true
 }
 
-// slotTime predicts how much slot time a request takes: what it holds its own slot for,
-// and what its prompt holds the others of its server up for.
+// slotTime predicts the slot time of a request, in seconds: the time that it occupies
+// its own slot, and the time that its prefill delays the server's other slots.
 func (p *Pool) slotTime(w *waiter, o option) float64 {
 	s := o.server
 	return (p.runTime(w, o) + time.Duration(len(s.running))*s.speed.PrefillTime(o.uncachedTokens)).Seconds()
 }
 
-// inTurn tells whether a tier has its turn with so many slots free.
+// inTurn reports whether a tier is next in priority order, given the number of free
+// slots.
 func (p *Pool) inTurn(t request.Tier, slots int) bool {
 	for higher := request.Tier(0); higher < t; higher++ {
 		if p.queue.Waiting(higher) > 0 {
@@ -75,7 +76,7 @@
 	return slots > p.reservedSlots(t)
 }
 
-// memoryStarvedAbove tells whether a tier above t has a head that waits for memory.
+// memoryStarvedAbove reports whether the head of a tier above t waits for memory.
 func (p *Pool) memoryStarvedAbove(t request.Tier) bool {
 	for higher := request.Tier(0); higher < t; higher++ {
 		if p.memoryStarved(higher) {
