--- a/pool/starved_test.go
+++ b/pool/starved_test.go
@@ -13,23 +13,23 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// loadClass is a kind of request of a replayed load.
+// loadClass is one kind of request in a replayed load.
 type loadClass struct {
 	tier             request.Tier
 	perSecond        float64
 	prompt, tokens   int
 	target, deadline time.Duration
-	decodeTime       time.Duration // on an engine, once its prompt was read
+	decodeTime       time.Duration // from the end of the prefill to the end of the answer
 }
 
-// prefillPerToken is how long an engine takes to read a token of a prompt. All that runs there
-// waits meanwhile.
+// prefillPerToken is the time that an engine needs to prefill one prompt token. All other
+// runs on the engine stall meanwhile.
 const prefillPerToken = time.Millisecond / 56
 
 func (c loadClass) prefillTime() time.Duration { return time.Duration(c.prompt) * prefillPerToken }
 
-// The classes of a deployment of unlike work: large drafts, summaries of one page and
-// tags that take a slot for a twentieth of the time.
+// Load classes of a deployment with different kinds of work: long drafts, one-page
+// summaries, and tags that occupy a slot for a twentieth of the time.
 var (
 	draft   = loadClass{tier: 0, perSecond: 11.1, prompt: 6600, tokens: 380, target: 800 * time.Millisecond, deadline: 15 * time.Second, decodeTime: 1400 * time.Millisecond}
 	summary = loadClass{tier: 1, perSecond: 13.5, prompt: 690, tokens: 290, target: time.Second, deadline: 12 * time.Second, decodeTime: 1050 * time.Millisecond}
@@ -42,34 +42,34 @@
 	return c
 }
 
-// replayLength is how long callers come; their deadlines end later.
+// replayLength is the time in which new callers arrive. Their deadlines end later.
 const replayLength = 30 * time.Second
 
-// replayResult is what became of the callers of each tier.
+// replayResult counts the results of the callers by tier.
 type replayResult struct {
 	callers, served [request.MaxTiers]float64
-	// engineTime is what the served requests of each tier took, in seconds of one engine:
-	// all of it while a prompt is read, its slot's part for the rest of the run.
+	// engineTime is the engine time of the served requests of each tier, in seconds: the
+	// whole engine during prefill and one slot's share during the rest of the run.
 	engineTime [request.MaxTiers]float64
 	// inversions counts the requests that were shed while one of a lower tier waited.
 	inversions int
 }
 
-// engines and slots are of the pool that is replayed.
+// Size of the replayed pool: engines, and slots per engine.
 const (
 	engines = 6
 	slots   = 8
 )
 
-// engineShare is the part of the engines' time that the served requests of a tier took.
+// engineShare is the share of all engine time that a tier's served requests took.
 func (x replayResult) engineShare(t request.Tier) float64 {
 	return x.engineTime[t] / (engines * replayLength.Seconds())
 }
 
-// servedShare is the part of a tier's callers that was served.
+// servedShare is the share of a tier's callers that were served.
 func (x replayResult) servedShare(t request.Tier) float64 { return x.served[t] / max(1, x.callers[t]) }
 
-// overallServedShare is the part of all callers that was served.
+// overallServedShare is the share of all callers that were served.
 func (x replayResult) overallServedShare() float64 {
 	callers, served := 0.0, 0.0
 	for t := range x.callers {
@@ -79,15 +79,15 @@
 	return served / max(1, callers)
 }
 
-// replay is a load that a pool of engines serves, in simulated time. A refused caller
-// comes back once, after what it was told or a third of the time that it has.
+// replay simulates a pool of engines under a load. A shed caller retries once, after its
+// Retry-After or a third of its remaining time, whichever is less.
 type replay struct {
 	*simulation
 	callers map[request.ID]*caller
 	result  replayResult
-	// engineRun is what runs on each server.
+	// running holds the runs of each server.
 	running map[string][]*engineRun
-	// waiting counts by tier, as the pool's commands tell.
+	// waiting counts the waiting requests by tier, according to the pool's commands.
 	waiting [request.MaxTiers]int
 }
 
@@ -106,10 +106,11 @@
 	retried  bool
 }
 
-// retryDivisor is the largest part of its time left that a refused caller waits.
+// A shed caller waits at most its remaining time divided by retryDivisor before its
+// retry.
 const retryDivisor = 3
 
-// runReplay plays a load with shares for starved tiers.
+// runReplay replays a load with the given shares for starved tiers.
 func runReplay(shares *fairshare.Ledger, seed uint64, load ...loadClass) replayResult {
 	x := &replay{
 		simulation: &simulation{pool: newHarness(Config{
@@ -177,10 +178,10 @@
 	x.at(r.ends, func() { x.end(r, first) })
 }
 
-// startupTime is how long an engine takes to begin with a request.
+// startupTime is the time that an engine needs to start a request.
 const startupTime = 16 * time.Millisecond
 
-// end ends a run, or comes back for it where others held it up.
+// end ends a run, or reschedules its end if the prefill of other runs has delayed it.
 func (x *replay) end(r *engineRun, first time.Duration) {
 	if r.ends.After(x.pool.now) {
 		x.at(r.ends, func() { x.end(r, first) })
@@ -206,33 +207,35 @@
 	x.at(x.pool.now.Add(min(s.RetryAfter, left/retryDivisor)), func() { x.send(c) })
 }
 
-// strictOrder gives starved tiers nothing.
+// strictOrder gives no shares to starved tiers.
 func strictOrder() *fairshare.Ledger { return fairshare.New(fairshare.Config{Window: starvedWindow}) }
 
-// seeds is how many seeds each load is played with.
+// seeds is the number of seeds with which each load is replayed.
 const seeds = 3
 
-// longOverloads are loads beyond the slots for as long as a replay lasts.
+// longOverloads are loads that exceed the slots for the whole replay.
 var longOverloads = map[string][]loadClass{
-	"crowds of all":                           {draft.scaled(1.5), summary.scaled(1.5), tag.scaled(1.5)},
-	"a crowd of the middle tier":              {draft, summary.scaled(3), tag},
-	"a crowd of the lowest beside the others": {draft.scaled(1.4), summary.scaled(1.4), tag.scaled(3)},
+	"overload of all tiers":                    {draft.scaled(1.5), summary.scaled(1.5), tag.scaled(1.5)},
+	"overload of the middle tier":              {draft, summary.scaled(3), tag},
+	"overload of all tiers, mostly the lowest": {draft.scaled(1.4), summary.scaled(1.4), tag.scaled(3)},
 }
 
 const (
-	// starvedBelow is the part of the service of all below which a tier counts as starved.
+	// starvedBelow is the share of the overall service below which a tier counts as
+	// starved.
 	starvedBelow = 0.25
-	// minRelativeService is the part that each tier should have.
+	// minRelativeService is the share of the overall service that each tier should get.
 	minRelativeService = 0.5
-	// maxServiceLoss is the part of the callers of a tier above that this may cost, beside
-	// what the engines could not do meanwhile.
+	// maxServiceLoss is the share of a higher tier's callers that may be lost, beyond the
+	// share of engine time given to the lower tier.
 	maxServiceLoss = 0.01
 )
 
-// Guards against a tier that gets nothing while those above it have more work than slots.
+// Guards against a tier that gets almost no service while higher tiers have more work
+// than slots.
 func TestEachTierGetsAQuarterOfOverallService(t *testing.T) {
 	for name, load := range longOverloads {
-		Convey("In "+name+" no tier is starved, none is overtaken, and more callers are served in all", t, func() {
+		Convey("In an "+name+", no tier starves, no request is shed before a lower tier, and more callers are served overall", t, func() {
 			for seed := range uint64(seeds) {
 				out, strict := runReplay(newFairShare(), seed, load...), runReplay(strictOrder(), seed, load...)
 				So(strict.servedShare(tag.tier), ShouldBeLessThan, starvedBelow*strict.overallServedShare())
@@ -246,11 +249,11 @@
 	}
 }
 
-// Guards against a lowest tier that is served less than half as often as all, or that
-// costs those above it more of their callers than it takes of the engines' time.
+// Guards against a lowest tier that gets less than half of the overall service, or that
+// costs higher tiers a larger share of their callers than it takes of the engine time.
 func TestNoTierStarvesInALongOverload(t *testing.T) {
 	for name, load := range longOverloads {
-		Convey("In "+name+" each tier is served half as often as all, and those above lose no more than it takes", t, func() {
+		Convey("In an "+name+", each tier gets half of the overall service, and higher tiers lose no more than it takes", t, func() {
 			for seed := range uint64(seeds) {
 				out, without := runReplay(newFairShare(), seed, load...), runReplay(newFairShare(), seed, load[0], load[1])
 				So(out.servedShare(tag.tier), ShouldBeGreaterThanOrEqualTo, minRelativeService*out.overallServedShare())
@@ -262,11 +265,11 @@
 	}
 }
 
-// Guards against a lowest tier whose work is as long as that of those above, and that
-// gets nothing, or as much as would starve them in its turn.
+// Guards against a lowest tier of long requests that gets no service, or so much that
+// higher tiers starve.
 func TestLowTierOfLongRequestsDoesNotStarve(t *testing.T) {
 	long := loadClass{tier: 2, perSecond: 12, prompt: 1100, tokens: 170, target: 500 * time.Millisecond, deadline: 15 * time.Second, decodeTime: 900 * time.Millisecond}
-	Convey("It is served a quarter as often as all, and those above lose no more than its share", t, func() {
+	Convey("It gets a quarter of the overall service, and the top tier loses no more than its share", t, func() {
 		for seed := range uint64(seeds) {
 			load := []loadClass{draft.scaled(2.3), summary.scaled(5), long.scaled(2)}
 			out, strict := runReplay(newFairShare(), seed, load...), runReplay(strictOrder(), seed, load...)
@@ -277,9 +280,10 @@
 	})
 }
 
-// Guards against starved tiers that take the memory for which a long prompt above waits.
+// Guards against starved tiers that take the memory for which a long prompt of a higher
+// tier waits.
 func TestStarvedTierYieldsToPromptWaitingForMemory(t *testing.T) {
-	Convey("Given a starved tier that has saved up slot time, and a prompt that fits nowhere", t, func() {
+	Convey("Given a starved tier with accumulated slot time, and a prompt that fits on no server", t, func() {
 		r := newHarness(Config{}, servers(1, 8)...)
 		r.servers["s0"].kvCapacity = 10_000
 		filler := enqueue("filler", 0)
@@ -300,6 +304,6 @@
 		r.advance(memoryStarveAfter)
 		low.Request = "next"
 		So(grants(r.send(low)), ShouldBeEmpty)
-		So(grants(r.endRun(g, OutcomeDone)), ShouldHaveLength, 2) // there is memory for both
+		So(grants(r.endRun(g, OutcomeDone)), ShouldHaveLength, 2) // both fit now
 	})
 }
--- a/pool/summary.go
+++ b/pool/summary.go
@@ -6,7 +6,7 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Summary tells how the pool stands.
+// Summary returns a snapshot of the pool's load at time now.
 func (p *Pool) Summary(now time.Time) Summary {
 	p.now = now
 	sum := Summary{LostRuns: p.reclaimedRuns, Tally: p.tally, Pool: p.cfg.Name, Running: len(p.byGrant)}
--- a/pool/tally.go
+++ b/pool/tally.go
@@ -7,21 +7,22 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// TierTally counts what became of a tier's requests, since the pool's start.
+// TierTally counts the results of a tier's requests since the pool's start.
 type TierTally struct {
-	// Granted were granted while they could meet their target, GrantedLate when they
-	// could not.
+	// Granted counts requests granted while they could meet their target, GrantedLate
+	// those granted later.
 	Granted, GrantedLate int
-	// Shed were given up for want of a slot, Expired ended at their deadline.
+	// Shed counts requests refused for lack of a slot, Expired those that reached their
+	// deadline.
 	Shed, Expired int
-	// SlotTime is how long the runs that have ended held their slots.
+	// SlotTime is the total time that ended runs occupied their slots.
 	SlotTime time.Duration
 }
 
-// Tally is what became of the requests of each tier.
+// Tally holds the counts of all tiers.
 type Tally [request.MaxTiers]TierTally
 
-// Since returns what has come on top of an earlier tally.
+// Since returns the difference to an earlier tally.
 func (t Tally) Since(before Tally) (d Tally) {
 	for i, now := range t {
 		b := before[i]
--- a/pool/tally_test.go
+++ b/pool/tally_test.go
@@ -7,9 +7,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against a refused tier of which nobody can say what ran instead of it.
+// Guards against a shed tier for which the counts do not show what ran in its place.
 func TestTallyCountsByTier(t *testing.T) {
-	Convey("Grants, refusals and slot time are told by tier, and what is new since", t, func() {
+	Convey("Grants, refusals and slot time are counted by tier, with the difference to an earlier tally", t, func() {
 		r := newHarness(Config{MaxWaitShare: 0.1}, servers(1, 1)...)
 		g := r.mustGrant(enqueue("high", 0))
 		r.send(enqueue("low", 2))
@@ -22,7 +22,7 @@
 		So(tally[2], ShouldResemble, TierTally{Shed: 1})
 		So(tally.Since(before)[0], ShouldResemble, TierTally{SlotTime: 500 * time.Millisecond})
 
-		Convey("One that is granted after its target, or ends at its deadline, counts apart", func() {
+		Convey("Late grants and expired requests are counted separately", func() {
 			r := newHarness(Config{}, servers(1, 1)...)
 			g := r.mustGrant(enqueue("runs", 0))
 			r.send(enqueue("late", 0))
--- a/pool/waiter.go
+++ b/pool/waiter.go
@@ -9,8 +9,8 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// outputWeight is how many prompt tokens cost as much as one generated token:
-// a prompt is computed many tokens a step, an answer one token a step.
+// outputWeight is the number of prompt tokens that cost as much as one generated token.
+// An engine computes many prompt tokens per step, but one token of an answer.
 const outputWeight = 8
 
 // waiter is a request that waits for a slot.
@@ -19,16 +19,16 @@
 	Enqueue
 	mix           estimate.Key
 	length        estimate.Length
-	firstTokenDue time.Time // when its first token is due; zero: no target
+	firstTokenDue time.Time // deadline of its first token; zero means no target
 	deadline      time.Time
 	enqueuedAt    time.Time // in this pool
-	bypassed      int       // times that another went first for its prefix
-	suspect       bool      // a suspect: it waits in Pool.isolated
-	extended      bool      // beyond the shorter patience
+	bypassed      int       // how often a request with a warm prefix was granted first
+	suspect       bool      // waits in Pool.isolated
+	extended      bool      // its maximum wait was extended
 
 	heldFor   *server
 	heldUntil time.Time
-	heldRun   *run // computes the prefix that it waits for
+	heldRun   *run // run that computes the prefix it waits for
 	noHold    bool
 }
 
@@ -36,9 +36,8 @@
 	e.Tier = min(e.Tier, request.MaxTiers-1)
 	e.PromptTokens, e.MaxTokens, e.ExpectedTokens = max(0, e.PromptTokens), max(0, e.MaxTokens), max(0, e.ExpectedTokens)
 	if r := p.byRequest[e.Request]; r != nil && r.entry == e.Entry {
-		// The grant was lost on the way: a connection broke. Giving the same
-		// grant again is idempotent; a second one would count one request
-		// twice.
+		// The entry did not receive the grant because its connection broke. Repeating the
+		// grant is idempotent; a second grant would count the request twice.
 		r.withdrawnAt = time.Time{}
 		p.emit(Grant{Request: r.request, Entry: r.entry, Grant: r.id, Server: r.server.info.Name})
 		return
@@ -90,8 +89,8 @@
 	return w
 }
 
-// isLateRetry tells whether a request comes back when its target has passed for its
-// caller. It waits behind those of its tier that can be in time.
+// isLateRetry reports whether a request is a retry whose target has already passed for
+// its caller. It waits behind the requests of its tier that can be in time.
 func (p *Pool) isLateRetry(w *waiter) bool {
 	if p.isBaseline() || w.FirstTokenIn == 0 {
 		return false
@@ -100,12 +99,12 @@
 	return elapsed > w.FirstTokenIn+w.Waited
 }
 
-// workCost is the work of a request, in prompt tokens. A call to a plain service
-// has no tokens: each counts as one.
+// workCost is the work of a request, in prompt tokens. A call to a plain service has no
+// tokens and counts as one.
 func workCost(prompt, output int) float64 { return float64(1 + prompt + outputWeight*output) }
 
-// latestStart is when a request must have a server at the latest, on the best
-// server there is, without any cached prefix.
+// latestStart is the latest time at which a request must start to meet its targets, on
+// the fastest server and without a cached prefix.
 func (p *Pool) latestStart(w *waiter) time.Time {
 	first, whole := p.fastestTimes(w.PromptTokens, w.length.Mean)
 	due := w.deadline.Add(-whole)
@@ -117,7 +116,7 @@
 	return due
 }
 
-// removeWaiter takes a waiting request out.
+// removeWaiter removes a waiting request from its queue.
 func (p *Pool) removeWaiter(w *waiter) {
 	if w.heldFor != nil {
 		p.removeHold(w)
@@ -147,7 +146,7 @@
 	}
 }
 
-// suspectState returns what is known of a waiting request's fingerprint.
+// suspectState returns the suspect state of a waiting request's fingerprint.
 func (p *Pool) suspectState(w *waiter) suspect.State {
 	if p.isBaseline() {
 		return suspect.Clear
--- a/pool/withdraw_test.go
+++ b/pool/withdraw_test.go
@@ -6,7 +6,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against a server that runs one more than its slots, since a withdrawn grant was used and freed.
+// Guards against a server that runs one request more than its slots because a withdrawn
+// grant was freed although its entry used it.
 func TestRepeatedGrantCancelsWithdrawal(t *testing.T) {
 	Convey("A withdrawn grant that was repeated keeps its slot", t, func() {
 		r := newHarness(Config{}, servers(1, 4)...)
