--- a/pool/property_test.go
+++ b/pool/property_test.go
@@ -278,7 +278,7 @@
 					FirstToken: time.Duration(rapid.IntRange(1, 3000).Draw(t, "first")) * time.Millisecond,
 					PerToken:   time.Duration(rapid.IntRange(0, 200).Draw(t, "per")) * time.Millisecond})
 			},
-			"late release": func(t *rapid.T) {
+			"late": func(t *rapid.T) {
 				if len(m.ended) > 0 {
 					m.send(rapid.SampledFrom(m.ended).Draw(t, "release"))
 				}
@@ -297,11 +297,11 @@
 				}
 				m.send(Tick{})
 			},
-			"restart server":  m.restartServer,
-			"leave or return": func(*rapid.T) { m.leaveOrReturn("e1") },
-			"restart entry":   func(*rapid.T) { m.restartEntry("e1") },
-			"change owner":    func(t *rapid.T) { m.changeOwner() },
-			"":                func(t *rapid.T) { m.checkCounts(t) },
+			"again": m.restartServer,
+			"entry": func(*rapid.T) { m.leaveOrReturn("e1") },
+			"ended": func(*rapid.T) { m.restartEntry("e1") },
+			"owner": func(t *rapid.T) { m.changeOwner() },
+			"":      func(t *rapid.T) { m.checkCounts(t) },
 		})
 		m.checkDeterminism(t)
 	})
