--- a/member/config.go
+++ b/member/config.go
@@ -6,83 +6,89 @@
 	"github.com/pkg/errors"
 )
 
-// Config says who this daemon is and how membership is timed. Zero values
-// take the defaults.
+// Config holds this daemon's identity and the protocol's timing. Zero durations take
+// their defaults.
 type Config struct {
-	// Self is this daemon's record. Its Incarnation is the wall clock's
-	// milliseconds at the start: there is no disk to count starts on, and a
-	// clock that went back is noticed when gossip knows a larger incarnation,
-	// which is then exceeded.
+	// Self is this daemon's record. Its Incarnation is the wall clock at the start, in
+	// Unix milliseconds, since there is no disk on which to count starts. If the clock
+	// went back, other members know a larger incarnation, which this daemon then
+	// exceeds.
 	Self Member
-	// Seeds are addresses (IP:port) to ask for members, this daemon's own too.
+	// Seeds are the addresses (IP:port) to ask for members. They may include this
+	// daemon's own.
 	Seeds []string
 
-	// ProbeInterval is the time between two probes. Default 500 ms.
+	// ProbeInterval is the time between two probes. Default: 500 ms.
 	ProbeInterval time.Duration
-	// DirectTimeout is how long a probe may take before others are asked to
-	// probe the member too. Default 400 ms.
+	// DirectTimeout is how long a direct probe may take before other members are asked
+	// to probe the target. Default: 400 ms.
 	DirectTimeout time.Duration
-	// ProbeTimeout ends a probe, its indirect part included. Default 1 s.
+	// ProbeTimeout bounds a probe, including its indirect phase. Default: 1 s.
 	ProbeTimeout time.Duration
-	// SuspicionMin is how long a member stays suspected when others agree,
-	// SuspicionMax when nobody does. Default 1 s and 6 s.
+	// SuspicionMin is the suspicion timeout with enough confirmations by other members,
+	// SuspicionMax the timeout without any. Defaults: 1 s and 6 s.
 	SuspicionMin, SuspicionMax time.Duration
-	// Tombstone is how long a dead member is remembered. Default 1 h.
+	// Tombstone is how long a dead member is remembered. Default: 1 h.
 	Tombstone time.Duration
-	// PauseGap between two ticks means that this process did not run.
-	// Default 1 s.
+	// PauseGap is the time between two ticks from which on this process counts as
+	// having been paused. Default: 1 s.
 	PauseGap time.Duration
 }
 
-// TickInterval is how often Machine.Tick is to be called.
+// TickInterval is the interval at which Machine.Tick must be called.
 const TickInterval = 100 * time.Millisecond
 
-// Bounds that make the cost of a member constant, however many there are.
+// Limits that keep the cost per member constant, independent of the cluster's size.
 const (
-	// probeRingCount is how many members one member probes at regular intervals, and
-	// by how many it is probed.
+	// probeRingCount is how many members each member probes at regular intervals, and
+	// by about how many it is probed.
 	probeRingCount = 6
-	// indirectProbeCount are asked to probe a member that did not answer.
+	// indirectProbeCount is how many members are asked to probe a target that did not
+	// answer.
 	indirectProbeCount = 3
-	// probesPerSync is how many probe intervals lie between two comparisons of
-	// the whole view with a random member.
+	// probesPerSync is the number of probe intervals between two view syncs with a
+	// random member.
 	probesPerSync = 20
-	// probesPerStartupSync takes its place in the first startupPeriod of a member, which
-	// was told of its own region only.
+	// probesPerStartupSync replaces probesPerSync during startupPeriod: a joining
+	// member has only been sent its own region.
 	probesPerStartupSync = 3
-	// maxUpdatesPerMessage bounds the news on one message.
+	// maxUpdatesPerMessage limits the broadcasts in one message.
 	maxUpdatesPerMessage = 6
-	// retransmitMultiplier times log10(members) is how often each member passes one
-	// piece of news on; what is missed all the same, comparing views brings.
+	// retransmitMultiplier times log10(members) is how often each member forwards a
+	// broadcast. Members that it misses are updated by view syncs.
 	retransmitMultiplier = 4
-	// pushFanout is how many members are told fresh news at once.
+	// pushFanout is how many members receive a new broadcast at once.
 	pushFanout = 2
-	// maxVerifyProbes bounds the probes that verify other members' suspicions.
+	// maxVerifyProbes limits the concurrent probes when verification probes are
+	// started.
 	maxVerifyProbes = 8
-	// maxRelays bounds the probes done for others.
+	// maxRelays limits the concurrent probes on behalf of other members.
 	maxRelays = 64
-	// suspicionConfirmations shorten a suspicion to SuspicionMin.
+	// suspicionConfirmations is how many confirmations shorten a suspicion to
+	// SuspicionMin.
 	suspicionConfirmations = 2
-	// maxLocalHealth bounds how much slower a member judges that hears nothing.
+	// maxLocalHealth is the worst local health score. Timeouts are multiplied by 1 +
+	// score.
 	maxLocalHealth = 3
-	// maxRecordsPerMessage bounds a message of a view's comparison.
+	// maxRecordsPerMessage limits the records in one view sync message.
 	maxRecordsPerMessage = 200
 )
 
-// startupPeriod is how long a member compares views more often after its start.
+// startupPeriod is how long after its start a member syncs views more often.
 const startupPeriod = 15 * time.Second
 
-// joinRetryInterval is how often a member that knows nobody asks a seed.
+// joinRetryInterval is how often a member that knows no live one sends a join.
 const joinRetryInterval = 500 * time.Millisecond
 
-// seedContactInterval is how often a seed that is not among the members is asked.
+// seedContactInterval is how often a member tries to contact a seed that it doesn't
+// know as a live member.
 const seedContactInterval = 3 * time.Second
 
-// reprobeInterval is how often a suspected member is probed again, so that it
-// learns of the suspicion.
+// reprobeInterval is the minimum time between two probes of a suspected member. The
+// probes also tell it that it is suspected.
 const reprobeInterval = 400 * time.Millisecond
 
-// withDefaults checks the configuration and fills in the defaults.
+// withDefaults validates the configuration and fills in the defaults.
 func (c Config) withDefaults() (Config, error) {
 	if c.Self.Name == "" || c.Self.Address == "" || c.Self.Region == "" {
 		return c, errors.New("member: name, address and region must be set")
--- a/member/gossip.go
+++ b/member/gossip.go
@@ -8,15 +8,15 @@
 	"github.com/lycheekeel/lycheekeel/member/wire"
 )
 
-// broadcast is news that is still being spread.
+// broadcast is a record that is still being spread by gossip.
 type broadcast struct {
 	record    *wire.Record
 	transmits int
 }
 
-// queueBroadcast spreads a record in place of older news of the same member. Records
-// of one suspicion by different suspectors are spread side by side, because
-// each confirms it.
+// queueBroadcast queues a record for gossip and replaces older broadcasts about the
+// same member. Suspicions of the same incarnation by different suspectors are kept side
+// by side, because each of them is a confirmation.
 func (m *Machine) queueBroadcast(r *wire.Record) {
 	m.broadcasts = slices.DeleteFunc(m.broadcasts, func(b *broadcast) bool {
 		confirms := b.record.State == wire.State_STATE_SUSPECT && r.State == wire.State_STATE_SUSPECT &&
@@ -27,7 +27,8 @@
 	m.hasNewBroadcasts = true
 }
 
-// appendBroadcasts adds the least spread news to a message's updates.
+// appendBroadcasts appends the broadcasts that were sent least often to a message's
+// updates.
 func (m *Machine) appendBroadcasts(records []*wire.Record) []*wire.Record {
 	if len(m.broadcasts) == 0 {
 		return records
@@ -43,8 +44,8 @@
 	return records
 }
 
-// pushBroadcasts tells fresh news to a few members at once, so that it need not wait
-// for the next probes.
+// pushBroadcasts sends new broadcasts to a few members at once instead of waiting for
+// the next probes.
 func (m *Machine) pushBroadcasts() {
 	if !m.hasNewBroadcasts {
 		return
@@ -55,8 +56,9 @@
 	}
 }
 
-// pushToOtherRegions tells a death to one member of each other region. Only the
-// few first suspectors do so; the views' comparison would take longer.
+// pushToOtherRegions sends the broadcasts to one member of each other region when a
+// member has been marked dead. Only its first suspectors do so. View syncs alone would
+// take longer.
 func (m *Machine) pushToOtherRegions() {
 	sent := map[string]struct{}{}
 	for _, name := range m.pickRandom(len(m.members), m.isLiveOtherRegion) {
@@ -68,7 +70,8 @@
 	}
 }
 
-// isProbeTarget members are those with a connection: the ones probed from here.
+// isProbeTarget reports whether this member probes the other one, and so has a
+// connection to it.
 func (m *Machine) isProbeTarget(e *memberEntry) bool {
 	return e.State != Dead && slices.Contains(m.probeTargets(), e.Name)
 }
--- a/member/join.go
+++ b/member/join.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// candidatesPerTick bounds the addresses that are tried at once: after the first
-	// answer the others are mostly known.
+	// candidatesPerTick limits how many addresses are tried at once. The first answer
+	// usually names most of the others.
 	candidatesPerTick = 1
-	// joinRecordsPerRegion is how many members of each other region a joining member
-	// is told of. The rest it gets by comparing views, from members at random,
-	// so that a seed need not send everything to everyone that joins.
+	// joinRecordsPerRegion is how many members of each other region are sent to a
+	// joining member. It gets the rest by view syncs with random members, so that a
+	// seed need not send the whole view to every joining member.
 	joinRecordsPerRegion = 2
 )
 
-// SetCandidates takes the addresses (IP:port) of the platform's VM list. The list
-// lags: an address in it may have joined, gone or not started yet, so it only
-// says where to ask, and its absence proves nothing.
+// SetCandidates sets the addresses (IP:port) from the platform's VM list. The list
+// lags: a VM in it may have joined, stopped or not started yet. It only says where to
+// ask for members; that an address is absent proves nothing.
 func (m *Machine) SetCandidates(addresses []string) {
 	m.joinState.vmListRead = true
 	m.vmListHosts = make(map[string]struct{}, len(addresses))
@@ -31,7 +31,7 @@
 	m.rand.Shuffle(len(m.candidates), func(i, j int) { m.candidates[i], m.candidates[j] = m.candidates[j], m.candidates[i] })
 }
 
-// joinCandidates asks a few of the hinted addresses that are still unknown.
+// joinCandidates sends a join to the next candidate addresses that are still unknown.
 func (m *Machine) joinCandidates() {
 	for n := 0; n < candidatesPerTick && len(m.candidates) > 0; {
 		address := m.candidates[0]
@@ -43,9 +43,10 @@
 	}
 }
 
-// contactSeeds asks a random seed or lost member for members: often while this member
-// knows nobody, and now and then while a seed is missing among those it knows,
-// since members that started together may have formed two clusters.
+// contactSeeds sends a message to a random dead member or unknown seed: a join at short
+// intervals while no live member is known, and otherwise a view sync to an unknown seed
+// at longer ones, since members that started together may have formed separate
+// clusters.
 func (m *Machine) contactSeeds() {
 	if m.now.Before(m.nextSeedContact) {
 		return
@@ -70,8 +71,8 @@
 	})
 }
 
-// answerJoin tells a joining member of its own region and of a few members of
-// each other one.
+// answerJoin sends a joining member the records of its own region and of a few members
+// of each other region.
 func (m *Machine) answerJoin(from peer.Name) {
 	joiner, known := m.members[string(from)]
 	if !known {
@@ -90,7 +91,7 @@
 	m.sendRecordChunks(from, records)
 }
 
-// knowsAddress tells whether a live member, or this one, listens there.
+// knowsAddress reports whether this member or a live one has the address.
 func (m *Machine) knowsAddress(address string) bool {
 	if address == m.self.Address {
 		return true
--- a/member/joined.go
+++ b/member/joined.go
@@ -6,24 +6,24 @@
 	"github.com/lycheekeel/lycheekeel/member/wire"
 )
 
-// JoinTimeout is how long after its start a member that nobody answers goes
-// on as the only one. A seed that answers does so in far less; one that is
-// gone may take the transport's whole patience with a connection.
+// JoinTimeout is how long after its start a member waits for an answer before it
+// continues alone. A running seed answers much sooner; a connection to a failed one may
+// take the transport's whole timeout.
 const JoinTimeout = 3 * time.Second
 
-// joinState is how far a member that has just started is with meeting others.
+// joinState tracks whether a member that has just started has received a view.
 //
-// What goes wrong without it: until a member has met another one, its view
-// holds itself alone, so it takes every pool of its region for its own, beside
-// their owners. Callers must not be sent to it before.
+// Until then its view contains only itself. Without this state it would consider itself
+// the owner of every pool of its region, beside the real owners. Callers must not be
+// routed to it before.
 type joinState struct {
 	started      time.Time
-	viewReceived bool // somebody has told which members there are
-	vmListRead   bool // the platform's list was read
+	viewReceived bool // a peer has sent records or has an equal view
+	vmListRead   bool // the platform's VM list has been read
 }
 
-// markViewReceived notes that a peer told which members there are, or that it knows
-// the same ones.
+// markViewReceived notes that a peer sent records, or that its view equals the local
+// one.
 func (m *Machine) markViewReceived(s *wire.Sync, digest uint64) {
 	equal := s.Digest == digest && !s.Join && len(s.Buckets) == 0 && len(s.Differing) == 0
 	if len(s.Records) > 0 || equal {
@@ -31,15 +31,15 @@
 	}
 }
 
-// Joined tells whether the view can be gone by: somebody has told of the
-// members, or there is nobody to ask, or nobody has answered for JoinTimeout.
+// Joined reports whether the view is usable: a peer has sent its members, no other
+// address is known to ask, or nobody has answered within JoinTimeout.
 func (m *Machine) Joined() bool {
 	j := &m.joinState
 	return j.viewReceived || m.now.Sub(j.started) >= JoinTimeout || j.vmListRead && !m.hasOtherAddresses()
 }
 
-// hasOtherAddresses tells whether a seed or the platform's list names an address
-// that is not this member's own.
+// hasOtherAddresses reports whether the seeds or the platform's VM list contain an
+// address other than this member's own.
 func (m *Machine) hasOtherAddresses() bool {
 	for _, s := range m.cfg.Seeds {
 		if s != m.self.Address {
--- a/member/joined_test.go
+++ b/member/joined_test.go
@@ -10,7 +10,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against this: a daemon that has just started grants slots beside the pools' owners.
+// Guards against a daemon that, just after its start, grants slots of pools that others
+// own.
 func TestJoined(t *testing.T) {
 	Convey("Given a member that starts beside a running cluster", t, func() {
 		c := membertest.New(9, 1, 1)
@@ -21,14 +22,14 @@
 		So(ok, ShouldBeTrue)
 		joiner := c.Nodes[8]
 
-		Convey("it has joined when it knows them", func() {
+		Convey("it has joined once it knows the others", func() {
 			joiner.Start()
 			So(joiner.Machine.Joined(), ShouldBeFalse)
 			_, ok := c.RunUntil(convergeTimeout, joiner.Machine.Joined)
 			So(ok, ShouldBeTrue)
 			So(len(joiner.View.Members), ShouldEqual, 9)
 		})
-		Convey("it goes on alone when nobody answers for a while", func() {
+		Convey("it has joined after JoinTimeout when nobody answers", func() {
 			for _, d := range c.Nodes[:8] {
 				d.Kill()
 			}
@@ -42,10 +43,10 @@
 		seeds, vmList []string
 		joined        bool
 	}{
-		"nobody to ask":               {joined: true},
-		"itself only":                 {seeds: []string{"10.0.0.1:1"}, vmList: []string{"10.0.0.1:1"}, joined: true},
-		"a seed":                      {seeds: []string{"10.0.0.2:1"}},
-		"a VM of the platform's list": {vmList: []string{"10.0.0.1:1", "10.0.0.2:1"}},
+		"no other address":               {joined: true},
+		"its own address only":           {seeds: []string{"10.0.0.1:1"}, vmList: []string{"10.0.0.1:1"}, joined: true},
+		"another seed":                   {seeds: []string{"10.0.0.2:1"}},
+		"another address in the VM list": {vmList: []string{"10.0.0.1:1", "10.0.0.2:1"}},
 	} {
 		Convey("Given a member with "+name, t, func() {
 			now := time.Unix(1000, 0)
@@ -55,7 +56,7 @@
 			}, now, rand.New(rand.NewPCG(1, 1)))
 			So(err, ShouldBeNil)
 			m.Tick(now)
-			So(m.Joined(), ShouldBeFalse) // the list is not there yet
+			So(m.Joined(), ShouldBeFalse) // the VM list has not been read yet
 			m.SetCandidates(c.vmList)
 			So(m.Joined(), ShouldEqual, c.joined)
 			m.Tick(now.Add(member.JoinTimeout))
--- a/member/machine.go
+++ b/member/machine.go
@@ -9,23 +9,24 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Outgoing is a message to send. Members without a name yet are peer.ByAddress.
+// Outgoing is a message to send. A member whose name is not known yet is addressed by
+// peer.ByAddress.
 type Outgoing struct {
 	To      peer.Name
 	Type    peer.Type
 	Payload []byte
 }
 
-// Stats counts what the machine did, since its start.
+// Stats holds the machine's event counters since its start.
 type Stats struct {
 	Probes, ProbeFailures, IndirectAcks          uint64
 	Suspicions, Refutations, Deaths, LocalPauses uint64
 	Syncs, SyncDifferences, InvalidMessages      uint64
 }
 
-// Machine is membership as a pure state machine: events go in with the time,
-// messages to send come out. One goroutine at a time uses it. Runner connects
-// it to a peer.Transport.
+// Machine is the membership protocol as a pure state machine: it takes events with
+// their time and returns the messages to send. It is not safe for concurrent use.
+// Runner connects it to a peer.Transport.
 type Machine struct {
 	cfg     Config
 	rand    *rand.Rand
@@ -37,17 +38,17 @@
 	now      time.Time
 	lastTick time.Time
 	outgoing []Outgoing
-	changed  bool // the view differs from the last one published
+	changed  bool // the view differs from the one that View returned last
 
 	seq             uint64
 	probes          map[uint64]*probe
 	probeByTarget   map[string]*probe
 	relays          map[uint64]relay
-	verifyQueue     []string // members to probe because of what others say
-	probeQueue      []string // members still to probe in this round
-	targets         []string // the members that this one probes
+	verifyQueue     []string // suspected members, still to be probed
+	probeQueue      []string // rest of the current probe round
+	targets         []string // members that this one probes at regular intervals
 	targetsStale    bool
-	localHealth     int // 0: fine; more: this member itself seems slow or cut off
+	localHealth     int // 0: healthy; up to maxLocalHealth: this member seems slow or isolated
 	nextProbe       time.Time
 	probesUntilSync int
 	syncPartnerKind int
@@ -55,21 +56,21 @@
 	nextSeedContact time.Time
 
 	broadcasts       []*broadcast
-	hasNewBroadcasts bool // broadcasts came in since the last push
+	hasNewBroadcasts bool // broadcasts were queued since the last push
 	joinState        joinState
 	vmListHosts      map[string]struct{}
-	candidates       []string // addresses not tried yet
+	candidates       []string // addresses (IP:port) not tried yet
 }
 
-// memberEntry is what is known of another member.
+// memberEntry is the local record of another member.
 type memberEntry struct {
 	Member
-	stateChangedAt   time.Time // when State was last changed
-	lastProbeFailure time.Time // the end of the last own probe that failed
+	stateChangedAt   time.Time // last change of State
+	lastProbeFailure time.Time // end of the last failed probe by this member
 	suspicion        *suspicion
 }
 
-// NewMachine returns a machine that knows nobody but its seeds.
+// NewMachine returns a machine that knows only its seeds.
 func NewMachine(cfg Config, now time.Time, r *rand.Rand) (*Machine, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -88,7 +89,7 @@
 	return m, nil
 }
 
-// Tick does what is due; call it every TickInterval.
+// Tick runs the periodic work. It must be called every TickInterval.
 func (m *Machine) Tick(now time.Time) []Outgoing {
 	m.now = now
 	if now.Sub(m.lastTick) > m.cfg.PauseGap {
@@ -105,7 +106,7 @@
 	return m.takeOutgoing()
 }
 
-// Receive handles a peer's message.
+// Receive handles a message from a peer.
 func (m *Machine) Receive(now time.Time, from peer.Name, t peer.Type, payload []byte) []Outgoing {
 	m.now = now
 	var msg wire.Message
@@ -132,8 +133,8 @@
 	return m.takeOutgoing()
 }
 
-// PeerDown tells that the connection to a peer broke, or that a message could
-// not be sent. It is a hint: the peer is probed on a new connection.
+// PeerDown reports that the connection to a peer broke or that a message could not be
+// sent. This is no proof of a failure: the peer is probed over a new connection.
 func (m *Machine) PeerDown(now time.Time, peerName peer.Name) []Outgoing {
 	m.now = now
 	name := string(peerName)
@@ -148,8 +149,8 @@
 	return m.takeOutgoing()
 }
 
-// probeAfterDisconnect probes a member whose connection broke; one of another region that
-// the platform's list has not either is forgotten.
+// probeAfterDisconnect probes a member of this region whose connection broke. A member
+// of another region is marked dead if a VM list is known and does not contain it.
 func (m *Machine) probeAfterDisconnect(e *memberEntry) {
 	if e.State == Dead || m.now.Sub(e.lastProbeFailure) < reprobeInterval {
 		return
@@ -163,7 +164,7 @@
 	}
 }
 
-// Leave announces that this member takes no more pools.
+// Leave announces that this member no longer owns pools.
 func (m *Machine) Leave(now time.Time) []Outgoing {
 	m.now = now
 	m.self.State = Leaving
@@ -173,7 +174,7 @@
 	return m.takeOutgoing()
 }
 
-// Shutdown announces that this member stops now. No more ticks may follow.
+// Shutdown announces that this member stops now. Tick must not be called afterwards.
 func (m *Machine) Shutdown(now time.Time) []Outgoing {
 	m.now = now
 	m.self.State = Dead
@@ -184,10 +185,10 @@
 	return m.takeOutgoing()
 }
 
-// Stats returns the counters.
+// Stats returns a copy of the counters.
 func (m *Machine) Stats() Stats { return m.stats }
 
-// View returns the view if it changed since the last call, else nil.
+// View returns the view if it changed since the last call, otherwise nil.
 func (m *Machine) View() *View {
 	if !m.changed {
 		return nil
@@ -201,8 +202,9 @@
 	return NewView(m.self.Name, members)
 }
 
-// resetAfterPause takes back what this member holds against others: while
-// it was paused, it is itself that did not answer and did not hear.
+// resetAfterPause discards running probes and restarts all suspicions. While this
+// process was paused, it could not receive answers, so timeouts in that time say
+// nothing about other members.
 func (m *Machine) resetAfterPause() {
 	m.stats.LocalPauses++
 	m.probes = map[uint64]*probe{}
@@ -216,8 +218,9 @@
 	}
 }
 
-// send encodes a message with this member's own state and news, and what is
-// held against the receiver, so that it can refute it.
+// send encodes a message together with this member's own state and pending broadcasts.
+// If the receiver is suspect or dead here, its record is included so that it can refute
+// it.
 func (m *Machine) send(to peer.Name, t peer.Type, msg *wire.Message) {
 	msg.Incarnation = m.self.Incarnation
 	msg.State = wire.State(m.self.State)
--- a/member/machine_test.go
+++ b/member/machine_test.go
@@ -10,10 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-// convergeTimeout is within what virtual time a cluster without faults must agree.
+// convergeTimeout bounds the virtual time in which a cluster without faults must
+// converge.
 const convergeTimeout = 2 * time.Minute
 
-// newConvergedCluster returns a cluster whose members all know each other.
+// newConvergedCluster returns a running cluster whose members all know each other.
 func newConvergedCluster(n, regions int) *membertest.Cluster {
 	c := membertest.New(n, regions, 1)
 	c.StartAll()
@@ -24,14 +25,14 @@
 	return c
 }
 
-// believedState is what one member believes of another.
+// believedState returns the state of one member in the view of another.
 func believedState(c *membertest.Cluster, at, of int) member.State {
 	m, _ := c.Nodes[at].View.Get(c.Nodes[of].Name)
 	return m.State
 }
 
-// countBeliefs runs the cluster and counts, over all pairs of running
-// members and all ticks, how often one believed the other in the state.
+// countBeliefs runs the cluster and counts, over all pairs of running members and all
+// ticks, how often one believed the other to be in the state.
 func countBeliefs(c *membertest.Cluster, d time.Duration, s member.State) int {
 	n := 0
 	for end := c.Now().Add(d); c.Now().Before(end); {
@@ -48,23 +49,24 @@
 }
 
 func TestFailureDetection(t *testing.T) {
-	// Guards against this: pools without an owner; entries wait for grants.
+	// Guards against late failure detection, during which pools have no owner and
+	// entries wait for grants.
 	for name, end := range map[string]func(*membertest.Node){"killed": (*membertest.Node).Kill, "vanished": (*membertest.Node).Pause} {
 		for _, n := range []int{2, 3, 9, 40} {
-			Convey("A "+name+" member is believed dead by everybody soon", t, func() {
+			Convey("A "+name+" member is marked dead by all members in time", t, func() {
 				c := newConvergedCluster(n, 1)
 				end(c.Nodes[n-1])
 				elapsed, ok := c.RunUntil(convergeTimeout, c.Converged)
 				So(ok, ShouldBeTrue)
 				limit := 8 * time.Second
 				if name == "killed" {
-					limit = 2500 * time.Millisecond // leaves the new owner its share of 3 s
+					limit = 2500 * time.Millisecond // leaves the new owner its part of a total of 3 s
 				}
 				So(elapsed, ShouldBeLessThan, limit)
 			})
 		}
 	}
-	Convey("Two of three that die at once are noticed by the third", t, func() {
+	Convey("When two of three members die at once, the third detects it", t, func() {
 		c := newConvergedCluster(3, 1)
 		c.Nodes[0].Kill()
 		c.Nodes[1].Kill()
@@ -74,10 +76,11 @@
 }
 
 func TestBrokenLinkMarksNobodyDead(t *testing.T) {
-	// Guards against this: pools move although every daemon is alive.
-	Convey("Members behind a cut link stay alive for everybody", t, func() {
+	// Guards against pools that change owner because of a broken link while all daemons
+	// are alive.
+	Convey("Members with a broken link between them are never marked dead", t, func() {
 		for _, both := range []bool{false, true} {
-			c := newConvergedCluster(7, 1) // few enough that all probe each other
+			c := newConvergedCluster(7, 1) // few enough members that all probe each other
 			c.BlockLink(1, 2)
 			if both {
 				c.BlockLink(2, 1)
@@ -89,8 +92,8 @@
 }
 
 func TestPausedMemberMarksNobodyDead(t *testing.T) {
-	// Guards against this: after one VM's pause the whole cluster is believed dead.
-	Convey("A member that wakes from a pause convicts nobody and is taken back", t, func() {
+	// Guards against a paused VM that marks the whole cluster dead when it resumes.
+	Convey("A member that resumes after a pause marks nobody dead and is alive again", t, func() {
 		for _, pause := range []time.Duration{2 * time.Second, 30 * time.Second} {
 			c := newConvergedCluster(9, 1)
 			c.Nodes[4].Pause()
@@ -107,8 +110,8 @@
 }
 
 func TestIsolatedMemberMarksNobodyDeadElsewhere(t *testing.T) {
-	// Guards against this: one daemon's return makes all pools move, twice.
-	Convey("What an isolated member believes is not believed by the others", t, func() {
+	// Guards against all pools changing owner twice when an isolated daemon reconnects.
+	Convey("The others don't adopt the view of a member that was isolated", t, func() {
 		c := newConvergedCluster(9, 1)
 		c.Isolate(func(d *membertest.Node) bool { return d == c.Nodes[3] })
 		c.Run(time.Minute)
@@ -133,12 +136,13 @@
 }
 
 func TestRegionPartitionKeepsMembers(t *testing.T) {
-	// Guards against this: every pool of a region changes owner when a cable is cut.
-	Convey("Members of a region that is cut off are kept as they were", t, func() {
+	// Guards against all pools of a region changing owner when the region is
+	// partitioned.
+	Convey("Members of a partitioned region keep their last known state", t, func() {
 		c := newConvergedCluster(24, 3)
 		c.Isolate(func(d *membertest.Node) bool { return d.Region == "region-1" })
 		So(countBeliefs(c, 5*time.Minute, member.Dead), ShouldEqual, 0)
-		c.Nodes[0].Kill() // region-0 learns, region-1 can't yet
+		c.Nodes[0].Kill() // region-0 detects it, region-1 can't until the partition heals
 		c.Run(time.Minute)
 		So(believedState(c, 3, 0), ShouldEqual, member.Dead)
 		So(believedState(c, 1, 0), ShouldEqual, member.Alive)
@@ -149,8 +153,9 @@
 }
 
 func TestRestartAndLeave(t *testing.T) {
-	// Guards against this: a restarted daemon gets no pools, or a leaving one gets some.
-	Convey("A restarted member is believed alive again in its new life", t, func() {
+	// Guards against a restarted daemon that owns no pools, and a leaving one that
+	// does.
+	Convey("A restarted member is alive again under its new incarnation", t, func() {
 		c := newConvergedCluster(9, 1)
 		c.Nodes[2].Kill()
 		c.Run(10 * time.Second)
@@ -164,7 +169,7 @@
 		So(c.Converged(), ShouldBeTrue)
 		So(countBeliefs(c, 30*time.Second, member.Dead), ShouldEqual, 0)
 	})
-	Convey("A leaving member is known as such within two seconds and owns nothing", t, func() {
+	Convey("Within two seconds all members know a leaving one, and it owns no pool", t, func() {
 		c := newConvergedCluster(9, 1)
 		owner, _ := c.Nodes[0].View.Owner("pool", "region-0")
 		leaving := 0
@@ -190,8 +195,8 @@
 	})
 }
 
-// TestConvergence checks the model of membership: whatever has failed, once
-// faults stop every running member believes exactly the running ones live.
+// TestConvergence checks that after any sequence of faults, once they stop, each
+// running member believes exactly the running ones alive.
 func TestConvergence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "members")
@@ -227,7 +232,7 @@
 			d.Start()
 		}
 		if _, ok := c.RunUntil(convergeTimeout, c.Converged); !ok {
-			t.Fatal("views differ from the running members")
+			t.Fatal("views did not converge to the running members")
 		}
 	})
 }
--- a/member/probe.go
+++ b/member/probe.go
@@ -12,27 +12,27 @@
 	"github.com/lycheekeel/lycheekeel/member/wire"
 )
 
-// probe is one probe under way, with its indirect part.
+// probe is a running probe, including its indirect phase.
 type probe struct {
 	seq            uint64
 	target         string
 	started        time.Time
-	helpers        map[string]bool // helpers; true: it has answered or is down
-	helperAnswered bool            // a helper answered, even if it did not reach the target
-	directOnly     bool            // only the direct part has begun
+	helpers        map[string]bool // members asked for an indirect probe; true: answered or down
+	helperAnswered bool            // a helper answered, whether or not it reached the target
+	directOnly     bool            // the indirect phase has not started
 	resent         bool
 }
 
-// relay is a probe done for another member.
+// relay is an indirect probe on behalf of another member.
 type relay struct {
 	requester peer.Name
-	seq       uint64 // the asker's
+	seq       uint64 // the requester's sequence number
 	target    string
 	started   time.Time
 }
 
-// startProbes starts the probe that is due, or compares views instead, and
-// verifies what others say.
+// startProbes starts queued verification probes and, when due, the next regular probe
+// or, at every probesPerSync-th interval, a view sync in its place.
 func (m *Machine) startProbes() {
 	for len(m.verifyQueue) > 0 && len(m.probes) < maxVerifyProbes {
 		name := m.verifyQueue[0]
@@ -57,8 +57,8 @@
 	}
 }
 
-// nextProbeTarget goes through the members to probe in random order, each once a
-// round, so that none is left out for long.
+// nextProbeTarget goes through the probe targets in random order, each once per round,
+// so that the time between two probes of a target is bounded.
 func (m *Machine) nextProbeTarget() (string, bool) {
 	targets := m.probeTargets()
 	for range 2 {
@@ -75,10 +75,10 @@
 	return "", false
 }
 
-// probeTargets returns whom this member probes: all of a small region, else
-// its successors in a few random but fixed orders of the region's members.
-// Everyone is so probed by about as many as it probes, over connections that
-// stay open; probing anyone at random would dial anew at each probe.
+// probeTargets returns the members that this one probes: in a small region all of them,
+// else its successors on several hash rings over the region's members. Each member is
+// then probed by about as many members as it probes, over persistent connections;
+// random targets would need a new connection for each probe.
 func (m *Machine) probeTargets() []string {
 	if !m.targetsStale {
 		return m.targets
@@ -92,14 +92,14 @@
 	return names
 }
 
-// ringSuccessors returns the name that follows self in each of the orders.
+// ringSuccessors returns self's successor on each hash ring, without duplicates.
 func ringSuccessors(self string, names []string) []string {
 	var found []string
 	for ring := range uint64(probeRingCount) {
 		best, bestDistance := "", uint64(0)
 		selfPosition := ringPosition(ring, self)
 		for _, n := range names {
-			distance := ringPosition(ring, n) - selfPosition // wraps round
+			distance := ringPosition(ring, n) - selfPosition // unsigned, wraps around the ring
 			if best == "" || distance < bestDistance {
 				best, bestDistance = n, distance
 			}
@@ -117,14 +117,14 @@
 	return xxhash.Sum64(append(b[:], name...))
 }
 
-// queueVerifyProbe queues a probe of a member that others suspect.
+// queueVerifyProbe queues a probe of a member that others suspect or report dead.
 func (m *Machine) queueVerifyProbe(name string) {
 	if _, running := m.probeByTarget[name]; !running && !slices.Contains(m.verifyQueue, name) {
 		m.verifyQueue = append(m.verifyQueue, name)
 	}
 }
 
-// startProbe probes a member, unless it is being probed.
+// startProbe probes a member unless it is dead, unknown or already being probed.
 func (m *Machine) startProbe(name string) {
 	e, known := m.members[name]
 	if _, running := m.probeByTarget[name]; running || !known || e.State == Dead {
@@ -143,8 +143,9 @@
 	delete(m.probeByTarget, p.target)
 }
 
-// retryProbe sends a probe once more: it may have been lost with the
-// connection, which says nothing about the member. The second time counts.
+// retryProbe resends a direct probe once after its connection broke, since the probe
+// may have been lost with a stale connection. After a second break it starts the
+// indirect phase.
 func (m *Machine) retryProbe(p *probe) {
 	if !p.directOnly || p.resent {
 		m.startIndirectProbe(p)
@@ -154,9 +155,9 @@
 	m.send(peer.Name(p.target), peer.TypeMemberProbe, &wire.Message{Seq: p.seq})
 }
 
-// startIndirectProbe begins a probe's indirect part: a cut link between two members
-// must not count as a death. One helper is of another region where there is
-// one, for regions that are cut in two.
+// startIndirectProbe asks other members to probe the target, so that a broken link
+// between two members doesn't count as a failure. One helper is in another region if
+// there is one, in case this region itself is split in two.
 func (m *Machine) startIndirectProbe(p *probe) {
 	if !p.directOnly {
 		return
@@ -176,8 +177,8 @@
 	m.failIfNoHelperPending(p)
 }
 
-// handleAck ends a probe whose target answered, passes the answer on if the probe
-// was for another member, or takes a helper's report.
+// handleAck handles an ack: from the target of a relay, from the target of a probe by
+// this member, or from a helper with the result of an indirect probe.
 func (m *Machine) handleAck(from peer.Name, msg *wire.Message) {
 	if r, ok := m.relays[msg.Seq]; ok && r.target == string(from) {
 		delete(m.relays, msg.Seq)
@@ -204,7 +205,7 @@
 	}
 }
 
-// markHelperDown counts a helper that can't be reached as having answered.
+// markHelperDown counts an unreachable helper as having answered.
 func (m *Machine) markHelperDown(name string) {
 	for _, p := range m.sortedProbes() {
 		if _, ok := p.helpers[name]; ok {
@@ -214,7 +215,8 @@
 	}
 }
 
-// failIfNoHelperPending ends a probe early once no helper's answer is awaited.
+// failIfNoHelperPending fails a probe before its timeout if no helper's answer is
+// outstanding.
 func (m *Machine) failIfNoHelperPending(p *probe) {
 	for _, answered := range p.helpers {
 		if !answered {
@@ -224,8 +226,8 @@
 	m.probeFailed(p)
 }
 
-// expireProbes goes on to the indirect part of slow probes and ends those
-// whose time is over.
+// expireProbes starts the indirect phase of probes past DirectTimeout and fails probes
+// past ProbeTimeout. Both timeouts are scaled by the local health score.
 func (m *Machine) expireProbes() {
 	scale := time.Duration(1 + m.localHealth)
 	for _, p := range m.sortedProbes() {
@@ -244,8 +246,8 @@
 	}
 }
 
-// probeFailed suspects the target. When nobody at all answered, this member
-// may be the one that is cut off, and judges more slowly from then on.
+// probeFailed suspects the target; a leaving target is marked dead. If no helper
+// answered either, this member may be the isolated one, so its timeouts are extended.
 func (m *Machine) probeFailed(p *probe) {
 	m.endProbe(p)
 	m.stats.ProbeFailures++
@@ -264,7 +266,7 @@
 	m.suspect(e, m.self.Name)
 }
 
-// startRelay probes a member for another one.
+// startRelay probes a member on behalf of another one.
 func (m *Machine) startRelay(requester peer.Name, msg *wire.Message) {
 	r := relay{requester: requester, seq: msg.Seq, target: msg.Target, started: m.now}
 	m.seq++
@@ -281,7 +283,7 @@
 	m.send(r.requester, peer.TypeMemberAck, &wire.Message{Seq: r.seq, NotReached: true})
 }
 
-// failRelaysTo ends the relays to a member whose connection broke.
+// failRelaysTo fails all relays to a member whose connection broke.
 func (m *Machine) failRelaysTo(target string) {
 	for _, seq := range slices.Sorted(maps.Keys(m.relays)) {
 		if r := m.relays[seq]; r.target == target {
@@ -290,7 +292,8 @@
 	}
 }
 
-// sortedProbes makes the order of effects, and so whole runs, repeatable.
+// sortedProbes returns the running probes by sequence number, which keeps runs
+// deterministic.
 func (m *Machine) sortedProbes() []*probe {
 	sorted := make([]*probe, 0, len(m.probes))
 	for _, p := range m.probes {
@@ -300,7 +303,7 @@
 	return sorted
 }
 
-// sortedNames returns the members that satisfy a condition, sorted.
+// sortedNames returns the names of the members that satisfy a condition, sorted.
 func (m *Machine) sortedNames(ok func(*memberEntry) bool) []string {
 	var names []string
 	for name, e := range m.members {
--- a/member/runner.go
+++ b/member/runner.go
@@ -13,27 +13,26 @@
 	"github.com/sourcegraph/conc"
 )
 
-// DefaultVMListInterval is how often the VM list is asked for addresses: every
-// call counts against the platform's rates, and gossip finds most members.
+// DefaultVMListInterval is the mean interval between reads of the VM list. Each read
+// counts against the platform's rate limit, and gossip finds most members.
 const DefaultVMListInterval = time.Minute
 
-// vmListTimeout bounds one look at the VM list.
+// vmListTimeout bounds one read of the VM list.
 const vmListTimeout = 5 * time.Second
 
-// RunnerOptions connect membership with the rest of the daemon.
+// RunnerOptions configure a Runner. Transport and View are required.
 type RunnerOptions struct {
 	Transport peer.Transport
-	// View receives every new view.
+	// View receives each new view.
 	View     *CurrentView
 	Registry *metrics.Registry
-	// VMAddresses returns the peer addresses (IP:port) that the platform's VM list
-	// gives; nil: none. An error is logged and changes nothing.
+	// VMAddresses returns the peer addresses (IP:port) from the platform's VM list; nil
+	// if there is no list. An error is logged and otherwise ignored.
 	VMAddresses    func(context.Context) ([]string, error)
 	VMListInterval time.Duration
 }
 
-// Runner runs a Machine in real time over a transport. It is safe for
-// concurrent use.
+// Runner runs a Machine in real time over a transport. It is safe for concurrent use.
 type Runner struct {
 	opts   RunnerOptions
 	log    *logrus.Entry
@@ -44,12 +43,12 @@
 	mu           sync.Mutex
 	machine      *Machine
 	closed       bool
-	joinedClosed bool // joined is closed
+	joinedClosed bool // the channel joined is closed
 	joined       chan struct{}
 }
 
-// NewRunner registers membership's handlers; call it before the transport
-// starts, and Start after it did.
+// NewRunner returns a Runner and registers its message handlers. It must be called
+// before the transport starts, and Start afterwards.
 func NewRunner(cfg Config, opts RunnerOptions) (*Runner, error) {
 	m, err := NewMachine(cfg, time.Now(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	if err != nil {
@@ -76,7 +75,7 @@
 	return r, nil
 }
 
-// Start begins to probe and to look for members.
+// Start starts probing and the search for members.
 func (r *Runner) Start() {
 	r.group.Go(r.tickLoop)
 	if r.opts.VMAddresses != nil {
@@ -86,15 +85,15 @@
 	}
 }
 
-// Joined is closed when the view can be gone by: this daemon has met others,
-// or has found after JoinTimeout at the latest that nobody answers.
+// Joined returns a channel that is closed when the view is usable: this daemon has
+// received a view, has nobody to ask, or has got no answer within JoinTimeout.
 func (r *Runner) Joined() <-chan struct{} { return r.joined }
 
-// Leave announces that this daemon takes no more pools; it goes on taking
-// part. Call it at the first sign of leaving, e.g. SIGTERM.
+// Leave announces that this daemon no longer owns pools. The daemon remains a member.
+// Call it at the start of a shutdown, e.g. on SIGTERM.
 func (r *Runner) Leave() { r.handleEvent(r.machine.Leave) }
 
-// Close says goodbye and stops. The transport must still run.
+// Close announces the shutdown and stops. The transport must still be running.
 func (r *Runner) Close() {
 	r.cancel()
 	r.group.Wait()
@@ -104,8 +103,8 @@
 	r.closed = true
 }
 
-// handleEvent feeds one event to the machine, publishes the view and sends what comes
-// out. A message that can't be sent is an event of its own.
+// handleEvent passes an event to the machine, publishes a changed view and sends the
+// resulting messages. A message that can't be sent is handled as a PeerDown event.
 func (r *Runner) handleEvent(event func(time.Time) []Outgoing) {
 	r.mu.Lock()
 	if r.closed {
@@ -128,8 +127,8 @@
 	}
 }
 
-// publishView logs what changed, tells the transport new addresses and puts the view
-// in force.
+// publishView logs the changes, gives new addresses to the transport and stores the
+// view.
 func (r *Runner) publishView(v *View) {
 	old := r.opts.View.Load()
 	for _, m := range v.Members {
@@ -157,7 +156,7 @@
 	}
 }
 
-// vmListLoop asks the VM list at the start and then at jittered intervals.
+// vmListLoop reads the VM list at the start and then at jittered intervals.
 func (r *Runner) vmListLoop() {
 	for {
 		ctx, cancel := context.WithTimeout(r.ctx, vmListTimeout)
@@ -167,7 +166,7 @@
 		case err == nil:
 			r.handleEvent(func(time.Time) []Outgoing { r.machine.SetCandidates(addresses); return nil })
 		case r.ctx.Err() == nil:
-			r.log.WithError(err).Warn("no hints from the VM list")
+			r.log.WithError(err).Warn("VM list could not be read")
 		}
 		wait := r.opts.VMListInterval/2 + rand.N(r.opts.VMListInterval)
 		select {
@@ -178,7 +177,7 @@
 	}
 }
 
-// registerMetrics shows the machine's counters and the members by state.
+// registerMetrics exports the machine's counters and the number of members by state.
 func (r *Runner) registerMetrics(reg *metrics.Registry) {
 	const group = "member"
 	for name, read := range map[string]func(Stats) uint64{
--- a/member/runner_test.go
+++ b/member/runner_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// eventuallyTimeout bounds every wait for something that must happen in real time.
+// eventuallyTimeout bounds each wait for a condition, in real time.
 const eventuallyTimeout = 30 * time.Second
 
 func eventually(cond func() bool) bool {
@@ -28,8 +28,9 @@
 }
 
 func TestRunnersOverTCP(t *testing.T) {
-	// Guards against this: members never meet, or a dead one keeps its pools.
-	Convey("Given five daemons on real connections", t, func() {
+	// Guards against members that don't find each other, and against a dead member that
+	// keeps its pools.
+	Convey("Given five daemons over real connections", t, func() {
 		const n = 5
 		var daemons []*membertest.Daemon
 		seeds := []string{"127.0.0.1:1"}
@@ -55,7 +56,7 @@
 		So(eventually(allCount(member.Leaving, 1)), ShouldBeTrue)
 		killed := daemons[n-1]
 		daemons = daemons[:n-1]
-		killed.Transport.Close() // as when its process is killed
+		killed.Transport.Close() // as if its process was killed
 		So(eventually(allCount(member.Dead, 1)), ShouldBeTrue)
 		restarted, err := membertest.StartDaemon(fmt.Sprintf("entry-%d", n-1), "region", seeds[:3])
 		So(err, ShouldBeNil)
--- a/member/suspicion.go
+++ b/member/suspicion.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// suspicion is the time in which a member may refute before it is convicted.
+// suspicion is a suspected member's time to refute before it is marked dead.
 type suspicion struct {
 	started    time.Time
-	suspectors map[string]struct{} // members whose own probes failed
-	// verified: this member's own probe failed since the suspicion began.
+	suspectors map[string]struct{} // members whose probes of it failed
+	// verified: a probe by this member has failed since the suspicion started.
 	verified bool
 }
 
-// suspect starts or confirms a suspicion. Members of other regions are not
-// suspected from here: when regions lose each other for minutes, each would
-// bury the other and both would have to be revived afterwards. Pools are
-// owned within a region, so nothing is lost by keeping the last news of it.
+// suspect starts or confirms a suspicion. Members of other regions are not suspected:
+// during a network partition of several minutes each region would mark the other dead
+// and have to revive it afterwards. Pools are owned within a region, so keeping the
+// last known state is harmless.
 func (m *Machine) suspect(e *memberEntry, suspector string) {
 	if e.Region != m.self.Region || e.State == Dead || e.State == Leaving {
 		return
@@ -41,8 +41,8 @@
 	}
 }
 
-// expireSuspicions convicts the suspects whose time is over, each only after an
-// own probe of it failed; the others are probed again.
+// expireSuspicions marks suspects dead whose timeout has passed, provided that a probe
+// by this member has failed. It probes the others again.
 func (m *Machine) expireSuspicions() {
 	for _, name := range m.sortedNames(func(e *memberEntry) bool { return e.suspicion != nil }) {
 		e := m.members[name]
@@ -60,15 +60,16 @@
 	}
 }
 
-// suspectedBy tells whether a member is among the first few suspectors, which
-// alone go on probing.
+// suspectedBy reports whether a member is one of the first suspectors. Only those
+// repeat their probes.
 func (s *suspicion) suspectedBy(name string) bool {
 	_, ok := s.suspectors[name]
 	return ok
 }
 
-// suspicionTimeout falls from SuspicionMax to SuspicionMin as more members
-// confirm, and grows when this member itself seems slow or cut off.
+// suspicionTimeout falls from SuspicionMax to SuspicionMin as more members confirm. It
+// is scaled by the local health score, since this member itself may be slow or
+// isolated.
 func (m *Machine) suspicionTimeout(s *suspicion, e *memberEntry) time.Duration {
 	others := m.count(func(o *memberEntry) bool { return o != e && o.State == Alive && o.Region == m.self.Region })
 	needed := min(suspicionConfirmations, others)
@@ -82,7 +83,7 @@
 	return timeout * time.Duration(1+m.localHealth)
 }
 
-// degradeHealth and better keep the score of this member's own health.
+// degradeHealth and improveHealth adjust the local health score.
 func (m *Machine) degradeHealth() { m.localHealth = min(maxLocalHealth, m.localHealth+1) }
 
 func (m *Machine) improveHealth() { m.localHealth = max(0, m.localHealth-1) }
--- a/member/sync.go
+++ b/member/sync.go
@@ -10,23 +10,24 @@
 	"github.com/lycheekeel/lycheekeel/member/wire"
 )
 
-// syncBuckets is into how many parts a view is split to find where two differ.
+// syncBuckets is the number of buckets by which two views are compared.
 const syncBuckets = 64
 
-// recordSyncInterval is the shortest time between two comparisons with records.
+// recordSyncInterval is the minimum time between two view syncs that may transfer
+// records.
 const recordSyncInterval = 500 * time.Millisecond
 
-// Whom a member compares its view with, in turn.
+// The kinds of partners for view syncs, used in turn.
 const (
 	syncSameRegion = iota
 	syncOtherRegion
-	syncUnreachable // a dead member or a seed: heals clusters that fell apart
+	syncUnreachable // a dead member or an unknown seed; rejoins separated clusters
 	syncPartnerKinds
 )
 
-// syncWithRandomMember compares the view with a random member. This finds what
-// piggybacked news has missed, carries news between regions, and tries those
-// believed dead, so that two halves of a cluster find each other again.
+// syncWithRandomMember starts a view sync with a random member. View syncs deliver
+// updates that gossip missed, carry updates between regions, and contact members
+// believed dead, so that the parts of a partitioned cluster find each other again.
 func (m *Machine) syncWithRandomMember() {
 	for range syncPartnerKinds {
 		kind := m.syncPartnerKind
@@ -54,7 +55,7 @@
 	return peer.Name(names[0]), true
 }
 
-// unreachablePartner is a random dead member or unknown seed.
+// unreachablePartner returns a random dead member or unknown seed.
 func (m *Machine) unreachablePartner() (peer.Name, bool) {
 	var unreachable []peer.Name
 	for _, name := range m.sortedNames(func(e *memberEntry) bool { return e.State == Dead }) {
@@ -77,9 +78,9 @@
 	m.sendSync(to, &wire.Sync{Digest: digest})
 }
 
-// allowRecordSync bounds the comparisons that may bring records: everybody who
-// meets a new member sees another view than its own, and would tell it all of
-// the same. What is skipped, a later comparison brings.
+// allowRecordSync limits the rate of view syncs that may transfer records. Each member
+// that meets a new member sees a different view, and all of them would send it the same
+// records. A skipped transfer is made up for by a later sync.
 func (m *Machine) allowRecordSync() bool {
 	if m.now.Before(m.nextRecordSync) {
 		return false
@@ -92,7 +93,7 @@
 	m.send(to, peer.TypeMemberGossip, &wire.Message{Sync: s})
 }
 
-// handleSync does the step that the peer's one asks for.
+// handleSync answers one step of a view sync.
 func (m *Machine) handleSync(from peer.Name, s *wire.Sync) {
 	digest, buckets := m.digests()
 	m.markViewReceived(s, digest)
@@ -114,8 +115,8 @@
 	}
 }
 
-// sendRecords sends the records of some buckets, but those that the peer just
-// sent itself, in bounded messages.
+// sendRecords sends the records of some buckets, without those that the peer has just
+// sent. With wantReply it also asks for the peer's records of these buckets.
 func (m *Machine) sendRecords(to peer.Name, buckets []uint32, exclude []*wire.Record, wantReply bool) {
 	records := []*wire.Record{}
 	if slices.Contains(buckets, bucketOf(m.self.Name)) {
@@ -133,14 +134,14 @@
 	}
 }
 
-// sendRecordChunks sends records in bounded messages.
+// sendRecordChunks sends records in messages of at most maxRecordsPerMessage.
 func (m *Machine) sendRecordChunks(to peer.Name, records []*wire.Record) {
 	for chunk := range slices.Chunk(records, maxRecordsPerMessage) {
 		m.sendSync(to, &wire.Sync{Records: chunk})
 	}
 }
 
-// suspector is in whose name a suspicion is passed on.
+// suspector returns the member in whose name a suspicion is forwarded.
 func (m *Machine) suspector(e *memberEntry) string {
 	if e.suspicion == nil {
 		return ""
@@ -160,8 +161,9 @@
 	})
 }
 
-// digests hashes the live members, whole and by bucket. Suspicions are left
-// out, since they pass; so are the dead, which a new member never learns of.
+// digests hashes the members that are not dead, in total and by bucket. Suspicions are
+// left out because they are short-lived; dead members because a new member never learns
+// of them.
 func (m *Machine) digests() (uint64, []uint64) {
 	buckets := make([]uint64, syncBuckets)
 	add := func(mb *Member) {
--- a/member/table.go
+++ b/member/table.go
@@ -8,10 +8,10 @@
 	"github.com/lycheekeel/lycheekeel/member/wire"
 )
 
-// applyRecord takes another member's word. A larger incarnation, which only the
-// member itself makes, always wins; at the same one the worse state does. A
-// death in the own region is verified before it is believed, because the
-// one that tells may itself have been cut off.
+// applyRecord merges a record received from another member. Only a member itself raises
+// its incarnation, so the larger incarnation wins; at equal incarnations the worse
+// state wins. A death reported in this member's region is verified by a probe first,
+// since the reporting member may have been isolated.
 func (m *Machine) applyRecord(r *wire.Record, from peer.Name) {
 	if r.Name == m.self.Name {
 		m.refute(r)
@@ -30,8 +30,8 @@
 	}
 }
 
-// addMember adds a member. An unknown dead one is not added: tombstones would
-// otherwise be handed round for ever.
+// addMember adds an unknown member. Dead members are not added: their tombstones would
+// otherwise be gossiped forever.
 func (m *Machine) addMember(r *wire.Record) {
 	if r.State == wire.State_STATE_DEAD {
 		return
@@ -49,7 +49,7 @@
 	}
 }
 
-// applyNewerIncarnation takes a record of a larger incarnation.
+// applyNewerIncarnation applies a record with a larger incarnation than the known one.
 func (m *Machine) applyNewerIncarnation(e *memberEntry, r *wire.Record, from peer.Name) {
 	prevState := e.State
 	e.Member = memberFromRecord(r)
@@ -69,7 +69,7 @@
 	}
 }
 
-// applySameIncarnation takes a record of the same incarnation.
+// applySameIncarnation applies a record with the known incarnation.
 func (m *Machine) applySameIncarnation(e *memberEntry, r *wire.Record, from peer.Name) {
 	switch State(r.State) {
 	case Alive:
@@ -96,8 +96,9 @@
 	}
 }
 
-// refute answers a record about this member itself: an earlier life's, or a
-// suspicion, is overruled by a larger incarnation.
+// refute handles a record about this member. If it stems from an earlier run with a
+// larger incarnation, or says that this member is suspect or dead, it is overruled by a
+// larger incarnation.
 func (m *Machine) refute(r *wire.Record) {
 	suspectedOrDead := r.State == wire.State_STATE_SUSPECT || r.State == wire.State_STATE_DEAD
 	sameIncarnation := r.Incarnation == m.self.Incarnation
@@ -112,23 +113,23 @@
 	m.broadcastSelf()
 }
 
-// checkSender compares the sender's own word with what is known of it.
+// checkSender compares the sender's own state with the local record of it.
 func (m *Machine) checkSender(from peer.Name, msg *wire.Message) {
 	e, known := m.members[string(from)]
 	switch {
 	case msg.State == wire.State_STATE_DEAD:
 	case !known || msg.Incarnation > e.Incarnation:
-		// Its record is missing here: comparing views brings it.
+		// The local record is missing or outdated; a view sync fetches it.
 		if msg.Sync == nil && m.allowRecordSync() {
 			m.startSync(from)
 		}
 	case e.State == Dead:
-		// It doesn't know what is believed of it; send adds the record.
+		// The sender doesn't know that it is dead here; send adds the record.
 		m.send(from, peer.TypeMemberGossip, &wire.Message{})
 	}
 }
 
-// markDead convicts a member.
+// markDead marks a member as dead and broadcasts it.
 func (m *Machine) markDead(e *memberEntry) {
 	e.State = Dead
 	e.stateChangedAt = m.now
@@ -141,8 +142,8 @@
 	m.queueBroadcast(e.record(m.self.Name))
 }
 
-// removeExpiredTombstones forgets members that have been dead for long: stale gossip
-// of them has died out by then.
+// removeExpiredTombstones removes members that have been dead for longer than
+// Config.Tombstone. By then no stale gossip about them circulates.
 func (m *Machine) removeExpiredTombstones() {
 	for name, e := range m.members {
 		if e.State == Dead && m.now.Sub(e.stateChangedAt) > m.cfg.Tombstone {
@@ -152,7 +153,7 @@
 	}
 }
 
-// broadcastSelf tells this member's own record.
+// broadcastSelf broadcasts this member's own record.
 func (m *Machine) broadcastSelf() {
 	m.changed = true
 	m.queueBroadcast(m.selfRecord())
@@ -168,7 +169,7 @@
 	return e.record("")
 }
 
-// isLive members are those not believed dead, this one not counted.
+// isLive reports whether a member is not dead. This member itself has no entry.
 func (m *Machine) isLive(e *memberEntry) bool { return e.State != Dead }
 
 func (m *Machine) isLiveSameRegion(e *memberEntry) bool {
@@ -189,7 +190,7 @@
 	return n
 }
 
-// pickRandom returns up to n random members that satisfy a condition.
+// pickRandom returns the names of up to n random members that satisfy a condition.
 func (m *Machine) pickRandom(n int, ok func(*memberEntry) bool) []string {
 	names := m.sortedNames(ok)
 	m.rand.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
@@ -203,8 +204,8 @@
 	}
 }
 
-// record is the entry as told to others; suspector is who holds it against
-// the member, empty when nobody does.
+// record returns the wire form of the entry. The suspector is the member whose probe
+// failed; empty if there is none.
 func (e *memberEntry) record(suspector string) *wire.Record {
 	return &wire.Record{
 		Name: e.Name, Incarnation: e.Incarnation, State: wire.State(e.State), Address: e.Address,
@@ -213,7 +214,7 @@
 	}
 }
 
-// host is the IP of an address.
+// host returns the IP of an IP:port address.
 func host(address string) string {
 	h, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/member/view.go
+++ b/member/view.go
@@ -1,7 +1,8 @@
-// Package member is soft membership: which daemons live, found from seeds, the
-// platform's VM list and gossip, checked by random and indirect probes with
-// suspicion and incarnations. Nothing's correctness rests on it: a wrong view
-// costs a little over-granting or a detour, never a doubled request.
+// Package member implements best-effort membership of daemons, based on SWIM: members
+// are found through seeds, the platform's VM list and gossip, and checked by direct and
+// indirect probes with suspicion and incarnations. No correctness depends on it: a
+// wrong view may cause some over-granting or an extra hop, but never a duplicate
+// request.
 package member
 
 import (
@@ -13,18 +14,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what is believed of a member.
+// State is the believed state of a member.
 type State uint8
 
-// The states, in order of precedence at equal incarnation.
+// The states. At equal incarnations the larger value takes precedence.
 const (
 	Alive State = iota
 	Suspect
-	Leaving // alive, takes no pools, finishes its work
+	Leaving // alive, owns no pools, finishes its work
 	Dead
 )
 
-// String returns the state's name in logs and counters.
+// String returns the state's name as used in logs and metrics.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -38,30 +39,30 @@
 	}
 }
 
-// Member is one daemon's record.
+// Member is the record of one daemon.
 type Member struct {
 	Name             string
-	Incarnation      uint64 // a restarted or refuting member has a larger one
-	Address          string // IP:port of its peer listener
+	Incarnation      uint64 // raised by a restart or a refutation
+	Address          string // IP:port of the peer listener
 	Region           string
 	AvailabilityZone string
 	State            State
-	// ProtocolVersion is the newest peer protocol that it speaks.
+	// ProtocolVersion is the newest version of the peer protocol that it supports.
 	ProtocolVersion uint32
-	// Weight is how much the VM can take on beside its callers, in
+	// Weight is the VM's capacity for work beside serving its own callers, in
 	// thousandths; 0 means 1000.
 	Weight uint32
 }
 
-// defaultWeight is the Weight of an ordinary VM.
+// defaultWeight is the Weight of an ordinary VM, in thousandths.
 const defaultWeight = 1000
 
-// weightExponent is the power of the weight by which pools go to strong VMs. With
-// 66 VMs of weight 19 beside 6 of 800, a plain share would leave a pool on a
-// weak one in 1 of 5 cases; squared it is 1 of 150.
+// weightExponent is the power of the weight by which pools are distributed. It favors
+// strong VMs: with 66 VMs of weight 19 and 6 of 800, an exponent of 1 would place 1 in
+// 5 pools on a weak VM, an exponent of 2 places 1 in 150 there.
 const weightExponent = 2
 
-// rendezvousWeight is a member's share in what members divide among themselves.
+// rendezvousWeight is the member's weight for rendezvous hashing; 1 for an ordinary VM.
 func (m Member) rendezvousWeight() float64 {
 	w := m.Weight
 	if w == 0 {
@@ -70,29 +71,31 @@
 	return math.Pow(float64(w)/defaultWeight, weightExponent)
 }
 
-// Score is the member's rendezvous weight for a key: the highest one takes it,
-// so a change of one member moves only what it had or gets.
+// Score is the member's score for a key in weighted rendezvous hashing. The member with
+// the highest score gets the key, so a change of one member moves only keys from or to
+// that member.
 func (m Member) Score(key string) float64 {
 	u := (float64(hash(key, m.Name)) + 0.5) / (1 << 64)
 	return -m.rendezvousWeight() / math.Log(u)
 }
 
-// View is an immutable picture of the members, sorted by name.
+// View is an immutable snapshot of the members, sorted by name.
 type View struct {
 	Self    string
 	Members []Member
-	// ownerCache remembers the owner of each pool that was asked for: to find it takes a
-	// logarithm for each member, and all pools are asked for several times a second.
+	// ownerCache caches the owner of each pool that was looked up. Computing it takes a
+	// logarithm per member, and all pools are looked up several times a second.
 	ownerCache *sync.Map
 }
 
-// ownerKey is a pool of a region.
+// ownerKey identifies a pool in a region.
 type ownerKey struct{ pool, region string }
 
-// CurrentView holds the view in force. Load is one atomic read.
+// CurrentView holds the current view. It is safe for concurrent use; Load is one atomic
+// read.
 type CurrentView struct{ p atomic.Pointer[View] }
 
-// Load returns the view in force; never nil.
+// Load returns the current view; never nil.
 func (l *CurrentView) Load() *View {
 	if v := l.p.Load(); v != nil {
 		return v
@@ -100,16 +103,16 @@
 	return &View{}
 }
 
-// Store puts a view in force.
+// Store replaces the current view.
 func (l *CurrentView) Store(v *View) { l.p.Store(v) }
 
-// NewView returns a view of the members, which it sorts.
+// NewView returns a view of the members. It sorts and keeps the slice.
 func NewView(self string, members []Member) *View {
 	sort.Slice(members, func(i, j int) bool { return members[i].Name < members[j].Name })
 	return &View{Self: self, Members: members, ownerCache: &sync.Map{}}
 }
 
-// Get returns a member by name.
+// Get returns the member with the given name.
 func (v *View) Get(name string) (Member, bool) {
 	i := sort.Search(len(v.Members), func(i int) bool { return v.Members[i].Name >= name })
 	if i < len(v.Members) && v.Members[i].Name == name {
@@ -118,7 +121,7 @@
 	return Member{}, false
 }
 
-// countInState returns how many members are in a state.
+// countInState returns the number of members in a state.
 func (v *View) countInState(s State) int {
 	n := 0
 	for _, m := range v.Members {
@@ -129,9 +132,9 @@
 	return n
 }
 
-// Owner returns the member that owns the pool: rendezvous hashing over the
-// region's members that are alive or only suspected, so that a change of one
-// member moves only that member's pools. False where the region has none.
+// Owner returns the member that owns the pool, by weighted rendezvous hashing over the
+// region's alive and suspect members. A change of one member moves only pools from or
+// to that member. It returns false if the region has no such member.
 func (v *View) Owner(pool, region string) (Member, bool) {
 	if v.ownerCache == nil {
 		return v.computeOwner(pool, region)
--- a/member/view_bench_test.go
+++ b/member/view_bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkOwners looks up the owners of 94 pools among 302 members, as entries and pool
-// owners do several times a second.
+// BenchmarkOwners looks up the owners of 94 pools among 302 members, as daemons do
+// several times a second.
 func BenchmarkOwners(b *testing.B) {
 	members := make([]Member, 302)
 	for i := range members {
--- a/member/view_test.go
+++ b/member/view_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestOwnerIsStable checks that a change of one member moves only pools that
-// it owns or owned, and that members which take no pools own none.
+// TestOwnerIsStable checks that a change of one member moves only pools from or to it,
+// and that leaving and dead members own none.
 func TestOwnerIsStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "members")
