--- a/member/membertest/cluster.go
+++ b/member/membertest/cluster.go
@@ -1,6 +1,6 @@
-// Package membertest runs many membership machines in one process over an
-// in-memory network with virtual time, real encoding and injected faults. The
-// same seed gives the same run. It serves tests and the capacity measurement.
+// Package membertest runs many membership machines in one process over a simulated
+// network, in virtual time, with the real message encoding and injected faults. A seed
+// determines the run. It serves the tests and the capacity measurement.
 package membertest
 
 import (
@@ -13,16 +13,17 @@
 	"github.com/lycheekeel/lycheekeel/member"
 )
 
-// Latencies of a message, one way.
+// Mean one-way latencies of a message, and the connection timeout.
 const (
 	sameRegionLatency  = 2 * time.Millisecond
 	otherRegionLatency = 20 * time.Millisecond
-	// silenceTimeout is after how long the transport gives up a connection on
-	// which messages vanish.
+	// silenceTimeout is the time after which the transport closes a connection whose
+	// messages are lost.
 	silenceTimeout = time.Second
 )
 
-// Cluster is a set of members on one network. It is used by one goroutine.
+// Cluster is a set of members on one simulated network. It is not safe for concurrent
+// use.
 type Cluster struct {
 	Nodes []*Node
 
@@ -30,12 +31,13 @@
 	rand    *rand.Rand
 	events  eventQueue
 	seq     uint64
-	blocked map[[2]int]bool // messages from the first to the second vanish
+	blocked map[[2]int]bool // {from, to}: messages are dropped
 	byName  map[peer.Name]*Node
 	byAddr  map[string]*Node
 }
 
-// Node is one member. Counters hold what it sent and received.
+// Node is one member, with counters of the messages and bytes that it sent and
+// received.
 type Node struct {
 	Name    string
 	Region  string
@@ -48,14 +50,14 @@
 	index      int
 	address    string
 	zone       string
-	startCount int // counts starts; zero and Machine nil: never started
+	startCount int // number of starts; while 0, Machine is nil
 	killed     bool
 	paused     bool
-	deferred   []func() // what arrives at a frozen member
+	deferred   []func() // events that arrived while paused
 }
 
-// New returns a cluster of n members, spread evenly over the regions, none of
-// which is started yet. All know the first three members' addresses as seeds.
+// New returns a cluster of n members, spread evenly over the regions. None is started.
+// All have the first three members' addresses as seeds.
 func New(n, regions int, seed uint64) *Cluster {
 	c := &Cluster{
 		now:     time.Unix(1_000_000, 0),
@@ -75,10 +77,10 @@
 	return c
 }
 
-// Now is the cluster's virtual time.
+// Now returns the virtual time.
 func (c *Cluster) Now() time.Time { return c.now }
 
-// StartAll starts every member within one second.
+// StartAll starts all members, each at a random time within one second.
 func (c *Cluster) StartAll() {
 	for _, d := range c.Nodes {
 		c.schedule(time.Duration(c.rand.Int64N(int64(time.Second))), d.Start)
@@ -88,7 +90,7 @@
 // Start starts a member that is not running, as a new process.
 func (d *Node) Start() { d.StartWithIncarnation(uint64(d.cluster.now.UnixMilli())) }
 
-// StartWithIncarnation is Start on a VM whose clock is wrong.
+// StartWithIncarnation starts a member like Start, as on a VM whose clock is wrong.
 func (d *Node) StartWithIncarnation(incarnation uint64) {
 	if !d.killed {
 		return
@@ -104,14 +106,14 @@
 	}
 	m, err := member.NewMachine(cfg, d.cluster.now, rand.New(rand.NewPCG(d.cluster.rand.Uint64(), 0)))
 	if err != nil {
-		panic(err) // the configuration is made right here
+		panic(err) // the configuration above is valid
 	}
 	d.Machine, d.killed, d.paused, d.deferred = m, false, false, nil
 	d.startCount++
 	d.tick(d.startCount)
 }
 
-// Kill ends the process; its connections are reset.
+// Kill ends the process and resets its connections.
 func (d *Node) Kill() {
 	d.killed = true
 	for _, o := range d.cluster.Nodes {
@@ -121,10 +123,11 @@
 	}
 }
 
-// Pause stops the process without ending it; its connections stay.
+// Pause suspends the process. Its connections stay open.
 func (d *Node) Pause() { d.paused = true }
 
-// Resume lets it go on; what arrived meanwhile is handled first.
+// Resume continues a paused process. It first handles the events that arrived during
+// the pause.
 func (d *Node) Resume() {
 	d.paused = false
 	deferred := d.deferred
@@ -134,17 +137,16 @@
 	}
 }
 
-// Leave makes the member announce that it leaves.
+// Leave makes the member announce that it is leaving.
 func (d *Node) Leave() { d.emit(d.Machine.Leave(d.cluster.now)) }
 
-// Running tells whether the member runs and is not frozen.
+// Running reports whether the process is neither killed nor paused.
 func (d *Node) Running() bool { return !d.killed && !d.paused }
 
-// BlockLink makes messages from one member to the other vanish.
+// BlockLink drops all messages from one member to the other.
 func (c *Cluster) BlockLink(from, to int) { c.blocked[[2]int{from, to}] = true }
 
-// Isolate makes all messages between the members that are in the set and the
-// others vanish.
+// Isolate drops all messages between the members of the set and the others.
 func (c *Cluster) Isolate(in func(*Node) bool) {
 	for _, a := range c.Nodes {
 		for _, b := range c.Nodes {
@@ -155,10 +157,10 @@
 	}
 }
 
-// Heal takes back all cuts.
+// Heal unblocks all links.
 func (c *Cluster) Heal() { clear(c.blocked) }
 
-// Run lets virtual time pass.
+// Run advances the virtual time.
 func (c *Cluster) Run(d time.Duration) {
 	end := c.now.Add(d)
 	for len(c.events) > 0 && !c.events[0].at.After(end) {
@@ -169,8 +171,8 @@
 	c.now = end
 }
 
-// RunUntil runs in steps until the condition holds and returns how long it
-// took; false if it did not within the limit.
+// RunUntil runs in steps until the condition holds and returns the virtual time that
+// this took. It returns false if the condition does not hold within the limit.
 func (c *Cluster) RunUntil(limit time.Duration, cond func() bool) (time.Duration, bool) {
 	start := c.now
 	for !cond() {
@@ -182,8 +184,8 @@
 	return c.now.Sub(start), true
 }
 
-// Converged tells whether every running member believes every running member
-// alive or leaving, and nobody else but dead.
+// Converged reports whether each running member believes all running members alive or
+// leaving, and all others dead.
 func (c *Cluster) Converged() bool {
 	for _, d := range c.Nodes {
 		if d.Running() && !d.hasCorrectView(c.Nodes) {
@@ -193,7 +195,7 @@
 	return true
 }
 
-// RegionConverged is Converged among the members of one region.
+// RegionConverged is Converged restricted to the members of one region.
 func (c *Cluster) RegionConverged(region string) bool {
 	var nodes []*Node
 	for _, d := range c.Nodes {
@@ -221,7 +223,7 @@
 	return true
 }
 
-// tick calls the machine at its interval for as long as this life lasts.
+// tick calls Machine.Tick at its interval until the member is killed or restarted.
 func (d *Node) tick(startCount int) {
 	if d.killed || d.startCount != startCount {
 		return
@@ -232,7 +234,7 @@
 	d.cluster.schedule(member.TickInterval, func() { d.tick(startCount) })
 }
 
-// emit publishes the view and sends messages.
+// emit stores the view and sends the messages.
 func (d *Node) emit(outgoing []member.Outgoing) {
 	if v := d.Machine.View(); v != nil {
 		d.View = v
@@ -270,7 +272,8 @@
 	})
 }
 
-// deliver handles something now, after the thaw, or never if the member died.
+// deliver handles an event: at once, after a pause, or not at all if the member was
+// killed or restarted meanwhile.
 func (d *Node) deliver(startCount int, f func()) {
 	switch {
 	case d.killed || d.startCount != startCount:
@@ -301,7 +304,7 @@
 	heap.Push(&c.events, event{at: c.now.Add(d), seq: c.seq, run: f})
 }
 
-// event is something due at a virtual time; seq orders events of one instant.
+// event is an action at a virtual time; seq orders events of the same time.
 type event struct {
 	at  time.Time
 	seq uint64
--- a/member/membertest/incident.go
+++ b/member/membertest/incident.go
@@ -6,29 +6,31 @@
 	"github.com/pkg/errors"
 )
 
-// Incident is a failure of many members at once.
+// Incident is the simultaneous failure of many members.
 type Incident struct {
 	Name string `json:"name"`
-	// FailedMembers is how many members fail.
+	// FailedMembers is the number of failed members.
 	FailedMembers int `json:"lost"`
-	// DetectTime is until every running member of the struck region believed the
-	// lost ones dead; zero where nobody is to be believed dead.
+	// DetectTime is the time until all running members of the affected region mark the
+	// failed ones dead; zero if none is to be marked dead.
 	DetectTime time.Duration `json:"noticed_ns"`
-	// RecoverTime is from the repair until everybody believed everybody alive.
+	// RecoverTime is the time from the repair until all members believe each other
+	// alive.
 	RecoverTime time.Duration `json:"recovered_ns"`
-	// MeanBytes and WorstBytes are a member's traffic in the worst second.
+	// MeanBytes and WorstBytes are the mean and the maximum traffic per member, in
+	// bytes, in the second with the most traffic.
 	MeanBytes  float64 `json:"mean_bytes_in_worst_second"`
 	WorstBytes float64 `json:"worst_bytes_in_worst_second"`
 }
 
-// MeasureIncidents starts n members, and lets a dozen VMs, an availability
-// zone and a region fail, one after the other, each repaired before the next.
+// MeasureIncidents starts n members and makes 12 VMs, an availability zone and a region
+// fail, one after the other. Each incident is repaired before the next.
 func MeasureIncidents(n, regions int, seed uint64) ([]Incident, error) {
 	c := New(n, regions, seed)
 	c.StartAll()
 	c.Run(time.Second)
 	if _, ok := c.RunUntil(convergeTimeout, c.Converged); !ok {
-		return nil, errors.New("members did not find each other")
+		return nil, errors.New("members did not converge after their start")
 	}
 	c.Run(settleTime)
 	region, zone := c.Nodes[0].Region, c.Nodes[0].zone
@@ -55,7 +57,8 @@
 	return append(incidents, in), err
 }
 
-// runIncident strikes members, waits until their region knows, and repairs them.
+// runIncident makes members fail, waits until their region has detected it, and repairs
+// them.
 func (c *Cluster) runIncident(name, region string, affected func(*Node) bool, fail, repair func(*Node)) (Incident, error) {
 	in := Incident{Name: name}
 	for _, d := range c.Nodes {
@@ -67,7 +70,7 @@
 	var ok bool
 	in.DetectTime, ok = c.runUntilTracked(&in, func() bool { return c.RegionConverged(region) })
 	if !ok {
-		return in, errors.Errorf("%s: not noticed", name)
+		return in, errors.Errorf("%s: failure not detected", name)
 	}
 	c.Run(settleTime / 4)
 	for _, d := range c.Nodes {
@@ -76,13 +79,13 @@
 		}
 	}
 	if in.RecoverTime, ok = c.runUntilTracked(&in, c.Converged); !ok {
-		return in, errors.Errorf("%s: not recovered", name)
+		return in, errors.Errorf("%s: views did not converge after the repair", name)
 	}
 	c.Run(settleTime / 4)
 	return in, nil
 }
 
-// runRegionPartition cuts a region off for three minutes.
+// runRegionPartition isolates a region for three minutes.
 func (c *Cluster) runRegionPartition(region string) (Incident, error) {
 	in := Incident{Name: "region cut off"}
 	for _, d := range c.Nodes {
@@ -95,12 +98,12 @@
 	c.Heal()
 	var ok bool
 	if in.RecoverTime, ok = c.runUntilTracked(&in, c.Converged); !ok {
-		return in, errors.New("region cut off: not recovered")
+		return in, errors.New("region cut off: views did not converge after the repair")
 	}
 	return in, nil
 }
 
-// runUntilTracked runs until the condition holds, and keeps the traffic of the worst
+// runUntilTracked runs until the condition holds and records the traffic of the worst
 // second.
 func (c *Cluster) runUntilTracked(in *Incident, cond func() bool) (time.Duration, bool) {
 	elapsed := time.Duration(0)
--- a/member/membertest/measure.go
+++ b/member/membertest/measure.go
@@ -8,9 +8,10 @@
 	"github.com/pkg/errors"
 )
 
-// Cost is what membership costs one member, as a mean and on the member that
-// pays most. Bytes are encoded messages, both ways, without the transport's
-// framing, encryption and dials; CPU is the machine and its encoding alone.
+// Cost is the cost of membership per member, as a mean and, in the Worst fields, as the
+// maximum over the members. Bytes are encoded messages in both directions, without the
+// transport's framing, encryption and connection setup. CPU covers the machine and its
+// encoding only.
 type Cost struct {
 	Members                int           `json:"members"`
 	Regions                int           `json:"regions"`
@@ -19,32 +20,34 @@
 	BytesPerSecond         float64       `json:"bytes_per_second"`
 	WorstMessagesPerSecond float64       `json:"worst_messages_per_second"`
 	WorstBytesPerSecond    float64       `json:"worst_bytes_per_second"`
-	// CPU is seconds of one core per second of a member's life.
+	// CPU is in core seconds per second and member.
 	CPU float64 `json:"cpu"`
-	// HeapBytes is the heap per member.
+	// HeapBytes is the heap per member, in bytes.
 	HeapBytes float64 `json:"heap_bytes"`
-	// RegionDetectTime is how long after a kill its whole region believed the member
-	// dead, ClusterDetectTime everybody; Join is from a restart until everybody knew.
+	// RegionDetectTime is the time from a kill until all members of its region mark the
+	// member dead, ClusterDetectTime until all members do. JoinTime is the time from a
+	// restart until all members know the member.
 	RegionDetectTime  time.Duration `json:"kill_to_dead_ns"`
 	ClusterDetectTime time.Duration `json:"kill_to_all_ns"`
 	JoinTime          time.Duration `json:"join_ns"`
 }
 
-// Limits of a measurement's phases, in virtual time.
+// Durations of a measurement's phases, in virtual time.
 const (
 	convergeTimeout = 2 * time.Minute
-	settleTime      = 4 * time.Minute // until the news of the joins has died out
+	settleTime      = 4 * time.Minute // until the broadcasts of the joins have ended
 )
 
-// Measure starts n members in as many regions, lets them settle, measures the
-// cost of a quiet time, and then of one kill and one restart.
+// Measure starts n members in the given number of regions, waits until traffic settles,
+// and measures the cost while nothing happens, then the detection of one kill and one
+// restart.
 func Measure(n, regions int, simulated time.Duration, seed uint64) (Cost, error) {
 	before := heapBytes()
 	c := New(n, regions, seed)
 	c.StartAll()
 	c.Run(time.Second)
 	if _, ok := c.RunUntil(convergeTimeout, c.Converged); !ok {
-		return Cost{}, errors.Errorf("%d members did not find each other", n)
+		return Cost{}, errors.Errorf("%d members did not converge after their start", n)
 	}
 	c.Run(settleTime)
 	cost := Cost{Members: n, Regions: regions, Simulated: simulated}
@@ -59,16 +62,16 @@
 	killed.Kill()
 	region, ok := c.RunUntil(convergeTimeout, func() bool { return c.RegionConverged(killed.Region) })
 	if !ok {
-		return cost, errors.New("a killed member was not noticed in its region")
+		return cost, errors.New("killed member was not detected within its region")
 	}
 	rest, ok := c.RunUntil(convergeTimeout, c.Converged)
 	if !ok {
-		return cost, errors.New("a killed member was not noticed by all")
+		return cost, errors.New("killed member was not detected by all members")
 	}
 	cost.RegionDetectTime, cost.ClusterDetectTime = region, region+rest
 	killed.Start()
 	if cost.JoinTime, ok = c.RunUntil(convergeTimeout, c.Converged); !ok {
-		return cost, errors.New("a restarted member was not noticed by all")
+		return cost, errors.New("restarted member was not known to all members")
 	}
 	return cost, nil
 }
@@ -98,7 +101,7 @@
 	return float64(s.HeapAlloc)
 }
 
-// cpuTime is the process's user and system time.
+// cpuTime returns the process's user and system time.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/member/membertest/tcp.go
+++ b/member/membertest/tcp.go
@@ -12,7 +12,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Daemon is membership over a real transport on the loopback interface.
+// Daemon runs membership over a real transport on the loopback interface.
 type Daemon struct {
 	Transport *peer.TCP
 	Runner    *member.Runner
@@ -20,10 +20,10 @@
 	Registry  *metrics.Registry
 }
 
-// clusterKey is the key of all Daemons.
+// clusterKey is the shared transport key of all Daemons.
 var clusterKey = bytes.Repeat([]byte("k"), peer.MinKeyBytes)
 
-// StartDaemon starts a daemon that asks the seeds for members.
+// StartDaemon starts a daemon with the given seeds.
 func StartDaemon(name, region string, seeds []string) (*Daemon, error) {
 	d := &Daemon{View: &member.CurrentView{}, Registry: metrics.New()}
 	var err error
@@ -48,10 +48,10 @@
 	return d, nil
 }
 
-// Address is where the daemon listens.
+// Address returns the address that the daemon listens on.
 func (d *Daemon) Address() string { return d.Transport.Addr().String() }
 
-// CountInState counts the members that the daemon believes to be in a state.
+// CountInState returns the number of members in a state, according to the daemon.
 func (d *Daemon) CountInState(s member.State) int {
 	n := 0
 	for _, m := range d.View.Load().Members {
@@ -62,20 +62,20 @@
 	return n
 }
 
-// Close stops the daemon without announcing that it leaves.
+// Close stops the daemon without a prior Leave.
 func (d *Daemon) Close() {
 	d.Runner.Close()
 	d.Transport.Close()
 }
 
-// wireBytes is what the daemon sent and received with framing and encryption.
+// wireBytes returns the bytes sent and received, including framing and encryption.
 func (d *Daemon) wireBytes() int64 {
 	return d.Registry.Counter("peer", "wire_bytes_in").Value() + d.Registry.Counter("peer", "wire_bytes_out").Value()
 }
 
-// TCPCost is what membership costs one member over the real transport: bytes
-// with framing, encryption and dials but without TCP and IP headers; CPU with
-// the system calls.
+// TCPCost is the cost of membership per member over the real transport. Bytes include
+// framing, encryption and connection setup, without TCP and IP headers. CPU includes
+// system calls.
 type TCPCost struct {
 	Members        int           `json:"members"`
 	Measured       time.Duration `json:"measured_ns"`
@@ -83,13 +83,13 @@
 	DialsPerSecond float64       `json:"dials_per_second"`
 	Connections    float64       `json:"connections"`
 	CPU            float64       `json:"cpu"`
-	// HeapBytes per member includes its connections.
+	// HeapBytes is the heap per member including its connections.
 	HeapBytes float64 `json:"heap_bytes"`
 }
 
-// MeasureTCP starts n daemons in one region in this process, waits until they
-// know each other and the news of that has died out, and measures for a while
-// in real time.
+// MeasureTCP starts n daemons of one region in this process, waits for the time settle
+// until they know each other and their broadcasts have ended, and then measures for the
+// given real time.
 func MeasureTCP(n int, settle, measured time.Duration) (TCPCost, error) {
 	heap := heapBytes()
 	var daemons []*Daemon
@@ -112,7 +112,7 @@
 	time.Sleep(settle)
 	for _, d := range daemons {
 		if d.CountInState(member.Alive) != n {
-			return TCPCost{}, errors.Errorf("a daemon knows %d of %d", d.CountInState(member.Alive), n)
+			return TCPCost{}, errors.Errorf("a daemon knows %d of %d members", d.CountInState(member.Alive), n)
 		}
 	}
 	cost := TCPCost{Members: n, Measured: measured}
