--- a/discovery/changelog.go
+++ b/discovery/changelog.go
@@ -2,41 +2,41 @@
 
 import "slices"
 
-// Revision is the platform's: it grows with each of its changes.
+// Revision is the store's revision, as assigned by the platform. It grows with each
+// write.
 type Revision uint64
 
-// maxRemovals bounds the removals that Changes remembers. Who is further behind
-// than these gets the whole list.
+// maxRemovals limits the removals that a ChangeLog remembers. A client with an older
+// list gets the whole list.
 const maxRemovals = 4096
 
-// ChangeLog remembers since which revision a directory has each of its servers as
-// it is, so that one who has an older list can be told what differs from it.
+// ChangeLog remembers at which revision each server of a directory last changed, so
+// that a client with an older list can be sent the difference.
 //
-// What goes wrong where each change is told as the whole list: with 1,000
-// servers of which a few change each second, the bytes between zones cost more
-// than all else, 3.4 MB/s from the daemon that tells most. It is not safe for
-// concurrent use.
+// With whole lists in place of deltas, 1,000 servers of which a few change each second
+// make the traffic between zones the largest cost, 3.4 MB/s from the daemon that sends
+// most. A ChangeLog is not safe for concurrent use.
 type ChangeLog struct {
 	current   map[string]Server
 	changedAt map[string]Revision
 	removals  []removal // oldest first
-	// oldest is the oldest revision from which on all changes are known.
+	// oldest is the first revision since which all changes are known.
 	oldest Revision
 }
 
-// removal is a server that is not listed any more.
+// removal is a server that is no longer listed.
 type removal struct {
 	id string
 	at Revision
 }
 
-// Delta is what a list has that an older one has not.
+// Delta is the difference between a list and an older one.
 type Delta struct {
 	Changed []Server
 	Removed []string
 }
 
-// Record takes what is listed as of a revision.
+// Record records the complete list as of a revision.
 func (c *ChangeLog) Record(listed []Server, revision Revision) {
 	previous := c.current
 	if previous == nil {
@@ -61,8 +61,8 @@
 	}
 }
 
-// Since returns what has changed after a revision; false: that is too long ago.
-// It may hold what the older list has already.
+// Since returns the changes after a revision, or false if the revision is too old. The
+// delta may contain entries that the older list already has.
 func (c *ChangeLog) Since(revision Revision) (Delta, bool) {
 	if c.current == nil || revision < c.oldest {
 		return Delta{}, false
@@ -81,7 +81,7 @@
 	return d, true
 }
 
-// Apply returns a list with the changes made.
+// Apply returns the list with the delta applied.
 func (d Delta) Apply(listed []Server) []Server {
 	superseded := make(map[string]bool, len(d.Removed)+len(d.Changed))
 	for _, id := range d.Removed {
--- a/discovery/changelog_test.go
+++ b/discovery/changelog_test.go
@@ -17,9 +17,9 @@
 	return out
 }
 
-// The property: whoever has the list of an earlier revision, and takes what is
-// told to have changed since, has the newest list; and what is not known any more
-// is not told as if it were.
+// TestDeltaUpdatesAnyOldList checks that applying the delta since an earlier revision
+// to the list of that revision gives the newest list, and that no delta is returned for
+// a revision that is no longer known.
 func TestDeltaUpdatesAnyOldList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c ChangeLog
@@ -42,7 +42,7 @@
 		for at, old := range history {
 			d, ok := c.Since(at)
 			if ok != (at >= 3) {
-				t.Fatalf("after %d: %v", at, ok)
+				t.Fatalf("Since(%d): ok is %v", at, ok)
 			}
 			if !ok {
 				continue
@@ -51,14 +51,14 @@
 			dir.Replace(time.Time{}, d.Apply(old))
 			want.Replace(time.Time{}, serversOf(now))
 			if fmt.Sprint(dir.Listed()) != fmt.Sprint(want.Listed()) {
-				t.Fatalf("after %d: %v, want %v", at, dir.Listed(), want.Listed())
+				t.Fatalf("Since(%d): got list %v, want %v", at, dir.Listed(), want.Listed())
 			}
 		}
 	})
 }
 
 func TestChangeLogDropsOldestRemovals(t *testing.T) {
-	Convey("Who is further behind gets the whole list", t, func() {
+	Convey("For a revision before the remembered removals there is no delta", t, func() {
 		var c ChangeLog
 		c.Record(nil, 1)
 		for i := range maxRemovals + 10 {
@@ -70,7 +70,7 @@
 		So(ok, ShouldBeTrue)
 		So(d.Changed, ShouldHaveLength, 1)
 	})
-	Convey("Before anything was noted, nothing is told", t, func() {
+	Convey("Before the first record there is no delta", t, func() {
 		var c ChangeLog
 		_, ok := c.Since(0)
 		So(ok, ShouldBeFalse)
--- a/discovery/directory.go
+++ b/discovery/directory.go
@@ -1,6 +1,5 @@
-// Package discovery is the aggregate of the backend servers that the platform
-// lists: which exist, where, and which of them are leaving. It has no clock
-// and calls nobody.
+// Package discovery holds the backend servers that the platform lists: which exist, at
+// which addresses, and which of them are leaving. It has no clock and does no I/O.
 package discovery
 
 import (
@@ -12,64 +11,64 @@
 
 // Server is a backend server as it registered itself.
 type Server struct {
-	// ID names the server. It may start again under it; a server of another
-	// service may get its address.
+	// ID identifies the server and survives its restarts. The address may later belong
+	// to a server of another service.
 	ID               string
 	Service          string
-	Address          string // IP:port
+	Address          string // IP:port of the server
 	AvailabilityZone string
 	Slots            int
-	// Version is of the server's software; empty: it does not say.
+	// Version is the server's software version; empty if not given.
 	Version string
 	// Cold is set while the server is still slow after its start.
 	Cold bool
 	// Leaving is set once this incarnation has announced that it stops.
 	Leaving bool
-	// StartedAt is when this incarnation started, in Unix milliseconds by its own
-	// clock; 0: it does not say. It is compared with the same server's alone.
+	// StartedAt is the start of this incarnation in Unix milliseconds by the server's
+	// own clock; 0 if not given. It is only compared with values of the same server.
 	StartedAt int64
-	// Restarts is how often the sequence fell back under one StartedAt, as far as
-	// this directory has seen. It is not told to others.
+	// Restarts counts the restarts without a new StartedAt that this directory has
+	// detected by a decrease of Sequence. It is not sent to others.
 	Restarts int
-	// InvalidReason says why the entry is malformed, and its server not to be used; empty:
-	// it is well-formed.
+	// InvalidReason says why the entry is malformed and the server must not be used;
+	// empty if the entry is valid.
 	InvalidReason string
-	// Sequence counts what the incarnation has written, 0: unknown; Revision is of
-	// the entry's last write, 0: unknown. They grow while nothing else changes.
+	// Sequence counts the incarnation's writes, and Revision is that of the entry's
+	// last write; 0 if unknown. Both grow with each write, even if nothing else
+	// changes.
 	Sequence uint64
 	Revision Revision
 }
 
-// Incarnation names one run of the server's process, from its start to its end,
-// among all that had its ID.
+// Incarnation identifies one run of the server's process among all runs with the same
+// ID.
 func (s Server) Incarnation() string {
 	return strconv.FormatInt(s.StartedAt, 36) + "." + strconv.Itoa(s.Restarts)
 }
 
-// Equal tells whether two entries say the same, whenever they were written.
+// Equal reports whether two entries are equal apart from Sequence and Revision.
 func (s Server) Equal(o Server) bool {
 	s.Sequence, s.Revision = o.Sequence, o.Revision
 	return s == o
 }
 
-// StoreRecoveryGrace is how long after the store's return an entry may still be
-// missing whose server lives: the servers write again within about 2 s; the
-// rest covers the time between two of our reads.
+// StoreRecoveryGrace is how long after a store outage the entry of a running server may
+// be missing. Servers write again within about 2 s; the rest covers the interval
+// between two reads of the list.
 const StoreRecoveryGrace = 2300 * time.Millisecond
 
-// Directory holds the servers. It is not safe for concurrent use.
+// Directory holds the known servers. It is not safe for concurrent use.
 //
-// What goes wrong with the plain list: entries lapse while the store is down,
-// and the first list after its return lacks servers that are well. One would
-// notice requests refused for want of servers just after an outage. So what
-// is missing then is kept for StoreRecoveryGrace. One that the store has had since its
-// return, and then lacks, has left: to keep that one too sent requests to a
-// server 2.1 s after it had left.
+// Entries expire while the store is unavailable, so the first list after an outage
+// lacks servers that are running; requests would then be refused for lack of servers.
+// The directory therefore keeps servers that are missing from the list for
+// StoreRecoveryGrace. A server that has been listed since the outage and is missing
+// later has left: keeping it too would send requests to it up to 2.1 s after it left.
 type Directory struct {
 	servers map[string]Server
-	// missing are kept servers that the newest list lacks.
+	// missing are the servers that are kept although the newest list lacks them.
 	missing map[string]bool
-	// confirmed are servers that the store has had since its return.
+	// confirmed are the servers that have been listed since the store recovered.
 	confirmed        map[string]bool
 	storeDown        bool
 	storeRecoveredAt time.Time
@@ -80,10 +79,10 @@
 	return &Directory{servers: map[string]Server{}, missing: map[string]bool{}, confirmed: map[string]bool{}}
 }
 
-// StoreUnavailable tells that the store did not answer.
+// StoreUnavailable reports that the store did not answer.
 func (d *Directory) StoreUnavailable() { d.storeDown = true }
 
-// Replace takes a whole list, and reports whether anything changed.
+// Replace applies a complete list and reports whether anything changed.
 func (d *Directory) Replace(now time.Time, listed []Server) bool {
 	d.markStoreAvailable(now)
 	changed := false
@@ -101,7 +100,7 @@
 	return changed
 }
 
-// Confirm tells that the store has exactly the servers that are known and not
+// Confirm reports that the store lists exactly the servers that are known and not
 // missing.
 func (d *Directory) Confirm(now time.Time) {
 	d.markStoreAvailable(now)
@@ -110,14 +109,15 @@
 	}
 }
 
-// Put takes one changed entry, and reports whether it says anything new.
+// Put applies one changed entry and reports whether the directory changed.
 func (d *Directory) Put(now time.Time, s Server) bool {
 	d.markStoreAvailable(now)
 	return d.upsert(s)
 }
 
-// Delete takes the removal of one entry at a revision; 0: unknown. A removal that
-// is older than the entry was of an earlier one under that ID.
+// Delete applies the removal of an entry at a revision (0: unknown) and reports whether
+// the directory changed. A removal older than the entry refers to an earlier entry with
+// the same ID and is ignored.
 func (d *Directory) Delete(now time.Time, id string, at Revision) bool {
 	d.markStoreAvailable(now)
 	known, ok := d.servers[id]
@@ -127,8 +127,8 @@
 	return d.handleMissing(now, id)
 }
 
-// handleMissing takes it that the store lacks a server, and reports whether that is
-// news.
+// handleMissing processes a server's absence from the store and reports whether the
+// directory changed. During the grace period an unconfirmed server is kept as missing.
 func (d *Directory) handleMissing(now time.Time, id string) bool {
 	if d.inRecoveryGrace(now) && !d.confirmed[id] {
 		known := d.missing[id]
@@ -139,7 +139,8 @@
 	return true
 }
 
-// ExpireMissing removes what is still missing when the grace has passed.
+// ExpireMissing removes the servers that are still missing after the grace period, and
+// reports whether there were any.
 func (d *Directory) ExpireMissing(now time.Time) bool {
 	if d.storeDown || d.inRecoveryGrace(now) || len(d.missing) == 0 {
 		return false
@@ -150,27 +151,28 @@
 	return true
 }
 
-// ExpiresIn returns when Expire is to be called; false where nothing is missing.
+// ExpiresIn returns the time until ExpireMissing must be called; false if no server is
+// missing or the store is unavailable.
 func (d *Directory) ExpiresIn(now time.Time) (time.Duration, bool) {
 	return d.storeRecoveredAt.Add(StoreRecoveryGrace).Sub(now), len(d.missing) > 0 && !d.storeDown
 }
 
-// Len is how many entries there are, of whatever kind.
+// Len returns the number of entries, including missing and invalid ones.
 func (d *Directory) Len() int { return len(d.servers) }
 
-// Servers returns all servers that may be used, sorted by ID, those that are
-// missing included.
+// Servers returns all valid servers, including missing ones, sorted by ID.
 func (d *Directory) Servers() []Server {
 	return d.sorted(func(s Server) bool { return s.InvalidReason == "" })
 }
 
-// InvalidReason returns the malformed entries, sorted by ID.
+// Invalid returns the malformed entries, sorted by ID.
 func (d *Directory) Invalid() []Server {
 	return d.sorted(func(s Server) bool { return s.InvalidReason != "" })
 }
 
-// Listed returns the entries that the store has, sorted by ID. A daemon that
-// has seen no outage needs no grace: what is missing has left.
+// Listed returns the entries that the store has, sorted by ID. Missing servers are left
+// out: a daemon that has seen no outage needs no grace period; for it, a missing server
+// has left.
 func (d *Directory) Listed() []Server {
 	return d.sorted(func(s Server) bool { return !d.missing[s.ID] })
 }
@@ -186,8 +188,9 @@
 	return out
 }
 
-// upsert takes an entry, and reports whether it says anything new. That a missing
-// server is listed again is news to those who were told that it is not.
+// upsert applies an entry and reports whether the directory changed. A missing server
+// that is listed again counts as a change, since others were told that it is not
+// listed.
 func (d *Directory) upsert(s Server) bool {
 	reappeared := d.missing[s.ID]
 	delete(d.missing, s.ID)
@@ -200,8 +203,8 @@
 	return reappeared || !known || !s.Equal(old)
 }
 
-// merge returns what is known of a server when an entry comes after s. Copies
-// come late and out of order: a watch tells of writes that a list has told of.
+// merge returns the state of a server after the entry next. Entries may arrive late and
+// out of order: a watch may deliver writes that a list has already included.
 func (s Server) merge(next Server) Server {
 	stale := next.Revision > 0 && next.Revision < s.Revision ||
 		next.InvalidReason == "" && next.StartedAt > 0 && next.StartedAt < s.StartedAt
@@ -209,7 +212,7 @@
 		s.Leaving = s.Leaving || next.Leaving && next.StartedAt == s.StartedAt
 		return s
 	}
-	if next.InvalidReason != "" { // until it is overwritten: what was known of the server holds then
+	if next.InvalidReason != "" { // keep the other fields until a valid entry is written
 		s.InvalidReason, s.Revision = next.InvalidReason, next.Revision
 		return s
 	}
@@ -220,17 +223,15 @@
 	if next.detectRestart(s) {
 		return next
 	}
-	// An incarnation does not come back from leaving; an older copy may say so.
+	// A leaving incarnation stays leaving, even if an older copy of its entry arrives.
 	next.Leaving = next.Leaving || s.Leaving
 	next.Sequence = max(next.Sequence, s.Sequence)
 	return next
 }
 
-// detectRestart tells whether an entry is of another incarnation than the one
-// before, and counts those that do not say when they started.
-//
-// What goes wrong without it: a server that announced that it leaves and starts
-// again under its ID is never used again.
+// detectRestart reports whether an entry is of another incarnation than the previous
+// one, and counts restarts of servers that give no start time. Without it, a server
+// that announced its stop and restarts under the same ID would never be used again.
 func (s *Server) detectRestart(previous Server) bool {
 	if s.StartedAt != previous.StartedAt {
 		s.Restarts = 0
@@ -243,11 +244,11 @@
 	return restarted
 }
 
-// maxReorderedWrites is by how much a sequence falls back without a restart: the store may
-// do a write seconds after the server's next ones, and a server writes about once a
-// second. If each fall were a restart, a write from before a server announced that
-// it leaves would bring it back into use. A server that starts again within its
-// first writes is not told apart so.
+// maxReorderedWrites is the largest decrease of Sequence that doesn't count as a
+// restart. The store may apply a write seconds after later ones, and a server writes
+// about once a second. If every decrease counted, a write from before a server
+// announced its stop would put it back into use. A restart within a server's first
+// writes is not detected this way.
 const maxReorderedWrites = 8
 
 func (d *Directory) drop(id string) {
--- a/discovery/directory_test.go
+++ b/discovery/directory_test.go
@@ -19,7 +19,7 @@
 }
 
 func TestDirectoryAppliesLists(t *testing.T) {
-	Convey("Servers come, leave and go", t, func() {
+	Convey("Servers are added, changed, leaving and removed", t, func() {
 		d := NewDirectory()
 		So(d.Replace(start, []Server{{ID: "a"}, {ID: "b"}}), ShouldBeTrue)
 		So(d.Replace(start, []Server{{ID: "a"}, {ID: "b"}}), ShouldBeFalse)
@@ -33,9 +33,10 @@
 	})
 }
 
-// Guards against requests refused for want of servers whose entries lapsed in an outage of the store.
+// Guards against requests refused for lack of servers whose entries expired during a
+// store outage.
 func TestDirectoryKeepsMissingServersAfterOutage(t *testing.T) {
-	Convey("A server that is missing after an outage is kept for the grace", t, func() {
+	Convey("A server that is missing after an outage is kept for the grace period", t, func() {
 		d := NewDirectory()
 		d.Replace(start, []Server{{ID: "a"}, {ID: "b"}})
 		d.StoreUnavailable()
@@ -44,24 +45,25 @@
 		So(d.Replace(recovered, []Server{{ID: "b"}}), ShouldBeFalse)
 		So(serverIDs(d), ShouldResemble, []string{"a", "b"})
 
-		Convey("and is well when it has written again", func() {
+		Convey("and stays once it is listed again", func() {
 			d.Replace(recovered.Add(time.Second), []Server{{ID: "a"}, {ID: "b"}})
 			So(d.ExpireMissing(recovered.Add(StoreRecoveryGrace)), ShouldBeFalse)
 			So(serverIDs(d), ShouldResemble, []string{"a", "b"})
 		})
-		Convey("and is gone when it has not by then", func() {
+		Convey("and is removed if it is not listed by then", func() {
 			So(d.ExpireMissing(recovered.Add(StoreRecoveryGrace-1)), ShouldBeFalse)
 			So(d.ExpireMissing(recovered.Add(StoreRecoveryGrace)), ShouldBeTrue)
 			So(serverIDs(d), ShouldResemble, []string{"b"})
 		})
-		Convey("but not while the store is away again", func() {
+		Convey("but is not removed during another outage", func() {
 			d.StoreUnavailable()
 			So(d.ExpireMissing(recovered.Add(time.Minute)), ShouldBeFalse)
 			So(serverIDs(d), ShouldResemble, []string{"a", "b"})
 		})
 	})
-	// Guards against this: a server gets requests 2.1 s after it has left.
-	Convey("What is missing is not told to others, and the grace's end is known", t, func() {
+	// Guards against requests to a server 2.1 s after it left: another daemon must not
+	// be told of a server that is only kept for the grace period.
+	Convey("A missing server is not in Listed, and ExpiresIn gives the end of the grace period", t, func() {
 		d := NewDirectory()
 		d.Replace(start, []Server{{ID: "a"}, {ID: "b"}})
 		_, ok := d.ExpiresIn(start)
@@ -75,8 +77,9 @@
 		So(ok, ShouldBeTrue)
 		So(in, ShouldEqual, StoreRecoveryGrace-time.Second)
 	})
-	// Guards against this: a server gets requests 2.07 s after its entry was removed.
-	Convey("A server that was listed after the return and is removed then has left", t, func() {
+	// Guards against requests to a server 2.07 s after its entry was removed: the grace
+	// period must not apply to a server that has been listed since the outage.
+	Convey("A server that was listed after the outage and is then removed has left", t, func() {
 		d := NewDirectory()
 		d.Replace(start, []Server{{ID: "a"}, {ID: "b"}})
 		d.StoreUnavailable()
@@ -87,9 +90,9 @@
 		So(d.Replace(recovered.Add(time.Second), nil), ShouldBeTrue)
 		So(serverIDs(d), ShouldBeEmpty)
 	})
-	// The same, where the daemon learns of the store from another one: that has
-	// no news for it until the server leaves.
-	Convey("So has one that was confirmed after the return", t, func() {
+	// The same for a daemon that learns of the recovery from another one, and then
+	// hears nothing until the server leaves.
+	Convey("A server that was confirmed after the outage and is then missing has left", t, func() {
 		d := NewDirectory()
 		d.Replace(start, []Server{{ID: "a"}, {ID: "b"}})
 		d.StoreUnavailable()
@@ -98,7 +101,7 @@
 		So(d.Replace(recovered.Add(2*time.Second), []Server{{ID: "b"}}), ShouldBeTrue)
 		So(serverIDs(d), ShouldResemble, []string{"b"})
 	})
-	Convey("What is missing is not confirmed", t, func() {
+	Convey("A missing server is not confirmed by Confirm", t, func() {
 		d := NewDirectory()
 		d.Replace(start, []Server{{ID: "a"}, {ID: "b"}})
 		d.StoreUnavailable()
@@ -108,7 +111,7 @@
 		d.Replace(recovered, []Server{{ID: "b"}})
 		So(serverIDs(d), ShouldResemble, []string{"a", "b"})
 	})
-	Convey("A server that announces that it stops is leaving at once, grace or not", t, func() {
+	Convey("A server that announces its stop is leaving at once, even during an outage", t, func() {
 		d := NewDirectory()
 		d.Replace(start, []Server{{ID: "a"}})
 		d.StoreUnavailable()
@@ -117,10 +120,11 @@
 	})
 }
 
-// Guards against a server that started again and stays unused, since its former incarnation was leaving.
+// Guards against a restarted server that stays unused because its previous incarnation
+// was leaving.
 func TestDirectoryUsesRestartedServer(t *testing.T) {
 	leaving := func(d *Directory) bool { return d.Servers()[0].Leaving }
-	Convey("Another start is another incarnation, whatever the one before announced", t, func() {
+	Convey("A new start time is a new incarnation, which is not leaving", t, func() {
 		d := NewDirectory()
 		d.Put(start, Server{ID: "a", StartedAt: 1000, Sequence: 40, Revision: 10, Leaving: true})
 		before := d.Servers()[0].Incarnation()
@@ -128,23 +132,23 @@
 		So(leaving(d), ShouldBeFalse)
 		So(d.Servers()[0].Incarnation(), ShouldNotEqual, before)
 
-		Convey("and it may leave in its turn, once and for all", func() {
+		Convey("and the new incarnation may leave, which is final", func() {
 			d.Put(start, Server{ID: "a", StartedAt: 2000, Sequence: 2, Revision: 12, Leaving: true})
 			So(d.Put(start, Server{ID: "a", StartedAt: 2000, Sequence: 3, Revision: 13}), ShouldBeFalse)
 			So(leaving(d), ShouldBeTrue)
 		})
-		Convey("and an older copy of its former incarnation changes nothing, in whatever order it comes", func() {
+		Convey("and late entries of the previous incarnation change nothing", func() {
 			So(d.Put(start, Server{ID: "a", StartedAt: 1000, Sequence: 41, Revision: 10, Leaving: true}), ShouldBeFalse)
 			So(d.Put(start, Server{ID: "a", StartedAt: 1000, Sequence: 41, Revision: 14, Leaving: true}), ShouldBeFalse)
 			So(d.Delete(start, "a", 10), ShouldBeFalse)
 			So(leaving(d), ShouldBeFalse)
 		})
-		Convey("and an entry without a start is of the incarnation that is known", func() {
+		Convey("and an entry without a start time belongs to the known incarnation", func() {
 			So(d.Put(start, Server{ID: "a", Sequence: 2, Revision: 12}), ShouldBeFalse)
 			So(d.Servers()[0].StartedAt, ShouldEqual, 2000)
 		})
 	})
-	Convey("Without a start, a sequence that falls back tells of another incarnation", t, func() {
+	Convey("Without a start time, a decreasing sequence means a new incarnation", t, func() {
 		d := NewDirectory()
 		d.Put(start, Server{ID: "a", Sequence: 40, Revision: 10, Leaving: true})
 		So(d.Put(start, Server{ID: "a", Sequence: 1, Revision: 9}), ShouldBeFalse) // an older copy
@@ -154,14 +158,14 @@
 		So(d.Put(start, Server{ID: "a", Sequence: 2, Revision: 12}), ShouldBeFalse)
 		So(d.Servers()[0].Restarts, ShouldEqual, 1)
 	})
-	Convey("A write that the store did late does not bring a leaving server back", t, func() {
+	Convey("A write that the store applied late does not put a leaving server back into use", t, func() {
 		d := NewDirectory()
 		d.Put(start, Server{ID: "a", Sequence: 40, Revision: 10, Leaving: true})
 		So(d.Put(start, Server{ID: "a", Sequence: 36, Revision: 11}), ShouldBeFalse)
 		So(d.Put(start, Server{ID: "a", Sequence: 32, Revision: 12}), ShouldBeFalse)
 		So(leaving(d), ShouldBeTrue)
 	})
-	Convey("A server that begins to tell its start has started again", t, func() {
+	Convey("A server whose entry gains a start time has restarted", t, func() {
 		d := NewDirectory()
 		d.Put(start, Server{ID: "a", Sequence: 4, Revision: 10, Leaving: true})
 		So(d.Put(start, Server{ID: "a", StartedAt: 5, Sequence: 5, Revision: 11}), ShouldBeTrue)
@@ -169,13 +173,14 @@
 	})
 }
 
-// Guards against a returned server that daemons which do not read the store never hear of.
+// Guards against a relisted server that daemons without access to the store never learn
+// of.
 func TestDirectoryReportsRelistedServer(t *testing.T) {
 	for name, recovered := range map[string]func(*Directory, time.Time) bool{
 		"in a list":  func(d *Directory, now time.Time) bool { return d.Replace(now, []Server{{ID: "a"}}) },
 		"in a watch": func(d *Directory, now time.Time) bool { return d.Put(now, Server{ID: "a"}) },
 	} {
-		Convey("A return is a change "+name, t, func() {
+		Convey("A relisted server is a change "+name, t, func() {
 			d := NewDirectory()
 			d.Replace(start, []Server{{ID: "a"}})
 			d.StoreUnavailable()
@@ -188,9 +193,10 @@
 	}
 }
 
-// Guards against the use of a server whose entry was overwritten, and against the loss of all for one.
+// Guards against the use of a server whose entry was overwritten with a malformed one,
+// and against the loss of all servers because of one such entry.
 func TestDirectoryIgnoresMalformedEntry(t *testing.T) {
-	Convey("It is not used until it is mended", t, func() {
+	Convey("Its server is not used until the entry is valid again", t, func() {
 		d := NewDirectory()
 		valid := Server{ID: "a", StartedAt: 7, Sequence: 9, Revision: 10}
 		d.Replace(start, []Server{valid, {ID: "b"}})
@@ -204,14 +210,14 @@
 		So(d.Put(start, valid), ShouldBeTrue)
 		So(serverIDs(d), ShouldResemble, []string{"a", "b"})
 	})
-	Convey("It is not used in the grace after an outage either", t, func() {
+	Convey("Its server is not used during the grace period after an outage either", t, func() {
 		d := NewDirectory()
 		d.Replace(start, []Server{{ID: "a", Revision: 1}})
 		d.StoreUnavailable()
 		d.Replace(start, []Server{{ID: "a", InvalidReason: "no object", Revision: 2}})
 		So(serverIDs(d), ShouldBeEmpty)
 	})
-	Convey("That it was leaving is not forgotten meanwhile", t, func() {
+	Convey("A leaving server stays leaving after a malformed entry", t, func() {
 		d := NewDirectory()
 		d.Put(start, Server{ID: "a", Leaving: true, Revision: 1})
 		d.Put(start, Server{ID: "a", InvalidReason: "no object", Revision: 2})
@@ -220,9 +226,9 @@
 	})
 }
 
-// The property: whatever malformed entries lie among sound ones, and in
-// whatever order changes, lists and copies that are late come, the sound servers are
-// as if there were none.
+// TestMalformedEntriesDoNotAffectValidOnes checks that the valid servers are the same
+// with and without malformed entries among them, in any order of changes, lists and
+// late copies.
 func TestMalformedEntriesDoNotAffectValidOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		with, without := NewDirectory(), NewDirectory()
@@ -249,7 +255,7 @@
 			}
 		}
 		if fmt.Sprint(with.Servers()) != fmt.Sprint(without.Servers()) {
-			t.Fatalf("%v, want %v", with.Servers(), without.Servers())
+			t.Fatalf("got servers %v, want %v", with.Servers(), without.Servers())
 		}
 	})
 }
