--- a/placement/controller.go
+++ b/placement/controller.go
@@ -25,7 +25,7 @@
 	DefaultMaxMoves      = 4
 )
 
-// The counters of metric group "placement".
+// Counters of the metric group "placement".
 const (
 	metricGroup        = "placement"
 	countRounds        = "rounds"
@@ -41,25 +41,25 @@
 	countLeasesLost    = "lease_lost"
 )
 
-// Demand is how many requests of each tier run or wait at a pool.
+// Demand is the number of running and waiting requests of a pool by tier.
 type Demand = [request.MaxTiers]float64
 
-// Options set up a Controller. Elector, Region, API, Weights, Engines and
-// Config are needed.
+// Options configure a Controller. Region, Elector, API, Weights, Engines and Config are
+// required.
 type Options struct {
 	Region  string
 	Elector *lease.Elector
 	API     objectstore.ObjectAPI
 	Weights objectstore.WeightStore
 	Engines engine.Dialer
-	// Config returns the configuration in force, nil before there is one.
+	// Config returns the current configuration, or nil if there is none yet.
 	Config func() *workspace.Snapshot
-	// Demand returns the demand by pool. Pools that it does not name keep the
-	// demand last seen.
+	// Demand returns the demand by pool. Pools that it doesn't contain keep their last
+	// demand.
 	Demand func(context.Context) map[string]Demand
-	// Interval is how often it looks; Settle is how long a server must have
-	// served its pool before other models are unloaded; Repeat is how long an
-	// order may take to show before it is given again.
+	// Interval is the minimum interval between rounds. UnloadDelay is how long a server
+	// must have served its pool before other models are unloaded. RetryInterval is how
+	// long an order may take to show an effect before it is sent again.
 	Interval, UnloadDelay, RetryInterval time.Duration
 	// CallTimeout bounds each call to an engine or the store.
 	CallTimeout time.Duration
@@ -90,48 +90,49 @@
 	}
 }
 
-// Controller carries plans out while it holds the region's lease.
+// Controller executes plans while it holds the region's lease.
 //
-// What goes wrong without care: a controller that was paused goes on with an
-// old plan beside its successor's; one would see servers load and unload in
-// turns. It asks the lease right before each act and sends the token along,
-// so that engines refuse it; its writes are conditional, and carry the token;
-// and for engines that ignore tokens the successor has waited out the lease
-// plus a margin, and gives its orders again whenever a server differs.
+// A controller that was paused might continue an old plan beside its successor's, so
+// that servers would load and unload models in turns. Therefore it checks the lease
+// right before each action and sends the fencing token along, so that engines refuse
+// outdated orders. Its writes are conditional and contain the token. For engines that
+// ignore tokens, the successor has waited for the lease's duration plus a margin, and
+// repeats its orders whenever a server differs from the plan.
 type Controller struct {
 	opts Options
 	log  *logrus.Entry
 
-	// Of the present lease, used by one goroutine.
+	// State under the current lease; used by one goroutine.
 	lease        Lease
 	orderedAt    map[Step]time.Time
 	assignments  map[string]assignment
 	demand       map[string]Demand
 	observations map[string]*observation // by server
-	fenced       map[string]uint64       // server -> incarnation that got the token
-	planWritten  bool                    // the plan was written under this lease
+	fenced       map[string]uint64       // server -> incarnation that has received the token
+	planWritten  bool                    // the plan has been written under this lease
 }
 
-// Lease is what a controller needs of its lease.
+// Lease is the part of a lease that a controller uses.
 type Lease interface {
 	Check() (lease.Token, error)
 	Lost() <-chan struct{}
 }
 
-// assignment is the pool that a server serves, and since when as far as known.
+// assignment is the pool that a server serves, and since when the controller has
+// observed it.
 type assignment struct {
 	pool  string
 	since time.Time
 }
 
-// NewController returns a controller; Run starts it.
+// NewController returns a controller. Run starts it.
 func NewController(o Options) *Controller {
 	o = o.withDefaults()
 	return &Controller{opts: o, log: logs.For("placement").WithField("region", o.Region)}
 }
 
-// Run waits for the lease, controls while it is held, and again, until the
-// context ends. It then releases the lease.
+// Run acquires the lease and controls the region while it is held, repeatedly, until
+// the context ends. It then releases the lease.
 func (c *Controller) Run(ctx context.Context) error {
 	for {
 		l, err := c.opts.Elector.Acquire(ctx)
@@ -149,7 +150,7 @@
 	}
 }
 
-// runWithLease does round after round until the lease is lost or the context ends.
+// runWithLease runs rounds until the lease is lost or the context ends.
 func (c *Controller) runWithLease(ctx context.Context, l Lease) {
 	c.lease, c.planWritten = l, false
 	c.orderedAt, c.assignments = map[Step]time.Time{}, map[string]assignment{}
@@ -158,7 +159,7 @@
 	for {
 		if err := c.runRound(ctx); err != nil {
 			c.count(countRoundsFailed)
-			c.log.WithError(err).Warn("Round not finished.")
+			c.log.WithError(err).Warn("Placement round failed.")
 		}
 		wait := time.NewTimer(RoundInterval(c.opts.Interval, len(c.observations)))
 		select {
@@ -173,19 +174,18 @@
 	}
 }
 
-// intervalPerServer is the time that each server adds to the interval of rounds: a
-// controller looks at no more than ten servers a second.
+// intervalPerServer is the minimum interval between rounds per server: a controller
+// probes at most ten servers a second.
 const intervalPerServer = 100 * time.Millisecond
 
-// RoundInterval returns how long a controller waits between two rounds. Each
-// round looks at every server; at a fixed interval, the looks of a controller
-// of 217 servers would take 28 KB a second, seven times what all control on a
-// node may.
+// RoundInterval returns the time that a controller waits between two rounds. Each round
+// probes every server. At a fixed interval the probes of 217 servers would take 28 KB a
+// second, seven times the budget for all control traffic of a node.
 func RoundInterval(interval time.Duration, servers int) time.Duration {
 	return max(interval, time.Duration(servers)*intervalPerServer)
 }
 
-// runRound observes, plans, records the plan and acts.
+// runRound observes the region, computes and stores the plan, and executes it.
 func (c *Controller) runRound(ctx context.Context) error {
 	c.count(countRounds)
 	snapshot := c.opts.Config()
@@ -198,7 +198,7 @@
 	}
 	in, addresses := c.observe(ctx, snapshot)
 	if mostUnreachable(in.Servers) {
-		return errors.New("most servers are out of reach, moving none")
+		return errors.New("most servers are unreachable, no moves made")
 	}
 	in.Moves = stored.Moves
 	plan := ComputePlan(in)
--- a/placement/controller_test.go
+++ b/placement/controller_test.go
@@ -30,7 +30,7 @@
 
 const loadTime = 3 * time.Second
 
-// fakeEngine is an engine that only holds models.
+// fakeEngine is an engine that only loads and unloads models.
 type fakeEngine struct {
 	engine.Engine
 	checksTokens bool
@@ -40,8 +40,8 @@
 	loadedAt    time.Time
 	newestToken uint64
 	refused     int
-	missProbes  int      // probes still to be missed
-	tokens      []uint64 // of obeyed orders
+	missProbes  int      // number of probes to leave unanswered
+	tokens      []uint64 // of accepted orders
 }
 
 func (m *fakeEngine) Load(context.Context) (engine.LoadReport, error) {
@@ -74,13 +74,13 @@
 	return nil
 }
 
-// fakeDialer reaches the engines for one controller. While paused is set, an order
-// of the held kind waits until it is closed, and is then delivered, late.
+// fakeDialer connects one controller to the engines. If release is set, an order of
+// kind heldKind waits until release is closed and is then delivered late.
 type fakeDialer struct {
 	fixture  *fixture
 	heldKind engine.OrderKind
 	release  chan struct{}
-	held     chan string // addresses of orders that wait
+	held     chan string // addresses of waiting orders
 }
 
 func (d *fakeDialer) Engine(address string) engine.Engine {
@@ -145,7 +145,7 @@
 	for _, k := range workspace.Kinds() {
 		l, err := f.store.List(context.Background(), k, "")
 		if err != nil {
-			return f.live.Load() // the last good one stays in force
+			return f.live.Load() // the last valid configuration stays in use
 		}
 		all = append(all, l.Objects...)
 	}
@@ -179,7 +179,7 @@
 	return ""
 }
 
-// serving counts servers by pool that hold exactly their pool's model.
+// serving returns the number of servers by pool that hold exactly their pool's model.
 func (f *fixture) serving() map[string]int {
 	out := map[string]int{}
 	for name, p := range f.config().Pools {
@@ -193,7 +193,8 @@
 	return out
 }
 
-// waitForServing lets model time pass until the pools serve so many, at most ten minutes.
+// waitForServing waits at most ten minutes of virtual time until the pools a and b have
+// the given numbers of serving servers.
 func (f *fixture) waitForServing(t *testing.T, a, b int) {
 	t.Helper()
 	for range 600 {
@@ -202,10 +203,11 @@
 			return
 		}
 	}
-	t.Fatalf("want %d and %d, serving %v", a, b, f.serving())
+	t.Fatalf("pools a and b: want %d and %d serving servers, got %v", a, b, f.serving())
 }
 
-// Guards against this: a server loses the model that it serves, long after a takeover.
+// Guards against a delayed order of an earlier controller that unloads the model that a
+// server serves.
 func TestLateOrderOfPausedController(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checks=%t", checks), func(t *testing.T) {
@@ -217,8 +219,9 @@
 				all.Go(func() { _ = f.controller("first", first).Run(ctx) })
 				address := <-first.held
 				f.setDemand(50, 1)
-				// The first one renews its lease while its order hangs: only
-				// its release of the lease, or its death, lets another in.
+				// The first controller renews its lease while its order is pending.
+				// Another one can only acquire the lease once the first releases it or
+				// dies.
 				f.stealLease(t)
 				all.Go(func() { _ = f.controller("second", &fakeDialer{fixture: f}).Run(ctx) })
 				for f.poolOf(address) != "a" {
@@ -228,7 +231,7 @@
 				close(first.release)
 				synctest.Wait()
 				if r, _ := lateEngine.Load(ctx); checks && (lateEngine.refused != 1 || len(r.Models) == 0) {
-					t.Errorf("refused %d, holds %v", lateEngine.refused, r.Models)
+					t.Errorf("late order: refused %d, engine holds %v", lateEngine.refused, r.Models)
 				}
 				f.waitForServing(t, 3, 1)
 				cancel()
@@ -239,8 +242,8 @@
 	}
 }
 
-// stealLease makes the present lease pass to nobody, as if its holder's
-// renewals had failed for longer than its duration.
+// stealLease gives the current lease to another holder, as if its holder had failed to
+// renew it for longer than its duration.
 func (f *fixture) stealLease(t *testing.T) {
 	o, err := f.store.Get(context.Background(), lease.Kind, "placement-r")
 	if err == nil {
@@ -251,7 +254,7 @@
 	}
 }
 
-// Guards against this: engines get orders from two controllers in turns.
+// Guards against engines that get orders from two controllers in turns.
 func TestOneControllerAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(4, false)
@@ -265,13 +268,13 @@
 		f.setDemand(1, 50)
 		<-time.After(time.Minute)
 		if s := f.serving(); s["a"] != 2 || s["b"] != 2 {
-			t.Errorf("servers moved without a lease: %v", s)
+			t.Errorf("servers were moved without a lease: %v", s)
 		}
 		f.store.SetFaults(standin.Faults{LoseFraction: 0.3, SlowMs: 100})
 		f.waitForServing(t, 1, 3)
 		for _, e := range f.engines {
 			if !slices.IsSorted(e.tokens) {
-				t.Errorf("orders of an older lease after a newer one's: %v", e.tokens)
+				t.Errorf("got orders of an older lease after a newer one: tokens %v", e.tokens)
 			}
 		}
 		cancel()
@@ -280,7 +283,8 @@
 	})
 }
 
-// Guards against this: a slow answer, or a cut between the controller and an AvailabilityZone, sets servers moving between pools.
+// Guards against moves caused by a slow answer, or by a broken link between the
+// controller and an AvailabilityZone.
 func TestMissedProbesMoveNoServer(t *testing.T) {
 	for _, c := range []struct{ servers, misses int }{{1, 2}, {5, 100}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -301,7 +305,7 @@
 			}
 			<-time.After(time.Minute)
 			if n := f.orderCount() - before; n != 0 {
-				t.Errorf("%d servers missed %d probes: %d orders", c.servers, c.misses, n)
+				t.Errorf("%d servers missed %d probes: got %d orders, want none", c.servers, c.misses, n)
 			}
 			cancel()
 			all.Wait()
@@ -310,7 +314,7 @@
 	}
 }
 
-// orderCount counts the orders that the engines obeyed.
+// orderCount returns the number of orders that the engines accepted.
 func (f *fixture) orderCount() int {
 	n := 0
 	for _, e := range f.engines {
--- a/placement/execute.go
+++ b/placement/execute.go
@@ -10,8 +10,8 @@
 	"github.com/lycheekeel/lycheekeel/lease"
 )
 
-// execute does the steps. It stops at the first sign that the lease is not held
-// any more; other failures leave the rest to the next round.
+// execute runs the steps. It stops when the lease is lost or superseded; after other
+// errors it continues, and the failed step is returned again in the next round.
 func (c *Controller) execute(ctx context.Context, steps []Step, addresses map[string]string) error {
 	var lastErr error
 	loadsAllowed := true
@@ -20,7 +20,7 @@
 			continue
 		}
 		if s.Kind == StepLoad && !c.reserveLoad(ctx, s) {
-			loadsAllowed = false // the weight store grants no more for now
+			loadsAllowed = false // the weight store's rate is used up for now
 			continue
 		}
 		err := c.executeStep(ctx, s, addresses[s.Server])
@@ -36,8 +36,8 @@
 	return lastErr
 }
 
-// reserveLoad asks the weight store for a load. A grant that is lost, or not used
-// after all, costs some of its rate and no more.
+// reserveLoad reserves a load at the weight store. A reservation that is lost or not
+// used only costs part of the store's rate.
 func (c *Controller) reserveLoad(ctx context.Context, s Step) bool {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
@@ -49,7 +49,7 @@
 	return true
 }
 
-// executeStep does one step, checking the lease right before it.
+// executeStep runs one step and checks the lease right before it.
 func (c *Controller) executeStep(ctx context.Context, s Step, address string) error {
 	if s.Kind == StepAssign {
 		return c.assign(ctx, s)
@@ -80,5 +80,5 @@
 	default:
 		c.count(countOrderErrors)
 	}
-	return errors.Wrapf(err, "order %s to %s", o.Kind, s.Server)
+	return errors.Wrapf(err, "send order %s to %s", o.Kind, s.Server)
 }
--- a/placement/observe.go
+++ b/placement/observe.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	// maxConcurrentProbes bounds the engines asked at once.
+	// maxConcurrentProbes limits the engines that are probed at the same time.
 	maxConcurrentProbes = 32
-	// unreachableAfterMisses is how many probes in a row a server must miss.
+	// unreachableAfterMisses is the number of consecutive missed probes from which on a
+	// server counts as unreachable.
 	unreachableAfterMisses = 3
-	// demandEWMAWeight is the newest demand's share in the smoothed one; demand
-	// over some rounds decides, not one burst.
+	// demandEWMAWeight is the weight of the newest demand in its moving average, which
+	// keeps a single burst from causing moves.
 	demandEWMAWeight = 0.2
 )
 
-// observe returns the region as it is now, and the servers' addresses.
+// observe returns the region's current state and its servers' addresses.
 func (c *Controller) observe(ctx context.Context, snapshot *workspace.Snapshot) (Input, map[string]string) {
 	in := Input{MaxMoves: c.opts.MaxMoves}
 	addresses := map[string]string{}
@@ -50,7 +51,7 @@
 	return in, addresses
 }
 
-// referencedVersions are the model versions that some workspace resolves to.
+// referencedVersions returns the model versions that any workspace resolves to.
 func referencedVersions(s *workspace.Snapshot) map[[2]string]bool {
 	out := map[[2]string]bool{}
 	for _, w := range s.Workspaces {
@@ -70,7 +71,7 @@
 	return names
 }
 
-// smoothDemand takes the newest demand into the smoothed one.
+// smoothDemand adds the newest demand to the moving averages.
 func (c *Controller) smoothDemand(newest map[string]Demand) {
 	for name, d := range newest {
 		previous, known := c.demand[name]
@@ -83,16 +84,16 @@
 	}
 }
 
-// observation is what the controller last heard of a server.
+// observation is the last load report of a server.
 type observation struct {
 	report   engine.LoadReport
-	misses   int // probes without an answer since
+	misses   int // consecutive probes without an answer since the report
 	answered bool
 }
 
-// update takes in a probe's result and tells whether the server counts as
-// reachable. Until several probes in a row were missed, what it last said
-// holds: otherwise one slow answer would move servers between pools.
+// update adds a probe's result and reports whether the server counts as reachable. The
+// last report remains valid until several consecutive probes are missed; otherwise one
+// slow answer would move servers between pools.
 func (s *observation) update(r engine.LoadReport, err error) bool {
 	if err == nil {
 		*s = observation{report: r, answered: true}
@@ -102,7 +103,7 @@
 	return s.answered && s.misses < unreachableAfterMisses
 }
 
-// probe asks every engine for its load report.
+// probe requests the load report of each engine.
 func (c *Controller) probe(ctx context.Context, specs []workspace.BackendServer) []Server {
 	reports := make([]engine.LoadReport, len(specs))
 	errs := make([]error, len(specs))
@@ -135,8 +136,8 @@
 	return out
 }
 
-// mostUnreachable tells whether most servers are out of reach: rather the controller
-// itself is, and what it sees is no ground for moves.
+// mostUnreachable reports whether most servers are unreachable. Then the controller
+// itself is probably isolated, and its observations are no basis for moves.
 func mostUnreachable(servers []Server) bool {
 	unreachable := 0
 	for _, s := range servers {
@@ -147,8 +148,8 @@
 	return 2*unreachable > len(servers)
 }
 
-// canUnload tells whether the server has served the pool for the settle time,
-// as far as this controller has seen, by CLOCK_MONOTONIC.
+// canUnload reports whether the server has served the pool for UnloadDelay, as far as
+// this controller has observed, by CLOCK_MONOTONIC.
 func (c *Controller) canUnload(server, pool string) bool {
 	previous, known := c.assignments[server]
 	if !known || previous.pool != pool {
@@ -158,8 +159,9 @@
 	return time.Since(previous.since) >= c.opts.UnloadDelay
 }
 
-// DemandOf turns a pool's waiting requests by tier and its running ones into
-// demand. Which tiers run is not known: they count for the least urgent one.
+// DemandOf returns the demand of a pool from its waiting requests by tier and its
+// running requests. The tiers of the running ones are unknown; they count in the least
+// urgent tier.
 func DemandOf(waiting [request.MaxTiers]int, running int) Demand {
 	var d Demand
 	for t, n := range waiting {
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -1,5 +1,5 @@
-// Package placement decides which backend server holds which model version:
-// a pure planner, and a controller that carries its plan out under a lease.
+// Package placement decides which backend server holds which model version. It consists
+// of a pure planner and a controller that executes its plan while holding a lease.
 package placement
 
 import (
@@ -16,39 +16,39 @@
 	Region  string
 	Model   string
 	Version string
-	// Min and Max bound its servers; zero means 1 and no bound.
+	// Min and Max bound the number of servers; 0 means 1 and no limit.
 	Min, Max int
-	// Demand is how many requests run or wait at once, by tier.
+	// Demand is the number of running and waiting requests by tier.
 	Demand [request.MaxTiers]float64
-	// Referenced is false where no template asks for the version any more. Such a
-	// pool's demand is planned at the wanted versions of its model.
+	// Referenced is false if no template references the version any more. The demand of
+	// such a pool is planned for the referenced versions of the same model.
 	Referenced bool
 }
 
-// Server is a model engine as it was last seen.
+// Server is a model engine in its last observed state.
 type Server struct {
 	Name             string
 	Region           string
 	AvailabilityZone string
 	Generation       string
-	// Pool is where it serves by the configuration in force.
+	// Pool is the pool that it serves according to the current configuration.
 	Pool      string
 	Slots     int
 	Reachable bool
 	Leaving   bool
-	// Warming: it is loading something and serves nothing meanwhile.
+	// Warming: it is loading a model and serves nothing meanwhile.
 	Warming bool
 	Models  []engine.LoadedModel
-	// CanUnload: it has served its pool for so long that nothing of an earlier
-	// pool's can still be on its way to it.
+	// CanUnload: it has served its pool for so long that no request granted by an
+	// earlier pool can still be on its way to it.
 	CanUnload bool
-	// ChecksTokens: it refuses orders with older fencing tokens than it has
-	// seen. Fenced: it has seen the present one since it started.
+	// ChecksTokens: it refuses orders with fencing tokens older than the newest it has
+	// seen. Fenced: it has seen the current token since its start.
 	ChecksTokens bool
 	Fenced       bool
 }
 
-// holds tells whether the server could serve the pool right now.
+// holds reports whether the server has the pool's model version loaded.
 func (s *Server) holds(p *Pool) bool {
 	return slices.ContainsFunc(s.Models, func(m engine.LoadedModel) bool {
 		return m.Model == p.Model && m.Version == p.Version
@@ -61,34 +61,34 @@
 	return s.Pool == p.Name && s.usable() && !s.Warming && s.holds(p)
 }
 
-// Move takes a server from one pool to another. It lasts until the server
-// serves the new pool by the configuration in force.
+// Move moves a server from one pool to another. It ends when the server serves the new
+// pool according to the current configuration.
 type Move struct {
 	Server string `json:"server"`
 	From   string `json:"from"`
 	To     string `json:"to"`
 }
 
-// Input is what a plan is made of.
+// Input is the input of the planner.
 type Input struct {
 	Pools   []Pool
 	Servers []Server
-	// Moves are those of the last plan.
+	// Moves are the moves of the previous plan.
 	Moves []Move
-	// MaxMoves bounds the moves under way, zero: no bound. It keeps loads
-	// within what the weight store grants.
+	// MaxMoves limits the moves in progress; 0 means no limit. It keeps the number of
+	// loads within the weight store's rate.
 	MaxMoves int
 }
 
-// Plan is what should be.
+// Plan is the planner's result.
 type Plan struct {
-	// Targets is how many servers each pool should have at least.
+	// Targets is the minimum number of servers for each pool.
 	Targets map[string]int
-	// Moves under way, kept ones first.
+	// Moves are the moves in progress, those kept from the previous plan first.
 	Moves []Move
 }
 
-// planner is one run of Make.
+// planner is the state of one ComputePlan call.
 type planner struct {
 	in      Input
 	pools   map[string]*Pool
@@ -96,24 +96,24 @@
 	moves   map[string]Move // by server
 	plan    Plan
 
-	// Counts kept up to date, so that choosing a server costs no pass over
-	// all of them. Servers count where they move to.
+	// Incremental counts, so that choosing a server needs no pass over all of them. A
+	// moving server counts in its destination pool.
 	count       map[string]int      // servers of a pool
-	spreadCount map[spreadKey]int   // servers of a pool in one zone or generation
-	warm        map[string]int      // a pool's warm servers that are not moving
+	spreadCount map[spreadKey]int   // servers of a pool in an AvailabilityZone or generation
+	warm        map[string]int      // warm servers of a pool that are not moving
 	modelMoves  map[modelRegion]int // moves away from a model's pools
 }
 
-// spreadKey is a pool's servers in one AvailabilityZone or of one generation.
+// spreadKey identifies the servers of a pool in one AvailabilityZone or of one
+// generation.
 type spreadKey struct{ pool, zone, generation string }
 
-// modelRegion is a model in a region, whatever its version.
+// modelRegion is a model in a region, in any version.
 type modelRegion struct{ model, region string }
 
-// ComputePlan makes the next plan. It is pure; the same input gives the same plan.
-// It keeps moves that still make sense, never takes a pool's last warm server,
-// and lets one warm server of a model be on its way at a time, so that a
-// rollout over N servers keeps N-1 warm.
+// ComputePlan computes the next plan. It is a pure function. It keeps moves that are
+// still useful, never moves a pool's last warm server, and moves only one warm server
+// of a model at a time, so that a rollout over N servers keeps N-1 of them warm.
 func ComputePlan(in Input) Plan {
 	p := &planner{
 		in: in, pools: map[string]*Pool{}, servers: map[string]*Server{},
@@ -138,7 +138,7 @@
 	return p.plan
 }
 
-// addCount counts a server in a pool, or with n = -1 no more.
+// addCount adds n, 1 or -1, to the counts of the server in the pool.
 func (p *planner) addCount(s *Server, pool string, n int) {
 	if !s.usable() {
 		return
@@ -151,7 +151,7 @@
 	}
 }
 
-// startMove puts a server on its way.
+// startMove adds a move to the plan.
 func (p *planner) startMove(s *Server, m Move) {
 	p.addCount(s, s.Pool, -1)
 	p.addCount(s, m.To, 1)
@@ -162,8 +162,8 @@
 	p.plan.Moves = append(p.plan.Moves, m)
 }
 
-// keepMoves takes over the moves that are not done and can still be done. A move
-// is dropped when its server has become its old pool's last warm one.
+// keepMoves keeps the previous moves that are neither finished nor impossible. A move
+// is dropped if its server has become the last warm one of its old pool.
 func (p *planner) keepMoves() {
 	for _, m := range p.in.Moves {
 		s, to := p.servers[m.Server], p.pools[m.To]
@@ -188,7 +188,7 @@
 	return out
 }
 
-// addMove starts the best move to the pool; false where there is none.
+// addMove starts the best move to the pool and returns false if there is none.
 func (p *planner) addMove(to *Pool) bool {
 	if p.in.MaxMoves > 0 && len(p.plan.Moves) >= p.in.MaxMoves {
 		return false
@@ -207,8 +207,8 @@
 	return true
 }
 
-// canMove tells whether taking the server does no harm: its pool has more
-// than its target, and stays warm.
+// canMove reports whether the server can be moved to the pool: its own pool must have
+// more servers than its target and keep a warm one.
 func (p *planner) canMove(s *Server, to *Pool) bool {
 	if _, moving := p.moves[s.Name]; moving || !s.usable() || s.Warming || s.Region != to.Region || s.Pool == to.Name {
 		return false
@@ -223,21 +223,21 @@
 	return !s.isWarm(from) || !p.isLastWarm(s) && !p.modelMoving(from)
 }
 
-// isLastWarm tells whether the server is the last warm one of its pool.
+// isLastWarm reports whether the server is the last warm one of its pool.
 func (p *planner) isLastWarm(s *Server) bool {
 	pool := p.pools[s.Pool]
 	return pool != nil && s.isWarm(pool) && p.warm[s.Pool] <= 1
 }
 
-// modelMoving tells whether a server that served any version of the pool's
-// model in its region is being moved.
+// modelMoving reports whether a server of any version of the pool's model is being
+// moved within the region.
 func (p *planner) modelMoving(pool *Pool) bool {
 	return p.modelMoves[modelRegion{pool.Model, pool.Region}] > 0
 }
 
-// preferred orders candidates for a pool: one that holds the model already needs
-// no load; then one that spreads the pool over AvailabilityZones, then over
-// generations; then one of the donor with most to spare; then by name.
+// preferred reports whether a is a better candidate for the pool than b. The criteria
+// are, in order: a loaded model needs no load; spread over AvailabilityZones; spread
+// over generations; the largest surplus of the server's own pool; the name.
 func (p *planner) preferred(a, b *Server, to *Pool) bool {
 	needsLoad := func(s *Server) int {
 		if s.holds(to) {
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -17,7 +17,7 @@
 		for i := range rapid.IntRange(1, 5).Draw(t, "pools") {
 			p := placement.Pool{
 				Name: fmt.Sprintf("p%d", i), Region: "r", Model: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "model"),
-				Version: fmt.Sprint(i), Min: rapid.IntRange(0, 3).Draw(t, "min"), Referenced: rapid.Bool().Draw(t, "wanted"),
+				Version: fmt.Sprint(i), Min: rapid.IntRange(0, 3).Draw(t, "min"), Referenced: rapid.Bool().Draw(t, "referenced"),
 			}
 			for tier := range 3 {
 				p.Demand[tier] = float64(rapid.SampledFrom([]int{0, 0, 8, 60}).Draw(t, "demand"))
@@ -48,7 +48,7 @@
 	return slices.Contains(s.Models, engine.LoadedModel{Model: p.Model, Version: p.Version})
 }
 
-// warm counts warm servers by pool, and by model over all its versions.
+// warm returns the number of warm servers by pool, and by model over all its versions.
 func warm(in placement.Input) (byPool, byModel map[string]int) {
 	byPool, byModel = map[string]int{}, map[string]int{}
 	for _, s := range in.Servers {
@@ -62,8 +62,8 @@
 	return byPool, byModel
 }
 
-// applySteps does the steps as engines and the store would: a load makes a server
-// warm up for a round.
+// applySteps applies the steps as the engines and the store would. A load makes a
+// server warm up for one round.
 func applySteps(in *placement.Input, steps []placement.Step) {
 	for i := range in.Servers {
 		in.Servers[i].Warming = false
@@ -82,7 +82,8 @@
 	}
 }
 
-// Guards against this: a pool has no server although it had one, or servers go back and forth for ever.
+// Guards against a pool that loses its last server, and against servers that are moved
+// back and forth forever.
 func TestPlanKeepsPoolsWarmAndConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		in := genInput().Draw(rt, "input")
@@ -91,7 +92,7 @@
 		for range 8*len(in.Servers) + 8 {
 			plan = placement.ComputePlan(in)
 			if in.MaxMoves > 0 && len(plan.Moves) > in.MaxMoves {
-				rt.Fatalf("%d moves at once", len(plan.Moves))
+				rt.Fatalf("%d moves in progress, more than MaxMoves", len(plan.Moves))
 			}
 			checkDonors(rt, in, plan)
 			steps := placement.Steps(in, plan.Moves)
@@ -108,13 +109,13 @@
 			}
 		}
 		if n := len(placement.Steps(in, plan.Moves)); n > 0 || len(plan.Moves) > 0 {
-			rt.Fatalf("no end: %d steps, moves %+v", n, plan.Moves)
+			rt.Fatalf("plan does not converge: %d steps, moves %+v", n, plan.Moves)
 		}
 		checkFinalState(rt, in, plan)
 	})
 }
 
-// checkDonors: a new move leaves the pool that it takes from at its target.
+// checkDonors checks that a new move leaves the old pool at its target.
 func checkDonors(rt *rapid.T, in placement.Input, plan placement.Plan) {
 	remaining := map[string]int{}
 	for _, s := range in.Servers {
@@ -128,12 +129,13 @@
 	}
 	for _, m := range plan.Moves {
 		if !slices.Contains(in.Moves, m) && remaining[m.From] < plan.Targets[m.From] {
-			rt.Fatalf("%s left with %d of %d", m.From, remaining[m.From], plan.Targets[m.From])
+			rt.Fatalf("pool %s is left with %d servers of %d", m.From, remaining[m.From], plan.Targets[m.From])
 		}
 	}
 }
 
-// checkFinalState: a pool below its target means that nobody can spare a server.
+// checkFinalState checks that a pool is below its target only if no other pool has a
+// server to spare.
 func checkFinalState(rt *rapid.T, in placement.Input, plan placement.Plan) {
 	count := map[string]int{}
 	for _, s := range in.Servers {
@@ -148,7 +150,7 @@
 		}
 		for _, from := range in.Pools {
 			if count[from.Name] > plan.Targets[from.Name] && byPool[from.Name] > 1 {
-				rt.Fatalf("%s has %d of %d, %s has %d of %d", p.Name, count[p.Name], plan.Targets[p.Name],
+				rt.Fatalf("pool %s has %d servers of %d, pool %s has %d of %d", p.Name, count[p.Name], plan.Targets[p.Name],
 					from.Name, count[from.Name], plan.Targets[from.Name])
 			}
 		}
@@ -166,7 +168,7 @@
 	return out
 }
 
-// Guards against this: goodput falls during the rollout of a new version.
+// Guards against a loss of goodput during the rollout of a new version.
 func TestRolloutKeepsAllButOneWarm(t *testing.T) {
 	in := placement.Input{Servers: newServers(6, "old", "m", "1"), Pools: []placement.Pool{
 		{Name: "old", Region: "r", Model: "m", Version: "1", Demand: [8]float64{40}},
@@ -179,22 +181,21 @@
 		applySteps(&in, steps)
 		byPool, byModel := warm(in)
 		if byModel["m"] < 5 || byPool["old"] < 1 {
-			t.Fatalf("round %d: %d of 6 warm", round, byModel["m"])
+			t.Fatalf("round %d: %d of 6 servers are warm", round, byModel["m"])
 		}
 		if len(steps) == 0 && len(plan.Moves) == 0 {
 			if byPool["new"] != 5 || byPool["old"] != 1 {
-				t.Fatalf("ended with %v", byPool)
+				t.Fatalf("warm servers by pool at the end: %v", byPool)
 			}
 			return
 		}
 		if round > 60 {
-			t.Fatal("no end")
+			t.Fatal("rollout did not finish within 60 rounds")
 		}
 	}
 }
 
-// The urgent pool's shortage goes first, and its new servers are spread over
-// AvailabilityZones.
+// Guards against an urgent pool that gets its servers late or in one AvailabilityZone.
 func TestUrgentDemandGetsSpreadServers(t *testing.T) {
 	in := placement.Input{Servers: newServers(6, "tags", "t", "1"), Pools: []placement.Pool{
 		{Name: "tags", Region: "r", Model: "t", Version: "1", Referenced: true, Demand: [8]float64{0, 0, 100}},
@@ -213,12 +214,12 @@
 		}
 	}
 	if byPool, _ := warm(in); byPool["offers"] != 3 || byPool["tags"] != 3 || len(zones) != 3 {
-		t.Fatalf("%v in zones %v", byPool, zones)
+		t.Fatalf("warm servers by pool: %v; zones of the urgent pool: %v", byPool, zones)
 	}
 }
 
-// BenchmarkMake plans a region of the target size: 220 servers, 22 models,
-// after the demand has turned round.
+// BenchmarkMake plans a region of the target size, 220 servers and 22 models, whose
+// demand has reversed.
 func BenchmarkMake(b *testing.B) {
 	var in placement.Input
 	for i := range 22 {
--- a/placement/record.go
+++ b/placement/record.go
@@ -12,18 +12,18 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Kind is the kind of the objects that hold a region's moves under way, by
+// Kind is the kind of the objects that store the moves in progress of a region, under
 // the region's name.
 const Kind = objectstore.Kind("Placement")
 
-// errSuperseded reports that a newer lease's holder has acted.
-var errSuperseded = errors.New("a newer controller is at work")
+// errSuperseded reports that the holder of a newer lease has written.
+var errSuperseded = errors.New("superseded by a controller with a newer lease")
 
-// storedPlan is the stored form of a plan, with the version it was read at.
+// storedPlan is the stored form of a plan, and the object version at which it was read.
 type storedPlan struct {
 	Token   lease.Token         `json:"token"`
 	Moves   []Move              `json:"moves"`
-	version objectstore.Version // zero: absent
+	version objectstore.Version // 0: there is no object
 }
 
 func (c *Controller) readPlan(ctx context.Context) (storedPlan, error) {
@@ -39,30 +39,30 @@
 	}
 	var s storedPlan
 	if err := json.Unmarshal(o.Value, &s); err != nil {
-		c.log.WithError(err).Warn("Stored plan can't be read; planning anew.")
+		c.log.WithError(err).Warn("Stored plan is malformed; computing a new one.")
 		s = storedPlan{}
 	}
 	s.version = o.Version
 	return s, nil
 }
 
-// writePlan records the moves before any of them is acted on, so that a
-// successor goes on with them. The first write of a lease is made in any case:
-// from then on the conditional writes of an earlier holder fail.
+// writePlan stores the moves before any of them is executed, so that a successor
+// continues them. The first write under a lease is always made; it makes conditional
+// writes of an earlier holder fail.
 func (c *Controller) writePlan(ctx context.Context, previous storedPlan, moves []Move) error {
 	token, err := c.lease.Check()
 	if err != nil {
 		return err
 	}
 	if previous.Token > token {
-		return errors.Wrapf(errSuperseded, "token %d after %d", token, previous.Token)
+		return errors.Wrapf(errSuperseded, "plan of token %d after one of token %d", token, previous.Token)
 	}
 	if c.planWritten && slices.Equal(previous.Moves, moves) {
 		return nil
 	}
 	value, err := json.Marshal(storedPlan{Token: token, Moves: moves})
 	if err != nil {
-		return errors.Wrap(err, "plan")
+		return errors.Wrap(err, "encode plan")
 	}
 	if err := c.writeObject(ctx, Kind, c.opts.Region, value, previous.version); err != nil {
 		return err
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// assign writes that a server serves a pool now. It leaves a newer token's
-// assignment alone.
+// assign writes the assignment of a server to a pool. An assignment with a newer token
+// is left unchanged.
 func (c *Controller) assign(ctx context.Context, s Step) error {
 	read, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
@@ -83,10 +83,10 @@
 	}
 	var previous workspace.Assignment
 	if err == nil {
-		_ = json.Unmarshal(o.Value, &previous) // one that can't be read is replaced
+		_ = json.Unmarshal(o.Value, &previous) // a malformed assignment is overwritten
 	}
 	if previous.Warm && previous.Pool == s.Pool {
-		return nil // written, not in force yet
+		return nil // written, but not in the current configuration yet
 	}
 	token, err := c.lease.Check()
 	if err != nil {
@@ -99,7 +99,7 @@
 		Server: s.Server, Pool: s.Pool, Role: previous.Role, Warm: true, Token: uint64(token),
 	})
 	if err != nil {
-		return errors.Wrap(err, "assignment")
+		return errors.Wrap(err, "encode assignment")
 	}
 	if err := c.writeObject(ctx, workspace.KindAssignment, s.Server, value, o.Version); err != nil {
 		return err
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// writeObject is conditional on the version that was read. A lost answer needs no
-// settling: the next round reads what is in force.
+// writeObject writes an object if its version is still the one that was read. A lost
+// response needs no handling: the next round reads the object again.
 func (c *Controller) writeObject(ctx context.Context, kind objectstore.Kind, name string, value []byte, previous objectstore.Version) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
--- a/placement/step.go
+++ b/placement/step.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// StepKind is what to do about one server.
+// StepKind is the kind of a Step.
 type StepKind string
 
-// The steps.
+// The kinds of steps.
 const (
 	// StepLoad orders the server to load the model version.
 	StepLoad StepKind = "load"
-	// StepAssign writes that the server serves the pool: it is warm.
+	// StepAssign writes the assignment of the server, which is warm, to the pool.
 	StepAssign StepKind = "assign"
-	// StepFence orders a server that checks tokens to hold what it holds, so
-	// that it learns the present token and refuses an earlier controller's
-	// order that is still on its way.
+	// StepFence orders a server that checks tokens to load a model version that it
+	// already holds, so that it learns the current token and refuses delayed orders of
+	// an earlier controller.
 	StepFence StepKind = "assert"
 	// StepUnload orders the server to unload the model version.
 	StepUnload StepKind = "unload"
 )
 
-// Step is one act that brings a server nearer to the plan.
+// Step is one action on a server towards the plan.
 type Step struct {
 	Kind    StepKind
 	Server  string
@@ -28,13 +28,13 @@
 	Version string
 }
 
-// Steps compares what servers hold with what they should, and returns what to
-// do now. It remembers nothing: a step that was lost, or undone by the late
-// order of an earlier controller, comes back while it is still needed.
+// Steps compares the servers with the plan and returns the actions that are due. It is
+// stateless: a step that was lost, or undone by a delayed order of an earlier
+// controller, is returned again as long as it is needed.
 //
-// A move loads the new model beside the old one, then assigns, and unloads the
-// old one only when the server has settled, so that a request granted by the
-// old pool still finds its model.
+// A move loads the new model beside the old one, then assigns the server, and unloads
+// the old model only when CanUnload is set, so that requests granted by the old pool
+// still find it.
 func Steps(in Input, moves []Move) []Step {
 	pools := map[string]*Pool{}
 	for i := range in.Pools {
@@ -60,7 +60,7 @@
 	return out
 }
 
-// serverSteps returns what one server needs to serve the pool.
+// serverSteps returns the steps that one server needs to serve the pool.
 func serverSteps(s *Server, p *Pool) []Step {
 	switch {
 	case !s.holds(p):
--- a/placement/target.go
+++ b/placement/target.go
@@ -8,12 +8,14 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// defaultSlots sizes a server whose configuration does not.
+// defaultSlots is the number of slots of a server that neither configures nor reports
+// them.
 const defaultSlots = 16
 
-// targets divides each region's servers among its pools: a floor for each,
-// then server by server to whom the most urgent tier falls short most. Servers
-// that nobody needs have no target; they stay where they are.
+// targets divides the servers of each region among its pools. Each pool gets its
+// minimum; then each further server goes to the pool with the largest deficit, the most
+// urgent tiers first. Servers that no pool needs count in no target; they stay where
+// they are.
 func targets(pools []Pool, servers []Server) map[string]int {
 	out := map[string]int{}
 	pools = redistributeDemand(pools)
@@ -39,8 +41,8 @@
 	return out
 }
 
-// minServers is what a pool gets whatever its demand. An unwanted version keeps one
-// server while it has any, for requests that still name it.
+// minServers returns a pool's minimum, regardless of demand. A version that is not
+// referenced any more keeps one server if it has any, for requests that still name it.
 func minServers(p Pool, servers []Server) int {
 	if p.Referenced {
 		return max(1, p.Min)
@@ -51,8 +53,8 @@
 	return 0
 }
 
-// addServer gives one more server to the pool that falls short most, counting
-// demand up to the tier; false where none does.
+// addServer gives one more server to the pool with the largest deficit, counting demand
+// up to the tier. It returns false if no pool has a deficit.
 func addServer(pools []Pool, tier int, slots float64, out map[string]int) bool {
 	maxDeficit, neediest := 0.0, ""
 	for _, p := range pools {
@@ -74,8 +76,8 @@
 	return true
 }
 
-// redistributeDemand moves the demand of unwanted versions to the wanted ones of the
-// same model and region. Where there is none, the version stays wanted.
+// redistributeDemand moves the demand of unreferenced versions to the referenced ones
+// of the same model and region. If there is none, the version counts as referenced.
 func redistributeDemand(pools []Pool) []Pool {
 	out := slices.Clone(pools)
 	for i := range out {
@@ -102,7 +104,7 @@
 	return out
 }
 
-// capacity returns the region's usable servers and their mean slots.
+// capacity returns the number of the region's usable servers and their mean slots.
 func capacity(region string, servers []Server) (int, float64) {
 	n, slots := 0, 0
 	for _, s := range servers {
@@ -123,7 +125,7 @@
 	return slices.Compact(out)
 }
 
-// byUrgency sorts by demand of tier 0, then of tier 1 and so on, then name.
+// byUrgency sorts by demand of tier 0, then of tier 1 and so on, then by name.
 func byUrgency(pools []Pool) []Pool {
 	out := slices.Clone(pools)
 	slices.SortFunc(out, func(a, b Pool) int {
