--- a/pool/tier/heap.go
+++ b/pool/tier/heap.go
@@ -1,7 +1,7 @@
 package tier
 
-// heap is a binary heap whose elements know their own index, so that any of
-// them can be moved or removed in O(log n).
+// heap is a binary heap that tells each element its index, so that any element
+// can be moved or removed in O(log n).
 type heap[E any] struct {
 	elements []E
 	less     func(a, b E) bool
@@ -19,7 +19,7 @@
 	h.up(len(h.elements) - 1)
 }
 
-// remove takes the element at index i out.
+// remove removes the element at index i.
 func (h *heap[E]) remove(i int) {
 	last := len(h.elements) - 1
 	removed := h.elements[i]
@@ -33,7 +33,7 @@
 	}
 }
 
-// fix restores the order after the element at index i changed its key.
+// fix restores the heap order after the key of the element at index i changed.
 func (h *heap[E]) fix(i int) {
 	if !h.down(i) {
 		h.up(i)
--- a/pool/tier/queue.go
+++ b/pool/tier/queue.go
@@ -1,10 +1,10 @@
-// Package tier is the order in which requests wait: strict priority among
-// tiers, in a tier fairness by cost among workspaces, in a workspace earliest
-// due first. Requests that can no longer meet their target wait at the end of
-// their own tier. Every operation is O(log n) in the waiting requests; the
-// number of tiers is a constant.
+// Package tier implements the queue in which requests wait: strict priority
+// among tiers, fair queueing by cost among the workspaces of a tier, and
+// earliest due time first in a workspace. Requests that can no longer meet their
+// target wait at the end of their own tier. Every operation is O(log n) in the
+// number of waiting requests; the number of tiers is constant.
 //
-// A Queue is used by one goroutine at a time.
+// A Queue is not safe for concurrent use.
 package tier
 
 import (
@@ -13,33 +13,35 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Class parts the requests of one tier: all live ones go before all late ones.
+// Class divides the requests of one tier: all on-time ones are served before all
+// late ones.
 type Class uint8
 
 // The classes of a tier.
 const (
 	// OnTime requests can still meet their target.
 	OnTime Class = iota
-	// Held requests can too, but wait for a certain server for a moment.
+	// Held requests can still meet their target, and wait for a particular
+	// server for a short time.
 	Held
-	// Late requests can't, or exceed their workspace's bound; they wait at
-	// the end of their tier.
+	// Late requests can't meet their target, or exceed their workspace's bound;
+	// they wait at the end of their tier.
 	Late
-	// Infeasible requests can't even end before their deadline.
+	// Infeasible requests can't complete before their deadline.
 	Infeasible
 
 	numClasses = 4
 )
 
-// Item is one waiting request's place. Set the exported fields before Push
-// and leave them alone until Remove.
+// Item is the queue entry of one waiting request. Set the exported fields before
+// Push and don't change them until Remove.
 type Item[T any] struct {
 	Tier      request.Tier
 	Class     Class
 	Workspace string
 	// Due orders the items of a workspace: earliest first.
 	Due time.Time
-	// Expires is when Expired returns the item.
+	// Expires is the time from which on Expired returns the item.
 	Expires time.Time
 	// Cost is the estimated work, in tokens.
 	Cost  float64
@@ -47,7 +49,7 @@
 
 	seq                       uint64
 	flow                      *flow[T]
-	dueIndex, dueReverseIndex int // indexes in the lane's heaps
+	dueIndex, dueReverseIndex int // indexes in the subqueue's heaps
 	expiryIndex               int // index in the expiry heap
 }
 
@@ -71,13 +73,13 @@
 	return q
 }
 
-// Len returns how many items wait.
+// Len returns the number of waiting items.
 func (q *Queue[T]) Len() int { return q.count }
 
-// Waiting returns how many items of a tier wait.
+// Waiting returns the number of waiting items of a tier.
 func (q *Queue[T]) Waiting(t request.Tier) int { return q.tiers[t].count }
 
-// WaitingCost returns the summed cost of a tier's waiting items.
+// WaitingCost returns the total cost of a tier's waiting items, in tokens.
 func (q *Queue[T]) WaitingCost(t request.Tier) float64 {
 	sum := 0.0
 	for c := range q.tiers[t].classes {
@@ -86,7 +88,7 @@
 	return sum
 }
 
-// WaitingOf returns how many items of a workspace wait in a tier.
+// WaitingOf returns the number of a workspace's items that wait in a tier.
 func (q *Queue[T]) WaitingOf(t request.Tier, workspace string) int {
 	if f := q.tiers[t].flows[workspace]; f != nil {
 		return f.len()
@@ -103,14 +105,15 @@
 	q.byExpiry.push(it)
 }
 
-// Remove takes a waiting item out.
+// Remove removes a waiting item.
 func (q *Queue[T]) Remove(it *Item[T]) {
 	q.count--
 	q.tiers[it.Tier].remove(it)
 	q.byExpiry.remove(it.expiryIndex)
 }
 
-// SetExpires lets a waiting item expire at another time. It keeps its place.
+// SetExpires changes the time at which a waiting item expires. The item keeps
+// its place in the queue.
 func (q *Queue[T]) SetExpires(it *Item[T], until time.Time) {
 	it.Expires = until
 	q.byExpiry.fix(it.expiryIndex)
@@ -124,17 +127,17 @@
 	l.push(it)
 }
 
-// Charge tells that an item's workspace got its cost worth of service: it
-// moves back in the order among the workspaces of its tier.
+// Charge records that an item was served: the item's cost moves its workspace
+// back in the order among the workspaces of its tier.
 func (q *Queue[T]) Charge(it *Item[T]) { q.tiers[it.Tier].charge(it.Workspace, it.Cost) }
 
-// AdjustCharge adds to what a workspace was charged, once the true cost is known;
-// delta may be negative.
+// AdjustCharge corrects a workspace's charge by delta, in tokens, once the actual
+// cost is known; delta may be negative.
 func (q *Queue[T]) AdjustCharge(t request.Tier, workspace string, delta float64) {
 	q.tiers[t].correct(workspace, delta)
 }
 
-// Expired returns a waiting item whose Expires has come, or nil.
+// Expired returns a waiting item that has expired at the given time, or nil.
 func (q *Queue[T]) Expired(now time.Time) *Item[T] {
 	if q.byExpiry.len() == 0 || q.byExpiry.elements[0].Expires.After(now) {
 		return nil
@@ -145,9 +148,9 @@
 // Head returns the first item of a class of a tier, or nil.
 func (q *Queue[T]) Head(t request.Tier, c Class) *Item[T] { return q.tiers[t].classes[c].head() }
 
-// Victim returns the item of the lowest waiting tier that is to be evicted
-// first, or nil: late ones first, of the workspace that has most cost waiting
-// the one that is due last.
+// Victim returns the item to evict first, or nil. It comes from the lowest tier
+// and the highest class that have items: of the workspace with the highest
+// waiting cost, the item with the latest due time.
 func (q *Queue[T]) Victim() *Item[T] {
 	for t := len(q.tiers) - 1; t >= 0; t-- {
 		if it := q.VictimIn(request.Tier(t)); it != nil {
@@ -157,7 +160,7 @@
 	return nil
 }
 
-// VictimIn is Last for one tier.
+// VictimIn is Victim for one tier.
 func (q *Queue[T]) VictimIn(t request.Tier) *Item[T] {
 	for c := numClasses - 1; c >= 0; c-- {
 		if it := q.tiers[t].classes[c].victim(); it != nil {
@@ -186,7 +189,8 @@
 
 // Candidates appends to buf up to n items that are near the head of a class:
 // its head first, then others of the head's workspace and the heads of the
-// next workspaces. The choice is a function of the queue's history alone.
+// next workspaces. The choice depends on the queue's history alone, so it is
+// deterministic.
 func (q *Queue[T]) Candidates(t request.Tier, c Class, n int, buf []*Item[T]) []*Item[T] {
 	subqueues := q.tiers[t].classes[c].byVirtualTime.elements
 	for i := 0; i < len(subqueues) && n > 0; i++ {
--- a/pool/tier/queue_test.go
+++ b/pool/tier/queue_test.go
@@ -24,8 +24,9 @@
 	}
 }
 
-// Against a plain list: counts, heads, the item to evict and expiry agree
-// under any order of pushes, removals, reclassings and charges.
+// TestQueueMatchesModel compares the queue with a plain list: counts, heads, the
+// eviction victim and expiry agree after any sequence of pushes, removals, class
+// changes and charges.
 func TestQueueMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, list := NewQueue[int](), []*Item[int]{}
@@ -63,7 +64,7 @@
 
 func checkQueue(t *rapid.T, q *Queue[int], list []*Item[int]) {
 	if q.Len() != len(list) {
-		t.Fatalf("holds %d, not %d", q.Len(), len(list))
+		t.Fatalf("queue has %d items, want %d", q.Len(), len(list))
 	}
 	for tr := range request.Tier(4) {
 		for c := range Class(numClasses) {
@@ -73,16 +74,16 @@
 	if last := q.Victim(); last != nil {
 		for _, it := range list {
 			if it.Tier > last.Tier || it.Tier == last.Tier && it.Class > last.Class {
-				t.Fatalf("evicts tier %d class %d before tier %d class %d", last.Tier, last.Class, it.Tier, it.Class)
+				t.Fatalf("victim of tier %d, class %d before tier %d, class %d", last.Tier, last.Class, it.Tier, it.Class)
 			}
 			if it.Workspace == last.Workspace && it.Tier == last.Tier && it.Class == last.Class && it.Due.After(last.Due) {
-				t.Fatalf("evicts one due %v before one due %v", last.Due, it.Due)
+				t.Fatalf("victim due %v before an item due %v", last.Due, it.Due)
 			}
 		}
 	}
 	for _, it := range list {
 		if first := q.Expired(start.Add(time.Hour)); first.Expires.After(it.Expires) {
-			t.Fatalf("expires %v before %v", first.Expires, it.Expires)
+			t.Fatalf("item that expires at %v comes before one that expires at %v", first.Expires, it.Expires)
 		}
 	}
 }
@@ -90,24 +91,24 @@
 func checkClass(t *rapid.T, q *Queue[int], tr request.Tier, c Class, want []*Item[int]) {
 	head := q.Head(tr, c)
 	if (head == nil) != (len(want) == 0) {
-		t.Fatalf("tier %d class %d: head %v of %d", tr, c, head, len(want))
+		t.Fatalf("tier %d, class %d: head is %v of %d items", tr, c, head, len(want))
 	}
 	for _, it := range want {
 		if it.flow.virtualTime < head.flow.virtualTime {
-			t.Fatalf("workspace %s goes before %s, which was served less", head.Workspace, it.Workspace)
+			t.Fatalf("workspace %s is scheduled before %s, which has received less service", head.Workspace, it.Workspace)
 		}
 		if it.Workspace == head.Workspace && it.Due.Before(head.Due) {
-			t.Fatalf("one due %v goes before one due %v", head.Due, it.Due)
+			t.Fatalf("item due %v is scheduled before one due %v", head.Due, it.Due)
 		}
 	}
 	candidates := q.Candidates(tr, c, 5, nil)
 	if len(want) > 0 && (candidates[0] != head || len(candidates) < min(3, len(want))) {
-		t.Fatalf("candidates %v of %d", candidates, len(want))
+		t.Fatalf("candidates are %v of %d items", candidates, len(want))
 	}
 }
 
-// Workspaces that always have requests waiting are served alike by cost,
-// within two of the largest requests, whatever the sizes.
+// TestFairnessBound checks that workspaces with a constant backlog receive the
+// same service, up to twice the cost of the largest request.
 func TestFairnessBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue[int]()
@@ -130,7 +131,7 @@
 			for _, a := range names {
 				for _, b := range names {
 					if d := served[a] - served[b]; d > 2*float64(slices.Max(sizes)) {
-						t.Fatalf("%s is %v ahead of %s", a, d, b)
+						t.Fatalf("workspace %s has received %v tokens more than %s", a, d, b)
 					}
 				}
 			}
--- a/pool/tier/tierqueue.go
+++ b/pool/tier/tierqueue.go
@@ -1,14 +1,16 @@
 package tier
 
-// maxFlows bounds how many workspaces without a waiting item a tier
-// remembers.
+// maxFlows is the number of workspaces from which on a tier evicts idle ones
+// before it adds another.
 const maxFlows = 1024
 
-// tierQueue is one tier: workspaces' flows, ordered by virtual time in each class.
+// tierQueue holds one tier: a flow for each workspace, ordered by virtual time
+// in each class.
 //
-// Fairness is start-time fair queueing without weights: a flow's virtual time
-// is the cost it was served, and the flow with the least goes first. A flow
-// that was idle starts at the level's virtual time, so it can't save up.
+// Scheduling is start-time fair queueing without weights: a flow's virtual time
+// grows by the cost of each item served, and the flow with the lowest one goes
+// first. A flow that was idle starts at the tier's virtual time, so it gains no
+// credit while it is idle.
 type tierQueue[T any] struct {
 	flows       map[string]*flow[T]
 	classes     [numClasses]classQueue[T]
@@ -16,14 +18,15 @@
 	count       int
 }
 
-// flow is one workspace in one tier.
+// flow holds the items of one workspace in one tier.
 type flow[T any] struct {
 	workspace   string
 	virtualTime float64
 	subqueues   [numClasses]subqueue[T]
 }
 
-// subqueue is a flow's items of one class, by due time from both ends.
+// subqueue holds the items of one class of a flow, ordered by due time in both
+// directions.
 type subqueue[T any] struct {
 	flow             *flow[T]
 	byDue            heap[*Item[T]]
@@ -33,10 +36,10 @@
 	costIndex        int // index in byCost
 }
 
-// classQueue orders the lanes that have items.
+// classQueue orders the subqueues of one class that have items.
 type classQueue[T any] struct {
-	byVirtualTime heap[*subqueue[T]] // least virtual time first
-	byCost        heap[*subqueue[T]] // most waiting cost first
+	byVirtualTime heap[*subqueue[T]] // lowest virtual time first
+	byCost        heap[*subqueue[T]] // highest waiting cost first
 	cost          float64
 }
 
@@ -78,8 +81,8 @@
 	return f
 }
 
-// evictIdle drops the flows that a new one would equal: without items and
-// not ahead of the level's virtual time.
+// evictIdle removes the flows that have no items and are not ahead of the
+// tier's virtual time: a new flow would have the same state.
 func (l *tierQueue[T]) evictIdle() {
 	for name, f := range l.flows {
 		if f.idle() && f.virtualTime <= l.virtualTime {
@@ -139,7 +142,7 @@
 	s.cost -= it.Cost
 	c.cost -= it.Cost
 	if s.byDue.len() == 0 {
-		s.cost = 0 // no rounding error is carried on
+		s.cost = 0 // drops accumulated rounding error
 		c.byVirtualTime.remove(s.virtualTimeIndex)
 		c.byCost.remove(s.costIndex)
 		return
