--- a/pool/score/latency.go
+++ b/pool/score/latency.go
@@ -6,63 +6,68 @@
 	"time"
 )
 
-// LatencyModel is what is measured of one server. Times are in seconds.
+// LatencyModel predicts the latency of one server from measurements. Its fields
+// hold times in seconds.
 type LatencyModel struct {
-	firstToken      Regression // time to first token by prefill tokens ahead and own
-	decodeStep      Regression // time between tokens by running requests, without prefill
-	perToken        Regression // the same with the prefill of others in between
-	baseline        Profile    // the speed of old, which stands in for absent peers
+	firstToken      Regression // time to first token by prefill tokens, those queued ahead included
+	decodeStep      Regression // time per token by running requests, without the prefill of others
+	perToken        Regression // time per token by running requests, with the prefill of others
+	baseline        Profile    // the server's long-term profile, the reference where it has no peers
 	slowdown        float64
-	straggler       bool // the last verdict
-	slowdownSamples int  // samples judged
-	// Measurements so far: of first tokens, and of times between tokens.
+	straggler       bool // the last result of Straggler
+	slowdownSamples int  // samples in slowdown
+	// The numbers of measurements.
 	firstTokenCount, perTokenCount int
 }
 
 const (
 	firstTokenDecay = 0.95
 	perTokenDecay   = 0.98
-	// priorWeight is how many measurements the prior is worth.
+	// priorWeight is the weight of each point of the initial profile, in
+	// measurements.
 	priorWeight = 2
-	// queuedWeight is the weight of a first token that waited inside the
-	// engine: it measures a queue rather than the engine's speed.
+	// queuedWeight is the weight of a first token that waited in the engine's
+	// queue: it measures the queue rather than the engine.
 	queuedWeight = 0.2
-	// baselineWeight is the weight of the present speed in the usual one.
+	// baselineWeight is the weight of the current profile in the baseline.
 	baselineWeight = 0.01
-	// slowdownWeight is the weight of a new sample in the slowdown, recoveryWeight that
-	// of a straggler's probe, so that one or two bring it back.
+	// slowdownWeight is the weight of a new sample in the slowdown. recoveryWeight
+	// applies to the probes of a straggler, so that one or two end its state.
 	slowdownWeight, recoveryWeight = 0.3, 0.6
-	// minMeasurements is how many measurements make a speed known. Before, it is
-	// mostly the prior: a fleet of slow engines would all seem stragglers.
+	// minMeasurements is how many measurements make a model known. With fewer it
+	// is mostly the initial profile, compared to which every engine of a slow
+	// fleet would be a straggler.
 	minMeasurements = 8
-	// minSlowdownSamples is how many samples a verdict needs.
+	// minSlowdownSamples is how many samples are needed to call a server a
+	// straggler.
 	minSlowdownSamples = 3
-	// stragglerThreshold and recoveryThreshold are the slowdowns, beside peers, from which a
-	// server is a straggler and below which it no longer is one.
+	// A server becomes a straggler above stragglerThreshold, and stops being one at
+	// or below recoveryThreshold. Both are slowdowns relative to its peers.
 	stragglerThreshold, recoveryThreshold = 3.0, 1.7
-	// maxSlowdown bounds one sample's say in the slowdown.
+	// maxSlowdown caps a single sample of the slowdown.
 	maxSlowdown = 20.0
 )
 
-// The points at which peers are compared and priors are made: few and many
-// prefill tokens, few and many running requests.
+// The points at which profiles are taken and compared: numbers of prefill tokens
+// and of running requests.
 const (
 	lowPrefill, highPrefill = 0.0, 4000.0
 	lowRunning, highRunning = 1.0, 16.0
 )
 
-// Profile is a server's speed before anything was measured of it.
+// Profile describes a server's latency by four points, in seconds.
 type Profile struct {
 	FirstTokenLow, FirstTokenHigh float64 // at lowPrefill and highPrefill tokens
 	PerTokenLow, PerTokenHigh     float64 // at lowRunning and highRunning requests
 }
 
-// DefaultProfile is assumed where no peer has been measured either.
+// DefaultProfile returns the initial profile of a server none of whose peers has
+// been measured.
 func DefaultProfile() Profile {
 	return Profile{FirstTokenLow: 0.02, FirstTokenHigh: 0.42, PerTokenLow: 0.010, PerTokenHigh: 0.016}
 }
 
-// NewLatencyModel returns a speed that starts from a prior.
+// NewLatencyModel returns a model that starts from a profile.
 func NewLatencyModel(p Profile) *LatencyModel {
 	m := &LatencyModel{firstToken: Regression{Decay: 1}, decodeStep: Regression{Decay: 1}, slowdown: 1}
 	m.firstToken.Add(lowPrefill, p.FirstTokenLow, priorWeight)
@@ -74,25 +79,25 @@
 	return m
 }
 
-// FirstToken predicts the time to first token after so much prefill.
+// FirstToken predicts the time to first token after prefill tokens.
 func (m *LatencyModel) FirstToken(prefill int) time.Duration {
 	return fromSeconds(m.firstToken.At(float64(prefill)))
 }
 
-// PerToken predicts the time between tokens among so many running requests,
-// the prefill that the server does in between included.
+// PerToken predicts the time per token with a number of running requests,
+// including the prefill that the server does for others in between.
 func (m *LatencyModel) PerToken(running int) time.Duration {
 	return fromSeconds(m.perToken.At(float64(running)))
 }
 
-// PrefillTime predicts the time that prefill tokens alone take.
+// PrefillTime predicts the time that the prefill of tokens takes by itself.
 func (m *LatencyModel) PrefillTime(tokens int) time.Duration {
 	return fromSeconds(m.firstToken.Slope() * float64(tokens))
 }
 
-// ObserveFirstToken records a first token. Peers is the measured speed of its
-// generation; zero where there is none. Late tells that it waited in a queue
-// inside the engine.
+// ObserveFirstToken records a time to first token. peers is the median profile of
+// the servers of the same generation, or zero if there is none. queued tells
+// whether the request waited in a queue inside the engine.
 func (m *LatencyModel) ObserveFirstToken(prefill int, took time.Duration, peers Profile, queued bool) {
 	m.updateSlowdown(took.Seconds(), m.reference(peers).firstTokenSeconds(float64(prefill)))
 	m.firstTokenCount++
@@ -103,8 +108,8 @@
 	m.firstToken.Add(float64(prefill), took.Seconds(), weight)
 }
 
-// ObservePerToken records a mean time between tokens, and what is left of it
-// without the prefill of others, by which the server is judged.
+// ObservePerToken records a mean time per token. step is the same without the
+// prefill of others; the slowdown is computed from it.
 func (m *LatencyModel) ObservePerToken(running int, took, step time.Duration, peers Profile) {
 	m.updateSlowdown(step.Seconds(), m.reference(peers).perTokenSeconds(float64(running)))
 	m.perTokenCount++
@@ -112,14 +117,14 @@
 	m.decodeStep.Add(float64(running), step.Seconds(), 1)
 }
 
-// ObserveOverdue records that a first token takes far longer than predicted, before
-// it is known how long: it judges the server, but is no measurement.
+// ObserveOverdue records that a first token is overdue by far and has not come
+// yet. It adds to the slowdown, but is no measurement.
 func (m *LatencyModel) ObserveOverdue(prefill int, waited time.Duration, peers Profile) {
 	m.updateSlowdown(waited.Seconds(), m.reference(peers).firstTokenSeconds(float64(prefill)))
 }
 
-// UpdateBaseline lets the usual speed follow the present one, slowly. Call it at
-// intervals while the server is no straggler.
+// UpdateBaseline moves the baseline slowly towards the current profile. Call it
+// periodically while the server is not a straggler.
 func (m *LatencyModel) UpdateBaseline() {
 	if !m.Known() {
 		return
@@ -134,8 +139,8 @@
 	m.baseline.PerTokenHigh += baselineWeight * (own.PerTokenHigh - m.baseline.PerTokenHigh)
 }
 
-// reference is what the server is judged by: its peers or, without any, its
-// own usual speed.
+// reference returns the profile that the server is compared to: that of its
+// peers or, where it has none, its own baseline.
 func (m *LatencyModel) reference(peers Profile) Profile {
 	if peers == (Profile{}) {
 		return m.baseline
@@ -155,19 +160,21 @@
 	m.slowdownSamples++
 }
 
-// Straggler tells whether the server is a straggler now, given whether it was.
+// Straggler reports whether the server is a straggler; current tells whether it
+// was one before.
 func (m *LatencyModel) Straggler(current bool) bool {
 	m.straggler = m.slowdownSamples >= minSlowdownSamples && m.slowdown > stragglerThreshold || current && m.slowdown > recoveryThreshold
 	return m.straggler
 }
 
-// Known tells whether enough was measured for the speed to be the server's own
-// rather than the prior. A plain service has no times between tokens.
+// Known reports whether there are enough measurements for the model to describe
+// the server rather than the initial profile. A service that does not stream
+// tokens has no times per token.
 func (m *LatencyModel) Known() bool {
 	return m.firstTokenCount >= minMeasurements && (m.perTokenCount >= minMeasurements || m.perTokenCount == 0)
 }
 
-// profile is the server's speed in a Prior's terms.
+// profile returns the server's current profile.
 func (m *LatencyModel) profile() Profile {
 	return Profile{
 		FirstTokenLow: m.firstToken.At(lowPrefill), FirstTokenHigh: m.firstToken.At(highPrefill),
@@ -175,8 +182,8 @@
 	}
 }
 
-// Fastest returns, point by point, the better of the server and a Prior. The
-// zero Prior is no speed at all.
+// Fastest returns the lower latency of the server's profile and another one at
+// each point. A zero Profile counts as absent.
 func (m *LatencyModel) Fastest(other Profile) Profile {
 	own := m.profile()
 	if other == (Profile{}) {
@@ -188,17 +195,17 @@
 	}
 }
 
-// FirstToken is Speed.FirstToken for a Prior.
+// FirstToken predicts the time to first token after prefill tokens.
 func (p Profile) FirstToken(prefill int) time.Duration {
 	return fromSeconds(p.firstTokenSeconds(float64(prefill)))
 }
 
-// PerToken is Speed.PerToken for a Prior.
+// PerToken predicts the time per token with a number of running requests.
 func (p Profile) PerToken(running int) time.Duration {
 	return fromSeconds(p.perTokenSeconds(float64(running)))
 }
 
-// Median returns the median speed of peers, and false where there are none.
+// Median returns the median profile of peers, and false if there are none.
 func Median(peers []*LatencyModel) (Profile, bool) {
 	if len(peers) == 0 {
 		return Profile{}, false
--- a/pool/score/latency_test.go
+++ b/pool/score/latency_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestPredictionsFollowMeasurements(t *testing.T) {
-	Convey("Predictions follow what is measured, not the prior", t, func() {
+	Convey("Predictions follow the measurements, not the initial profile", t, func() {
 		s := NewLatencyModel(DefaultProfile())
 		for i := range 200 {
 			prefill := 100 + i%10*400
@@ -21,9 +21,9 @@
 	})
 }
 
-// Guards against a server ten times slower than its peers that nothing tells of.
+// Guards against a server that is ten times slower than its peers and goes unnoticed.
 func TestStragglerRelativeToPeers(t *testing.T) {
-	Convey("A few slow samples make a straggler, a few good ones bring it back", t, func() {
+	Convey("A few slow samples make a straggler, and a few normal ones end the state", t, func() {
 		peers, _ := Median([]*LatencyModel{NewLatencyModel(DefaultProfile()), NewLatencyModel(DefaultProfile()), NewLatencyModel(DefaultProfile())})
 		s := NewLatencyModel(DefaultProfile())
 		slowTTFT := s.FirstToken(1000) * 10
@@ -39,9 +39,9 @@
 		}
 		So(straggler, ShouldBeFalse)
 	})
-	Convey("A server without peers is judged by its own past", t, func() {
+	Convey("A server without peers is compared to its own baseline", t, func() {
 		s := NewLatencyModel(DefaultProfile())
-		for range 100 { // ten times slower than the prior from the start
+		for range 100 { // ten times slower than the initial profile from the start
 			s.ObserveFirstToken(0, 200*time.Millisecond, Profile{}, false)
 			s.UpdateBaseline()
 		}
@@ -51,7 +51,7 @@
 		}
 		So(s.Straggler(false), ShouldBeTrue)
 	})
-	Convey("A slower generation alone makes no straggler", t, func() {
+	Convey("A server of a slower generation is not a straggler among its peers", t, func() {
 		old := make([]*LatencyModel, 3)
 		for i := range old {
 			old[i] = NewLatencyModel(Profile{FirstTokenLow: 0.2, FirstTokenHigh: 4, PerTokenLow: 0.1, PerTokenHigh: 0.16})
--- a/pool/score/regression.go
+++ b/pool/score/regression.go
@@ -1,22 +1,22 @@
-// Package score measures servers and predicts from it: how long a first token
-// takes after so much prefill, how long a token takes among so many running
-// requests, and whether a server is a straggler beside its peers.
+// Package score measures the latency of servers. It predicts the time to first
+// token by prefill, the time per token by the number of running requests, and
+// decides whether a server is a straggler compared to its peers.
 //
 // Nothing here is safe for concurrent use.
 package score
 
 import "math"
 
-// Regression is a least-squares line through recent points; older ones fade out.
+// Regression is a linear least-squares fit with exponentially decaying weights.
 // Neither its slope nor its intercept is ever negative.
 type Regression struct {
-	// Decay is the weight that old points keep at each new one.
+	// Decay is the factor applied to the weight of all points at each new one.
 	Decay                          float64
 	sumW, sumX, sumY, sumXX, sumXY float64
 	slope, intercept               float64
 }
 
-// Add puts a point in with a weight.
+// Add adds a point with a weight.
 func (r *Regression) Add(x, y, weight float64) {
 	r.sumW = r.sumW*r.Decay + weight
 	r.sumX = r.sumX*r.Decay + weight*x
@@ -26,13 +26,13 @@
 	r.fit()
 }
 
-// At returns the line's value.
+// At returns the line's value at x.
 func (r *Regression) At(x float64) float64 { return r.intercept + r.slope*x }
 
 // Slope returns the line's slope.
 func (r *Regression) Slope() float64 { return r.slope }
 
-// Weight returns the weight of all points.
+// Weight returns the total weight of all points.
 func (r *Regression) Weight() float64 { return r.sumW }
 
 func (r *Regression) fit() {
