--- a/pool/limit/aimd.go
+++ b/pool/limit/aimd.go
@@ -1,16 +1,17 @@
 package limit
 
-// aimd adds one to the limit for each limit's worth of good samples, and
-// multiplies it down while the smoothed ratio is bad, at most once for the
-// samples of one limit: requests that ran at the old limit say nothing about
-// the new one. Without smoothing, one burst of prefill on a server, which
-// slows every token for a moment, would cost it a fifth of its limit.
+// aimd is additive increase, multiplicative decrease. It adds one to the limit for
+// each limit's worth of good samples, and reduces it by a factor while the
+// smoothed ratio is above 1. After a decrease it ignores one limit's worth of
+// samples, since requests that ran at the old limit say nothing about the new one.
+// Without smoothing, a single burst of prefill on a server, which slows every token
+// for a moment, would cost it a fifth of its limit.
 type aimd struct {
 	bounds      Bounds
 	limit       float64
 	ratio       float64
 	initialized bool
-	cooldown    float64 // samples to ignore after a decrease
+	cooldown    float64 // samples still to be ignored after a decrease
 }
 
 const (
@@ -20,10 +21,10 @@
 
 func newAIMD(b Bounds) *aimd { return &aimd{bounds: b, limit: b.clamp(b.Start)} }
 
-// Limit implements Law.
+// Limit implements Algorithm.
 func (a *aimd) Limit() float64 { return a.limit }
 
-// Observe implements Law.
+// Observe implements Algorithm.
 func (a *aimd) Observe(s Sample) {
 	if !a.initialized {
 		a.ratio, a.initialized = s.Ratio, true
--- a/pool/limit/gradient.go
+++ b/pool/limit/gradient.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// gradient steers the smoothed ratio to just under the target: the limit
-// follows use times the ratio's distance from the target, plus a small queue
-// that lets it probe upwards.
+// gradient keeps the smoothed ratio just under the target. The limit follows the
+// slots in use times targetRatio over the ratio, plus a small queue that lets it
+// probe upwards.
 type gradient struct {
 	bounds      Bounds
 	limit       float64
@@ -15,17 +15,17 @@
 
 const (
 	gradientSmoothing = 0.1 // weight of a new sample in the mean
-	gradientStep      = 0.1 // part of the way to the new limit at each sample
-	// The widest correction at once.
+	gradientStep      = 0.1 // fraction of the way to the new limit at each sample
+	// The bounds of the correction factor of one sample.
 	minGradient, maxGradient = 0.5, 1.5
 )
 
 func newGradient(b Bounds) *gradient { return &gradient{bounds: b, limit: b.clamp(b.Start)} }
 
-// Limit implements Law.
+// Limit implements Algorithm.
 func (g *gradient) Limit() float64 { return g.limit }
 
-// Observe implements Law.
+// Observe implements Algorithm.
 func (g *gradient) Observe(s Sample) {
 	if !g.initialized {
 		g.ratio, g.used, g.initialized = s.Ratio, s.Used, true
@@ -34,7 +34,7 @@
 	g.used += gradientSmoothing * (s.Used - g.used)
 	belowTarget := g.ratio < targetRatio
 	if belowTarget && !utilized(g.used, g.limit) {
-		return // the limit was not what kept it good
+		return // low use, not the limit, kept the ratio low
 	}
 	gradient := math.Max(minGradient, math.Min(maxGradient, targetRatio/math.Max(g.ratio, 1e-6)))
 	goal := g.used*gradient + math.Sqrt(g.limit)
--- a/pool/limit/limit.go
+++ b/pool/limit/limit.go
@@ -1,49 +1,53 @@
-// Package limit holds the control laws that set how much may run on a server
-// at once. A law sees only samples of our own running requests: how long
-// something took, as a fraction of what it may take.
+// Package limit holds the adaptive limit algorithms that set how much may run on a
+// server at once, in requests or in memory. An algorithm sees samples of the
+// scheduler's own running requests only: the time that something took as a
+// fraction of its target.
 //
-// A law is used by one goroutine at a time.
+// An Algorithm is not safe for concurrent use.
 package limit
 
 // Sample is one measurement on a server.
 type Sample struct {
-	// Ratio is the measured time over the target: above 1 the target is
+	// Ratio is the measured time divided by the target; above 1 the target is
 	// missed.
 	Ratio float64
-	// Used is how much of the limit was in use.
+	// Used is how much of the limit was in use, in the limit's unit.
 	Used float64
 }
 
-// Algorithm is a control law for one limit.
+// Algorithm controls one limit.
 type Algorithm interface {
-	// Limit returns the present limit.
+	// Limit returns the current limit, in the unit of its Bounds. It need not be
+	// whole.
 	Limit() float64
-	// Observe takes a sample in.
+	// Observe adds a sample.
 	Observe(s Sample)
 }
 
-// Bounds are the least and the largest limit; a law starts at Start.
+// Bounds are the smallest, the largest and the initial limit, all in the unit of the
+// limit: requests or units of memory.
 type Bounds struct{ Min, Max, Start float64 }
 
 func (b Bounds) clamp(v float64) float64 { return max(b.Min, min(b.Max, v)) }
 
-// Name names a control law.
+// Name is the name of an algorithm.
 type Name string
 
-// The laws.
+// The algorithms.
 const (
 	AIMD     Name = "aimd"
 	Gradient Name = "gradient"
 )
 
-// Valid tells whether a law of this name exists; empty means the default.
+// Valid reports whether the name is that of an algorithm or empty, which means
+// the default.
 func (n Name) Valid() bool { return n == "" || n == AIMD || n == Gradient }
 
-// Default is the law in use where none is named; docs/design/limits.md has
-// the measurement that chose it.
+// Default is the algorithm for an empty name; docs/design/limits.md compares the
+// algorithms.
 const Default = AIMD
 
-// New returns a law of the name; an empty name means Default.
+// New returns an algorithm by name; an empty name means Default.
 func New(n Name, b Bounds) Algorithm {
 	if n == "" {
 		n = Default
@@ -54,27 +58,29 @@
 	return newAIMD(b)
 }
 
-// roundingMargin makes up for laws that near their bound without end.
+// roundingMargin makes up for algorithms that approach their bound
+// asymptotically, in the limit's unit.
 const roundingMargin = 0.05
 
-// Slots returns how many requests a law lets run at once: whole ones, and one at
-// the least.
+// Slots returns the number of requests that an algorithm allows at once: the
+// whole slots of its limit, and at least one.
 func Slots(a Algorithm) int { return slots(a.Limit()) }
 
 func slots(limit float64) int { return max(1, int(limit+roundingMargin)) }
 
-// targetRatio is the ratio that laws steer for: a little under the target.
+// targetRatio is the Sample.Ratio that algorithms aim at, a little under the
+// target.
 const targetRatio = 0.85
 
-// minUtilization is the fraction of the whole slots of a limit that must be in use before a
-// good sample says anything about a higher limit.
+// minUtilization is the fraction of the whole slots of a limit that must be in use
+// for a good sample to raise the limit.
 const minUtilization = 0.75
 
-// utilized tells whether so much use, of what a limit let run, is enough to judge the
-// limit by.
+// utilized reports whether the slots in use are enough for a sample to say
+// something about the limit.
 //
-// What goes wrong where use is compared with the limit itself: at 2.9 two requests
-// may run, which is less than three quarters of it, so that no sample ever raises it.
-// One would notice a service that sheds at a third of its servers' slots, for as long
-// as the daemon lives, after one bad second.
+// Use is compared to the whole slots and not to the limit itself: a limit of 2.9
+// allows two requests, which are less than three quarters of it, so no sample
+// would ever raise it. After one bad second the service would shed requests at a
+// third of its servers' slots until the daemon restarts.
 func utilized(used, limit float64) bool { return used >= minUtilization*float64(slots(limit)) }
--- a/pool/limit/limit_test.go
+++ b/pool/limit/limit_test.go
@@ -6,8 +6,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// simulate runs a law against a server whose time between tokens grows with
-// what runs there: 10 ms and 1.5 ms more for each, as an engine's steps do.
+// simulate runs an algorithm against a server whose time per token grows like an
+// engine's step time: 10 ms plus 1.5 ms for each running request. target is in ms.
 func simulate(a Algorithm, target float64, rounds int) {
 	for range rounds {
 		n := float64(int(a.Limit()))
@@ -18,13 +18,13 @@
 }
 
 func TestLimitConvergesToKnee(t *testing.T) {
-	Convey("With a target of 62 ms the knee is at 34 running requests", t, func() {
+	Convey("With a target of 62 ms, reached at 34 running requests, a limit converges near it", t, func() {
 		for _, name := range []Name{AIMD, Gradient} {
 			a := New(name, Bounds{Min: 1, Max: 64, Start: 64})
 			simulate(a, 62, 60)
 			So(a.Limit(), ShouldBeBetween, 20, 36)
 
-			Convey("With "+string(name)+" a slower server gets less, and its limit comes back after it has recovered", func() {
+			Convey("With "+string(name)+" the limit of a server that slows down falls, and rises again once it has recovered", func() {
 				simulate(a, 25, 60)
 				So(a.Limit(), ShouldBeBetween, 3, 11)
 				simulate(a, 62, 300)
@@ -32,7 +32,7 @@
 			})
 		}
 	})
-	Convey("A limit that is not in use doesn't grow", t, func() {
+	Convey("A limit that is not in use does not rise", t, func() {
 		for _, name := range []Name{AIMD, Gradient} {
 			a := New(name, Bounds{Min: 1, Max: 64, Start: 20})
 			for range 1000 {
@@ -41,7 +41,7 @@
 			So(a.Limit(), ShouldEqual, 20)
 		}
 	})
-	Convey("A limit stays in its bounds", t, func() {
+	Convey("A limit stays within its bounds", t, func() {
 		for _, name := range []Name{"", AIMD, Gradient} {
 			a := New(name, Bounds{Min: 2, Max: 9, Start: 100})
 			So(a.Limit(), ShouldEqual, 9)
@@ -51,7 +51,7 @@
 			So(a.Limit(), ShouldEqual, 2)
 		}
 	})
-	Convey("Names are checked", t, func() {
+	Convey("Unknown names are not valid", t, func() {
 		So(Name("vegas").Valid(), ShouldBeFalse)
 		So(Default.Valid(), ShouldBeTrue)
 	})
