--- a/pool/headroom/headroom.go
+++ b/pool/headroom/headroom.go
@@ -1,5 +1,5 @@
-// Package headroom sizes the slots that lower tiers leave free for a higher
-// one, from the higher one's recent arrivals and their burstiness.
+// Package headroom computes how many slots lower tiers leave free for a higher
+// tier, from the recent peak of its arrival rate.
 //
 // Nothing here is safe for concurrent use.
 package headroom
@@ -10,17 +10,17 @@
 )
 
 const (
-	// bucketLength is the time over which a burst is measured.
+	// bucketLength is the interval over which an arrival rate is measured.
 	bucketLength = 250 * time.Millisecond
-	// peakHalfLife is how long a burst is remembered.
+	// peakHalfLife is the time in which the remembered peak decays by half.
 	peakHalfLife = 30 * time.Second
 )
 
-// Arrivals measures the arrivals of one tier.
+// Arrivals measures the arrival rate of one tier.
 type Arrivals struct {
-	bucketStart time.Time // of the present bucket
+	bucketStart time.Time // start of the current bucket
 	count       int
-	peakRate    float64 // arrivals a second
+	peakRate    float64 // arrivals per second
 }
 
 // Add counts an arrival.
@@ -29,13 +29,13 @@
 	a.count++
 }
 
-// Peak returns the recent peak rate, in arrivals a second.
+// Peak returns the decaying peak rate, in arrivals per second.
 func (a *Arrivals) Peak(now time.Time) float64 {
 	a.rollBucket(now)
 	return a.peakRate
 }
 
-// rollBucket closes the present bucket once its time is over.
+// rollBucket closes the current bucket at its end and starts the next one.
 func (a *Arrivals) rollBucket(now time.Time) {
 	if a.bucketStart.IsZero() {
 		a.bucketStart = now
@@ -50,8 +50,9 @@
 	a.bucketStart, a.count = now, 0
 }
 
-// Reserve returns how many slots must stay free, so that arrivals at a rate
-// find one within the slack, given how many slots come free a second.
+// Reserve returns how many slots must stay free so that each arrival gets one
+// within slack. arrivalRate is in arrivals per second, releaseRate in slots that
+// become free per second.
 func Reserve(arrivalRate, releaseRate float64, slack time.Duration) int {
 	return int(math.Ceil(math.Max(0, (arrivalRate-releaseRate)*slack.Seconds())))
 }
