--- a/pool/estimate/estimate.go
+++ b/pool/estimate/estimate.go
@@ -1,9 +1,9 @@
-// Package estimate tells how long answers will be, from the recent ones of
-// the same mix: workspace, template and model. Lengths within a mix differ
-// much less than the hundredfold between mixes, so a quantile of a mix's last
-// answers serves better than any average over all.
+// Package estimate predicts the length of answers from recent answers with the
+// same key: workspace, template and model. Lengths differ up to a hundredfold
+// between keys and much less within a key, so a quantile of the key's last answers
+// predicts better than an average over all.
 //
-// An Estimator is used by one goroutine at a time.
+// An Estimator is not safe for concurrent use.
 package estimate
 
 import (
@@ -13,31 +13,32 @@
 )
 
 const (
-	// maxKeys bounds the mixes remembered; the least recently used go first.
+	// maxKeys is how many keys are remembered; the least recently used are
+	// evicted.
 	maxKeys = 2048
-	// windowSize is how many recent answers of a mix are kept.
+	// windowSize is how many recent answers of a key are kept.
 	windowSize = 64
-	// minSamples is how many answers make a mix known. Below it, the safe
-	// assumption (the cap) fills up the missing ones.
+	// minSamples is how many answers make a key known. With fewer, the missing ones
+	// are assumed to be as long as the cap.
 	minSamples = 8
-	// highQuantile is what memory is reserved for.
+	// highQuantile is the quantile of the length for which memory is reserved.
 	highQuantile = 0.9
-	// defaultTokens is assumed of a mix that is unknown and has no cap.
+	// defaultTokens is the length assumed for an unknown key without a cap.
 	defaultTokens = 1024
 )
 
-// Key identifies requests whose answers are alike in length.
+// Key identifies requests whose answers are similar in length.
 type Key struct{ Workspace, Template, Model string }
 
 // Length is an estimate of an answer's length, in tokens.
 type Length struct {
-	// Mean is for costs, High is exceeded by one in ten.
+	// Mean is used for costs. High is exceeded by one answer in ten.
 	Mean, High int
-	// Known is false where they are safe assumptions rather than measured.
+	// Known is false if the values are assumptions rather than measurements.
 	Known bool
 }
 
-// Estimator keeps the recent lengths of each mix.
+// Estimator keeps the recent lengths of each key.
 type Estimator struct {
 	histories *simplelru.LRU[Key, *history]
 }
@@ -46,18 +47,18 @@
 func New() *Estimator {
 	histories, err := simplelru.NewLRU[Key, *history](maxKeys, nil)
 	if err != nil {
-		panic(err) // only a size below one is an error
+		panic(err) // fails only for a size below one
 	}
 	return &Estimator{histories: histories}
 }
 
-// Observe records the length of a whole answer.
+// Observe records the length of a complete answer, in tokens.
 func (e *Estimator) Observe(key Key, tokens int) {
 	e.history(key).add(tokens)
 	e.history(key.fallback()).add(tokens)
 }
 
-// Estimate estimates an answer's length. maxTokens caps it; 0 is no cap.
+// Estimate estimates an answer's length. maxTokens is its cap, 0 for none.
 func (e *Estimator) Estimate(key Key, maxTokens int) Length {
 	limit := maxTokens
 	if limit <= 0 {
@@ -79,8 +80,8 @@
 	return l
 }
 
-// Remaining estimates how many tokens are still to come of an answer that has
-// had some: the mean of those recent answers that were longer.
+// Remaining estimates how many tokens an answer still needs after those it has
+// produced, from the mean of the recent answers that were longer.
 func (e *Estimator) Remaining(key Key, maxTokens, produced int) int {
 	limit := maxTokens
 	if limit <= 0 {
@@ -103,7 +104,8 @@
 	return max(1, min(remaining, sum/len(longer)-produced))
 }
 
-// fallback is the mix that stands in for an unknown one.
+// fallback returns the key that stands in for one with too few answers: the same
+// template and model in any workspace.
 func (key Key) fallback() Key { return Key{Template: key.Template, Model: key.Model} }
 
 func (e *Estimator) history(key Key) *history {
@@ -115,7 +117,7 @@
 	return h
 }
 
-// history is the last lengths of a mix, in order of arrival and of size.
+// history holds the last lengths of a key, in order of arrival and sorted.
 type history struct {
 	ring   [windowSize]int
 	next   int
--- a/pool/estimate/hint.go
+++ b/pool/estimate/hint.go
@@ -1,38 +1,40 @@
 package estimate
 
 const (
-	// ratioUnit is the ratio of an answer as long as its hint.
+	// ratioUnit is the ratio of an answer that is as long as its hint.
 	ratioUnit = 1000
-	// maxRatio bounds what one answer says of the others' hints: single hints
-	// are far off.
+	// maxRatio caps the ratio of one answer, since single hints are far off.
 	maxRatio = 8 * ratioUnit
-	// unknownHighRatio is the ratio that is reserved for while a mix is unknown.
+	// unknownHighRatio is the ratio for which memory is reserved while a key is
+	// unknown.
 	unknownHighRatio = 2 * ratioUnit
 )
 
-// Hints tells how long answers will be from their callers' own estimates, and
-// from how those of the same mix turned out.
+// Hints predicts the length of answers from the callers' own estimates (hints),
+// corrected by the ratio of length to hint of recent answers with the same key.
 //
-// Answers of one mix differ a hundredfold. By the mix's mean, a long answer
+// Answers with one key can differ a hundredfold. With the key's mean, a long answer
 // goes to a slow server and does not end before its deadline, and a short one
-// takes the fast server's slot. Hints follow the lengths: over 2,415 answers the
-// logarithms correlate by 0.88 to 0.91, and half of the hints are within a factor
-// of 1.4.
+// takes a slot of the fast server. Hints follow the lengths: over 2,415 answers
+// the logarithms correlate by 0.88 to 0.91, and half of the hints are within a
+// factor of 1.4.
 //
-// Hints is used by one goroutine at a time.
-type Hints struct{ ratios *Estimator } // of answers to their hints, in ratioUnit
+// Hints is not safe for concurrent use.
+type Hints struct{ ratios *Estimator } // lengths over hints, in units of 1/ratioUnit
 
-// NewHints returns hints of which nothing has been seen.
+// NewHints returns Hints without observations.
 func NewHints() *Hints { return &Hints{ratios: New()} }
 
-// Observe records the length of a whole answer whose hint was above zero.
+// Observe records the length of a complete answer, in tokens. hint must be above
+// zero.
 func (h *Hints) Observe(key Key, hint, tokens int) {
 	h.ratios.Observe(key, min(maxRatio, tokens*ratioUnit/hint))
 }
 
-// Estimate estimates an answer's length. maxTokens caps it; 0 is no cap. It is
-// never Known: what a single answer needs between its tokens to end in time is
-// no target, or long ones would wait for fast servers while slow ones idle.
+// Estimate estimates an answer's length. maxTokens is its cap, 0 for none. The
+// estimate is never Known: the time per token that a single answer needs to end in
+// time must not become a target, or long answers would wait for fast servers while
+// slow ones idle.
 func (h *Hints) Estimate(key Key, hint, maxTokens int) Length {
 	l := Length{Mean: hint, High: scale(hint, unknownHighRatio)}
 	if ratio := h.ratios.Estimate(key, unknownHighRatio); ratio.Known {
@@ -44,8 +46,8 @@
 	return l
 }
 
-// Remaining estimates how many tokens are still to come of an answer that has
-// had some.
+// Remaining estimates how many tokens an answer still needs after those it has
+// produced.
 func (h *Hints) Remaining(key Key, hint, maxTokens, produced int) int {
 	remaining := scale(hint, h.ratios.Remaining(key, 0, produced*ratioUnit/hint))
 	if maxTokens > 0 {
