--- a/pool/prefix/index.go
+++ b/pool/prefix/index.go
@@ -1,12 +1,14 @@
-// Package prefix is what a pool believes to be cached where: which server
-// holds which blocks of prompts. It is fed by the pool's own dispatches and
-// corrected by what engines report, late and with gaps.
+// Package prefix keeps an index of the prefix caches of a pool's servers: which
+// server is expected to hold which blocks of prompts. The index is updated by the
+// pool's own dispatches and corrected by the events of the engines, which arrive
+// late and with gaps.
 //
-// It mirrors each server's cache as an LRU of bounded size. Because block
-// hashes are chained and an engine keeps a prefix longer than its extensions,
-// a prompt's cached blocks are its first ones, so a binary search finds them.
+// It mirrors each server's cache as an LRU of bounded size. Block hashes are
+// chained, and an engine evicts the extensions of a prefix before the prefix. The
+// cached blocks of a prompt are therefore its first ones, and a binary search
+// finds them.
 //
-// An Index is used by one goroutine at a time.
+// An Index is not safe for concurrent use.
 package prefix
 
 import (
@@ -17,38 +19,39 @@
 )
 
 const (
-	// MaxServers is how many servers an Index can tell apart.
+	// MaxServers is the largest number of servers of an Index.
 	MaxServers = 64
-	// maxCacheBlocks bounds what is remembered of one server. At 32 servers this
-	// is 128 Ki entries at the most.
+	// maxCacheBlocks is how many blocks are kept for one server, which is at most
+	// 128 Ki entries for 32 servers.
 	maxCacheBlocks = 4096
-	// minCacheBlocks is the smallest cache believed in.
+	// minCacheBlocks is the smallest assumed size of a cache.
 	minCacheBlocks = 64
-	// growthDivisor is how fast the believed size recovers, as a divisor: a
-	// confirmed prefix adds 1/growth of the size.
+	// growthDivisor is how fast the assumed size recovers: a prefix that is found
+	// as expected adds 1/growthDivisor of the size.
 	growthDivisor = 32
-	// maxEventDelay is how late an announcement may be.
+	// maxEventDelay is how late an engine's event may arrive.
 	maxEventDelay = 3 * time.Second
-	// gapDivisor is the part of the blocks, as a divisor, that a gap may have
-	// evicted unseen.
+	// gapDivisor sets the part of the blocks that is dropped when events were
+	// missed: 1/gapDivisor.
 	gapDivisor = 4
 )
 
-// Index knows the blocks of up to MaxServers servers, named by number.
+// Index holds the cached blocks of up to MaxServers servers, which are identified
+// by number.
 type Index struct {
-	holders map[uint64]uint64 // block to the set of servers
+	holders map[uint64]uint64 // block hash -> bit set of servers
 	caches  [MaxServers]*cache
 }
 
 type cache struct {
-	blocks *simplelru.LRU[uint64, int64] // by when it was last used
-	size   int                           // believed size of the engine's cache
+	blocks *simplelru.LRU[uint64, int64] // block hash -> last use, in Unix ns
+	size   int                           // assumed size of the engine's cache, in blocks
 }
 
 // NewIndex returns an empty index.
 func NewIndex() *Index { return &Index{holders: make(map[uint64]uint64)} }
 
-// CachedPrefix returns how many leading blocks a server is believed to hold.
+// CachedPrefix returns how many leading blocks a server is expected to hold.
 func (x *Index) CachedPrefix(server int, blocks []uint64) int {
 	bit := uint64(1) << server
 	low, high := 0, len(blocks)
@@ -63,13 +66,13 @@
 	return low
 }
 
-// Holds tells whether a server is believed to hold the first n blocks.
+// Holds reports whether a server is expected to hold the first n blocks.
 func (x *Index) Holds(server int, blocks []uint64, n int) bool {
 	return n >= 1 && n <= len(blocks) && x.holders[blocks[n-1]]&(1<<server) != 0
 }
 
-// LongestPrefix returns how many leading blocks any server of the set holds, and
-// which servers do.
+// LongestPrefix returns the largest number of leading blocks that a server of the
+// set holds, and the set of servers that hold them.
 func (x *Index) LongestPrefix(set uint64, blocks []uint64) (int, uint64) {
 	low, high := 0, len(blocks)
 	for low < high {
@@ -86,8 +89,8 @@
 	return low, x.holders[blocks[low-1]] & set
 }
 
-// StorePrompt tells that a server has computed or used the blocks of a prompt. They
-// become its most recent ones, the first block last.
+// StorePrompt records that a server has computed or used the blocks of a prompt.
+// They become its most recently used ones, the first block last.
 func (x *Index) StorePrompt(now time.Time, server int, blocks []uint64) {
 	c := x.cacheOf(server)
 	blocks = blocks[:min(len(blocks), c.size)]
@@ -96,14 +99,14 @@
 	}
 }
 
-// StoreBlock tells that a server announced one block as stored.
+// StoreBlock handles a server's event that it stored a block.
 func (x *Index) StoreBlock(now time.Time, server int, block uint64) {
 	x.add(now, server, x.cacheOf(server), block)
 }
 
-// Evict tells that a server announced one block as evicted. Announcements are
-// late: one about a block that was used a moment ago is about the time before
-// that use, and is ignored.
+// Evict handles a server's event that it evicted a block. Events arrive late: one
+// for a block that was used within maxEventDelay is older than that use and is
+// ignored.
 func (x *Index) Evict(now time.Time, server int, block uint64) {
 	c := x.caches[server]
 	if c == nil {
@@ -114,11 +117,11 @@
 	}
 }
 
-// Reconcile tells what an engine really found of a prompt that was believed to
-// have been cached to some length. A shortfall means that the missing block
-// was evicted, and in an LRU so was all that is older: the believed size
-// shrinks to what is newer. Without it, every later choice would count on
-// prefixes that are gone; one would see prefill computed that should not be.
+// Reconcile corrects the assumed cache size by the number of leading blocks of a
+// prompt that an engine found in its cache. If it found fewer than expected, the
+// missing block was evicted and, in an LRU, so were all older ones: the assumed
+// size shrinks. Without the correction the pool would go on counting on evicted
+// prefixes, and servers would compute prefill that was expected to be cached.
 func (x *Index) Reconcile(server int, blocks []uint64, expected, found int) {
 	c := x.cacheOf(server)
 	if found >= expected || found >= len(blocks) {
@@ -132,8 +135,9 @@
 	c.blocks.Resize(c.size)
 }
 
-// EventsMissed tells that events of a server were missed: any of its blocks may be
-// gone, the least recent most likely. The oldest quarter is forgotten.
+// EventsMissed records that events of a server were missed. Any of its blocks may
+// be evicted, the least recently used ones most likely: the oldest quarter is
+// dropped.
 func (x *Index) EventsMissed(server int) {
 	c := x.caches[server]
 	if c == nil {
@@ -144,7 +148,7 @@
 	}
 }
 
-// Reset drops all that is known of a server: its engine restarted or left.
+// Reset drops all blocks of a server whose engine restarted or left.
 func (x *Index) Reset(server int) {
 	c := x.caches[server]
 	if c == nil {
@@ -156,7 +160,7 @@
 	x.caches[server] = nil
 }
 
-// Len returns how many blocks are known, counted once each.
+// Len returns the number of distinct blocks.
 func (x *Index) Len() int { return len(x.holders) }
 
 func (x *Index) cacheOf(server int) *cache {
@@ -173,7 +177,7 @@
 	}
 	blocks, err := simplelru.NewLRU[uint64, int64](maxCacheBlocks, onEvict)
 	if err != nil {
-		panic(err) // only a size below one is an error
+		panic(err) // fails only for a size below one
 	}
 	c := &cache{blocks: blocks, size: maxCacheBlocks}
 	x.caches[server] = c
@@ -188,7 +192,7 @@
 	}
 }
 
-// EachServer calls f with each server of a set, in order.
+// EachServer calls f with each server of a set, in ascending order.
 func EachServer(set uint64, f func(server int)) {
 	for ; set != 0; set &= set - 1 {
 		f(bits.TrailingZeros64(set))
--- a/pool/prefix/index_test.go
+++ b/pool/prefix/index_test.go
@@ -19,7 +19,7 @@
 }
 
 func TestIndex(t *testing.T) {
-	Convey("What a server computed it holds, until it is evicted, forgotten or crowded out", t, func() {
+	Convey("A server holds the blocks that it computed until they are evicted or dropped", t, func() {
 		x := NewIndex()
 		x.StorePrompt(now, 3, prompt(1, 10))
 		So(x.CachedPrefix(3, prompt(1, 20)), ShouldEqual, 10)
@@ -28,19 +28,19 @@
 		So(n, ShouldEqual, 10)
 		So(holders, ShouldEqual, uint64(1)<<3)
 
-		Convey("An eviction told late, of a block used since, is ignored", func() {
+		Convey("A late eviction event for a block that was used since is ignored", func() {
 			x.Evict(now.Add(time.Second), 3, prompt(1, 10)[5])
 			So(x.CachedPrefix(3, prompt(1, 10)), ShouldEqual, 10)
 			x.Evict(now.Add(time.Minute), 3, prompt(1, 10)[9])
 			So(x.CachedPrefix(3, prompt(1, 10)), ShouldEqual, 9)
 		})
-		Convey("A gap ages the oldest knowledge", func() {
+		Convey("Missed events drop the least recently used blocks", func() {
 			x.StorePrompt(now, 3, prompt(2, 30))
 			x.EventsMissed(3)
 			So(x.CachedPrefix(3, prompt(1, 10)), ShouldBeLessThan, 10)
 			So(x.CachedPrefix(3, prompt(2, 30)), ShouldEqual, 30)
 		})
-		Convey("Prefixes that turn out to be gone shrink the believed size", func() {
+		Convey("Prefixes that are not found shrink the assumed size", func() {
 			for i := range 60 {
 				x.StorePrompt(now, 3, prompt(10+i, 50))
 			}
@@ -57,7 +57,8 @@
 	})
 }
 
-// Memory is bounded and both sides of the index agree, whatever happens.
+// TestIndexIsBoundedAndConsistent checks that memory is bounded and that holders
+// and caches agree after any sequence of events.
 func TestIndexIsBoundedAndConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := NewIndex()
@@ -80,12 +81,12 @@
 						continue
 					}
 					if c.blocks.Len() > c.size || c.size > maxCacheBlocks {
-						t.Fatalf("server %d holds %d of %d", s, c.blocks.Len(), c.size)
+						t.Fatalf("server %d holds %d blocks, its size is %d", s, c.blocks.Len(), c.size)
 					}
 					for _, b := range c.blocks.Keys() {
 						cached++
 						if x.holders[b]&(1<<s) == 0 {
-							t.Fatalf("block %d of server %d is not indexed", b, s)
+							t.Fatalf("block %d of server %d is missing in holders", b, s)
 						}
 					}
 				}
@@ -94,7 +95,7 @@
 					EachServer(set, func(int) { indexed++ })
 				}
 				if cached != indexed {
-					t.Fatalf("%d blocks held, %d indexed", cached, indexed)
+					t.Fatalf("%d blocks in caches, %d in holders", cached, indexed)
 				}
 			},
 		})
