--- a/pool/suspect/suspect.go
+++ b/pool/suspect/suspect.go
@@ -1,9 +1,9 @@
-// Package suspect remembers which requests may crash servers. Every request
-// that ran on a server when it crashed becomes a suspect; a suspect runs only
-// alone; one that is alone on a server when that crashes is convicted, and
-// one that finishes goes free. What is remembered is bounded and expires.
+// Package suspect tracks requests that may crash servers, by fingerprint. Every
+// request that ran on a server when it crashed becomes suspected. A suspected
+// request runs alone: if its server crashes again it is confirmed, and if it
+// finishes it is cleared. The number of entries is bounded, and they expire.
 //
-// A Register is used by one goroutine at a time.
+// A Registry is not safe for concurrent use.
 package suspect
 
 import (
@@ -12,18 +12,18 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// State is what is known of a fingerprint.
+// State is the state of a fingerprint.
 type State uint8
 
-// The states of a fingerprint, from harmless to certain.
+// The states of a fingerprint, in ascending order of severity.
 const (
 	Clear State = iota
 	Suspected
 	Confirmed
 )
 
-// maxEntries bounds the fingerprints remembered; the least recently seen go
-// first.
+// maxEntries is how many fingerprints are kept; the least recently used are
+// evicted.
 const maxEntries = 4096
 
 type entry struct {
@@ -31,23 +31,23 @@
 	expires time.Time
 }
 
-// Registry is what one pool knows of fingerprints.
+// Registry holds the states of the fingerprints of one pool.
 type Registry struct {
 	entries   *simplelru.LRU[uint64, entry]
 	retention time.Duration
 }
 
-// NewRegistry returns an empty register that keeps each verdict for so long.
+// NewRegistry returns an empty registry whose entries expire after retention.
 func NewRegistry(retention time.Duration) *Registry {
 	entries, err := simplelru.NewLRU[uint64, entry](maxEntries, nil)
 	if err != nil {
-		panic(err) // only a size below one is an error
+		panic(err) // fails only for a size below one
 	}
 	return &Registry{entries: entries, retention: retention}
 }
 
-// State returns what is known of a fingerprint. Zero is no fingerprint and
-// always clear.
+// State returns the state of a fingerprint. Zero is no fingerprint and always
+// Clear.
 func (r *Registry) State(now time.Time, fingerprint uint64) State {
 	if r.entries.Len() == 0 || fingerprint == 0 {
 		return Clear
@@ -63,7 +63,8 @@
 	return e.state
 }
 
-// ExpiresIn returns how long a verdict still holds.
+// ExpiresIn returns the time until the entry of a fingerprint expires, or zero if
+// there is none.
 func (r *Registry) ExpiresIn(now time.Time, fingerprint uint64) time.Duration {
 	e, ok := r.entries.Peek(fingerprint)
 	if !ok {
@@ -72,8 +73,8 @@
 	return max(0, e.expires.Sub(now))
 }
 
-// MarkSuspected makes a fingerprint a suspect, unless it is convicted. It reports
-// whether that changed anything.
+// MarkSuspected makes a clear fingerprint suspected. It reports whether the state
+// changed.
 func (r *Registry) MarkSuspected(now time.Time, fingerprint uint64) bool {
 	if fingerprint == 0 || r.State(now, fingerprint) != Clear {
 		return false
@@ -82,16 +83,16 @@
 	return true
 }
 
-// Confirm convicts a fingerprint.
+// Confirm makes a fingerprint confirmed.
 func (r *Registry) Confirm(now time.Time, fingerprint uint64) {
 	if fingerprint != 0 {
 		r.entries.Add(fingerprint, entry{Confirmed, now.Add(r.retention)})
 	}
 }
 
-// Clear clears a suspect that finished. A convict stays one: what one run
-// has proved, another that happened to end earlier doesn't disprove. It
-// reports whether that changed anything.
+// Clear clears a suspected fingerprint whose request finished. A confirmed one
+// stays confirmed: a run that ends without a crash does not disprove an earlier
+// one. Clear reports whether the state changed.
 func (r *Registry) Clear(now time.Time, fingerprint uint64) bool {
 	if r.State(now, fingerprint) != Suspected {
 		return false
@@ -100,8 +101,9 @@
 	return true
 }
 
-// Merge takes in what another pool knows. The graver state wins; a clearance
-// frees a suspect only.
+// Merge merges the state that another pool has for a fingerprint. The more severe
+// state wins, except that Clear clears a suspected fingerprint. expiresIn is capped
+// at the registry's retention.
 func (r *Registry) Merge(now time.Time, fingerprint uint64, s State, expiresIn time.Duration) {
 	if fingerprint == 0 {
 		return
