--- a/broker/broker.go
+++ b/broker/broker.go
@@ -1,6 +1,6 @@
-// Package broker is the entry's side of the pools: it finds a request's pool
-// and the pool's owner, holds the request while it waits, and hands out the
-// grants. The entry knows nothing of owners and pools beyond this interface.
+// Package broker is the entry's client of the pools. It selects a pool for a
+// request, finds the pool's owner, keeps the request while it waits and returns its
+// grant. The entry knows nothing of owners and pools beyond this interface.
 package broker
 
 import (
@@ -12,39 +12,39 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Demand is one request's wish for a slot, made from one snapshot.
+// Demand asks for a slot for one request. All of it comes from one snapshot.
 type Demand struct {
 	Spec *request.Spec
-	// Candidates are the pools that can serve it, in the entry's region.
+	// Candidates are the pools in the entry's region that can serve the request.
 	Candidates []*workspace.ResolvedPool
 	MaxWaiting int
-	// SentTo are the servers that the request was sent to before.
+	// SentTo are the servers to which the request was sent before.
 	SentTo []string
 }
 
-// Broker gets slots for requests. Implementations are safe for concurrent use.
+// Broker acquires slots for requests. Implementations are safe for concurrent use.
 type Broker interface {
-	// Acquire waits for a slot. It returns at once when the request is shed,
-	// expired or withdrawn (ctx ended). The error is a *request.Refusal with
-	// NotRunTrue, or ctx's error. It may be called again for the same request
-	// after Grant.Return: the request keeps its place by its age.
+	// Acquire waits for a slot. It returns at once when the request is shed, has
+	// expired, or is withdrawn because ctx ended. The error is a *request.Refusal
+	// with NotRunTrue, or ctx's error. Acquire may be called again for the same
+	// request after Grant.ReturnUnused: the request keeps its place by its age.
 	Acquire(ctx context.Context, d Demand) (Grant, error)
 }
 
-// Grant is a slot on one backend server. Exactly one of Release and Return
-// must be called, once; Progress only before it.
+// Grant is a slot on one backend server. Call exactly one of Release and
+// ReturnUnused, once, and Progress only before it.
 type Grant interface {
 	Server() workspace.BackendServer
-	// Progress reports a running request: time from dispatch to first token,
-	// tokens so far, mean time between the tokens since the last report.
+	// Progress reports on the running request: the time from dispatch to first
+	// token, the tokens so far, and the mean time per token since the last report.
 	Progress(firstToken time.Duration, tokens int, perToken time.Duration)
-	// Release frees the slot after a dispatch.
+	// Release frees the slot after the request was dispatched and has ended.
 	Release(end Completion)
-	// ReturnUnused gives the slot back; nothing was dispatched.
+	// ReturnUnused frees the slot; the request was not dispatched.
 	ReturnUnused()
 }
 
-// Completion is how a dispatched request ended.
+// Completion describes how a dispatched request ended.
 type Completion struct {
 	Outcome         pool.Outcome
 	FirstToken      time.Duration
--- a/broker/broker_test.go
+++ b/broker/broker_test.go
@@ -31,13 +31,13 @@
 			So(ok3, ShouldBeTrue)
 			So(r3.grant.Server().Name, ShouldEqual, r1.grant.Server().Name)
 		})
-		Convey("a caller that leaves frees its place, also when its grant is under way", func() {
+		Convey("a caller that leaves frees its place, even if its grant is in flight", func() {
 			waiting := other.acquire(1, time.Minute)
 			waiting.withdraw()
 			sim.pump()
 			So(sim.freeSlots(), ShouldEqual, 2)
 		})
-		Convey("the first token is told at once, what follows goes along", func() {
+		Convey("the first token is reported at once, later progress with the next batch", func() {
 			r, _ := poll(other.acquire(1, time.Minute))
 			r.grant.Progress(time.Second, 1, 0)
 			r.grant.Progress(time.Second, 11, 20*time.Millisecond)
@@ -49,9 +49,9 @@
 			sim.advance(time.Second)
 			So(len(sim.progressReports()), ShouldEqual, 2)
 			So(sim.progressReports()[1].Tokens, ShouldEqual, 21)
-			So(sim.progressReports()[1].PerToken, ShouldEqual, 30*time.Millisecond) // the mean of both
+			So(sim.progressReports()[1].PerToken, ShouldEqual, 30*time.Millisecond) // the mean of both reports
 		})
-		Convey("a deadline that passes is refused as not run", func() {
+		Convey("a request whose deadline passes is refused as not run", func() {
 			poll(owner.acquire(1, time.Minute))
 			poll(owner.acquire(1, time.Minute))
 			waiting := other.acquire(1, 100*time.Millisecond)
@@ -64,7 +64,7 @@
 			So(refusal.NotRun, ShouldEqual, request.NotRunTrue)
 			So(refusal.RetryAfter, ShouldBeGreaterThan, 0)
 		})
-		Convey("Acquire ends with its context's error", func() {
+		Convey("Acquire returns its context's error", func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
 			poll(owner.acquire(1, time.Minute))
@@ -78,13 +78,13 @@
 	})
 }
 
-// freeSlots returns the owner's free slots, after time for a new summary.
+// freeSlots returns the owner's free slots, after the time for a new summary.
 func (sim *simulation) freeSlots() int {
 	sim.advance(time.Second)
 	return sim.owner().host.Summaries()[0].Free
 }
 
-// progressReports returns the reports of progress that the owner got.
+// progressReports returns the progress reports that the owner has received.
 func (sim *simulation) progressReports() (out []pool.Progress) {
 	for _, ev := range sim.events {
 		if p, ok := ev.(pool.Progress); ok {
--- a/broker/choose.go
+++ b/broker/choose.go
@@ -9,19 +9,19 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// waitGranularity is the difference of expected waits that outweighs a prefix that
-// the other pool may have cached.
+// waitGranularity is the step to which expected waits are rounded. A difference of
+// one step outweighs a prefix that the other pool may have cached.
 const waitGranularity = 200 * time.Millisecond
 
-// cachedBrief is a pool's brief and until when it counts.
+// cachedBrief is the last brief of a pool and the time until which it is valid.
 type cachedBrief struct {
 	poolwire.Brief
 	expires time.Time
 }
 
-// chooseLink returns the link to the candidate with the shortest expected wait;
-// among equals, the one that the prompt's first block is hashed to, so that
-// requests with the same prefix meet in one pool's caches.
+// chooseLink returns the link to the candidate with the shortest expected wait.
+// Among equals it selects by rendezvous hashing of the prompt's first block, so
+// that requests with the same prefix go to the same pool's caches.
 func (e *Entry) chooseLink(d Demand) *link {
 	if len(d.Candidates) == 1 {
 		return e.link(d.Candidates[0].Name)
@@ -40,8 +40,8 @@
 	return best
 }
 
-// expectedWait returns the pool's expected wait in steps; zero where nothing
-// fresh is known.
+// expectedWait returns the pool's expected wait in units of waitGranularity, or
+// zero if there is no valid brief.
 func (l *link) expectedWait(now time.Time, t request.Tier) int64 {
 	b := l.brief.Load()
 	if b == nil || now.After(b.expires) || t >= request.MaxTiers {
@@ -50,7 +50,7 @@
 	return int64(b.ExpectedWait[t] / waitGranularity)
 }
 
-// affinity is the rendezvous weight of a request on a pool.
+// affinity returns the rendezvous hash of a request on a pool.
 func affinity(pool string, s *request.Spec) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/broker/cluster_test.go
+++ b/broker/cluster_test.go
@@ -17,8 +17,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// cluster is some daemons' hosts and brokers with their own goroutines, real
-// time and an in-memory network.
+// cluster runs the hosts and brokers of some daemons with their own goroutines, in
+// real time and on an in-memory network.
 type cluster struct {
 	net      *peertest.Network
 	snapshot workspace.Live
@@ -69,7 +69,7 @@
 	}
 }
 
-// owner and other return the entry of the pool's owner and another one.
+// owner returns the entry of the pool's owner and another entry.
 func (c *cluster) owner() (owner, other *Entry) {
 	m, _ := c.views.Load().Owner(testPool, testRegion)
 	for name, e := range c.entries {
@@ -89,8 +89,8 @@
 	return Demand{Spec: s, Candidates: []*workspace.ResolvedPool{c.snapshot.Load().Pools[testPool]}}
 }
 
-// TestConcurrentAcquires checks, with many callers at three daemons while
-// connections break, that no server ever runs more than its slots.
+// TestConcurrentAcquires checks that no server ever runs more requests than it has
+// slots, with many callers at three daemons and connections that break.
 func TestConcurrentAcquires(t *testing.T) {
 	const slots, callers, rounds = 4, 60, 20
 	c := newCluster(slots, "a", "b", "c")
@@ -109,7 +109,7 @@
 				}
 				n := &running[index[g.Server().Name]]
 				if now := n.Add(1); now > slots {
-					t.Errorf("%d run on %s", now, g.Server().Name)
+					t.Errorf("%d requests run on %s", now, g.Server().Name)
 				}
 				g.Progress(time.Millisecond, 1, 0)
 				n.Add(-1)
@@ -124,8 +124,8 @@
 	group.Wait()
 }
 
-// BenchmarkAcquire measures a grant and its release: at the owner itself, and
-// at another daemon, alone and with 64 callers.
+// BenchmarkAcquire measures a grant and its release at the owner, and at another
+// daemon with 1 and with 64 callers.
 func BenchmarkAcquire(b *testing.B) {
 	for _, v := range []struct {
 		name    string
@@ -169,7 +169,7 @@
 	g.Release(Completion{Outcome: pool.OutcomeDone, FirstToken: time.Second, Total: 2 * time.Second, OutputTokens: 100, PromptTokens: 256})
 }
 
-// traffic sums what all daemons have sent.
+// traffic returns the total that all daemons have sent.
 func (c *cluster) traffic() (sum peertest.Counters) {
 	for name := range c.entries {
 		n := c.net.Node(peer.Name(name)).Counters()
@@ -179,8 +179,8 @@
 	return sum
 }
 
-// BenchmarkAcquireTCP measures a grant at another daemon over the real
-// transport on loopback, without load.
+// BenchmarkAcquireTCP measures a grant at another daemon over TCP on loopback,
+// without load.
 func BenchmarkAcquireTCP(b *testing.B) {
 	transports := map[string]*peer.TCP{}
 	for _, name := range []string{"a", "b"} {
@@ -208,8 +208,8 @@
 	}
 }
 
-// BenchmarkSession measures what an open session costs in which nothing
-// happens: heartbeats, by the injected clock.
+// BenchmarkSession measures the heartbeat traffic of an open session without events,
+// by the injected clock.
 func BenchmarkSession(b *testing.B) {
 	for range b.N {
 		sim := newSimulation(1, "a", "b")
@@ -222,8 +222,8 @@
 	}
 }
 
-// BenchmarkOwnerChange measures how long 10,000 waiting requests take to move
-// to a new owner, all steps on one thread.
+// BenchmarkOwnerChange measures the time to move 10,000 waiting requests to a new
+// owner, with all steps on one thread.
 func BenchmarkOwnerChange(b *testing.B) {
 	for range b.N {
 		b.StopTimer()
@@ -244,7 +244,7 @@
 		sim.setMembers(survivors...)
 		before := sim.bytes
 		b.StartTimer()
-		sim.advance(200 * time.Millisecond) // a hello is tried again after 100 ms
+		sim.advance(200 * time.Millisecond) // a hello is retried after 100 ms
 		b.StopTimer()
 		if got := sim.counter(n, "enqueued_again"); got != "9998" {
 			b.Fatalf("%s requests moved", got)
--- a/broker/commands.go
+++ b/broker/commands.go
@@ -8,7 +8,7 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// commandsMessage is an owner's batch.
+// commandsMessage delivers a batch of commands from an owner.
 type commandsMessage struct {
 	batch poolwire.Commands
 	from  owner
@@ -26,7 +26,7 @@
 	}
 }
 
-// handleBatch takes a batch of the session in force.
+// handleBatch handles a batch of the current session.
 func (l *link) handleBatch(b poolwire.Commands) {
 	s := &l.session
 	switch b.Verdict {
@@ -83,13 +83,13 @@
 	}
 }
 
-// handleGrant hands a grant to its waiter. A grant that nobody waits for any
-// more crossed a withdrawal; it is given back unused.
+// handleGrant delivers a grant to its waiter. A grant without a waiter crossed a
+// withdrawal and is returned unused.
 //
-// A scheduler that is asked again for a request that it has granted repeats
-// the grant. Were the repeated one taken too, it could outlive the release of
-// the first, and two requests would run in one slot; grant numbers only grow,
-// so a repeated one is known by its number.
+// A scheduler repeats a grant if the same request is enqueued again. If the
+// repeated grant were used too, it could outlive the release of the first one, and
+// two requests would run in one slot. Grant numbers only grow, so a repeated grant
+// is recognized by its number.
 func (l *link) handleGrant(c pool.Grant) {
 	w := l.waiting[c.Request]
 	s := &l.session
@@ -109,7 +109,7 @@
 	server, ok := l.findServer(w, c.Server)
 	if !ok {
 		l.entry.counters.unknownServer.Add(1)
-		l.returnGrant(c, w) // until this daemon has the newer configuration, too
+		l.returnGrant(c, w) // until this daemon has the owner's newer configuration, too
 		return
 	}
 	delete(l.waiting, c.Request)
@@ -120,8 +120,8 @@
 	w.done <- result{grant: g}
 }
 
-// returnGrant answers a grant unused; its waiter, if any, asks again at the next
-// tick.
+// returnGrant returns a grant as not dispatched. Its waiter, if any, is enqueued
+// again at the next tick.
 func (l *link) returnGrant(c pool.Grant, w *waiter) {
 	l.outbox = append(l.outbox, notDispatched(c))
 	if w != nil {
@@ -133,8 +133,8 @@
 	return pool.Release{Request: c.Request, Grant: c.Grant, Server: c.Server, Outcome: pool.OutcomeNotDispatched}
 }
 
-// findServer looks a server up in the request's own snapshot, else in the one
-// in force: the owner may be ahead of the request.
+// findServer looks up a server in the request's own snapshot, then in the current
+// one, since the owner's configuration may be newer than the request's.
 func (l *link) findServer(w *waiter, name string) (workspace.BackendServer, bool) {
 	if p := w.candidate(l.pool); p != nil {
 		for _, s := range p.Servers {
@@ -153,7 +153,8 @@
 	return workspace.BackendServer{}, false
 }
 
-// handleRedirect moves a waiter to a sibling pool, once.
+// handleRedirect moves a waiter to another candidate pool. A waiter is redirected
+// at most once.
 func (l *link) handleRedirect(c pool.Redirect) {
 	w := l.waiting[c.Request]
 	if w == nil {
@@ -171,8 +172,8 @@
 	other.box.Post(acquireMessage{w})
 }
 
-// handleStaleBatch answers a batch of a session that this entry has given up, as
-// after a pause of the owner: its grants are never used.
+// handleStaleBatch answers a batch of a session that this entry has ended, such as
+// one from an owner that was paused. Its grants are returned unused.
 func (l *link) handleStaleBatch(m commandsMessage) {
 	var events []pool.Event
 	for _, c := range m.batch.Commands {
--- a/broker/counters.go
+++ b/broker/counters.go
@@ -7,10 +7,10 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// counters are the entry's; refusals are in the metrics group
-// "broker_refusals" by reason, the others in "broker".
+// counters are the entry's metrics. Refusals are in the metrics group
+// "broker_refusals" by reason, the others in group "broker".
 type counters struct {
-	refusals map[request.Reason]*expvar.Int // not changed after the start
+	refusals map[request.Reason]*expvar.Int // read-only once created
 
 	grants, returned, withdrawn, redirected, requeued                                   *expvar.Int
 	sessionsOpened, sessionsLost, sessionsSilent, sessionsReset, notOwner, ownerChanged *expvar.Int
@@ -40,8 +40,8 @@
 	return all
 }
 
-// refusalCounter returns a reason's counter; one that only a newer owner knows is
-// counted as internal.
+// refusalCounter returns the counter of a reason. A reason that only a newer
+// version of the owner knows counts as internal.
 func (c counters) refusalCounter(r request.Reason) *expvar.Int {
 	if v := c.refusals[r]; v != nil {
 		return v
--- a/broker/entry.go
+++ b/broker/entry.go
@@ -16,44 +16,45 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// The entry's times.
+// Timeouts and intervals of the entry.
 const (
-	// helloTimeout is how long an answer to a hello is waited for at first; it
-	// doubles up to maxHelloDoublings times.
+	// helloTimeout is the timeout of the first hello. It doubles with each
+	// unanswered one, up to maxHelloDoublings times.
 	helloTimeout      = 400 * time.Millisecond
 	maxHelloDoublings = 3
-	// helloRetryInterval is how soon a failed hello is tried again.
+	// helloRetryInterval is the delay before a failed hello is retried.
 	helloRetryInterval = 100 * time.Millisecond
 	// idleTimeout is how long a session without requests stays open.
 	idleTimeout = 10 * time.Second
-	// briefMaxAge is how old a pool's brief may be to choose by it, unless its
-	// owner has told to speak again later.
+	// briefMaxAge is how long a pool's brief is valid, unless its owner has
+	// announced a longer interval.
 	briefMaxAge = 2 * time.Second
-	// noDeadline stands in for the deadline of a tier that has none.
+	// noDeadline is sent as the deadline of a tier that has none.
 	noDeadline = 10 * time.Minute
-	// retryAfterMean is told to refused callers, give or take a half.
+	// retryAfterMean is the mean of the retry-after time of refusals; the jitter is
+	// half of it either way.
 	retryAfterMean = time.Second
 )
 
-// Entry implements Broker for one daemon. A pool that this daemon owns is
-// reached without encoding anything.
+// Entry implements Broker for one daemon. Messages to a pool that this daemon owns
+// are not encoded.
 type Entry struct {
 	cfg      poolhost.Config
 	host     *poolhost.Host
 	id       pool.EntryID
 	counters counters
 
-	mu    sync.Mutex // for the making of links
+	mu    sync.Mutex // held while a link is added
 	links atomic.Pointer[map[string]*link]
-	// sessions is the number of open ones.
+	// sessions is the number of open sessions.
 	sessions atomic.Int64
-	view     *member.View // of the last Tick, which is not called concurrently
+	view     *member.View // at the last Tick, which is not called concurrently
 }
 
 var _ Broker = (*Entry)(nil)
 
-// New returns the broker of the host's daemon. Where the host has a transport,
-// New must be called before the transport starts.
+// New returns the broker of the host's daemon. If the host has a transport, New
+// must be called before the transport starts.
 func New(host *poolhost.Host) *Entry {
 	cfg := host.Config()
 	e := &Entry{
@@ -69,7 +70,7 @@
 	return e
 }
 
-// Run lets time pass until ctx ends.
+// Run calls Tick periodically until ctx ends.
 func (e *Entry) Run(ctx context.Context) {
 	t := time.NewTicker(poolhost.TickEvery)
 	defer t.Stop()
@@ -83,8 +84,8 @@
 	}
 }
 
-// Tick lets time pass once: requests expire, sessions are kept alive, opened
-// again or moved to a new owner. It is not called concurrently.
+// Tick does the periodic work: it expires requests, sends heartbeats, and reopens
+// sessions or moves them to a new owner. It must not be called concurrently.
 func (e *Entry) Tick() {
 	e.openOwnerSessions()
 	for _, l := range *e.links.Load() {
@@ -109,7 +110,8 @@
 	}
 }
 
-// startAcquire puts a request into the link to its pool; the waiter tells how it ends.
+// startAcquire passes a request to the link of its pool. The result comes through
+// the waiter.
 func (e *Entry) startAcquire(d Demand) *waiter {
 	w := newWaiter(d)
 	l := e.chooseLink(d)
@@ -122,14 +124,14 @@
 	return w
 }
 
-// refuse counts and returns a refusal of a request that no engine has seen.
+// refuse counts and returns a refusal of a request that was never dispatched.
 func (e *Entry) refuse(reason request.Reason, format string, args ...any) *request.Refusal {
 	e.counters.refusalCounter(reason).Add(1)
 	hint := retryAfterMean/2 + rand.N(retryAfterMean)
 	return request.Refuse(reason, format, args...).WithRetryAfter(hint)
 }
 
-// link returns the link to a pool, which it makes at the first call.
+// link returns the link of a pool, and creates it at the first call.
 func (e *Entry) link(p string) *link {
 	if l := (*e.links.Load())[p]; l != nil {
 		return l
@@ -150,9 +152,9 @@
 	return l
 }
 
-// openOwnerSessions opens a session with each new owner of a pool in this region, also
-// where this entry has nothing there: the new owner grants as soon as all
-// live entries have told what they run.
+// openOwnerSessions opens a session with each new owner of a pool in this region,
+// even if this entry has no requests there: a new owner starts to grant once all
+// live entries have reported their running requests.
 func (e *Entry) openOwnerSessions() {
 	snapshot := e.cfg.Snapshots.Load()
 	if e.cfg.Views == nil || snapshot == nil {
@@ -178,7 +180,7 @@
 	return m.Name
 }
 
-// onCommands takes an owner's batch from the transport.
+// onCommands handles an owner's batch from the transport.
 func (e *Entry) onCommands(_ context.Context, from peer.Name, payload []byte) ([]byte, error) {
 	b, err := poolwire.DecodeCommands(payload, e.id)
 	if err != nil {
@@ -187,8 +189,8 @@
 	}
 	l := (*e.links.Load())[b.Pool]
 	if l == nil {
-		// Not of a session of this entry; a link for it would let a faulty
-		// peer fill the memory with names.
+		// No session of this entry. Adding a link would let a faulty peer fill the
+		// memory with pool names.
 		e.counters.badMessages.Add(1)
 		return nil, nil
 	}
--- a/broker/failure_test.go
+++ b/broker/failure_test.go
@@ -9,29 +9,29 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// workload is a set of Acquires under watch: what each got, and what runs where.
+// workload tracks a set of Acquires: the result of each and the grants held.
 type workload struct {
 	sim       *simulation
 	waiting   []*waiter
 	running   []*grant
 	endCounts map[*waiter]int
-	maxHeld   map[string]int // the most grants held at once, by server
+	maxHeld   map[string]int // largest number of grants held at once, by server
 }
 
 func newWorkload(sim *simulation) *workload {
 	return &workload{sim: sim, endCounts: map[*waiter]int{}, maxHeld: map[string]int{}}
 }
 
-// acquire starts n Acquires on a node.
+// acquire starts count Acquires on a node.
 func (work *workload) acquire(n *node, count int) {
 	for range count {
 		work.waiting = append(work.waiting, n.acquire(1, time.Hour))
-		work.sim.advance(25 * time.Millisecond) // no two are of one age
+		work.sim.advance(25 * time.Millisecond) // no two requests have the same age
 	}
 	work.collect()
 }
 
-// collect takes what has ended.
+// collect collects the results of the Acquires that have ended.
 func (work *workload) collect() {
 	var still []*waiter
 	for _, x := range work.waiting {
@@ -53,7 +53,7 @@
 	}
 }
 
-// release ends the oldest running request.
+// release releases the oldest grant.
 func (work *workload) release() {
 	work.running[0].Release(Completion{Outcome: pool.OutcomeDone})
 	work.running = work.running[1:]
@@ -61,8 +61,8 @@
 	work.collect()
 }
 
-// advanceUntil lets time pass until done, and returns how long that took; it
-// gives up after the limit.
+// advanceUntil advances the time until done returns true or limit has passed, and
+// returns the time advanced.
 func (work *workload) advanceUntil(limit time.Duration, done func() bool) time.Duration {
 	from := work.sim.now
 	for !done() && work.sim.now.Sub(from) < limit {
@@ -72,7 +72,7 @@
 	return work.sim.now.Sub(from)
 }
 
-// drain releases everything until nothing waits or runs.
+// drain releases all grants until no request waits or runs.
 func (work *workload) drain() {
 	for range 1000 {
 		for len(work.running) > 0 {
@@ -94,7 +94,7 @@
 	return most
 }
 
-// Guards against callers that wait for good, or run twice, after the VM of the pool's owner died.
+// Guards against callers that wait forever, or run twice, after the VM of the pool's owner died.
 func TestOwnerDies(t *testing.T) {
 	Convey("Given three daemons, a full pool and waiting requests", t, func() {
 		sim := newSimulation(2, "a", "b", "c")
@@ -119,7 +119,7 @@
 			return len(work.running) == 4
 		})
 		So(took, ShouldBeLessThanOrEqualTo, 3*time.Second)
-		So(work.running[3].spec.ID, ShouldEqual, oldest) // it kept its place
+		So(work.running[3].spec.ID, ShouldEqual, oldest) // the oldest request kept its place
 
 		sim.advance(2 * time.Second)
 		work.collect()
@@ -132,7 +132,7 @@
 	})
 }
 
-// Guards against slots that stay taken by requests of a daemon that is gone, or back under its name.
+// Guards against slots that stay taken by requests of a daemon that died, or restarted under its name.
 func TestEntryDies(t *testing.T) {
 	for name, after := range map[string]func(sim *simulation, dead *node){
 		"stays away": func(sim *simulation, dead *node) { sim.setMembers(sim.namesWithout(dead)...) },
@@ -158,7 +158,7 @@
 	}
 }
 
-// Guards against requests that stand still after an owner vanished, since hellos to it are awaited.
+// Guards against requests that stall after their owner vanished, while hellos to it time out.
 func TestOwnerVanishes(t *testing.T) {
 	for name, requests := range map[string]int{"what runs": 2, "what runs and waits": 3} {
 		Convey("Given an owner that has not answered for 3.2 s: "+name, t, func() {
@@ -181,7 +181,7 @@
 	}
 }
 
-// Guards against twice the load on each server while a paused owner is back beside the new one.
+// Guards against double load on each server when a paused owner resumes beside the new one.
 func TestPausedOwnerResumes(t *testing.T) {
 	Convey("Given a full pool whose owner is paused and replaced", t, func() {
 		sim := newSimulation(2, "a", "b", "c")
@@ -192,7 +192,7 @@
 			work.acquire(sim.nodes[name], 5)
 		}
 		old.paused = true
-		work.release() // the old owner has this release in its buffers
+		work.release() // the old owner has this release in its receive buffer
 		work.advanceUntil(time.Second, func() bool { return false })
 		for _, name := range sim.namesWithout(old) {
 			sim.nodes[name].setMembers(sim.namesWithout(old)...)
@@ -202,7 +202,7 @@
 
 		old.resume()
 		work.advanceUntil(time.Second, func() bool { return false })
-		So(len(work.running), ShouldEqual, 4) // its late grant was not used
+		So(len(work.running), ShouldEqual, 4) // the late grant of the old owner was not used
 		sim.setMembers(sim.names...)
 		work.advanceUntil(2*time.Second, func() bool { return false })
 		So(sim.owner(), ShouldEqual, old)
@@ -214,9 +214,9 @@
 	})
 }
 
-// Guards against half a second without slots while daemons hear one after the other that an owner leaves.
+// Guards against half a second without grants while daemons learn one by one that an owner leaves.
 func TestOwnerLeavesStepByStep(t *testing.T) {
-	Convey("Given a full pool and views that change one by one", t, func() {
+	Convey("Given a full pool and membership views that change one by one", t, func() {
 		sim := newSimulation(2, "a", "b", "c")
 		sim.policy = pool.PolicyLycheekeel
 		sim.advance(time.Second)
@@ -247,7 +247,7 @@
 	})
 }
 
-// Guards against requests that expire beside free servers while one entry is cut off from the owner.
+// Guards against requests that expire while servers are free, at an entry that is cut off from the owner.
 func TestEntryCutOffFromOwner(t *testing.T) {
 	Convey("Given an entry that is cut off from the owner", t, func() {
 		sim := newSimulation(4, "a", "b")
@@ -260,11 +260,11 @@
 		took := work.advanceUntil(10*time.Second, func() bool { return len(work.running) > 0 })
 		So(took, ShouldBeLessThanOrEqualTo, 1600*time.Millisecond)
 		work.advanceUntil(20*time.Second, func() bool { return false })
-		So(len(work.running), ShouldEqual, 4) // half of two servers' four slots each
+		So(len(work.running), ShouldEqual, 4) // half of the four slots of each of two servers
 		So(sim.counter(cut, "degraded_entered"), ShouldEqual, "1")
 		work.acquire(owner, 8)
 		So(len(work.running), ShouldEqual, 12)
-		So(work.maxOnOneServer(), ShouldBeLessThanOrEqualTo, 4+2) // the share is the overshoot
+		So(work.maxOnOneServer(), ShouldBeLessThanOrEqualTo, 4+2) // the share is granted beyond the owner's limit
 
 		sim.setCut(owner.name, cut.name, false)
 		work.advanceUntil(time.Second, func() bool { return false })
@@ -276,9 +276,9 @@
 	})
 }
 
-// Guards against seconds without service until membership names another owner.
+// Guards against seconds without grants until membership names another owner.
 func TestSharesServeUntilNewOwner(t *testing.T) {
-	Convey("Given entries that use their shares early, and an owner without power", t, func() {
+	Convey("Given entries that enter degraded mode early, and an owner that loses power", t, func() {
 		sim := newSimulation(6, "a", "b", "c")
 		sim.degradedAfter = 100 * time.Millisecond
 		for _, name := range sim.names {
@@ -307,9 +307,9 @@
 	})
 }
 
-// Guards against the last daemon of a region that refuses what it could still serve.
+// Guards against the last daemon of a region refusing requests that it could still serve.
 func TestLastDaemonLeaves(t *testing.T) {
-	Convey("Given a daemon alone that leaves", t, func() {
+	Convey("Given a single daemon that leaves the membership", t, func() {
 		sim := newSimulation(1, "a")
 		sim.advance(time.Second)
 		n := sim.nodes["a"]
@@ -323,9 +323,9 @@
 	})
 }
 
-// Guards against an entry whose session begins anew for good, since more waits than the send queue holds.
+// Guards against an entry that reopens its session forever because its requests exceed the send queue.
 func TestFullSendQueue(t *testing.T) {
-	Convey("Given more waiting requests than fit a send queue", t, func() {
+	Convey("Given more waiting requests than a send queue holds", t, func() {
 		sim := newSimulation(1, "a", "b")
 		sim.advance(time.Second)
 		owner, n := sim.owner(), sim.nonOwner()
@@ -341,7 +341,7 @@
 	})
 }
 
-// Guards against a request that waits, or a slot that stays taken, for good after a lost batch.
+// Guards against a request that waits, or a slot that stays taken, forever after a lost batch.
 func TestLostBatch(t *testing.T) {
 	Convey("Given an open session", t, func() {
 		sim := newSimulation(1, "a", "b")
@@ -351,7 +351,7 @@
 		work.acquire(other, 1)
 		So(len(work.running), ShouldEqual, 1)
 
-		Convey("a lost enqueue is made again", func() {
+		Convey("a lost enqueue is repeated", func() {
 			sim.lossyLinks[[2]string{other.name, owner.name}] = true
 			work.acquire(other, 1)
 			sim.lossyLinks = map[[2]string]bool{}
@@ -359,7 +359,7 @@
 			So(took, ShouldBeLessThanOrEqualTo, time.Second)
 			So(sim.counter(other, "sessions_reset"), ShouldEqual, "1")
 		})
-		Convey("a lost grant is taken back and given again", func() {
+		Convey("a lost grant is revoked and granted again", func() {
 			sim.lossyLinks[[2]string{owner.name, other.name}] = true
 			work.acquire(other, 1)
 			sim.lossyLinks = map[[2]string]bool{}
@@ -367,7 +367,7 @@
 			So(len(work.running), ShouldEqual, 2)
 			So(sim.counter(other, "batch_gaps"), ShouldEqual, "1")
 		})
-		Convey("a lost release is made again", func() {
+		Convey("a lost release is repeated", func() {
 			sim.lossyLinks[[2]string{other.name, owner.name}] = true
 			work.running[0].Release(Completion{Outcome: pool.OutcomeCrashed})
 			work.running = nil
@@ -387,16 +387,16 @@
 	})
 }
 
-// Guards against a slot that stays taken by a caller that left while its grant was on its way.
+// Guards against a slot that stays taken by a caller that left while its grant was in flight.
 func TestWithdrawCrossesGrant(t *testing.T) {
-	Convey("Given a grant under way to a caller that leaves", t, func() {
+	Convey("Given a grant in flight to a caller that leaves", t, func() {
 		sim := newSimulation(1, "a", "b")
 		sim.advance(time.Second)
 		other := sim.nonOwner()
 		x := other.entry.startAcquire(Demand{
 			Spec: testSpec("crossing", sim.now), Candidates: candidates(sim),
 		})
-		sim.deliver() // the enqueue; the grant is under way now
+		sim.deliver() // the enqueue; the grant is in flight now
 		x.withdraw()
 		sim.pump()
 		_, ok := poll(x)
@@ -406,7 +406,7 @@
 	})
 }
 
-// Guards against two requests in one slot after a repeated grant that was released before.
+// Guards against two requests in one slot after an owner repeats a grant that was released.
 func TestRepeatedGrant(t *testing.T) {
 	Convey("Given a grant that the owner will repeat", t, func() {
 		sim := newSimulation(1, "a", "b")
@@ -414,10 +414,10 @@
 		n := sim.nonOwner()
 		d := Demand{Spec: testSpec("again", sim.now), Candidates: candidates(sim)}
 		first := n.entry.startAcquire(d)
-		sim.deliver() // the enqueue; the grant is under way now
+		sim.deliver() // the enqueue; the grant is in flight now
 		first.withdraw()
 		second := n.entry.startAcquire(d)
-		sim.deliver() // the grant; withdrawal and second enqueue are under way
+		sim.deliver() // the grant; the withdrawal and the second enqueue are in flight
 		r, ok := poll(second)
 		So(ok, ShouldBeTrue)
 		r.grant.ReturnUnused()
--- a/broker/grant.go
+++ b/broker/grant.go
@@ -17,10 +17,10 @@
 	server workspace.BackendServer
 	ended  atomic.Bool
 	tokens atomic.Int64
-	// firstTokenReported is set once the owner was told of the first token; this and
-	// reportedTokens are touched by the link only.
+	// firstTokenReported is set once the first token was reported to the owner. Only
+	// the link accesses it and reportedTokens.
 	firstTokenReported bool
-	// reportedTokens is how many tokens the owner was told of last.
+	// reportedTokens is the number of tokens in the last report to the owner.
 	reportedTokens int
 }
 
@@ -56,15 +56,15 @@
 	})
 }
 
-// finish frees the slot once; a second end is dropped, else a slot that another
-// request holds by then would seem free.
+// finish frees the slot once. Further calls do nothing: they would free a slot that
+// another request may hold by then.
 func (g *grant) finish(ev pool.Release) {
 	if g.ended.CompareAndSwap(false, true) {
 		g.link.box.Post(releaseMessage{ev})
 	}
 }
 
-// runningEvent returns the report of the grant for a new owner.
+// runningEvent returns the event that reports the grant to a new owner.
 func (g *grant) runningEvent() pool.Running {
 	s := g.spec
 	return pool.Running{
--- a/broker/heartbeat.go
+++ b/broker/heartbeat.go
@@ -9,11 +9,12 @@
 	"github.com/pkg/errors"
 )
 
-// awaitsOwner tells whether a word of the owner is awaited: a grant, or that a
-// release has come.
+// awaitsOwner reports whether the link waits for a message from the owner: a grant,
+// or the acknowledgment of a release.
 func (l *link) awaitsOwner() bool { return len(l.waiting) > 0 || len(l.unackedReleases) > 0 }
 
-// updateSessionState remembers since when the open session is busy, and counts it.
+// updateSessionState updates the times since when the open session has been busy
+// and waiting for its owner, and the number of open sessions.
 func (l *link) updateSessionState() {
 	s := &l.session
 	trackSince(&s.awaitingSince, s.open() && l.awaitsOwner(), l.now)
@@ -29,7 +30,8 @@
 	}
 }
 
-// trackSince keeps in t since when something is so; zero: it is not.
+// trackSince keeps in t the time since when a condition has been active, zero while
+// it is not.
 func trackSince(t *time.Time, active bool, now time.Time) {
 	switch {
 	case !active:
@@ -39,12 +41,12 @@
 	}
 }
 
-// ownerSilent tells whether the owner has said nothing for too long.
+// ownerSilent reports whether no message of the owner has arrived for too long.
 //
-// What goes wrong: an owner may have told to speak again in 20 s, and a
-// request that comes meanwhile finds it gone, though its connection stands.
-// While a word is awaited, the owner knows that and speaks every 500 ms; so
-// the short limit holds from then on, and the request moves on in time.
+// An owner may have announced its next message in 20 s and vanish meanwhile, with
+// its connection still open. While this entry waits for the owner, the owner knows
+// that and sends a heartbeat every 500 ms. The short limit therefore applies from
+// then on, so that a request which arrives meanwhile moves to a new owner in time.
 func (l *link) ownerSilent() bool {
 	s := &l.session
 	silence := l.now.Sub(s.lastReceived)
@@ -54,24 +56,24 @@
 	return silence > poolhost.SilentAfter && !s.awaitingSince.IsZero() && l.now.Sub(s.awaitingSince) > poolhost.SilentAfter
 }
 
-// nextInterval returns within how long this entry speaks again after a batch of
-// these events. An owner that does not tell when it speaks again is of a
-// version that expects a word every poolhost.HeartbeatEvery.
+// nextInterval returns the interval to announce with a batch of these events: the
+// time until the next batch at the latest. An owner that does not announce its own
+// interval is of a version that expects a message every poolhost.HeartbeatEvery.
 func (l *link) nextInterval(events []pool.Event) time.Duration {
 	if l.session.ownerInterval == 0 || l.awaitsOwner() {
 		return poolhost.HeartbeatEvery
 	}
 	for _, ev := range events {
 		if _, ok := ev.(pool.Progress); !ok {
-			return poolhost.HeartbeatEvery // a loss would show in the next word only
+			return poolhost.HeartbeatEvery // the loss of this batch is only noticed with the next one
 		}
 	}
 	return l.entry.cfg.Heartbeat(int(l.entry.sessions.Load()))
 }
 
-// heartbeatDue tells whether a word is due; reports of progress go each half
-// second at the latest, whatever the session's interval. The first one in a session that
-// has just become busy waits a moment for events to go along with.
+// heartbeatDue reports whether a heartbeat is due. Progress is sent every
+// poolhost.HeartbeatEvery, whatever the session's interval. The first heartbeat of
+// a session that has just become busy waits that long for events to send with it.
 func (l *link) heartbeatDue() bool {
 	s := &l.session
 	silence := l.now.Sub(s.lastSent)
@@ -85,10 +87,11 @@
 	return silence >= interval && l.now.Sub(s.busySince) >= poolhost.HeartbeatEvery
 }
 
-// heartbeat sends a batch without events, or the progress that has come.
+// heartbeat sends the pending progress or, if there is none, a batch without
+// events.
 func (l *link) heartbeat() {
 	if len(l.outbox) > 0 {
-		return // flush sends it in a moment
+		return // flush sends the outbox after this message
 	}
 	l.queueProgress()
 	if len(l.outbox) > 0 {
--- a/broker/heartbeat_test.go
+++ b/broker/heartbeat_test.go
@@ -12,8 +12,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// stripNext returns a session's message as a version that does not tell
-// when it speaks again would write or read it.
+// stripNext returns a session's message as written or read by a version that does
+// not announce its next message.
 func stripNext(t peer.Type, payload []byte) []byte {
 	switch t {
 	case peer.TypePoolEvents:
@@ -38,8 +38,8 @@
 	return names
 }
 
-// newIdleRegion starts a world of some daemons and pools in which each daemon runs one
-// request in each pool, after time for the sessions to become idle.
+// newIdleRegion simulates daemons that each run one request in each pool, after the
+// time for their sessions to become idle.
 func newIdleRegion(daemons, pools int, old map[string]bool) (*simulation, []*grant) {
 	sim := newSimulation(daemons, nodeNames(daemons)...)
 	sim.oldVersion = old
@@ -70,7 +70,7 @@
 	return sim, running
 }
 
-// Guards against idle sessions of a large region that take more than all control traffic may.
+// Guards against idle sessions of a large region exceeding the budget of all control traffic.
 func TestIdleSessionTraffic(t *testing.T) {
 	const seconds = 20
 	for _, c := range []struct{ daemons, pools, least, most int }{
@@ -82,7 +82,7 @@
 			So(len(grants), ShouldEqual, c.daemons*c.pools)
 			sim.messages, sim.bytes = 0, 0
 			sim.advance(seconds * time.Second)
-			t.Logf("%d daemons, %d pools: each sends %.2f messages and %.0f bytes of payload a second on average",
+			t.Logf("%d daemons, %d pools: each sends %.2f messages and %.0f bytes of payload per second on average",
 				c.daemons, c.pools, float64(sim.messages)/seconds/float64(c.daemons), float64(sim.bytes)/seconds/float64(c.daemons))
 			So(sim.messages/seconds, ShouldBeBetweenOrEqual, c.least, c.most)
 			So(sim.lostSessions(), ShouldEqual, 0)
@@ -90,7 +90,7 @@
 	}
 }
 
-// lostSessions counts the sessions that any entry has lost.
+// lostSessions returns the number of sessions lost by all entries.
 func (sim *simulation) lostSessions() (n int64) {
 	for _, name := range sim.names {
 		n += sim.nodes[name].entry.counters.sessionsLost.Value()
@@ -98,9 +98,9 @@
 	return n
 }
 
-// Guards against a caller that waits for as long as an idle session may be silent.
+// Guards against a caller that waits as long as the heartbeat interval of an idle session.
 func TestRequestOnIdleSession(t *testing.T) {
-	Convey("Given an owner that vanishes while its sessions are idle for long", t, func() {
+	Convey("Given an owner that vanishes while its sessions have long heartbeat intervals", t, func() {
 		sim, grants := newIdleRegion(40, 1, nil)
 		gone, n := sim.owner(), sim.nonOwner()
 		So(n.entry.link(testPool).session.ownerInterval, ShouldBeGreaterThan, 5*time.Second)
@@ -111,7 +111,7 @@
 			return newWorkload(sim).advanceUntil(time.Minute, func() bool { return sim.lostSessions() >= lost })
 		}
 
-		Convey("the entry of a request that comes notices it soon", func() {
+		Convey("the entry of a new request notices it soon", func() {
 			n.acquire(1, time.Hour)
 			So(took(1), ShouldBeLessThanOrEqualTo, poolhost.SilentAfter+2*poolhost.TickEvery)
 		})
@@ -123,15 +123,15 @@
 			}
 			So(took(1), ShouldBeLessThanOrEqualTo, poolhost.SilentAfter+2*poolhost.TickEvery)
 		})
-		Convey("the others notice it when the announced time has passed", func() {
+		Convey("the other entries notice it after the announced interval", func() {
 			So(took(39), ShouldBeLessThan, poolhost.HeartbeatInterval(40))
 		})
 	})
 }
 
-// Guards against slots of a vanished entry that stay taken for longer the larger a region is.
+// Guards against slots of a vanished entry that stay taken longer in a larger region.
 func TestVanishedEntryOnIdleSession(t *testing.T) {
-	Convey("Given an entry that vanishes while its session is idle for long", t, func() {
+	Convey("Given an entry that vanishes while its session has a long heartbeat interval", t, func() {
 		sim := newSimulationWithHeartbeat(1, func(int) time.Duration { return poolhost.MaxHeartbeat }, "a", "b")
 		sim.advance(time.Second)
 		n := sim.nonOwner()
@@ -146,9 +146,9 @@
 	})
 }
 
-// Guards against stragglers found out late, since progress waits for rare heartbeats.
+// Guards against stragglers detected late because progress waits for rare heartbeats.
 func TestProgressOnIdleSession(t *testing.T) {
-	Convey("Given a session that is idle for long", t, func() {
+	Convey("Given a session with a long heartbeat interval", t, func() {
 		sim, grants := newIdleRegion(2, 29, nil)
 		So(grants[0].link.session.announcedInterval, ShouldBeGreaterThan, 5*time.Second)
 		for i := range 4 {
@@ -159,10 +159,10 @@
 	})
 }
 
-// Guards against sessions that break while daemons of two versions differ in when the next word comes.
+// Guards against sessions that break between versions which differ in announcing heartbeat intervals.
 func TestSessionsAcrossVersions(t *testing.T) {
 	for _, oldOwner := range []bool{false, true} {
-		Convey(fmt.Sprintf("Given a region of two versions, the owner of the old one: %t", oldOwner), t, func() {
+		Convey(fmt.Sprintf("Given a region of two versions, with an owner of the old version: %t", oldOwner), t, func() {
 			names := nodeNames(30)
 			old := map[string]bool{}
 			for i, name := range names {
--- a/broker/link.go
+++ b/broker/link.go
@@ -11,52 +11,55 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// link is the entry's side of one pool: the requests that wait for it and run
-// in it, and the session with whoever schedules it. All of it but box, brief
-// and quiet is touched only by the mailbox's handler.
+// link is the entry's client of one pool. It holds the requests that wait for the
+// pool or run in it, and the session with the pool's scheduler. All fields but box,
+// brief and idle are accessed by the mailbox's handler only.
 type link struct {
 	entry *Entry
 	pool  string
 	box   *mailbox.Mailbox[message]
 	brief atomic.Pointer[cachedBrief]
-	// idle is set while time brings the link nothing to do, so that the many
-	// pools that an entry does not use cost no ticks.
+	// idle is set while the link has no periodic work, so that the many pools that
+	// an entry does not use cost no ticks.
 	idle atomic.Bool
 
 	now        time.Time
 	waiting    map[request.ID]*waiter
 	running    map[pool.GrantID]*grant
-	nextExpiry time.Time // no waiter expires before it
+	nextExpiry time.Time // no waiter expires before this time
 
 	session     session
-	countedOpen bool // among the entry's open sessions
-	// lastEpoch and lastGrant are those of the session before.
+	countedOpen bool // session is included in Entry.sessions
+	// lastEpoch and lastGrant are the epoch and the last grant number of the
+	// previous session.
 	lastEpoch, lastGrant uint64
-	// outbox is what the open session has yet to send; progress is kept apart
-	// and goes along, the newest report of each grant.
+	// outbox holds the events that the open session has yet to send.
+	// pendingProgress holds a merged report for each grant, to be sent with the
+	// next batch.
 	outbox          []pool.Event
 	pendingProgress map[pool.GrantID]pool.Progress
 	unackedReleases []unackedRelease
-	sendAfter       time.Time // nothing is sent before it: the send queue was full
+	sendAfter       time.Time // nothing is sent before this time, after the send queue was full
 
-	// disconnectedSince is since when requests have had no open session; retryAt is
-	// when a hello may be sent again; announced asks for a session although
-	// nothing waits or runs.
+	// disconnectedSince is the time since when requests have had no open session,
+	// zero while there is one. retryAt is the earliest time of the next hello.
+	// openRequested asks for a session although no request waits or runs.
 	disconnectedSince time.Time
 	retryAt           time.Time
 	lastUsed          time.Time
-	// unansweredHellos counts the hellos in a row that got no answer in time.
+	// unansweredHellos counts consecutive hellos without an answer in time.
 	unansweredHellos int
 	openRequested    bool
-	// ownerView is the view by which ownerName was found.
+	// ownerView is the membership view from which ownerName was looked up.
 	ownerView *member.View
 	ownerName string
-	// share is open in degraded mode, and probe then looks for the owner.
+	// share is open in degraded mode. probe is the session that is being opened with
+	// a new owner while another owner or the share still schedules.
 	share *poolhost.Share
 	probe session
 }
 
-// message is one thing for a link to do.
+// message is a message in a link's mailbox.
 type message interface{ apply(l *link) }
 
 func newLink(e *Entry, p string) *link {
@@ -82,7 +85,7 @@
 	l.idle.Store(l.session.state == sessionClosed && l.share == nil && !l.needsSession())
 }
 
-// acquireMessage gives the link a waiter, new or redirected.
+// acquireMessage adds a waiter, new or redirected.
 type acquireMessage struct{ w *waiter }
 
 func (m acquireMessage) apply(l *link) {
@@ -103,14 +106,14 @@
 	l.connect()
 }
 
-// withdrawMessage takes a waiter back whose caller left. A grant that crosses
-// it finds nobody waiting and is answered as not dispatched.
+// withdrawMessage removes a waiter whose caller has left. A grant that crosses the
+// withdrawal finds no waiter and is returned as not dispatched.
 type withdrawMessage struct{ w *waiter }
 
 func (m withdrawMessage) apply(l *link) {
 	w := m.w
 	if other := w.link.Load(); other != l {
-		other.box.Post(m) // redirected meanwhile
+		other.box.Post(m) // the waiter was redirected meanwhile
 		return
 	}
 	l.entry.counters.withdrawn.Add(1)
@@ -123,7 +126,7 @@
 	}
 }
 
-// removeWaiter takes a waiter out and tells the owner.
+// removeWaiter removes a waiter and withdraws its request from the owner.
 func (l *link) removeWaiter(w *waiter) {
 	delete(l.waiting, w.id())
 	if l.session.open() {
@@ -131,7 +134,7 @@
 	}
 }
 
-// releaseMessage ends a grant.
+// releaseMessage releases a grant.
 type releaseMessage struct{ ev pool.Release }
 
 func (m releaseMessage) apply(l *link) {
@@ -145,7 +148,7 @@
 	l.unackedReleases = append(l.unackedReleases, unackedRelease{ev: m.ev})
 }
 
-// progressMessage tells how a running request does.
+// progressMessage reports the progress of a running request.
 type progressMessage struct{ ev pool.Progress }
 
 func (m progressMessage) apply(l *link) {
@@ -154,7 +157,8 @@
 		return
 	}
 	if m.ev.FirstToken > 0 && !g.firstTokenReported && l.session.open() {
-		// The scheduler's limits and its holds for prefixes go by it.
+		// The first token is sent at once: the scheduler's limits and its holds for
+		// prefixes depend on it.
 		g.firstTokenReported, g.reportedTokens = true, m.ev.Tokens
 		l.outbox = append(l.outbox, m.ev)
 		return
@@ -162,7 +166,7 @@
 	l.pendingProgress[m.ev.Grant] = mergeProgress(l.pendingProgress[m.ev.Grant], m.ev, g.reportedTokens)
 }
 
-// queueProgress moves the reports that have come to the events to be sent.
+// queueProgress moves the pending progress to the outbox.
 func (l *link) queueProgress() {
 	for id, p := range l.pendingProgress {
 		if g := l.running[id]; g != nil {
@@ -173,9 +177,9 @@
 	clear(l.pendingProgress)
 }
 
-// mergeProgress makes one report of two that were not sent yet: PerToken is a
-// mean since the last report sent, at told tokens, so the newer mean alone
-// would lose the older one's slow tokens.
+// mergeProgress merges two reports that were not sent yet. reported is the number of
+// tokens in the last report sent. PerToken is a mean over the tokens since then; the
+// newer mean alone would lose slow tokens of the older report.
 func mergeProgress(old, newer pool.Progress, reported int) pool.Progress {
 	if old.PerToken == 0 || newer.Tokens <= old.Tokens {
 		return newer
@@ -189,12 +193,12 @@
 	return newer
 }
 
-// expired tells whether a waiter's deadline has passed.
+// expired reports whether a waiter's deadline has passed.
 func (l *link) expired(w *waiter) bool {
 	return !w.expires.IsZero() && !l.now.Before(w.expires)
 }
 
-// expireWaiters refuses what has expired, also while no owner can be reached.
+// expireWaiters refuses expired requests, even while no owner is reachable.
 func (l *link) expireWaiters() {
 	if l.nextExpiry.IsZero() || l.now.Before(l.nextExpiry) {
 		return
@@ -217,5 +221,5 @@
 		w.done <- result{err: l.entry.refuse(request.ReasonExpired, "deadline passed while waiting for a slot")}
 		return
 	}
-	w.done <- result{err: l.entry.refuse(request.ReasonNoOwner, "deadline passed while the pool's owner was out of reach")}
+	w.done <- result{err: l.entry.refuse(request.ReasonNoOwner, "deadline passed while the pool's owner was unreachable")}
 }
--- a/broker/owner.go
+++ b/broker/owner.go
@@ -6,15 +6,16 @@
 	"github.com/lycheekeel/lycheekeel/internal/poolwire"
 )
 
-// owner is the way to whoever schedules a pool for this entry now.
+// owner sends messages to the scheduler of a pool: a remote or local owner, or a
+// share in degraded mode.
 type owner interface {
 	hello(h poolwire.Hello) error
 	events(b poolwire.Events) error
-	// name is the owner's member name; a degraded share has none.
+	// name returns the owner's member name; empty for a share in degraded mode.
 	name() string
 }
 
-// remoteOwner is another daemon.
+// remoteOwner is an owner in another daemon.
 type remoteOwner struct {
 	transport peer.Transport
 	peer      peer.Name
@@ -30,7 +31,7 @@
 
 func (o remoteOwner) name() string { return string(o.peer) }
 
-// localOwner is this daemon.
+// localOwner is an owner in this daemon.
 type localOwner struct {
 	host *poolhost.Host
 	link *link
--- a/broker/property_test.go
+++ b/broker/property_test.go
@@ -13,14 +13,14 @@
 	"pgregory.net/rapid"
 )
 
-// stateMachine drives three daemons through any order of work and faults, and
-// checks after each step what must hold at all times.
+// stateMachine drives three daemons through random sequences of work and faults, and
+// checks the invariants after each step.
 type stateMachine struct {
 	sim        *simulation
 	waiting    map[*waiter]*node
 	running    map[*grant]*node
 	endCounts  map[*waiter]int
-	usedGrants map[pool.GrantID]request.ID // grants that a caller got
+	usedGrants map[pool.GrantID]request.ID // grants that callers have received
 	cutLink    [2]string
 }
 
@@ -47,7 +47,7 @@
 			continue
 		}
 		if other, doubled := m.usedGrants[r.grant.id]; doubled {
-			t.Fatalf("grant %v went to %s and to %s", r.grant.id, other, x.id())
+			t.Fatalf("grant %v was delivered to %s and to %s", r.grant.id, other, x.id())
 		}
 		m.usedGrants[r.grant.id] = x.id()
 		m.running[r.grant] = n
@@ -68,7 +68,7 @@
 		}
 	}
 	if len(all) == 0 {
-		t.Skip("nobody lives")
+		t.Skip("no node is alive")
 	}
 	return m.sim.nodes[rapid.SampledFrom(all).Draw(t, "node")]
 }
@@ -179,8 +179,8 @@
 	}
 }
 
-// recoverAndCheck ends all faults, lets every request end, and checks that no request
-// and no slot was lost.
+// recoverAndCheck ends all faults, completes every request, and checks that no
+// request and no slot was lost.
 func (m *stateMachine) recoverAndCheck(t *rapid.T) {
 	if m.cutLink != [2]string{} {
 		m.sim.setCut(m.cutLink[0], m.cutLink[1], false)
@@ -207,15 +207,15 @@
 	}
 	m.sim.advance(40 * time.Second) // grants of ended sessions are held for 30 s
 	s := m.sim.owner().host.Summaries()[0]
-	// The default policy adapts its limits below the slots.
+	// The default policy may set limits below the number of slots.
 	if s.Running != 0 || (s.Free != 4 && m.sim.policy == pool.PolicyFIFO) {
-		t.Fatalf("slots are lost: %d running, %d free of 4", s.Running, s.Free)
+		t.Fatalf("slots were lost: %d running, %d free of 4", s.Running, s.Free)
 	}
 }
 
-// TestSessionsProperty checks that, whatever is lost and whoever is paused or
-// taken for dead, each Acquire ends once, no grant is used twice, and no slot
-// is lost for good.
+// TestSessionsProperty checks that each Acquire ends once, no grant is used twice and
+// no slot is lost, whatever messages are lost and daemons are paused or considered
+// dead.
 func TestSessionsProperty(t *testing.T) {
 	if err := logs.Configure(io.Discard, "error", false); err != nil {
 		t.Fatal(err)
--- a/broker/session.go
+++ b/broker/session.go
@@ -13,11 +13,12 @@
 	"github.com/pkg/errors"
 )
 
-// The bounds of one message; the transport's own is 4 MB.
+// The bounds of one message, in events and in bytes; the transport's own bound is
+// 4 MB.
 const (
 	maxBatch      = 128
 	maxBatchBytes = 256 << 10
-	// eventBytes is about what an event takes without its blocks.
+	// eventBytes is the approximate size of an event without its blocks.
 	eventBytes = 200
 )
 
@@ -41,14 +42,16 @@
 	started      time.Time
 	lastReceived time.Time
 	lastSent     time.Time
-	// ownerInterval is within how long the owner speaks again, as it told; zero from
-	// an owner that does not tell, which expects a word each 500 ms itself.
+	// ownerInterval is the interval that the owner has announced: its next message
+	// arrives within it. It is zero for an owner of a version that announces none and
+	// expects a message every 500 ms.
 	ownerInterval time.Duration
-	// announcedInterval is within how long after sent the entry speaks again.
+	// announcedInterval is the time after lastSent within which this entry has
+	// announced its next message.
 	announcedInterval time.Duration
-	// ackDue is set while the owner waits for an acknowledgment; busySince is
-	// since when the session is busy, awaitingSince since when a word of the
-	// owner is awaited; zero: not.
+	// ackDue is set while the owner waits for an acknowledgment. busySince is the
+	// time since when the session has been busy, awaitingSince since when it has
+	// waited for a message from the owner; each is zero while that is not so.
 	ackDue        bool
 	busySince     time.Time
 	awaitingSince time.Time
@@ -56,7 +59,8 @@
 
 func (s *session) open() bool { return s.state == sessionOpen }
 
-// acceptSeq checks a batch's number; a batch without commands repeats the last.
+// acceptSeq reports whether a batch has the expected sequence number. A batch
+// without commands repeats the last one.
 func (s *session) acceptSeq(b poolwire.Commands) bool {
 	if len(b.Commands) > 0 {
 		s.seqIn++
@@ -64,14 +68,14 @@
 	return b.Seq == s.seqIn
 }
 
-// unackedRelease is a release that the owner has not acknowledged. Seq is zero
-// while it has not been sent in the present session.
+// unackedRelease is a release that the owner has not acknowledged. seq is zero
+// until it is sent in the current session.
 type unackedRelease struct {
 	seq uint64
 	ev  pool.Release
 }
 
-// connect sends a hello to the pool's owner unless a session is under way.
+// connect sends a hello to the pool's owner unless a session is open or opening.
 func (l *link) connect() {
 	if l.disconnectedSince.IsZero() {
 		l.disconnectedSince = l.now
@@ -83,7 +87,7 @@
 	if l.share != nil {
 		o = shareOwner{l.share, l}
 	} else {
-		l.probe = session{} // two hellos to one owner would reset each other
+		l.probe = session{} // two sessions with one owner would reset each other
 	}
 	if o == nil {
 		l.retryAt = l.now.Add(helloRetryInterval)
@@ -92,7 +96,7 @@
 	l.startSession(&l.session, o)
 }
 
-// startSession begins a session; on a send error it stays closed.
+// startSession starts to open a session. After a send error it stays closed.
 func (l *link) startSession(s *session, o owner) {
 	*s = session{
 		state: sessionOpening, id: poolwire.SessionID(rand.Uint64()), owner: o, started: l.now, lastReceived: l.now, lastSent: l.now,
@@ -104,14 +108,15 @@
 	}
 }
 
-// answerTimeout returns how long an answer to the last hello is waited for. It
-// doubles with each hello without an answer: an owner so busy that it takes
-// longer would otherwise get a new hello each time before it accepts the last.
+// answerTimeout returns the timeout of the last hello. It doubles with each
+// unanswered hello: an owner too busy to answer in time would otherwise get a new
+// hello each time before it has accepted the previous one.
 func (l *link) answerTimeout() time.Duration {
 	return helloTimeout << min(l.unansweredHellos, maxHelloDoublings)
 }
 
-// findOwner returns the way to the pool's owner as membership has it, or nil.
+// findOwner returns the pool's owner according to membership, or nil if there is
+// none or it is not reachable.
 func (l *link) findOwner() owner {
 	name, ok := l.entry.host.Owner(l.pool, l.entry.cfg.Region)
 	switch {
@@ -126,8 +131,9 @@
 	}
 }
 
-// sessionAccepted opens the session and tells the owner everything this entry has in
-// the pool: releases it may not have got, what runs, what waits.
+// sessionAccepted opens the session and reports this entry's whole state to the
+// owner: the releases that may have been lost, then the running and the waiting
+// requests.
 func (l *link) sessionAccepted(b poolwire.Commands) {
 	s := &l.session
 	if s.state != sessionOpening {
@@ -158,8 +164,8 @@
 	}
 }
 
-// waitersByAge returns the waiters by age, so that equals keep their order at a
-// new owner.
+// waitersByAge returns the waiters, oldest first, so that requests of equal rank
+// keep their order at a new owner.
 func (l *link) waitersByAge() []*waiter {
 	all := make([]*waiter, 0, len(l.waiting))
 	for _, w := range l.waiting {
@@ -172,7 +178,7 @@
 	return all
 }
 
-// dropSession ends the session and tries to open the next one after wait.
+// dropSession ends the session and opens the next one after wait, if it is needed.
 func (l *link) dropSession(wait time.Duration) {
 	if l.session.open() {
 		l.entry.counters.sessionsLost.Add(1)
@@ -184,8 +190,8 @@
 	}
 }
 
-// endSession ends the session without telling its owner. Requests stay here and go
-// to the next session, as do releases that the owner may not have got.
+// endSession ends the session without a message to its owner. Requests are kept and
+// reported in the next session, as are releases that may have been lost.
 func (l *link) endSession() {
 	if l.session.open() {
 		l.lastEpoch, l.lastGrant = l.session.epoch, l.session.lastGrant
@@ -202,14 +208,14 @@
 	}
 }
 
-// needsSession tells whether the link has a use for a session.
+// needsSession reports whether the link needs a session.
 func (l *link) needsSession() bool {
 	return len(l.waiting) > 0 || len(l.running) > 0 || l.openRequested || len(l.unackedReleases) > 0
 }
 
-// flush sends what has come together, in batches. Where the send queue is full,
-// the rest waits for the next tick: 10,000 long prompts that move to a new
-// owner are more than the queue holds, and to begin anew would fill it again.
+// flush sends the outbox in batches. If the send queue is full, the rest waits for
+// the next tick: 10,000 long prompts that move to a new owner exceed the queue, and
+// a new session would only fill it again.
 func (l *link) flush() {
 	if !l.session.open() || len(l.outbox) == 0 || l.now.Before(l.sendAfter) {
 		return
@@ -230,7 +236,7 @@
 	l.outbox = nil
 }
 
-// batchLen returns how many of the events, at least one, go into one message.
+// batchLen returns how many of the events fit one message, at least one.
 func batchLen(events []pool.Event) int {
 	bytes := 0
 	for i, ev := range events {
@@ -248,7 +254,7 @@
 	return len(events)
 }
 
-// send sends one batch, or a heartbeat where events is empty.
+// send sends one batch, which is a heartbeat if events is empty.
 func (l *link) send(events []pool.Event) error {
 	s := &l.session
 	promised := l.nextInterval(events)
@@ -273,7 +279,7 @@
 	return nil
 }
 
-// dropAcked forgets releases that the owner has.
+// dropAcked removes the releases that the owner has acknowledged up to seq.
 func (l *link) dropAcked(seq uint64) {
 	n := 0
 	for n < len(l.unackedReleases) && l.unackedReleases[n].seq <= seq && l.unackedReleases[n].seq != 0 {
--- a/broker/simulation_test.go
+++ b/broker/simulation_test.go
@@ -13,31 +13,31 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// simulation is some daemons' hosts and brokers on one thread, with an injected
-// clock and a network that the test cuts. Every step is in a fixed order.
+// simulation runs the hosts and brokers of some daemons on one thread, with an
+// injected clock and a network that the test can cut. It is deterministic.
 type simulation struct {
 	now        time.Time
 	nodes      map[string]*node
 	names      []string
 	snapshot   workspace.Live
 	queue      []envelope
-	cutLinks   map[[2]string]bool // both ways; sends fail
-	lossyLinks map[[2]string]bool // one way; sends vanish
-	queueLimit int                // of messages under way; zero: none
+	cutLinks   map[[2]string]bool // both directions; sends fail
+	lossyLinks map[[2]string]bool // one direction; sent messages are lost
+	queueLimit int                // of messages in flight; zero for no limit
 	messages   int
 	bytes      int
 	lastID     int
-	// policy is FIFO unless a test sets it: its limits are the slots, so that
-	// free ones can be counted.
+	// policy is FIFO unless a test sets it: FIFO's limits are the slots, so that free
+	// slots can be counted.
 	policy pool.Policy
-	// oldVersion are nodes of a version that does not tell when it speaks again, and
-	// does not read it. One then speaks, and expects a word, at a fixed time.
+	// oldVersion holds the nodes of a version that neither announces heartbeat
+	// intervals nor reads them. Heartbeats to and from them have a fixed interval.
 	oldVersion map[string]bool
-	// heartbeat is that of poolhost.Config.
+	// heartbeat is poolhost.Config.Heartbeat.
 	heartbeat func(sessions int) time.Duration
-	// degradedAfter is that of poolhost.Config.
+	// degradedAfter is poolhost.Config.DegradedAfter.
 	degradedAfter time.Duration
-	events        []pool.Event // all that the pools handled but ticks
+	events        []pool.Event // all events that the pools have handled, except ticks
 }
 
 type node struct {
@@ -46,12 +46,12 @@
 	views        member.CurrentView
 	host         *poolhost.Host
 	entry        *Entry
-	paused       bool // a paused process: it neither ticks nor takes messages
+	paused       bool // the process neither ticks nor handles messages
 	dead         bool
 	died         time.Time
 	handlers     map[peer.Type]peer.Handler
 	downHandlers []func(peer.Name)
-	buffered     []envelope // what came while frozen
+	buffered     []envelope // messages received while paused
 }
 
 type envelope struct {
@@ -98,7 +98,7 @@
 	}
 }
 
-// add starts a daemon, or starts it again after a crash.
+// add starts a daemon, or restarts it after a crash.
 func (sim *simulation) add(name string) *node {
 	n := &node{sim: sim, name: name, handlers: map[peer.Type]peer.Handler{}}
 	n.host = poolhost.New(poolhost.Config{
@@ -118,7 +118,7 @@
 	return n
 }
 
-// setMembers gives every live node the same view.
+// setMembers gives every node the same membership view.
 func (sim *simulation) setMembers(alive ...string) {
 	for _, n := range sim.nodes {
 		n.setMembers(alive...)
@@ -133,7 +133,7 @@
 	n.views.Store(member.NewView(n.name, ms))
 }
 
-// owner returns the node that owns the test pool in the view of any node.
+// owner returns the node that owns the test pool according to the first live node.
 func (sim *simulation) owner() *node {
 	for _, name := range sim.names {
 		if n := sim.nodes[name]; !n.dead && !n.paused {
@@ -164,7 +164,7 @@
 	return out
 }
 
-// kill ends a node; its peers notice that their connections broke.
+// kill kills a node; its connections to the other nodes break.
 func (sim *simulation) kill(n *node) {
 	n.dead, n.died = true, sim.now
 	for _, name := range sim.names {
@@ -174,7 +174,7 @@
 	}
 }
 
-// breakConnection loses what is under way between two nodes and tells them.
+// breakConnection drops the messages in flight between two nodes and notifies both.
 func (sim *simulation) breakConnection(a, b string) {
 	remaining := sim.queue[:0]
 	for _, e := range sim.queue {
@@ -203,7 +203,7 @@
 	}
 }
 
-// pump delivers until nothing is under way.
+// pump delivers messages until none is in flight.
 func (sim *simulation) pump() {
 	for len(sim.queue) > 0 {
 		sim.deliver()
@@ -229,7 +229,7 @@
 	}
 }
 
-// advance lets time pass in ticks.
+// advance advances the time tick by tick.
 func (sim *simulation) advance(d time.Duration) {
 	for end := sim.now.Add(d); sim.now.Before(end); {
 		sim.now = sim.now.Add(poolhost.TickEvery)
@@ -247,7 +247,7 @@
 	}
 }
 
-// resume lets a paused node go on: what came meanwhile is still in its buffers.
+// resume resumes a paused node; messages received meanwhile are still buffered.
 func (n *node) resume() {
 	n.paused = false
 	n.sim.queue = append(n.buffered, n.sim.queue...)
@@ -275,7 +275,7 @@
 	return []*workspace.ResolvedPool{sim.snapshot.Load().Pools[testPool]}
 }
 
-// poll returns how an Acquire ended, if it has.
+// poll returns the result of an Acquire, if it has ended.
 func poll(x *waiter) (result, bool) {
 	select {
 	case r := <-x.done:
@@ -297,7 +297,7 @@
 // OnDown implements peer.Transport.
 func (n *node) OnDown(f func(peer.Name)) { n.downHandlers = append(n.downHandlers, f) }
 
-// Call implements peer.Transport; pools' messages are all one-way.
+// Call implements peer.Transport; all messages of pools are one-way.
 func (n *node) Call(context.Context, peer.Name, peer.Type, []byte) ([]byte, error) {
 	return nil, peer.ErrNotConnected
 }
--- a/broker/tick.go
+++ b/broker/tick.go
@@ -4,7 +4,7 @@
 	"github.com/lycheekeel/lycheekeel/internal/poolwire"
 )
 
-// tickMessage lets time pass.
+// tickMessage makes the link do its periodic work.
 type tickMessage struct{}
 
 func (tickMessage) apply(l *link) {
@@ -20,7 +20,8 @@
 	}
 }
 
-// requeueWaiters enqueues waiters again whose grant or redirect could not be used.
+// requeueWaiters enqueues those waiters again whose grant or redirect could not be
+// used.
 func (l *link) requeueWaiters() {
 	if !l.session.open() {
 		return
@@ -34,8 +35,8 @@
 	}
 }
 
-// checkSession ends a session whose owner went silent, closes an idle one, and
-// keeps the others alive.
+// checkSession ends a session whose owner is silent, closes an idle one and sends a
+// heartbeat if one is due.
 func (l *link) checkSession() {
 	s := &l.session
 	switch {
@@ -59,8 +60,8 @@
 	}
 }
 
-// ownerMoved tells whether membership names another owner than o. Where it
-// names none, a session is kept while it lives.
+// ownerMoved reports whether membership names another owner than o. If it names
+// none, the session is kept.
 func (l *link) ownerMoved(o owner) bool {
 	if l.entry.cfg.Views == nil {
 		return false
@@ -72,14 +73,15 @@
 	return l.ownerName != "" && l.ownerName != o.name()
 }
 
-// closeSession tells the owner that this entry has left.
+// closeSession tells the owner that this entry has closed the session.
 func (l *link) closeSession() {
 	s := &l.session
 	_ = s.owner.hello(poolwire.Hello{Pool: l.pool, Entry: l.entry.id, Session: s.id, Close: true})
 }
 
-// enterDegraded begins degraded mode: without it, requests that wait would expire
-// beside free servers while the owner can't be reached.
+// enterDegraded enters degraded mode, in which this entry schedules its own requests
+// on a share of the pool. Without it, waiting requests would expire while servers
+// are free but the owner is unreachable.
 func (l *link) enterDegraded() {
 	if l.share != nil || len(l.waiting) == 0 || l.now.Sub(l.disconnectedSince) < l.entry.cfg.DegradedAfter {
 		return
@@ -93,9 +95,9 @@
 	l.startSession(&l.session, shareOwner{l.share, l})
 }
 
-// probeOwner sends hellos to the pool's owner while another one, or a share
-// in degraded mode, schedules this entry's requests. A new owner may not know
-// yet that it is one; until it accepts, the old one serves on.
+// probeOwner sends hellos to the pool's owner while another owner, or a share in
+// degraded mode, schedules this entry's requests. A new owner may not know yet that
+// it is the owner; until it accepts, the previous one goes on scheduling.
 func (l *link) probeOwner() {
 	wait := helloRetryInterval
 	if l.probe.state != sessionClosed && !l.ownerMoved(l.probe.owner) {
@@ -112,8 +114,8 @@
 	}
 }
 
-// handleProbeAnswer moves the session over when the owner accepts: what was
-// granted by the old one, or from the share, is reported as running.
+// handleProbeAnswer switches to the probed session if the owner accepts it. Requests
+// granted by the previous owner or from the share are reported as running.
 func (l *link) handleProbeAnswer(b poolwire.Commands) {
 	if b.Verdict != poolwire.VerdictAccepted {
 		l.probe.state = sessionClosed
@@ -138,7 +140,7 @@
 	}
 }
 
-// openMessage asks for a session although nothing waits or runs.
+// openMessage asks for a session although no request waits or runs.
 type openMessage struct{}
 
 func (openMessage) apply(l *link) {
@@ -148,8 +150,8 @@
 	}
 }
 
-// peerDownMessage tells that the connection to a peer broke: what was under way
-// is lost, so the session on it is opened again.
+// peerDownMessage reports that the connection to a peer broke. Messages in flight
+// are lost, so the session with it is opened anew.
 type peerDownMessage struct{ peer string }
 
 func (m peerDownMessage) apply(l *link) {
--- a/broker/waiter.go
+++ b/broker/waiter.go
@@ -9,21 +9,20 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// waiter is one call of Acquire. Only the link that holds it touches the
-// fields below the line.
+// waiter is one call of Acquire.
 type waiter struct {
 	demand  Demand
-	expires time.Time // zero: never
+	expires time.Time // zero if it never expires
 	done    chan result
 	link    atomic.Pointer[link]
 
-	// -----
+	// The fields below are accessed by the link that holds the waiter only.
 	redirected bool
 	granted    *grant
-	requeue    bool // to be enqueued again at the next tick
+	requeue    bool // enqueue again at the next tick
 }
 
-// result ends a call of Acquire.
+// result is the result of a call of Acquire.
 type result struct {
 	grant *grant
 	err   error
@@ -37,16 +36,16 @@
 	return w
 }
 
-// withdraw takes the request back, and a grant that comes, or came, in spite
-// of it.
+// withdraw withdraws the request. A grant that it has got or still gets is returned
+// unused.
 func (w *waiter) withdraw() {
 	if l := w.link.Load(); l != nil {
 		l.box.Post(withdrawMessage{w})
 	}
 }
 
-// enqueueEvent returns the waiter's event as of now. Its age is told, so it keeps
-// its place at a new owner.
+// enqueueEvent returns the event that enqueues the request at the owner. It contains
+// the request's age, so that the request keeps its place at a new owner.
 func (w *waiter) enqueueEvent(now time.Time) pool.Enqueue {
 	s := w.demand.Spec
 	waited := max(0, now.Sub(s.Received))
@@ -60,7 +59,7 @@
 	if s.Targets.FirstToken > 0 {
 		ev.FirstTokenIn = s.Targets.FirstToken - waited
 		if ev.FirstTokenIn == 0 {
-			ev.FirstTokenIn = -1 // late; zero would mean that nothing is promised
+			ev.FirstTokenIn = -1 // overdue; zero would mean that there is no target
 		}
 	}
 	if !w.expires.IsZero() {
@@ -69,13 +68,13 @@
 	return ev
 }
 
-// maxSentBlocks bounds the prefix blocks that an owner is told of; a prompt's
-// first 128k tokens decide where its prefix may be cached.
+// maxSentBlocks is how many prefix blocks are sent to an owner: those of a prompt's
+// first 128k tokens, which decide where its prefix may be cached.
 const maxSentBlocks = 2048
 
 func sentBlocks(s *request.Spec) []uint64 { return s.Blocks[:min(maxSentBlocks, len(s.Blocks))] }
 
-// candidate returns the candidate pool of that name, or nil.
+// candidate returns the candidate pool with a name, or nil.
 func (w *waiter) candidate(name string) *workspace.ResolvedPool {
 	for _, p := range w.demand.Candidates {
 		if p.Name == name {
--- a/broker/waiter_test.go
+++ b/broker/waiter_test.go
@@ -16,7 +16,7 @@
 		ID: "r", Workspace: "w", Template: "t", Model: "m", Tier: 2, Targets: request.Targets{FirstToken: time.Second, Deadline: time.Minute},
 		PromptTokens: 100, MaxTokens: 400, ExpectedTokens: 150, Fingerprint: 9, Received: now.Add(-100 * time.Millisecond),
 	}
-	Convey("A request that waits is told with all that its scheduling depends on", t, func() {
+	Convey("The event of a waiting request holds all that its scheduling depends on", t, func() {
 		w := newWaiter(Demand{Spec: spec, MaxWaiting: 7, SentTo: []string{"s1"}})
 		So(w.enqueueEvent(now), ShouldResemble, pool.Enqueue{
 			Request: "r", Workspace: "w", Template: "t", Model: "m", Tier: 2, Waited: 100 * time.Millisecond,
@@ -25,7 +25,7 @@
 			SentTo: []string{"s1"}, NoRedirect: true,
 		})
 	})
-	Convey("So is one that runs, to a new owner", t, func() {
+	Convey("So does the event of a running request for a new owner", t, func() {
 		running := &grant{spec: spec, id: pool.GrantID{Epoch: 1, Seq: 2}}
 		running.server.Name = "s1"
 		running.tokens.Store(30)
