--- a/claim/background.go
+++ b/claim/background.go
@@ -12,16 +12,16 @@
 	"github.com/lycheekeel/lycheekeel/internal/wait"
 )
 
-// background finishes what a store outage interrupted, within bounds.
+// background records in the background the outcomes that a store outage delayed.
 //
-// What goes wrong without bounds: in an outage every entry piles up outcomes
-// and hammers the store when it comes back. One would see memory grow and the
-// store fall over again. So jobs, their time and their calls are bounded.
+// The number of jobs, their time and their calls are bounded. Without bounds every
+// entry would accumulate outcomes in an outage, so that memory grows, and overload
+// the store again when it recovers.
 type background struct {
 	o         Options
 	log       *logrus.Entry
 	jobSlots  chan struct{}
-	callSlots chan struct{} // held during a call
+	callSlots chan struct{} // semaphore of calls
 	retryRate *rate.Limiter
 	ctx       context.Context
 	stop      context.CancelFunc
@@ -37,13 +37,13 @@
 	}
 }
 
-// run repeats try until it returns true or the bounds are reached.
+// run retries try in the background until it returns true or a bound is reached.
 func (b *background) run(name string, try func(context.Context) bool) {
 	select {
 	case b.jobSlots <- struct{}{}:
 	default:
 		b.o.count(countBackgroundFull)
-		b.log.WithField("claim", name).Warn("Outcome not recorded: too many wait.")
+		b.log.WithField("claim", name).Warn("Outcome not recorded: too many outcomes are waiting.")
 		return
 	}
 	b.wg.Go(func() {
@@ -71,7 +71,7 @@
 	return try(ctx)
 }
 
-// close waits for the jobs until the context ends, then gives them up.
+// close waits for the jobs until the context ends, then cancels them.
 func (b *background) close(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
@@ -85,11 +85,12 @@
 	case <-ctx.Done():
 		b.stop()
 		<-done
-		return errors.Wrap(ctx.Err(), "claims not all recorded")
+		return errors.Wrap(ctx.Err(), "not all outcomes recorded")
 	}
 }
 
-// acquireSlot takes a place; false where the context ended first.
+// acquireSlot acquires a slot of a semaphore. It returns false if the context ended
+// first.
 func acquireSlot(ctx context.Context, slots chan struct{}) bool {
 	select {
 	case slots <- struct{}{}:
--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -21,7 +21,7 @@
 	claimTimeout  = 500 * time.Millisecond
 )
 
-// benchStore answers in 3 ms and takes 300 writes a second.
+// benchStore answers within 3 ms and accepts 300 writes per second.
 var benchStore = standin.Faults{SlowMs: 3, WritesPerSecond: 300}
 
 func grouped(shards int) func(objectstore.ObjectAPI) closableLedger {
@@ -30,8 +30,8 @@
 	}
 }
 
-// BenchmarkLedgers measures where group commit pays: claims with their
-// outcomes arrive evenly at several entries for two seconds. Run it with
+// BenchmarkLedgers compares the ledgers to find where group commit is cheaper: claims
+// with their outcomes arrive evenly at several entries for two seconds. Run it with
 // -benchtime=1x.
 func BenchmarkLedgers(b *testing.B) {
 	for _, c := range []struct {
--- a/claim/breaker.go
+++ b/claim/breaker.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Between two probes of a store that refuses calls.
+// The interval between two probes of an unavailable store.
 const (
 	minProbeInterval    = 10 * time.Millisecond
 	maxProbeInterval    = time.Second
 	probeIntervalGrowth = 1.5
 )
 
-// circuitBreaker lets only probes through while the store refuses calls.
+// circuitBreaker lets only probes through while the store is unavailable. All claims
+// of a process share one probe, whose interval grows to a second.
 //
-// What goes wrong without it: each waiting claim tries again by itself, and a
-// store that comes back meets the calls of every claim of every entry at once.
-// One would see store calls rise in an outage. One process's claims share one
-// probe, which grows rarer to once a second.
+// Without it each waiting claim would retry by itself: store calls would rise in an
+// outage, and a store that recovers would get the calls of all claims of all entries
+// at once.
 type circuitBreaker struct {
 	mu            sync.Mutex
-	probeInterval time.Duration // zero: the store takes calls
-	nextProbe     time.Time     // of the next probe
+	probeInterval time.Duration // zero while the breaker is closed
+	nextProbe     time.Time     // time of the next probe
 }
 
-// allow tells whether a call may be sent now.
+// allow reports whether a call may be sent now.
 func (o *circuitBreaker) allow() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -39,7 +39,7 @@
 	return true
 }
 
-// observe takes in whether the store refused a call.
+// observe records whether the store refused a call as unavailable.
 func (o *circuitBreaker) observe(refused bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/claim/collector.go
+++ b/claim/collector.go
@@ -16,25 +16,26 @@
 	DefaultRetention        = 24 * time.Hour
 	DefaultMargin           = 10 * time.Minute
 	DefaultDeletesPerSecond = 50
-	// deletesPerList paces the listings beside the deletes.
+	// deletesPerList sets the rate of listings relative to that of deletes.
 	deletesPerList = 10
 )
 
-// CollectorOptions set up a Collector; the zero value works.
+// CollectorOptions configures a Collector; the zero value is usable.
 type CollectorOptions struct {
-	// Retention is how long a claim answers resends after its last change.
+	// Retention is how long a claim is kept for retries after its last change.
 	Retention time.Duration
-	// Margin is how far the claimants' and this machine's CLOCK_REALTIME may
-	// differ; a claim is collected only when older than both together.
+	// Margin is how far the CLOCK_REALTIME of the claimants and of this machine may
+	// differ. A claim is collected if it is older than Retention plus Margin.
 	Margin time.Duration
-	// DeletesPerSecond bounds the share of the store's writes.
+	// DeletesPerSecond limits the rate of deletes, which count against the store's
+	// write rate.
 	DeletesPerSecond float64
 	Options
 }
 
-// Collector deletes claims that nobody will send again. Run it where a lease
-// is held, so that one process does it; two at once do no harm but to the
-// store's budget, since each delete is conditional.
+// Collector deletes claims past their retention. Run it while holding a lease, so
+// that a single process collects. Two at once only cost more of the store's rate,
+// since each delete is conditional.
 type Collector struct {
 	api     objectstore.ObjectAPI
 	o       CollectorOptions
@@ -42,7 +43,7 @@
 	lists   *rate.Limiter
 }
 
-// NewCollector returns a collector; it makes no call.
+// NewCollector returns a collector. It does not call the store.
 func NewCollector(api objectstore.ObjectAPI, o CollectorOptions) *Collector {
 	if o.Retention == 0 {
 		o.Retention = DefaultRetention
@@ -61,9 +62,9 @@
 	}
 }
 
-// Pass looks at every claim once, a name prefix at a time. check is asked
-// before each delete (a lease's Check); its error ends the pass. Pass returns
-// how many claims it deleted.
+// Pass checks every claim once, one name prefix at a time. check is called before
+// each delete, such as a lease's Check; an error of it ends the pass. Pass returns the
+// number of deleted claims.
 func (c *Collector) Pass(ctx context.Context, check func() error) (int, error) {
 	removed := 0
 	for i := range 1 << (4 * prefixChars) {
@@ -95,8 +96,8 @@
 		if err := check(); err != nil {
 			return removed, err
 		}
-		// A conflict means that it changed and is young again; a lost answer
-		// is settled by the next pass.
+		// After a conflict the claim has changed and is not expired any more. A lost
+		// response is resolved by the next pass.
 		_, err := c.api.Delete(ctx, Kind, o.Name, o.Version)
 		switch {
 		case err == nil:
@@ -109,8 +110,9 @@
 	return removed, nil
 }
 
-// expired compares wall clocks: nothing else lasts a day and crosses machines. A
-// time in the future, or none, is never old.
+// expired reports whether a claim is past its retention. It compares wall clocks, the
+// only ones that are comparable across machines and over a day. A claim with a time in
+// the future, or without one, is not expired.
 func (c *Collector) expired(r record) bool {
 	return r.At != 0 && c.o.Now().Sub(time.UnixMilli(r.At)) > c.o.Retention+c.o.Margin
 }
--- a/claim/group.go
+++ b/claim/group.go
@@ -29,33 +29,33 @@
 	queueLength   = 4096
 )
 
-// GroupOptions set up a GroupLedger; the zero value works. All processes must
-// use the same Shards, and change them only while no claim is young.
+// GroupOptions configures a GroupLedger; the zero value is usable. All processes must
+// use the same Shards. Change Shards only while no claim is within its retention.
 type GroupOptions struct {
 	Shards int
-	// Window is how long a shard gathers claims before it writes.
+	// Window is how long a shard collects claims before it writes.
 	Window time.Duration
-	// Retention is how long a claim answers resends. Older ones are dropped
+	// Retention is how long a claim is kept for retries. Older claims are dropped
 	// when their group is written. A full group refuses new claims.
 	Retention time.Duration
 	Options
 }
 
-// GroupLedger writes many claims with one conditional update of a shard's
-// object. It pays only where one process gets many claims of one shard within
-// a write's time; docs/design/claims.md has the measured cross-over.
+// GroupLedger writes many claims with one conditional update of a shard's object. It
+// is cheaper than ObjectLedger only if one process gets many claims of one shard
+// within the time of a write; see docs/design/claims.md.
 type GroupLedger struct {
 	api       objectstore.ObjectAPI
 	o         GroupOptions
 	shards    []*shard
 	stop      context.CancelFunc
 	wg        conc.WaitGroup
-	undecided sync.WaitGroup // operations not decided yet
+	undecided sync.WaitGroup // operations that are not complete
 }
 
 var _ Ledger = (*GroupLedger)(nil)
 
-// NewGroupLedger starts a ledger; Close ends it.
+// NewGroupLedger starts a ledger; Close stops it.
 func NewGroupLedger(api objectstore.ObjectAPI, o GroupOptions) *GroupLedger {
 	if o.Shards == 0 {
 		o.Shards = DefaultShards
@@ -88,7 +88,7 @@
 	select {
 	case <-done:
 	case <-ctx.Done():
-		err = errors.Wrap(ctx.Err(), "claims not all recorded")
+		err = errors.Wrap(ctx.Err(), "not all outcomes recorded")
 	}
 	l.stop()
 	l.wg.Wait()
@@ -101,7 +101,7 @@
 	s := l.shards[xxhash.Sum64String(op.name)%uint64(len(l.shards))]
 	if !s.enqueue(op) {
 		l.o.count(countUnavailable)
-		return nil, errors.Wrap(ErrStoreUnavailable, "too many claims wait")
+		return nil, errors.Wrap(ErrStoreUnavailable, "too many claims are waiting")
 	}
 	var err error
 	select {
@@ -110,7 +110,7 @@
 		if op.decided.CompareAndSwap(false, true) {
 			err = errors.Wrapf(ErrStoreUnavailable, "claim %s", op.name)
 		} else {
-			err = <-op.result // it was decided at the same moment
+			err = <-op.result // the shard decided it at the same time
 		}
 	}
 	if err != nil {
@@ -122,7 +122,7 @@
 	return &groupClaim{shard: s, op: op}, nil
 }
 
-// groupClaim is a Claim of this process.
+// groupClaim implements Claim.
 type groupClaim struct {
 	shard *shard
 	op    *operation
@@ -142,21 +142,22 @@
 	ctx  context.Context
 	name string
 	rec  record
-	// isOutcome: rec replaces the claimed record of the same token.
+	// isOutcome is set if rec replaces the Claimed record with the same token.
 	isOutcome bool
-	// forceWrite: a write is needed even if nothing changes, so that an earlier
-	// one whose answer was lost can't take effect any more.
+	// forceWrite is set if the group must be written even without a change, so that
+	// an earlier write whose response was lost can't take effect any more.
 	forceWrite bool
-	// maybeWritten: a write with it may have taken effect.
+	// maybeWritten is set if a write of the operation may have taken effect.
 	maybeWritten bool
-	// decided is set by who decides: the shard, or the caller that gave up.
+	// decided is set by whichever decides the operation first: the shard, or its
+	// caller by giving up.
 	decided atomic.Bool
 	result  chan error
 	cancel  context.CancelFunc
 }
 
-// apply does the operation on the claims; it returns the operation's result
-// and whether the group must be written.
+// apply applies the operation to the claims. It returns the operation's result and
+// whether the group must be written.
 func (op *operation) apply(o Options, claims map[string]record) (error, bool) {
 	cur, exists := claims[op.name]
 	ours := exists && cur.Token == op.rec.Token
@@ -183,7 +184,7 @@
 func decodeGroup(b []byte) (map[string]record, error) {
 	g := groupValue{Claims: map[string]record{}}
 	if err := json.Unmarshal(b, &g); err != nil {
-		return nil, errors.Wrap(err, "claim group")
+		return nil, errors.Wrap(err, "decode claim group")
 	}
 	return g.Claims, nil
 }
--- a/claim/latency.go
+++ b/claim/latency.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// latencyTracker tells whether a call to the store can still be answered in time.
+// latencyTracker tracks the latency of store calls, so that claims with too little
+// time left are not sent.
 //
-// What goes wrong without it: when claims come faster than the store writes,
-// the ones that waited longest are sent last and answered too late; each then
-// costs more calls to be given back, and few claims of any are held. One would
-// see many store writes a claim. Claims that have no time left are not sent.
+// Without it, when claims arrive faster than the store writes, those that waited
+// longest would be sent last and answered too late. Releasing each of them costs
+// further calls: there would be many store writes per claim, and few claims would
+// succeed.
 type latencyTracker struct {
 	mu   sync.Mutex
-	mean time.Duration // of recent calls, smoothed
+	mean time.Duration // smoothed duration of recent calls
 }
 
 const (
 	// latencySmoothing is the weight of the newest call.
 	latencySmoothing = 0.2
-	// minMeanCalls is how many mean call times a claim must have left.
+	// minMeanCalls is the time that a claim must have left, in mean call durations.
 	minMeanCalls = 2
-	// skipDecay shrinks the mean at each claim that is not sent, so that a store
-	// that has recovered is tried again.
+	// skipDecay is the factor by which the mean shrinks at each claim that is not
+	// sent, so that a store that has recovered is called again.
 	skipDecay = 0.98
 )
 
-// observe takes a call's duration into the mean.
+// observe adds a call's duration to the mean.
 func (h *latencyTracker) observe(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.mean += time.Duration(latencySmoothing * float64(d-h.mean))
 }
 
-// tooLate tells whether the context probably ends before an answer comes.
+// tooLate reports whether the context will probably end before the store answers.
 func (h *latencyTracker) tooLate(ctx context.Context) bool {
 	end, ok := ctx.Deadline()
 	if !ok {
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -12,12 +12,12 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// ObjectLedger keeps each claim in an object of its own: two writes a claim.
-// It is the default; docs/design/claims.md says when GroupLedger pays.
+// ObjectLedger keeps each claim in an object of its own, which costs two writes per
+// claim. It is the default; docs/design/claims.md tells when GroupLedger is cheaper.
 type ObjectLedger struct {
 	api        objectstore.ObjectAPI
 	o          Options
-	callSlots  chan struct{} // heldClaim during a claim's call
+	callSlots  chan struct{} // semaphore of the calls that claim
 	latency    latencyTracker
 	breaker    circuitBreaker
 	background *background
@@ -25,7 +25,7 @@
 
 var _ Ledger = (*ObjectLedger)(nil)
 
-// NewLedger returns a ledger on the object API.
+// NewLedger returns a ledger that stores its claims in the object API.
 func NewLedger(api objectstore.ObjectAPI, o Options) *ObjectLedger {
 	o = o.withDefaults()
 	return &ObjectLedger{api: api, o: o, callSlots: make(chan struct{}, o.MaxInFlight), background: newBackground(o)}
@@ -34,20 +34,21 @@
 // Close waits until every outcome is recorded or the context ends.
 func (l *ObjectLedger) Close(ctx context.Context) error { return l.background.close(ctx) }
 
-// claimAttempt is one claimant's attempt at a key.
+// claimAttempt is the attempt of one claimant to claim a key.
 type claimAttempt struct {
 	name string
 	rec  record
-	// unresolved: some write of ours had an unknown outcome and may take effect
-	// later; expected is the version that it would replace, zero for none.
+	// unresolved is set after a write of this attempt had an unknown outcome: it may
+	// take effect later. expected is the version that it would replace, zero for
+	// none.
 	unresolved bool
 	expected   objectstore.Version
-	// newestSeen is the newest version read: a read of an older one is stale.
+	// newestSeen is the newest version read; a read of an older one is stale.
 	newestSeen objectstore.Version
 }
 
-// errUndecided means that nothing is decided yet.
-var errUndecided = errors.New("claim not settled yet")
+// errUndecided reports that the attempt must be repeated.
+var errUndecided = errors.New("claim not decided yet")
 
 // Claim implements Ledger.
 func (l *ObjectLedger) Claim(ctx context.Context, k Key, h Hash, id request.ID) (Claim, error) {
@@ -67,7 +68,7 @@
 	return nil, errors.Wrapf(ErrStoreUnavailable, "claim %s", a.name)
 }
 
-// tryClaim creates the claim once, or finds out who has it.
+// tryClaim tries once to create the claim, and resolves it if that is not certain.
 func (l *ObjectLedger) tryClaim(ctx context.Context, a *claimAttempt) (Claim, error) {
 	if !acquireSlot(ctx, l.callSlots) {
 		return nil, errUndecided
@@ -100,8 +101,8 @@
 	return l.resolve(ctx, a)
 }
 
-// resolve reads the claim and decides; a claim that was given back is taken
-// over on condition that it did not change.
+// resolve reads the claim and decides the attempt. A claim that was released is taken
+// over by a conditional update.
 func (l *ObjectLedger) resolve(ctx context.Context, a *claimAttempt) (Claim, error) {
 	o, err := l.api.Get(ctx, Kind, a.name)
 	if err != nil || o.Version < a.newestSeen {
@@ -127,12 +128,12 @@
 	return nil, errUndecided
 }
 
-// abandon makes sure that a claim which was not settled in time does not come
-// into force later: it leaves a claim marked NotRun, or another's. It returns
-// true when that is certain.
+// abandon makes sure that a claim which was not decided in time does not take effect
+// later: it leaves a claim in state NotRun, or another claimant's. It returns true
+// once that is certain.
 //
-// What goes wrong otherwise: the store applies the lost write after the caller
-// was refused, and every resend is told "claimed" for a day.
+// Otherwise the store may apply the lost write after the caller was refused, and
+// every retry would find the key claimed for a day.
 func (l *ObjectLedger) abandon(ctx context.Context, a *claimAttempt) bool {
 	rec := a.rec.withOutcome(Outcome{State: NotRun}, l.o.Now())
 	o, err := l.api.Get(ctx, Kind, a.name)
@@ -158,7 +159,7 @@
 	return &heldClaim{l: l, name: a.name, rec: a.rec, version: v}
 }
 
-// heldClaim is a Claim of this process.
+// heldClaim implements Claim.
 type heldClaim struct {
 	l       *ObjectLedger
 	name    string
@@ -178,8 +179,8 @@
 // Release implements Claim.
 func (c *heldClaim) Release() { c.Finish(Outcome{State: NotRun}) }
 
-// writeOutcome writes the outcome once, only over this claimant's own claim; true
-// when nothing is left to do.
+// writeOutcome tries once to write the outcome, over this claimant's own claim only.
+// It returns true if nothing is left to do.
 func (c *heldClaim) writeOutcome(ctx context.Context, rec record) bool {
 	_, err := c.l.api.Update(ctx, Kind, c.name, rec.encode(), c.version)
 	if err == nil {
--- a/claim/ledger_test.go
+++ b/claim/ledger_test.go
@@ -33,16 +33,16 @@
 				return claim.Outcome{}, err
 			}
 
-			Convey("while its claimant says nothing a resend reads claimed", func() {
+			Convey("a retry finds the key claimed until an outcome is recorded", func() {
 				o, err := resend(1)
 				So(err, ShouldBeNil)
 				So(o.State, ShouldEqual, claim.Claimed)
 			})
-			Convey("other content under the key is a conflict", func() {
+			Convey("the same key with other content is a conflict", func() {
 				_, err := resend(2)
 				So(errors.Is(err, claim.ErrConflict), ShouldBeTrue)
 			})
-			Convey("a resend gets the whole short answer, in its own type", func() {
+			Convey("a retry gets a short answer in full, with its content type", func() {
 				want := claim.Outcome{State: claim.Ran, Answer: []byte(`{"ok":1}`), ContentType: "application/json", Status: 201}
 				c.Finish(want)
 				c.Release() // only the first outcome counts
@@ -51,7 +51,7 @@
 				So(err, ShouldBeNil)
 				So(o, ShouldResemble, want)
 			})
-			Convey("a long answer is not kept, and never in part", func() {
+			Convey("a long answer is not kept, not even in part", func() {
 				c.Finish(claim.Outcome{State: claim.Ran, Answer: make([]byte, claim.MaxAnswerBytes+1)})
 				So(l.Close(ctx), ShouldBeNil)
 				o, err := resend(1)
@@ -59,7 +59,7 @@
 				So(o.State, ShouldEqual, claim.Ran)
 				So(o.Answer, ShouldBeNil)
 			})
-			Convey("an outcome waits for the store to come back", func() {
+			Convey("an outcome is recorded once the store has recovered", func() {
 				store.SetFaults(standin.Faults{Down: true})
 				c.Release()
 				closed := make(chan error, 1)
@@ -67,15 +67,15 @@
 				store.SetFaults(standin.Faults{})
 				So(<-closed, ShouldBeNil)
 				_, err := resend(1)
-				So(err, ShouldBeNil) // held: it may run now
+				So(err, ShouldBeNil) // claimed: the retry may run now
 			})
 		})
 	}
 }
 
-// Guards against this: a young claim is gone and its request runs again.
+// Guards against a collected claim within its retention, whose request would run again.
 func TestCollector(t *testing.T) {
-	Convey("Given an old claim, a young one and one from the future", t, func() {
+	Convey("Given an expired claim, a recent one and one with a time in the future", t, func() {
 		ctx := context.Background()
 		store := standin.New(standin.Options{})
 		now := time.Now()
@@ -91,7 +91,7 @@
 		}
 		c := claim.NewCollector(store, claim.CollectorOptions{DeletesPerSecond: 1e6, Options: claim.Options{Now: func() time.Time { return now }}})
 
-		Convey("only the old one is collected", func() {
+		Convey("only the expired one is collected", func() {
 			n, err := c.Pass(ctx, func() error { return nil })
 			So(err, ShouldBeNil)
 			So(n, ShouldEqual, 1)
@@ -103,7 +103,7 @@
 			So(errors.Is(err, lost), ShouldBeTrue)
 			So(left(), ShouldEqual, 3)
 		})
-		Convey("a claim that changed meanwhile stays", func() {
+		Convey("a claim that changed meanwhile is kept", func() {
 			touch := func() error {
 				l, _ := store.List(ctx, claim.Kind, "")
 				for _, o := range l.Objects {
@@ -119,11 +119,11 @@
 	})
 }
 
-// staleReader answers one read with an old state of the object.
+// staleReader answers one read with an old version of the object.
 type staleReader struct {
 	objectstore.ObjectAPI
 	old   objectstore.Object
-	after int // reads before it
+	after int // reads before the stale one
 }
 
 func (s *staleReader) Get(ctx context.Context, k objectstore.Kind, n string) (objectstore.Object, error) {
@@ -133,9 +133,9 @@
 	return s.ObjectAPI.Get(ctx, k, n)
 }
 
-// Guards against this: a key that never ran reads "claimed" for a day.
+// Guards against a stale read that makes a released key appear claimed for a day.
 func TestStaleReadDecidesNothing(t *testing.T) {
-	Convey("Given a claim that was given back", t, func() {
+	Convey("Given a claim that was released", t, func() {
 		ctx := context.Background()
 		store := standin.New(standin.Options{})
 		first := claim.NewLedger(store, claim.Options{})
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -25,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-// closableLedger is a ledger of one entry.
+// closableLedger is the ledger of one entry.
 type closableLedger interface {
 	claim.Ledger
 	Close(ctx context.Context) error
@@ -44,15 +44,15 @@
 	answer     = "booked"
 )
 
-// step is one call of a caller, or a change of the store's faults.
+// step is one request of a caller, or a change of the store's faults.
 type step struct {
 	Fault   bool
 	Faults  standin.Faults
 	Entry   int
 	Key     int
 	Content byte
-	Timeout time.Duration // the call's target
-	Action  string        // what the entry does with its claim
+	Timeout time.Duration // of the call
+	Action  string        // of the entry with its claim
 	Pause   time.Duration // until the next step
 }
 
@@ -61,7 +61,7 @@
 		return time.Duration(rapid.SampledFrom(values).Draw(t, label)) * time.Millisecond
 	}
 	return rapid.Custom(func(t *rapid.T) step {
-		s := step{Pause: ms(t, "after", 0, 0, 1, 100, 3000)}
+		s := step{Pause: ms(t, "pause", 0, 0, 1, 100, 3000)}
 		if rapid.IntRange(0, 2).Draw(t, "fault") == 0 {
 			s.Fault, s.Faults = true, standin.Faults{
 				Down:         rapid.IntRange(0, 3).Draw(t, "down") == 0,
@@ -74,20 +74,20 @@
 		s.Entry = rapid.IntRange(0, numEntries-1).Draw(t, "entry")
 		s.Key = rapid.IntRange(0, numKeys-1).Draw(t, "key")
 		s.Content = rapid.SampledFrom([]byte("aaaab")).Draw(t, "content")
-		s.Timeout = ms(t, "patient", 50, 1000, 5000)
-		s.Action = rapid.SampledFrom([]string{"finish", "die", "give back", "give back"}).Draw(t, "then")
+		s.Timeout = ms(t, "timeout", 50, 1000, 5000)
+		s.Action = rapid.SampledFrom([]string{"finish", "die", "release", "release"}).Draw(t, "action")
 		return s
 	})
 }
 
-// simulation is some entries on one store, and what really ran.
+// simulation runs some entries on one store and tracks which requests ran.
 type simulation struct {
 	store   *standin.Standin
 	ledgers []closableLedger
 
 	mu         sync.Mutex
 	runCount   [numKeys]int
-	ranContent [numKeys]byte // content that ran
+	ranContent [numKeys]byte // content of the request that ran
 	finished   [numKeys]bool
 	contents   [numKeys]map[byte]bool
 	err        error
@@ -118,24 +118,24 @@
 		sim.useClaim(s, c)
 	case errors.Is(err, claim.ErrConflict):
 		if len(sim.contents[s.Key]) < 2 {
-			sim.failf("conflict on a key with one content")
+			sim.failf("conflict on a key that was used with one content only")
 		}
 	case errors.As(err, &existing):
 		o := existing.Outcome
 		if o.State == claim.NotRun || o.State == claim.Ran && (sim.runCount[s.Key] == 0 || string(o.Answer) != answer) {
-			sim.failf("false outcome %+v, ran %d times", o, sim.runCount[s.Key])
+			sim.failf("wrong outcome %+v of a request that ran %d times", o, sim.runCount[s.Key])
 		}
 	case !errors.Is(err, claim.ErrStoreUnavailable):
 		sim.failf("unexpected error %v", err)
 	}
 	if took := time.Since(start); took > s.Timeout {
-		sim.failf("answered after %s of %s", took, s.Timeout)
+		sim.failf("answered after %s, the timeout is %s", took, s.Timeout)
 	}
 }
 
-// useClaim is what an entry does with a claim that it holds.
+// useClaim does what an entry does with a claim that it holds.
 func (sim *simulation) useClaim(s step, c claim.Claim) {
-	if s.Action == "give back" {
+	if s.Action == "release" {
 		c.Release()
 		return
 	}
@@ -150,8 +150,8 @@
 	}
 }
 
-// healAndClose heals the store, lets the ledgers finish and checks the end: what
-// ran says so, and what never ran can still be claimed.
+// healAndClose ends the store's faults and closes the ledgers, which record the
+// remaining outcomes.
 func (sim *simulation) healAndClose() {
 	sim.store.SetFaults(standin.Faults{})
 	for _, l := range sim.ledgers {
@@ -161,6 +161,8 @@
 	}
 }
 
+// check checks that each key that ran has its outcome, and that each key that never
+// ran can still be claimed.
 func (sim *simulation) check(l closableLedger) {
 	for k := range numKeys {
 		claimable := false
@@ -169,7 +171,7 @@
 			claimable = claimable || err == nil
 			var existing *claim.ExistingError
 			if sim.finished[k] && content == sim.ranContent[k] && (!errors.As(err, &existing) || existing.Outcome.State != claim.Ran) {
-				sim.failf("key %d ran, a resend got %v", k, err)
+				sim.failf("key %d ran, but a retry got %v", k, err)
 			}
 		}
 		if len(sim.contents[k]) > 0 && claimable != (sim.runCount[k] == 0) {
@@ -202,12 +204,12 @@
 		last := open(sim.store)
 		sim.check(last)
 		_ = last.Close(context.Background())
-		<-time.After(time.Minute) // for slow writes that nobody waits for
+		<-time.After(time.Minute) // for slow writes that are still in flight
 	})
 	return sim.err
 }
 
-// Guards against this: a cover is booked twice, or a request that ran nowhere can never be sent again.
+// Guards against a request that runs twice, or that never ran and can never be retried.
 func TestAtMostOnceUnderFaults(t *testing.T) {
 	for name, open := range ledgers {
 		t.Run(name, func(t *testing.T) {
@@ -221,11 +223,11 @@
 	}
 }
 
-// Guards against this: a caller was told "not run, send again", and every resend is told "already claimed".
+// Guards against a request that was refused as not run, but is already claimed for every retry.
 func TestUnavailableClaimCanBeRetried(t *testing.T) {
 	for name, open := range ledgers {
 		for _, f := range []standin.Faults{{SlowMs: 200}, {LoseFraction: 1}, {SlowMs: 1500}, {SlowMs: 60, LoseFraction: 1}} {
-			call := step{Content: 'a', Timeout: 50 * time.Millisecond, Action: "give back", Pause: 3 * time.Second}
+			call := step{Content: 'a', Timeout: 50 * time.Millisecond, Action: "release", Pause: 3 * time.Second}
 			plan := []step{{Fault: true, Faults: f}, call, call}
 			if err := runPlan(t, open, plan, 1); err != nil {
 				t.Errorf("%s, %+v: %v", name, f, err)
@@ -234,7 +236,7 @@
 	}
 }
 
-// Guards against this: after an outage callers learn nothing of what ran, or what was refused during it can't be sent again.
+// Guards against outcomes lost in an outage, and against requests refused in it that can't be retried.
 func TestTenMinuteOutage(t *testing.T) {
 	for name, open := range ledgers {
 		t.Run(name, func(t *testing.T) {
@@ -250,13 +252,13 @@
 				for range 600 {
 					ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 					if _, err := l.Claim(ctx, key(1), claim.Hash{1}, request.NewID()); !errors.Is(err, claim.ErrStoreUnavailable) {
-						t.Fatalf("in the outage: %v", err)
+						t.Fatalf("claim in the outage: %v", err)
 					}
 					cancel()
 				}
 				for method, n := range store.Calls() {
 					if n > 2*600 {
-						t.Errorf("%d calls of %s in ten minutes of outage", n, method)
+						t.Errorf("%d calls of %s in an outage of ten minutes", n, method)
 					}
 				}
 				store.SetFaults(standin.Faults{})
@@ -267,10 +269,10 @@
 				_, err = after.Claim(context.Background(), key(0), claim.Hash{1}, request.NewID())
 				var existing *claim.ExistingError
 				if !errors.As(err, &existing) || existing.Outcome.State != claim.Ran || string(existing.Outcome.Answer) != answer {
-					t.Errorf("what ran before the outage reads %v", err)
+					t.Errorf("retry of the request that ran before the outage: %v", err)
 				}
 				if _, err = after.Claim(context.Background(), key(1), claim.Hash{1}, request.NewID()); err != nil {
-					t.Errorf("what was refused in the outage: %v", err)
+					t.Errorf("retry of the request refused in the outage: %v", err)
 				}
 				_ = after.Close(context.Background())
 				<-time.After(time.Minute)
--- a/claim/options.go
+++ b/claim/options.go
@@ -17,7 +17,7 @@
 	DefaultMaxInFlight       = 8
 )
 
-// Between two tries of one claim.
+// Intervals between two attempts at one claim or outcome.
 const (
 	minRetryInterval           = 10 * time.Millisecond
 	maxClaimRetryInterval      = 250 * time.Millisecond
@@ -45,23 +45,24 @@
 	countGroupFull        = "group_full"
 )
 
-// Options set up a Ledger; the zero value works.
+// Options configures a Ledger; the zero value is usable.
 type Options struct {
-	// CallTimeout bounds one call to the store, so that a silent connection
-	// does not eat the whole target.
+	// CallTimeout is the timeout of one call to the store, so that a dead connection
+	// does not use up the caller's whole time.
 	CallTimeout time.Duration
-	// BackgroundJobs bounds the outcomes that wait for the store, and
-	// BackgroundTimeout how long one waits; a claim beyond them stays claimed,
-	// which reads as unknown. BackgroundRate bounds their calls a second.
+	// BackgroundJobs limits the number of outcomes that wait for the store, and
+	// BackgroundTimeout how long each waits. A claim beyond these limits stays
+	// Claimed, so its outcome is unknown. BackgroundRate limits their retries per
+	// second.
 	BackgroundJobs    int
 	BackgroundTimeout time.Duration
 	BackgroundRate    float64
-	// MaxInFlight bounds this process's calls that claim, and those that
-	// record outcomes. Claims beyond it wait here, where giving up leaves
-	// nothing to undo: a store that is too slow gets no more work from
-	// callers that have already left.
+	// MaxInFlight limits the concurrent calls of this process that claim, and
+	// separately those that record outcomes. Further claims wait in the process,
+	// where giving up leaves nothing to undo: a slow store gets no work from callers
+	// that have already left.
 	MaxInFlight int
-	// Now is the wall clock (CLOCK_REALTIME) that claims are stamped with.
+	// Now returns the wall clock time (CLOCK_REALTIME) for the timestamps of claims.
 	Now     func() time.Time
 	Metrics *metrics.Registry
 }
--- a/claim/record.go
+++ b/claim/record.go
@@ -17,20 +17,20 @@
 // Kind is the kind of the objects that hold one claim each.
 const Kind = objectstore.Kind("Claim")
 
-// prefixChars is the length of a claim name's prefix, by which the collector
-// lists a 4096th of all claims at a time.
+// prefixChars is the length of the prefix of a claim's name, in hex digits. The
+// collector lists claims by prefix, 1/4096 of all at a time.
 const prefixChars = 3
 
 // record is the stored form of a claim.
 type record struct {
-	// Token is the claimant's, random: who reads its own token back knows
-	// that its write took effect.
+	// Token is random and chosen by the claimant. A claimant that reads its own token
+	// back knows that its write took effect.
 	Token   string     `json:"token"`
 	Hash    []byte     `json:"hash"`
 	State   State      `json:"state"`
 	Request request.ID `json:"request"`
-	// At is the claimant's CLOCK_REALTIME in Unix milliseconds at the last
-	// change; only the collector reads it.
+	// At is the claimant's CLOCK_REALTIME in Unix milliseconds at the last change. It
+	// is used for the retention only.
 	At          int64  `json:"at"`
 	Status      int    `json:"status,omitempty"`
 	ContentType string `json:"content_type,omitempty"`
@@ -41,7 +41,7 @@
 	return record{Token: newToken(), Hash: slices.Clone(h[:]), State: Claimed, Request: id, At: now.UnixMilli()}
 }
 
-// withOutcome returns the record in its final state.
+// withOutcome returns the record with an outcome.
 func (r record) withOutcome(o Outcome, now time.Time) record {
 	r.State, r.At = o.State, now.UnixMilli()
 	r.Status, r.ContentType = o.Status, o.ContentType
@@ -63,8 +63,8 @@
 	return b
 }
 
-// decode reads a stored claim. One that can't be read says nothing of its
-// request, so it reads as claimed by nobody known: it never runs again.
+// decode decodes a stored claim. A claim that can't be decoded says nothing about its
+// request: it gets state Unknown, and the request never runs again.
 func decode(b []byte) record {
 	var r record
 	if json.Unmarshal(b, &r) != nil || r.State == "" {
@@ -73,8 +73,8 @@
 	return r
 }
 
-// objectName is the claim's object name: a fixed-size prefix, then the hash
-// of the key, so that no caller's text gets into a name.
+// objectName returns the name of a claim's object: a prefix of fixed size and the hash
+// of the key, so that names contain no text of callers.
 func objectName(k Key) string {
 	h := sha256.New()
 	h.Write([]byte(k.Workspace))
@@ -94,7 +94,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-// existingError says why a claim that was found keeps another from being made.
+// existingError returns the error for a claim that already exists.
 func (o Options) existingError(name string, wanted, found record) error {
 	if found.Hash != nil && string(found.Hash) != string(wanted.Hash) {
 		o.count(countConflict)
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -10,19 +10,19 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// shard is the one writer, in this process, of one group of claims.
+// shard is the only writer of one group of claims in this process.
 type shard struct {
 	l     *GroupLedger
 	name  string
 	queue chan *operation
 
-	// claims is what the group held at version, nil where that is not known.
+	// claims is the content of the group at version, or nil if it is not known.
 	claims  map[string]record
 	version objectstore.Version
 	breaker circuitBreaker
 }
 
-// enqueue returns false where too many operations wait.
+// enqueue returns false if the queue is full.
 func (s *shard) enqueue(op *operation) bool {
 	s.l.undecided.Add(1)
 	select {
@@ -34,7 +34,7 @@
 	}
 }
 
-// enqueueOutcome records the outcome of a claim in the background, within a bound.
+// enqueueOutcome records the outcome of a claim in the background, up to a bound.
 func (s *shard) enqueueOutcome(claimed *operation, o Outcome, force bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.l.o.BackgroundTimeout)
 	op := &operation{
@@ -47,7 +47,7 @@
 	}
 }
 
-// run writes batch after batch until the context ends.
+// run commits batches until the context ends.
 func (s *shard) run(ctx context.Context) {
 	for {
 		select {
@@ -60,7 +60,7 @@
 	}
 }
 
-// drain ends what still waits when the ledger is closed.
+// drain completes the queued operations with an error when the ledger is closed.
 func (s *shard) drain() {
 	for {
 		select {
@@ -72,7 +72,7 @@
 	}
 }
 
-// collectBatch waits a window for more operations.
+// collectBatch waits for one window for more operations.
 func (s *shard) collectBatch(first *operation) []*operation {
 	batch := []*operation{first}
 	window := time.NewTimer(s.l.o.Window)
@@ -88,7 +88,7 @@
 	return batch
 }
 
-// commit repeats the batch until each operation is decided or given up.
+// commit retries the batch until each operation is complete.
 func (s *shard) commit(ctx context.Context, batch []*operation) {
 	retry := newBackOff(maxClaimRetryInterval)
 	for ctx.Err() == nil {
@@ -103,7 +103,8 @@
 	}
 }
 
-// dropExpired drops the operations whose caller no longer waits.
+// dropExpired completes the operations whose caller no longer waits and returns the
+// others.
 func (s *shard) dropExpired(batch []*operation) []*operation {
 	var out []*operation
 	for _, op := range batch {
@@ -116,8 +117,8 @@
 	return out
 }
 
-// complete ends an operation. A claim that was or may be written although its
-// caller has given up is given back.
+// complete completes an operation with a result. A claim that was or may have been
+// written after its caller has given up is released.
 func (s *shard) complete(op *operation, result error) {
 	defer s.l.undecided.Done()
 	if op.cancel != nil {
@@ -139,8 +140,8 @@
 	}
 }
 
-// tryCommit reads the group where it is not known, and writes it with the
-// whole batch; true when all operations were decided.
+// tryCommit reads the group if it is not known, and writes it with the whole batch. It
+// returns true if all operations are complete.
 func (s *shard) tryCommit(ctx context.Context, batch []*operation) bool {
 	ctx, cancel := context.WithTimeout(ctx, s.l.o.CallTimeout)
 	defer cancel()
@@ -157,7 +158,7 @@
 		results[i], changed = err, changed || c
 	}
 	if !changed && !justLoaded {
-		s.claims = nil // decided on what may be old
+		s.claims = nil // the results may follow from a stale copy: read the group again
 		return s.tryCommit(ctx, batch)
 	}
 	if changed && !s.write(ctx, batch) {
@@ -177,18 +178,18 @@
 		return true
 	}
 	if err != nil || o.Version < s.version {
-		return false // not known, or a stale read
+		return false // unknown, or a stale read
 	}
 	claims, err := decodeGroup(o.Value)
 	if err != nil {
-		return false // never overwrite what can't be read
+		return false // never overwrite a group that can't be decoded
 	}
 	s.claims, s.version = claims, o.Version
 	return true
 }
 
-// write stores the group. After any failure the group is read anew: the
-// tokens in it tell which operations are in force.
+// write stores the group. After a failure the group is read again: the tokens in it
+// show which operations took effect.
 func (s *shard) write(ctx context.Context, batch []*operation) bool {
 	s.dropOldClaims()
 	value := encodeGroup(s.claims)
@@ -219,8 +220,8 @@
 	return false
 }
 
-// dropOldClaims drops claims past their retention, by the wall clocks with the
-// collector's margin.
+// dropOldClaims drops claims past their retention. It compares wall clocks, with
+// DefaultMargin.
 func (s *shard) dropOldClaims() {
 	oldest := s.l.o.Now().Add(-s.l.o.Retention - DefaultMargin).UnixMilli()
 	for name, r := range s.claims {
@@ -230,7 +231,8 @@
 	}
 }
 
-// rejectNewClaims ends the batch's new claims; outcomes wait for room.
+// rejectNewClaims ends the new claims of a batch that exceeds the group's size.
+// Outcomes wait until there is space.
 func (s *shard) rejectNewClaims(batch []*operation) {
 	s.claims = nil
 	for _, op := range batch {
@@ -241,7 +243,7 @@
 	}
 }
 
-// expire makes the next round drop the operation and tell its caller.
+// expire makes the next attempt drop the operation and return an error to its caller.
 func (op *operation) expire() {
 	ended, cancel := context.WithCancel(op.ctx)
 	cancel()
