--- a/lease/clock.go
+++ b/lease/clock.go
@@ -8,37 +8,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock gives the two readings that a lease needs. They are elapsed times
-// since an arbitrary start and never go back.
+// Clock provides the two clocks that a lease needs. Both return the time elapsed since
+// an arbitrary start and never go back.
 //
-// What goes wrong with one reading: a clock that stops while the machine is
-// suspended lets a holder trust a lease that has long passed to another; a
-// clock that jumps forward lets a waiter take a lease that is still held.
-// One would see two holders act at once. So each side reads the clock that
-// can only err to its own disadvantage.
+// A single clock could let two holders act at once: a clock that stops while the
+// machine is suspended lets a holder rely on a lease that has passed to another, and a
+// clock that jumps forward lets a waiter take a lease that is still held. So each side
+// reads a clock that can only err to its own disadvantage.
 type Clock interface {
-	// HolderElapsed is for the deadline of what this process holds: it may run fast,
-	// never slow. Suspended time counts.
+	// HolderElapsed is the clock for the deadlines of leases that this process holds.
+	// It may run fast, never slow. It includes suspended time.
 	HolderElapsed() time.Duration
-	// WaiterElapsed is for judging when another's lease has ended: it may run slow,
-	// never fast. Suspended time need not count.
+	// WaiterElapsed is the clock by which another holder's lease expires. It may run
+	// slow, never fast. It need not include suspended time.
 	WaiterElapsed() time.Duration
-	// Sleep waits for about d, or until the context ends.
+	// Sleep waits for approximately d, or until the context ends.
 	Sleep(ctx context.Context, d time.Duration)
 }
 
-// SystemClock reads the machine's clocks. Waited is CLOCK_MONOTONIC, which
-// stops while the machine is suspended. Held adds up, from reading to
-// reading, the largest advance among CLOCK_MONOTONIC, CLOCK_BOOTTIME (counts
-// suspension) and CLOCK_REALTIME (set right by a guest agent or NTP after a
-// hypervisor paused the VM without telling it). A VM that was paused and whose
-// clocks all know nothing of it can't be noticed from inside: there only the
-// fencing token protects. It is safe for concurrent use.
+// SystemClock reads the machine's clocks. It is safe for concurrent use.
+//
+// WaiterElapsed is CLOCK_MONOTONIC, which stops while the machine is suspended.
+// HolderElapsed adds up, from reading to reading, the largest advance among
+// CLOCK_MONOTONIC, CLOCK_BOOTTIME (which includes suspended time) and CLOCK_REALTIME
+// (which a guest agent or NTP corrects after a hypervisor has paused the VM unnoticed).
+// If no clock of a VM shows that it was paused, the pause can't be detected from
+// inside, and only the fencing token protects.
 type SystemClock struct {
 	mu            sync.Mutex
 	holderElapsed time.Duration
 	start         time.Time
-	lastReading   time.Time // carries CLOCK_MONOTONIC and CLOCK_REALTIME
+	lastReading   time.Time // holds CLOCK_MONOTONIC and CLOCK_REALTIME
 	lastBoot      time.Duration
 }
 
@@ -73,7 +73,7 @@
 	}
 }
 
-// bootClock reads CLOCK_BOOTTIME; zero where the kernel has none, which leaves
+// bootClock reads CLOCK_BOOTTIME. It returns zero if the kernel has none, which leaves
 // the other two clocks.
 func bootClock() time.Duration {
 	var ts unix.Timespec
--- a/lease/elector.go
+++ b/lease/elector.go
@@ -19,7 +19,7 @@
 // Kind is the kind of the objects that hold leases.
 const Kind = objectstore.Kind("Lease")
 
-// Defaults of Options, and fixed proportions of the duration.
+// Defaults of Options, and numbers of renewals, retries and polls per Duration.
 const (
 	DefaultDuration = 9 * time.Second
 	DefaultMaxDrift = 0.01
@@ -44,26 +44,27 @@
 	countReleased    = "released"
 )
 
-// Options set up an Elector. Every candidate for one lease must use the same
+// Options configures an Elector. All candidates for a lease must use the same
 // Duration and MaxDrift.
 type Options struct {
-	// Name is the lease's, Holder this candidate's.
+	// Name is the name of the lease, Holder that of this candidate.
 	Name   string
 	Holder string
 	// Duration is how long a lease lasts without renewal.
 	Duration time.Duration
-	// MaxDrift bounds how far any candidate's clock rate may be off, as a
-	// fraction of true time.
+	// MaxDrift is the largest error of any candidate's clock rate, as a fraction of
+	// true time.
 	MaxDrift float64
-	// Margin is how much longer a new holder waits, for acts of the old one
-	// that are still under way.
+	// Margin is the additional time that a new holder waits, for actions of the
+	// previous holder that are still in flight.
 	Margin time.Duration
-	// PollEvery is how often a candidate reads a lease that another holds;
-	// zero is a quarter of Duration. Each read counts against the store's
-	// rates: many candidates should read once a Duration, which delays a
-	// takeover by up to as much.
+	// PollEvery is the interval at which a candidate reads a lease that another one
+	// holds; zero is a quarter of Duration. Each read counts against the store's rate
+	// limits: with many candidates use Duration, which delays a takeover by up to
+	// that time.
 	PollEvery time.Duration
-	// CallTimeout bounds one call to the store; zero is a third of Duration.
+	// CallTimeout is the timeout of one call to the store; zero is a third of
+	// Duration.
 	CallTimeout time.Duration
 	// Clock and Jitter (uniform in [0,1)) are injected by tests; both must be
 	// safe for concurrent use.
@@ -79,13 +80,13 @@
 	log *logrus.Entry
 }
 
-// NewElector returns a candidate. It makes no call.
+// NewElector returns a candidate. It does not call the store.
 func NewElector(api objectstore.ObjectAPI, o Options) (*Elector, error) {
 	if o.Name == "" || o.Holder == "" {
-		return nil, errors.New("lease: name and holder are needed")
+		return nil, errors.New("lease: name and holder are required")
 	}
 	if o.MaxDrift < 0 || o.MaxDrift >= 0.5 {
-		return nil, errors.Errorf("lease: drift %g not in [0, 0.5)", o.MaxDrift)
+		return nil, errors.Errorf("lease: max drift %g is not in [0, 0.5)", o.MaxDrift)
 	}
 	if o.Duration == 0 {
 		o.Duration = DefaultDuration
@@ -114,20 +115,21 @@
 	return &Elector{api: api, o: o, log: logs.For("lease").WithField("lease", o.Name)}, nil
 }
 
-// observation is a foreign version and when this candidate first saw it.
+// observation is a version written by another candidate and the time when this
+// candidate first read it.
 type observation struct {
 	version objectstore.Version
-	at      time.Duration // reading of Clock.Waited
+	at      time.Duration // in Clock.WaiterElapsed time
 }
 
-// pendingWrite is this candidate's newest write whose outcome is not known.
+// pendingWrite is this candidate's newest write whose outcome is unknown.
 type pendingWrite struct {
 	nonce string
-	sent  time.Duration // reading of Clock.Held
+	sent  time.Duration // in Clock.HolderElapsed time
 }
 
-// Acquire waits until the lease is this candidate's. It returns an error only
-// when the context ends.
+// Acquire waits until this candidate holds the lease. It returns an error only if the
+// context ends.
 func (e *Elector) Acquire(ctx context.Context) (*Lease, error) {
 	var seen observation
 	var pending pendingWrite
@@ -174,8 +176,8 @@
 	return e.api.Get(ctx, Kind, e.o.Name)
 }
 
-// tryAcquire writes this candidate into the lease that was read; a zero version is
-// an absent one. A lost answer is settled by the next read.
+// tryAcquire writes this candidate as the holder over the object that was read; a zero
+// version stands for an absent object. A lost response is resolved by the next read.
 func (e *Elector) tryAcquire(ctx context.Context, o objectstore.Object) (objectstore.Object, pendingWrite, bool) {
 	ctx, cancel := context.WithTimeout(ctx, e.o.CallTimeout)
 	defer cancel()
@@ -190,9 +192,10 @@
 	return o, a, err == nil
 }
 
-// startLease starts the renewals; nil if the lease was lost meanwhile. A lease whose object it created is not used before
-// a whole duration has passed: the object may have been deleted a moment ago
-// while its holder still trusts its own deadline.
+// startLease starts the renewals and returns the lease, or nil if it was lost
+// meanwhile. If this candidate created the object, the lease is returned only after
+// the takeover delay: the object may just have been deleted, while its previous holder
+// still relies on its own deadline.
 func (e *Elector) startLease(ctx context.Context, o objectstore.Object, a pendingWrite) *Lease {
 	renewCtx, cancel := context.WithCancel(context.Background())
 	l := &Lease{
@@ -201,7 +204,7 @@
 		cancel: cancel, unresolved: map[string]time.Duration{},
 	}
 	l.deadline.Store(int64(a.sent + e.holderTTL()))
-	var usableAt time.Duration // reading of Clock.Waited
+	var usableAt time.Duration // in Clock.WaiterElapsed time
 	if o.Created == o.Version {
 		usableAt = e.o.Clock.WaiterElapsed() + e.takeoverDelay(record{})
 	}
@@ -218,13 +221,13 @@
 	return l
 }
 
-// holderTTL is how long a holder trusts its lease by its own clock.
+// holderTTL returns how long a holder relies on its lease, by its own clock.
 func (e *Elector) holderTTL() time.Duration {
 	return time.Duration(float64(e.o.Duration) * (1 - e.o.MaxDrift))
 }
 
-// takeoverDelay is how long a candidate lets a version stand unchanged before it
-// takes over.
+// takeoverDelay returns how long a version must be unchanged, by a candidate's clock,
+// before the candidate takes the lease over.
 func (e *Elector) takeoverDelay(r record) time.Duration {
 	d := max(e.o.Duration, time.Duration(r.DurationMs)*time.Millisecond)
 	return time.Duration(float64(d)*(1+e.o.MaxDrift)) + e.o.Margin
@@ -239,9 +242,10 @@
 // record is the stored form of a lease.
 type record struct {
 	Holder string `json:"holder"`
-	// Token is zero in the acquiring write, whose version it is.
+	// Token is zero in the write that acquires the lease, since that write's version
+	// is the token.
 	Token      Token  `json:"token"`
-	Nonce      string `json:"nonce"` // of this one write
+	Nonce      string `json:"nonce"` // unique to each write
 	DurationMs int64  `json:"duration_ms"`
 	Released   bool   `json:"released"`
 }
@@ -254,8 +258,8 @@
 	return b
 }
 
-// decode reads a stored lease. One that can't be read counts as held: its
-// version still tells when its holder is gone.
+// decode decodes a stored lease. A lease that can't be decoded counts as held: its
+// version still shows when its holder has stopped renewing.
 func decode(b []byte) record {
 	var r record
 	if json.Unmarshal(b, &r) != nil {
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,10 +1,10 @@
-// Package lease gives one holder at a time an exclusive right, on conditional
-// updates of one object of a objectstore.ObjectAPI. It needs no clocks that
-// agree, only clocks whose rates differ by less than a bound.
+// Package lease implements a lease with one holder at a time, by conditional updates
+// of one object of an objectstore.ObjectAPI. Clocks need not be synchronized; their
+// rates must differ by less than a bound.
 //
-// A holder asks Check right before each act and sends the Token along, so
-// that a receiver that checks tokens refuses the act of a holder that was
-// paused between the two. docs/design/leases.md has the ways that were weighed.
+// A holder calls Check right before each action and sends the Token with it. A
+// receiver that checks tokens then refuses the action of a holder that was paused
+// between the two. docs/design/leases.md compares this design to others.
 package lease
 
 import (
@@ -19,42 +19,42 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// ErrLost reports that the lease is not held, or no longer.
+// ErrLost reports that the lease is not held, or not any more.
 var ErrLost = errors.New("lease lost")
 
-// Token is the fencing token: the version of the write that acquired the
-// lease. Versions order all writes of the object API, so tokens grow from
-// holder to holder, also when the object was deleted in between.
+// Token is the fencing token: the version of the write that acquired the lease.
+// Versions order all writes of the object API, so tokens increase from holder to
+// holder, even if the object was deleted in between.
 type Token = objectstore.Version
 
-// Lease is a lease that was acquired. It renews itself until it is lost or
-// released; once lost it stays lost. It is safe for concurrent use.
+// Lease is an acquired lease. It renews itself until it is lost or released, and is
+// never held again after that. It is safe for concurrent use.
 type Lease struct {
 	e     *Elector
 	token Token
 
-	deadline atomic.Int64 // reading of Clock.Held
+	deadline atomic.Int64 // in Clock.HolderElapsed time
 	lost     chan struct{}
 	endOnce  sync.Once
-	cancel   context.CancelFunc // ends the renewals
+	cancel   context.CancelFunc // stops the renewals
 
-	// writeSlot is a lock of capacity one, held over each write and its
-	// settling; unlike a mutex it can be waited for under a context.
+	// writeSlot is a semaphore of capacity one, held during each write and its
+	// readBack. Unlike a mutex it can be acquired with a context.
 	writeSlot  chan struct{}
 	version    objectstore.Version
-	unresolved map[string]time.Duration // nonce of an unsettled write -> Held before it was sent
+	unresolved map[string]time.Duration // nonce of a write with unknown outcome -> HolderElapsed before it was sent
 }
 
-// Token returns the fencing token. It does not say that the lease is held.
+// Token returns the fencing token, whether or not the lease is held.
 func (l *Lease) Token() Token { return l.token }
 
-// Lost is closed once the lease is lost or released.
+// Lost returns a channel that is closed once the lease is lost or released.
 func (l *Lease) Lost() <-chan struct{} { return l.lost }
 
-// Check returns the token while the lease is held, else ErrLost. Call it
-// right before each act: a process that was paused finds out here, by a clock
-// that went on. The time between Check and the act's effect is covered by the
-// token, and by the margin that a new holder waits.
+// Check returns the token while the lease is held, else ErrLost. Call it right before
+// each action: a process that was paused detects it here, by a clock that went on.
+// The time between Check and the action's effect is covered by the token, and by the
+// margin that a new holder waits.
 func (l *Lease) Check() (Token, error) {
 	if l.Remaining() > 0 {
 		return l.token, nil
@@ -63,8 +63,8 @@
 	return 0, errors.Wrapf(ErrLost, "lease %s, token %d", l.e.o.Name, l.token)
 }
 
-// Remaining returns how long the lease is held if no renewal succeeds; zero
-// when it is lost.
+// Remaining returns how long the lease is held if no renewal succeeds, or zero if it
+// is lost.
 func (l *Lease) Remaining() time.Duration {
 	select {
 	case <-l.lost:
@@ -74,8 +74,8 @@
 	}
 }
 
-// Release gives the lease up; the next holder needn't wait. The lease counts
-// as lost before the store is told.
+// Release releases the lease, so that the next holder need not wait for it to expire.
+// The lease counts as lost before the store is updated.
 func (l *Lease) Release(ctx context.Context) error {
 	held := l.Remaining() > 0
 	l.end(countReleased)
@@ -88,7 +88,7 @@
 		return errors.Wrapf(ctx.Err(), "release lease %s", l.e.o.Name)
 	}
 	if !held {
-		return nil // who takes over has to wait
+		return nil // expired: it can't be released, the next holder has to wait
 	}
 	_, err := l.e.api.Update(ctx, Kind, l.e.o.Name, l.e.record(newNonce(), l.token, true), l.version)
 	return errors.Wrapf(err, "release lease %s", l.e.o.Name)
@@ -103,7 +103,7 @@
 	})
 }
 
-// renewLoop renews until the lease is lost.
+// renewLoop renews the lease until it is lost.
 func (l *Lease) renewLoop(ctx context.Context) {
 	next := l.e.jittered(l.e.o.Duration / renewalsPerDuration)
 	for {
@@ -115,7 +115,8 @@
 	}
 }
 
-// renew extends the deadline and returns when to try again.
+// renew tries once to extend the deadline. It returns the time until the next
+// attempt.
 func (l *Lease) renew(ctx context.Context) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, min(l.e.o.CallTimeout, l.Remaining()))
 	defer cancel()
@@ -138,10 +139,9 @@
 	return l.e.jittered(l.e.o.Duration / retriesPerDuration)
 }
 
-// readBack reads back which write is in force, after an answer that did not
-// prove it. Even a conflict doesn't: an earlier write of our own, whose answer
-// was lost, may have moved the version. It returns true when a write of our
-// own is in force.
+// readBack reads which write is in the store, after a response that did not prove it.
+// Even a conflict does not: an earlier write of this holder, whose response was lost,
+// may have changed the version. It returns true if the stored write is this holder's.
 func (l *Lease) readBack(ctx context.Context) bool {
 	l.e.count(countReadBack)
 	o, err := l.e.api.Get(ctx, Kind, l.e.o.Name)
@@ -150,7 +150,7 @@
 		return false
 	}
 	if err != nil || o.Version <= l.version {
-		return false // not known yet: not in force, or a stale read
+		return false // still unknown: the write is not stored yet, or the read was stale
 	}
 	sent, ours := l.unresolved[decode(o.Value).Nonce]
 	if !ours {
@@ -161,8 +161,8 @@
 	return true
 }
 
-// extend counts the new deadline from before the request was sent: the
-// waiters' clocks can't have started earlier.
+// extend extends the deadline after a renewal. It counts from before the request was
+// sent, since waiters can't have seen the write earlier.
 func (l *Lease) extend(v objectstore.Version, sent time.Duration) {
 	l.version = v
 	maps.DeleteFunc(l.unresolved, func(string, time.Duration) bool { return true })
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -29,7 +29,7 @@
 	tick     = 10 * time.Millisecond
 
 	numProcesses  = 3
-	currentHolder = numProcesses // as a step's Who
+	currentHolder = numProcesses // as a step's Target
 )
 
 func TestMain(m *testing.M) {
@@ -41,19 +41,19 @@
 	os.Exit(m.Run())
 }
 
-// process is one candidate that can be paused: while it is, no answer reaches
-// it, no timer of its wakes it, and its Waited clock stands still. Its clocks
-// run at their own rate.
+// process is a candidate that can be paused. While it is paused, it gets no response,
+// none of its timers fires, and its WaiterElapsed clock stops. Its clocks run at a rate
+// of their own.
 type process struct {
 	objectstore.ObjectAPI
 	start       time.Time
 	rate        float64
 	lease       atomic.Pointer[lease.Lease]
-	answerDelay atomic.Int64 // how long answers to its writes take after the effect
+	answerDelay atomic.Int64 // delay of the responses to its writes, after they take effect
 
 	mu          sync.Mutex
-	pausedUntil time.Time // paused until
-	cutUntil    time.Time // cutUntil off from the store until
+	pausedUntil time.Time // zero or past: not paused
+	cutUntil    time.Time // cut off from the store until then
 	paused      time.Duration
 }
 
@@ -66,8 +66,8 @@
 	}
 }
 
-// waitReachable waits until resumed; while the process is cut off from the store,
-// the call hangs until its context ends.
+// waitReachable waits until the process is resumed. If it is cut off from the store,
+// the call hangs until its context ends, with an unknown outcome.
 func (p *process) waitReachable(ctx context.Context) error {
 	p.waitResumed()
 	p.mu.Lock()
@@ -137,7 +137,8 @@
 	return p.ObjectAPI.Update(ctx, k, n, v, e)
 }
 
-// simulation runs some processes against one store and watches the invariant.
+// simulation runs some processes against one store and checks that at most one of them
+// holds the lease.
 type simulation struct {
 	store     *standin.Standin
 	processes []*process
@@ -178,7 +179,7 @@
 	}
 }
 
-// holders counts the processes that would act now.
+// holders returns the number of processes that hold the lease now.
 func (sim *simulation) holders() int {
 	n := 0
 	for _, p := range sim.processes {
@@ -191,7 +192,7 @@
 	return n
 }
 
-// advance lets model time pass, checking the invariant at each tick.
+// advance advances the simulated time and checks the invariant at each tick.
 func (sim *simulation) advance(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		<-time.After(tick)
@@ -202,7 +203,7 @@
 	}
 }
 
-// step is one event of a plan, followed by some time.
+// step is one event of a plan, followed by half of its Duration.
 type step struct {
 	Action   string
 	Target   int
@@ -210,7 +211,8 @@
 	Faults   standin.Faults
 }
 
-// target returns a process; holder is whoever holds the lease now.
+// target returns a process by its index; currentHolder stands for the process that
+// holds the lease now.
 func (sim *simulation) target(i int) *process {
 	if i != currentHolder {
 		return sim.processes[i]
@@ -255,9 +257,9 @@
 func stepGen() *rapid.Generator[step] {
 	return rapid.Custom(func(t *rapid.T) step {
 		return step{
-			Action:   rapid.SampledFrom([]string{"pause", "cut", "cut", "faults", "late", "heal", "delete", "release"}).Draw(t, "do"),
-			Target:   rapid.IntRange(0, currentHolder).Draw(t, "who"),
-			Duration: time.Duration(rapid.SampledFrom([]int{50, 300, 1000, 1200, 3000}).Draw(t, "for_ms")) * time.Millisecond,
+			Action:   rapid.SampledFrom([]string{"pause", "cut", "cut", "faults", "late", "heal", "delete", "release"}).Draw(t, "action"),
+			Target:   rapid.IntRange(0, currentHolder).Draw(t, "target"),
+			Duration: time.Duration(rapid.SampledFrom([]int{50, 300, 1000, 1200, 3000}).Draw(t, "duration_ms")) * time.Millisecond,
 			Faults: standin.Faults{
 				Down:         rapid.IntRange(0, 3).Draw(t, "down") == 0,
 				SlowMs:       rapid.SampledFrom([]int{0, 1, 100, 400, 1500}).Draw(t, "slow"),
@@ -268,7 +270,8 @@
 	})
 }
 
-// runPlan runs a plan in model time and returns what broke.
+// runPlan runs a plan in simulated time and returns an error if an invariant is
+// violated.
 func runPlan(t *testing.T, plan []step, rates []float64, seed uint64) error {
 	var sim *simulation
 	healed := false
@@ -300,14 +303,14 @@
 	case sim.err != nil:
 		return sim.err
 	case !healed:
-		return errors.New("nobody holds the lease long after the faults ended")
+		return errors.New("no process holds the lease long after the faults ended")
 	case !slices.IsSorted(sim.tokens) || len(slices.Compact(slices.Clone(sim.tokens))) != len(sim.tokens):
-		return errors.Errorf("tokens do not grow: %v", sim.tokens)
+		return errors.Errorf("tokens do not increase: %v", sim.tokens)
 	}
 	return nil
 }
 
-// Guards against this: two controllers give orders at once.
+// Guards against two controllers that act at once.
 func TestOneHolderUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := rapid.SliceOfN(stepGen(), 1, 30).Draw(rt, "plan")
@@ -318,7 +321,7 @@
 	})
 }
 
-// Guards against this: a holder acts for some hundred milliseconds after its successor began.
+// Guards against a holder that acts for some hundred milliseconds after its successor has started.
 func TestDeadlineCountsFromRequestStart(t *testing.T) {
 	plan := []step{{Action: "none", Duration: 2 * duration},
 		{Action: "late", Target: currentHolder, Duration: 1200 * time.Millisecond}, {Action: "none", Duration: 2 * duration}, {Action: "cut", Target: currentHolder, Duration: 6 * duration}}
--- a/lease/process_test.go
+++ b/lease/process_test.go
@@ -19,10 +19,10 @@
 	"github.com/lycheekeel/lycheekeel/objectstore/httpobjectstore"
 )
 
-// envHolder makes the test binary a holder; its value is the store's address.
+// envHolder makes the test binary run as a holder; its value is the store's address.
 const envHolder = "LYCHEEKEEL_TEST_HOLDER"
 
-// processTimeout is a generous limit for what takes about a second.
+// processTimeout is the timeout of a test that takes about a second.
 const processTimeout = 30 * time.Second
 
 func shortElector(api objectstore.ObjectAPI, holder string) *lease.Elector {
@@ -35,15 +35,15 @@
 	return e
 }
 
-// monotonic is CLOCK_MONOTONIC, one clock for all processes of a machine.
+// monotonic returns CLOCK_MONOTONIC in ns, which all processes of a machine share.
 func monotonic() int64 {
 	var ts unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &ts)
 	return ts.Nano()
 }
 
-// runHolder is the holder's process: it prints each act that Check allowed, and
-// when it began to ask.
+// runHolder runs in the holder's process. It prints each action that Check allowed, and
+// the time right before that Check.
 func runHolder(addr string) {
 	l, err := shortElector(httpobjectstore.New(httpobjectstore.Options{Addr: addr}), "child").Acquire(context.Background())
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Guards against this: two processes act under one lease.
+// Guards against two processes that act under one lease after one of them was stopped.
 func TestStoppedProcess(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -93,7 +93,7 @@
 	}
 	event, oldToken, _ := readEvent()
 	if event != "act" {
-		t.Fatalf("holder: %s", event)
+		t.Fatalf("first event of the holder is %q, want \"act\"", event)
 	}
 	if err := child.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
@@ -104,7 +104,7 @@
 	}
 	takenAt := monotonic()
 	if l.Token() <= oldToken {
-		t.Errorf("token %d after %d", l.Token(), oldToken)
+		t.Errorf("token %d is not higher than the previous one, %d", l.Token(), oldToken)
 	}
 	if err := child.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
