--- a/quota/bound_test.go
+++ b/quota/bound_test.go
@@ -11,17 +11,17 @@
 	"github.com/lycheekeel/lycheekeel/route"
 )
 
-// roundInterval is how often the daemons of a trial tell what they let through.
+// roundInterval is the interval at which the simulated daemons exchange usage.
 const roundInterval = 100 * time.Millisecond
 
-// scenario is a load on daemons of which some are cut off, killed and started again.
+// scenario is a load on daemons of which some are cut off, killed and restarted.
 type scenario struct {
 	daemons    int
-	hubs       int // of each side of a cut
+	hubs       int // on each side of a partition
 	workspace  *route.Workspace
 	tolerance  Tolerance
 	cost       float64 // of a request
-	load       float64 // times the rate, from loadFrom on
+	load       float64 // as a multiple of the rate, from loadFrom on
 	loadFrom   float64 // seconds
 	partitions []partition
 	kills      []kill
@@ -29,26 +29,27 @@
 	seed       uint64
 }
 
-// partition parts the daemons below first from the others.
+// partition separates the daemons with an index below split from the others.
 type partition struct {
 	from, to float64 // seconds
 	split    int
 }
 
-// kill ends the processes of the daemons in [first, last), which start again after a while.
+// kill stops the processes of the daemons in [first, last) and restarts them after
+// downtime.
 type kill struct {
 	at          float64
 	first, last int
 	downtime    float64 // seconds
 }
 
-// simulation is a trial under way.
+// simulation is a scenario in progress.
 type simulation struct {
 	scenario
 	*fleet
 	random      *rand.Rand
-	downUntil   []float64 // until when each daemon is away, in seconds
-	usedByRound []float64 // by round
+	downUntil   []float64 // by daemon, in seconds
+	usedByRound []float64
 }
 
 func (sim *simulation) elapsed() float64 {
@@ -66,7 +67,7 @@
 
 func (sim *simulation) isUp(i int) bool { return sim.elapsed() >= sim.downUntil[i] }
 
-// step lets the requests of a round come, and then all daemons tell.
+// step simulates the requests of one round, and then the exchange between the daemons.
 func (sim *simulation) step() {
 	sim.clock.advance(roundInterval)
 	for _, k := range sim.kills {
@@ -121,7 +122,8 @@
 	})
 }
 
-// worstWindow returns the most of any window, as a part of what is allowed.
+// worstWindow runs the scenario. It returns the highest usage of any window, as a ratio to
+// what is allowed, and the start of that window in seconds.
 func (s scenario) worstWindow() (ratio float64, at float64) {
 	sim := &simulation{scenario: s, random: rand.New(rand.NewPCG(s.seed, 0)), downUntil: make([]float64, s.daemons)}
 	sim.fleet = newFleetWith(s.daemons, s.workspace, s.tolerance)
@@ -143,26 +145,27 @@
 	return ratio, at
 }
 
-// workspaceWithBurst is the quota of a large workspace that may save so many seconds of its rate.
+// workspaceWithBurst returns a workspace whose burst is the given number of seconds of its
+// rate.
 func workspaceWithBurst(perSecond, burstSeconds float64) *route.Workspace {
 	return &route.Workspace{Name: "w", Quota: route.Quota{PerSecond: perSecond, Burst: burstSeconds * perSecond, Tokens: true}}
 }
 
 var operatorsBound = Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 140_000}
 
-// Guards against workspaces that get more than the operators' bound because daemons are cut off, killed, or hear of each other late.
+// Guards against usage above the operators' bound when daemons are cut off, killed, or hear of each other late.
 func TestTheBoundHoldsUnderPartitionsAndKills(t *testing.T) {
 	fifthKilled := []kill{{at: 8.7, first: 20, last: 36, downtime: 1.2}}
 	thirdCutOff := []partition{{from: 1, to: 13, split: 26}}
 	scenarios := map[string]scenario{
-		"all in touch":                    {},
-		"a fifth killed":                  {kills: fifthKilled},
-		"a third cut off":                 {partitions: thirdCutOff},
-		"a third cut off, a fifth killed": {partitions: thirdCutOff, kills: fifthKilled},
-		"half cut off":                    {partitions: []partition{{from: 1, to: 13, split: 39}}},
-		"half cut off under the load":     {partitions: []partition{{from: 6, to: 9, split: 39}}},
-		"cuts in series":                  {partitions: []partition{{from: 1, to: 3, split: 39}, {from: 4, to: 6, split: 20}, {from: 7, to: 9, split: 39}}},
-		"all killed":                      {kills: []kill{{at: 8.7, first: 0, last: 79, downtime: 1.2}}},
+		"no fault":                            {},
+		"a fifth killed":                      {kills: fifthKilled},
+		"a third partitioned":                 {partitions: thirdCutOff},
+		"a third partitioned, a fifth killed": {partitions: thirdCutOff, kills: fifthKilled},
+		"half partitioned":                    {partitions: []partition{{from: 1, to: 13, split: 39}}},
+		"half partitioned under the load":     {partitions: []partition{{from: 6, to: 9, split: 39}}},
+		"partitions in series":                {partitions: []partition{{from: 1, to: 3, split: 39}, {from: 4, to: 6, split: 20}, {from: 7, to: 9, split: 39}}},
+		"all killed":                          {kills: []kill{{at: 8.7, first: 0, last: 79, downtime: 1.2}}},
 	}
 	var group sync.WaitGroup
 	for name, base := range scenarios {
@@ -172,7 +175,7 @@
 			s.workspace, s.tolerance = workspaceWithBurst(6_500_000/1.1/(8+burst), burst), operatorsBound
 			group.Go(func() {
 				if ratio, at := s.worstWindow(); ratio > 1 {
-					t.Errorf("%s, burst of %v s: %.3f of what is allowed, in the 8 s from %.1f s", name, burst, ratio, at)
+					t.Errorf("%s, burst of %v s: %.3f of the allowed usage in the 8 s from %.1f s", name, burst, ratio, at)
 				}
 			})
 		}
@@ -180,7 +183,7 @@
 	group.Wait()
 }
 
-// Guards against loads and troubles of which nobody thought that let a workspace exceed the operators' bound.
+// Guards against usage above the operators' bound under random loads, partitions and kills.
 func TestTheBoundHoldsUnderAnyTrouble(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := scenario{
@@ -189,26 +192,26 @@
 			workspace: workspaceWithBurst(rapid.Float64Range(10_000, 700_000).Draw(t, "rate"), rapid.Float64Range(0.2, 4).Draw(t, "burst")),
 			tolerance: operatorsBound,
 			cost:      rapid.Float64Range(200, 25_000).Draw(t, "cost"),
-			load:      rapid.Float64Range(1, 8).Draw(t, "asked"),
-			loadFrom:  rapid.Float64Range(0, 8).Draw(t, "asked from"),
+			load:      rapid.Float64Range(1, 8).Draw(t, "load"),
+			loadFrom:  rapid.Float64Range(0, 8).Draw(t, "load from"),
 			seconds:   18,
 			seed:      rapid.Uint64().Draw(t, "seed"),
 		}
-		for range rapid.IntRange(0, 3).Draw(t, "cuts") {
+		for range rapid.IntRange(0, 3).Draw(t, "partitions") {
 			from := rapid.Float64Range(0, 12).Draw(t, "from")
 			s.partitions = append(s.partitions, partition{
-				from: from, to: from + rapid.Float64Range(0.1, 8).Draw(t, "for"), split: rapid.IntRange(1, s.daemons-1).Draw(t, "first"),
+				from: from, to: from + rapid.Float64Range(0.1, 8).Draw(t, "duration"), split: rapid.IntRange(1, s.daemons-1).Draw(t, "split"),
 			})
 		}
 		for range rapid.IntRange(0, 2).Draw(t, "kills") {
 			first := rapid.IntRange(0, s.daemons-1).Draw(t, "first")
 			s.kills = append(s.kills, kill{
 				at: rapid.Float64Range(1, 14).Draw(t, "at"), first: first, last: rapid.IntRange(first+1, s.daemons).Draw(t, "last"),
-				downtime: rapid.Float64Range(0.3, 3).Draw(t, "away"),
+				downtime: rapid.Float64Range(0.3, 3).Draw(t, "downtime"),
 			})
 		}
 		if ratio, at := s.worstWindow(); ratio > 1 {
-			t.Fatalf("%.3f of what is allowed, in the 8 s from %.1f s", ratio, at)
+			t.Fatalf("%.3f of the allowed usage in the 8 s from %.1f s", ratio, at)
 		}
 	})
 }
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -7,20 +7,21 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// bucket is a workspace's, as far as this daemon knows.
+// bucket is a workspace's token bucket as this daemon sees it.
 type bucket struct {
 	level      float64
-	filledTo   float64 // up to which of others.accrued
-	createdAt  float64 // at which of others.accrued
-	rate       float64
+	filledTo   float64 // value of peers.accrued up to which it is filled
+	createdAt  float64 // value of peers.accrued at its creation
+	rate       float64 // quota units per second
 	capacity   float64
-	maxLevel   float64 // capacity, less the parts of daemons that are not heard
-	withheld   float64 // for daemons that have fallen silent
-	unreported float64 // let through by this daemon and not yet told
-	// lastAsked is when a request of each tier last asked; zero: never.
+	maxLevel   float64 // capacity without the parts of daemons that are not heard
+	withheld   float64 // set aside for silent daemons
+	unreported float64 // used by this daemon, not reported yet
+	// lastAsked is when a request of each tier was last received; zero: never.
 	lastAsked [request.MaxTiers]time.Time
-	// recentTotal is what all daemons that are heard let through, told what the others did of
-	// that, and demand what was asked here by each tier, granted or not, granted what was.
+	// recentTotal is the recent usage of all daemons that are heard, recentRemote that of
+	// the other ones. grantedRate is what this daemon admits, demandRate what it is asked
+	// for in each tier, admitted or not.
 	recentTotal, recentRemote slidingSum
 	grantedRate               decay.Rate
 	demandRate                [request.MaxTiers]decay.Rate
@@ -35,21 +36,22 @@
 	return b
 }
 
-// fillTo adds what has accrued until then.
+// fillTo adds what has accrued up to the given value of peers.accrued.
 func (b *bucket) fillTo(accrued float64) {
 	b.add(b.rate * (accrued - b.filledTo))
 	b.filledTo = accrued
 }
 
-// add changes what is left, as far as there is room.
+// add changes the level by amount, up to maxLevel.
 func (b *bucket) add(amount float64) { b.level = min(b.maxLevel, b.level+amount) }
 
-// levelWithout is what is left here where a part of the daemons has said nothing for a while:
-// these have as much of what was left before, and are taken to have let as much through
-// since, for each of them, as those that are heard.
+// levelWithout returns the level without the part of daemons, a fraction of all that share
+// the bucket, that have been silent for the window. They are assumed to have held their
+// fraction of the level at the start of the window, and to have used as much since as each
+// daemon that is heard.
 //
-// What goes wrong where the whole is kept: both sides of a cut spend all that a workspace
-// had saved, and it gets more than its quota.
+// If the whole level were kept, both sides of a partition would spend the workspace's saved
+// burst, and it would exceed its quota.
 func (b *bucket) levelWithout(fraction float64, window time.Duration, now time.Time) float64 {
 	if fraction == 0 {
 		return b.level
@@ -58,10 +60,10 @@
 	return min(b.level, b.level-fraction*sharedLevel)
 }
 
-// creditReturning adds what daemons that were silent have left: theirs is what was kept for them and
-// has accrued meanwhile, less what they used. They had room for a part of what those that
-// are heard have, and where these have overdrawn the quota they are taken to have done so
-// too: some of theirs may have been lost for want of room.
+// creditReturning adds the remainder of daemons that were silent: what was withheld for
+// them and what has accrued since, less their usage. It adds no more than their fraction of
+// maxLevel. If the bucket is overdrawn here, the returning daemons are assumed to have
+// overdrawn it, too, because part of their accrual may have been lost to a full bucket.
 func (b *bucket) creditReturning(remainder, fraction float64) {
 	limit := fraction * b.maxLevel
 	if b.level < 0 {
@@ -70,9 +72,9 @@
 	b.level += min(remainder, limit)
 }
 
-// deductAssumed takes from the bucket what a daemon let through in a silence of which nothing
-// else is known: as much as each of those that were heard. For a longer one that was kept
-// from what was left, and it may have overdrawn the quota as far as these.
+// deductAssumed deducts the assumed usage of a daemon during a gap in its heartbeats: as
+// much as each daemon that was heard. After a gap longer than SilenceTimeout its part was
+// already withheld, and only its assumed part of an overdraft is deducted.
 func (b *bucket) deductAssumed(fraction float64, gap time.Duration, now time.Time) {
 	if gap <= SilenceTimeout {
 		b.level -= fraction * max(0, b.recentTotal.sum(now, gap))
--- a/quota/exchange.go
+++ b/quota/exchange.go
@@ -6,74 +6,72 @@
 	"time"
 )
 
-// NextBatch is what one daemon has let through since the batch before.
+// Batch is one daemon's usage since its previous batch.
 type Batch struct {
-	// Incarnation is of the daemon's process.
+	// Incarnation identifies the daemon's process.
 	Incarnation uint64
-	// Number counts the daemon's batches. One that was not acknowledged is sent
-	// again as it was.
+	// Number counts the daemon's batches. A batch that was not acknowledged is sent again
+	// unchanged.
 	Number uint64
 	Usage  []Usage
-	// Hub and Version tell which answer the daemon has; zero: none that is of
-	// use.
+	// Hub and Version identify the latest answer that the daemon has; zero: none that is
+	// still valid.
 	Hub, Version uint64
-	// Incomplete is set where the daemon has let more through than its batches tell,
-	// because this one is sent again.
+	// Incomplete is set if the daemon has usage beyond its batches, because this one is
+	// sent again.
 	Incomplete bool
 }
 
-// Answer is what a hub tells a daemon that has sent it a batch.
+// Answer is a hub's answer to a batch.
 type Answer struct {
 	// Hub is the incarnation of the hub's process.
 	Hub uint64
-	// Version is of the hub's totals; the next batch names it.
+	// Version is the version of the hub's totals. The daemon's next batch returns it.
 	Version uint64
-	// Number is of the batch that is acknowledged.
+	// Number is that of the acknowledged batch.
 	Number uint64
-	// Others is what all other daemons have let through since the hub's start,
-	// where that has changed since the batch's Version.
+	// Others is the usage of all other daemons since the hub's start, for the workspaces
+	// where it has changed since the batch's Version.
 	Others []Usage
-	// Levels are the hub's own buckets, for a daemon that has no answer of it.
+	// Levels are the hub's own levels, for a daemon that has no valid answer of this hub.
 	Levels []Usage
-	// Silent are the daemons that the hub has not heard of lately, and Age is how old
-	// its signs of the others are at most.
+	// Silent are the daemons without a recent heartbeat at the hub. Age is that of the
+	// oldest heartbeat of the others.
 	Silent []string
 	Age    time.Duration
 }
 
-// HubReport is what the daemons that report to one hub have let through since its
-// start. Hubs tell it each other.
+// HubReport is the usage of all daemons that report to one hub, its group, since the hub's
+// start. Hubs send it to each other.
 type HubReport struct {
 	Incarnation uint64 // of the hub's process
 	Sequence    uint64
-	// Complete is set where Uses are all of them, not only those that changed.
+	// Complete is set if Usage holds all workspaces, not only those that changed.
 	Complete bool
 	Usage    []Usage
-	// Levels are the hub's own buckets that have settled, told where Uses are complete.
+	// Levels are the hub's own settled levels, present in complete reports.
 	Levels []Usage
-	// Daemons are those that report to the hub, told where Uses are complete.
+	// Daemons are those that report to the hub, present in complete reports.
 	Daemons []string
-	// Silent are those of them that the hub has not heard of lately, and Age is how
-	// old its signs of the others are at most.
+	// Silent are the daemons of the group without a recent heartbeat at the hub. Age is
+	// that of the oldest heartbeat of the others.
 	Silent []string
 	Age    time.Duration
-	// Uptime is how long the hub's process has run; 0: it does not say.
+	// Uptime is how long the hub's process has run; 0: unknown.
 	Uptime time.Duration
 }
 
-// Exchange is a daemon's part in telling what was let through: it reports to a
-// hub, and it is one itself for the daemons that report to it. It is safe for
-// concurrent use.
+// Exchange exchanges usage with other daemons. It reports this daemon's usage to a hub, and
+// may itself be the hub of daemons that report to it. It is safe for concurrent use.
 //
-// What goes wrong where each daemon tells every other one: the messages of a
-// daemon grow with the number of daemons, and take most of a small VM's processor time.
-// With hubs a daemon exchanges one message each way at each interval.
+// If each daemon reported to every other one, the messages per daemon would grow with the
+// number of daemons and use most of a small VM's CPU time. With hubs each daemon exchanges
+// one message each way per interval.
 //
-// A batch counts once at a hub, however often it is sent. One that a hub has
-// taken, and whose acknowledgement is lost, may count again at another hub: too
-// much is believed used, never too little. Who changes hubs, or hears of none
-// for a while, takes over the hub's levels, since what it missed meanwhile is in
-// them.
+// A batch counts once at a hub, however often it is sent. If a hub counted it and the
+// acknowledgement was lost, it may count again at another hub: usage is overestimated,
+// never underestimated. A daemon that changes hubs, or that hears of none for a while,
+// adopts the hub's levels, which include the usage that it missed.
 type Exchange struct {
 	mu          sync.Mutex
 	now         func() time.Time
@@ -81,50 +79,49 @@
 	limiter     *Limiter
 	incarnation uint64
 
-	// Towards this daemon's hub.
+	// As a client of a hub.
 	unacked                    *Batch
 	batchNumber                uint64
 	hubIncarnation, hubVersion uint64
 	othersUsage                map[string]float64
 	answeredAt                 time.Time
 
-	// As a hub. alone is what it counted lately while it heard no other one.
+	// As a hub. isolatedUsage is what it counted recently while it heard no other hub.
 	isHub          bool
 	isolatedUsage  map[string]*slidingSum
 	totals         map[string]*total
 	totalsVersion  uint64
-	levelsVersion  uint64 // the change at which the levels last changed otherwise than by uses
+	levelsVersion  uint64 // totalsVersion at the latest change of the levels by other causes than usage
 	groupUsage     map[string]float64
-	changedInGroup map[string]bool
+	changedInGroup map[string]bool // since the previous hub report
 	sequence       uint64
 	reporters      map[string]*reporter
 	peerHubs       map[string]*peerHub
 }
 
-// total is what all daemons that this hub knows of have let through of a
-// workspace's quota since its start; version is of its last change.
+// total is the usage of a workspace's quota by all daemons that this hub knows of, since
+// the hub's start. version is the totalsVersion of its latest change.
 type total struct {
 	used    float64
 	version uint64
 }
 
-// reporter is what a hub has of one daemon that reports to it.
+// reporter is a hub's state of one daemon that reports to it.
 type reporter struct {
 	incarnation, number uint64
 	used                map[string]float64
 	lastHeard           time.Time
 }
 
-// peerHub is what a hub has of another hub.
+// peerHub is a hub's state of another hub.
 type peerHub struct {
 	incarnation, sequence uint64
 	used                  map[string]float64
 	lastHeard             time.Time
-	daemons               []string // that report to it
+	daemons               []string // those that report to it
 }
 
-// NewExchange returns the exchange of a ledger. incarnation is of this
-// process.
+// NewExchange returns the exchange of a limiter. incarnation identifies this process.
 func NewExchange(l *Limiter, now func() time.Time, incarnation uint64) *Exchange {
 	return &Exchange{
 		now: now, startedAt: now(), limiter: l, incarnation: incarnation, othersUsage: map[string]float64{}, isolatedUsage: map[string]*slidingSum{},
@@ -133,8 +130,8 @@
 	}
 }
 
-// NextBatch returns what to report to a hub now: the batch that was not
-// acknowledged, or a new one.
+// NextBatch returns the batch to send to a hub now: the unacknowledged one if there is one,
+// otherwise a new one.
 func (e *Exchange) NextBatch() Batch {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -155,17 +152,17 @@
 	return b
 }
 
-// HandleAnswer takes a hub's answer, with the signs of the other daemons in it, and tells whether
-// it acknowledges the batch.
+// HandleAnswer processes a hub's answer and the heartbeats of the other daemons in it. It
+// reports whether the answer acknowledges the batch.
 func (e *Exchange) HandleAnswer(a Answer, daemons []string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.unacked == nil || a.Number != e.unacked.Number {
-		return false // of an earlier batch, or of one that was sent twice
+		return false // to an earlier batch, or to one that was sent twice
 	}
 	e.unacked = nil
-	// A hub tells its levels to whoever said that it has no answer of it. By
-	// the time, an answer that took long would be neither adopted nor counted.
+	// A hub sends its levels to a daemon that has no valid answer of it. A check by time
+	// would neither adopt nor count an answer that was delayed.
 	sameHub := a.Hub == e.hubIncarnation && len(a.Levels) == 0
 	e.recordHeartbeats(daemons, a.Silent, a.Age)
 	if !sameHub {
@@ -180,25 +177,24 @@
 	return true
 }
 
-// ActAsHub counts what this daemon itself has let through, in place of a report: it
-// is a hub.
+// ActAsHub counts this daemon's own usage as a hub does, in place of reporting it.
 func (e *Exchange) ActAsHub() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.isHub = true
 	usage := e.limiter.TakeUnreported()
-	if b := e.unacked; b != nil { // for a hub that is none any more
+	if b := e.unacked; b != nil { // its hub is no longer used
 		usage = append(usage, b.Usage...)
 		e.unacked = nil
 	}
 	e.addToGroup(usage)
 	e.recordIsolated(usage)
 	if len(usage) > 0 {
-		e.batchNumber++ // a hub that gets the next batch sees that it misses one
+		e.batchNumber++ // the gap shows the next hub that it missed a batch
 	}
 }
 
-// recordIsolated remembers uses where no other hub hears of them.
+// recordIsolated records usage that no other hub hears of.
 func (e *Exchange) recordIsolated(usage []Usage) {
 	if len(e.liveHubs()) > 0 {
 		return
@@ -211,7 +207,8 @@
 	}
 }
 
-// recentIsolatedUsage returns what was counted lately while no other hub was heard.
+// recentIsolatedUsage returns the usage of the last SilenceTimeout that was counted while
+// no other hub was heard.
 func (e *Exchange) recentIsolatedUsage() []Usage {
 	var out []Usage
 	for name, r := range e.isolatedUsage {
@@ -224,7 +221,7 @@
 	return out
 }
 
-// HasReporters tells whether daemons have reported here lately.
+// HasReporters reports whether any daemon has recently reported here.
 func (e *Exchange) HasReporters() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -236,7 +233,7 @@
 	return false
 }
 
-// HandleBatch takes a daemon's batch.
+// HandleBatch counts a daemon's batch and returns the answer to it.
 func (e *Exchange) HandleBatch(from string, b Batch) Answer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -245,10 +242,11 @@
 	if !known {
 		r = &reporter{incarnation: b.Incarnation, used: map[string]float64{}}
 		e.reporters[from] = r
-		b.Hub = 0 // what it has of an earlier report is not known here
+		b.Hub = 0 // the answers to its earlier reports are not known here
 	}
 	r.lastHeard = e.now()
-	// Batches between were told to another hub, whose word may not have come.
+	// A gap in the batch numbers means that a batch went to another hub, whose report may
+	// not have arrived.
 	usageKnown := b.Number <= r.number+1 && (known || len(e.limiter.NeverHeard([]string{from})) > 0)
 	usage := b.Usage
 	if b.Number > r.number {
@@ -272,8 +270,7 @@
 	return e.answer(r, b)
 }
 
-// answer tells what the others than r let through that is newer than the
-// batch tells.
+// answer returns the usage of daemons other than r that is newer than the batch's Version.
 func (e *Exchange) answer(r *reporter, b Batch) Answer {
 	a := Answer{Hub: e.incarnation, Version: e.totalsVersion, Number: b.Number}
 	a.Age, a.Silent = e.limiter.HeartbeatStatus()
@@ -290,8 +287,8 @@
 	return a
 }
 
-// HubReport returns what to tell the other hubs: all, or what has changed since
-// the last call.
+// NextHubReport returns the report for the other hubs: a complete one, or the changes since
+// the previous call.
 func (e *Exchange) NextHubReport(complete bool) HubReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -319,13 +316,13 @@
 	return report
 }
 
-// HandleHubReport takes what another hub tells. The first complete word of a hub says where its
-// counts stand, and its levels tell of what was counted before.
+// HandleHubReport processes another hub's report. The first complete report of a hub is the
+// base for its later ones; its levels account for the usage before it.
 func (e *Exchange) HandleHubReport(from string, report HubReport) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.isHub {
-		return // its hub tells the same
+		return // its hub passes the same usage on
 	}
 	hub := e.peerHubs[from]
 	known := hub != nil && hub.incarnation == report.Incarnation
@@ -344,15 +341,15 @@
 	added := increments(hub.used, report.Usage)
 	switch {
 	case !known && report.Uptime > 0 && report.Uptime <= SilenceTimeout:
-		// All that its daemons have let through since they started is in its uses.
+		// The report holds the whole usage of the hub's daemons since they started.
 		e.addToTotals(added)
 		e.recordReports(e.limiter.NeverHeard(slices.Concat(report.Daemons, []string{from})), added, report.Age)
 	case !known:
 		e.limiter.CapLevels(report.Levels)
 		e.resendLevels()
 	default:
-		// Its counts hold what those let through that were its daemons before.
-		// Others may have reported elsewhere.
+		// The report holds the whole usage of the daemons that were in the group
+		// before. Other daemons may have reported elsewhere.
 		e.addToTotals(added)
 		e.recordReports(except(slices.Concat(hub.daemons, []string{from}), report.Silent), added, report.Age)
 	}
@@ -362,22 +359,23 @@
 	e.recordHeartbeats(slices.Concat(hub.daemons, []string{from}), report.Silent, report.Age)
 }
 
-// lastHeard takes signs of daemons but the silent ones.
+// recordHeartbeats records heartbeats of the daemons that are not silent.
 func (e *Exchange) recordHeartbeats(daemons, silent []string, age time.Duration) {
 	for _, name := range except(daemons, silent) {
 		e.limiter.RecordHeartbeat(name, age)
 	}
 }
 
-// recordReports takes signs of daemons that have let uses through and no more. Where any had been
-// silent, those that report here can't know what has returned.
+// recordReports records heartbeats of daemons whose whole usage since the previous ones is
+// given. If one of them returns after a silence, the levels change by amounts that daemons
+// reporting here cannot know, so they are sent the levels.
 func (e *Exchange) recordReports(daemons []string, usage []Usage, age time.Duration) {
 	if e.limiter.RecordReport(daemons, usage, age) {
 		e.resendLevels()
 	}
 }
 
-// resendLevels makes the next answers tell the levels.
+// resendLevels makes the next answers include the levels.
 func (e *Exchange) resendLevels() {
 	e.totalsVersion++
 	e.levelsVersion = e.totalsVersion
@@ -388,7 +386,7 @@
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool { return slices.Contains(others, name) })
 }
 
-// LiveHubs returns the hubs that were heard lately.
+// LiveHubs returns the other hubs that have recently sent a report.
 func (e *Exchange) LiveHubs() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -405,8 +403,8 @@
 	return out
 }
 
-// increments takes counts that were told, and returns by how much they exceed those
-// known before.
+// increments returns by how much the reported counts exceed the known ones, and updates
+// these.
 func increments(known map[string]float64, reported []Usage) []Usage {
 	out := make([]Usage, 0, len(reported))
 	for _, u := range reported {
@@ -416,7 +414,7 @@
 	return out
 }
 
-// addToGroup counts what daemons of this hub let through.
+// addToGroup counts usage of this hub's own group.
 func (e *Exchange) addToGroup(usage []Usage) {
 	for _, u := range usage {
 		e.groupUsage[u.Workspace] += u.Amount
--- a/quota/exchange_test.go
+++ b/quota/exchange_test.go
@@ -13,7 +13,7 @@
 	"github.com/lycheekeel/lycheekeel/route"
 )
 
-// fleet is daemons that report to the first of them that they reach.
+// fleet is a set of daemons. Each reports to the first hub that it reaches.
 type fleet struct {
 	clock     *clock
 	ws        *route.Workspace
@@ -21,13 +21,13 @@
 	names     []string
 	limiters  []*Limiter
 	exchanges []*Exchange
-	// reach tells whether a message gets through now.
+	// reach reports whether a message is delivered now.
 	reach  func(from, to int) bool
-	rounds int // rounds
+	rounds int
 	// currentHubs are the hubs of the latest round.
 	currentHubs []int
-	// failedReports is how many reports of a daemon in a row went without an answer
-	// that was not due to a cut, longest the most of any.
+	// failedReports counts a daemon's consecutive reports without an answer, except those
+	// lost to a partition. maxFailedReports is the maximum over all daemons.
 	failedReports    map[int]int
 	maxFailedReports int
 	isCut            func(i, j int) bool
@@ -47,7 +47,7 @@
 	return f
 }
 
-// start starts daemon i, anew if it ran before.
+// start starts daemon i. If it ran before, it loses its state.
 func (f *fleet) start(i, n int) {
 	l := NewLimiter(f.clock.Now, 16, f.tolerance)
 	l.SetMembers(f.otherNames(i))
@@ -61,10 +61,10 @@
 	f.limiters, f.exchanges = append(f.limiters, l), append(f.exchanges, e)
 }
 
-// otherNames returns the names of the daemons but one.
+// otherNames returns the names of all daemons except i.
 func (f *fleet) otherNames(i int) []string { return slices.Delete(slices.Clone(f.names), i, i+1) }
 
-// exchangeAll lets all daemons tell once, with the hubs that the plan gives them.
+// exchangeAll lets every daemon exchange usage once. hub returns the hub of a daemon.
 func (f *fleet) exchangeAll(hub func(daemon int) int) {
 	f.rounds++
 	before := f.currentHubs
@@ -96,7 +96,8 @@
 	}
 }
 
-// shareWithHubs tells all where the hub is new, or in every fifth round.
+// shareWithHubs sends a hub's report to the others. It is complete if the hub is new, and
+// in every fifth round.
 func (f *fleet) shareWithHubs(i int, isNew bool) {
 	g := f.exchanges[i].NextHubReport(isNew || f.rounds%5 == 1)
 	for j := range f.exchanges {
@@ -106,7 +107,7 @@
 	}
 }
 
-// Guards against daemons that are cut off from each other and each let the whole quota through.
+// Guards against partitioned daemons that each admit the whole quota.
 func TestLedgersStayWithinBoundsApart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const step, steps = 100 * time.Millisecond, 120
@@ -114,10 +115,10 @@
 		f := newFleet(n, testWorkspace())
 		cutFrom := rapid.IntRange(0, steps).Draw(t, "cut from")
 		cutFor := rapid.IntRange(0, steps).Draw(t, "cut for")
-		partition := rapid.SliceOfN(rapid.IntRange(0, 2), n, n).Draw(t, "groups")
-		greedy := rapid.SliceOfN(rapid.Bool(), n, n).Draw(t, "hungry")
-		lossRolls := rapid.SliceOfN(rapid.IntRange(0, 9), 64, 64).Draw(t, "lost of ten")
-		lossThreshold := rapid.IntRange(5, 10).Draw(t, "losses begin at") // 10: none is lost
+		partition := rapid.SliceOfN(rapid.IntRange(0, 2), n, n).Draw(t, "sides")
+		greedy := rapid.SliceOfN(rapid.Bool(), n, n).Draw(t, "greedy")
+		lossRolls := rapid.SliceOfN(rapid.IntRange(0, 9), 64, 64).Draw(t, "loss rolls")
+		lossThreshold := rapid.IntRange(5, 10).Draw(t, "loss threshold") // 10: no message is lost
 		var used [steps]float64
 		for s := range steps {
 			f.clock.advance(step)
@@ -147,9 +148,9 @@
 			})
 		}
 		const window = 80 // steps: 8 s
-		// Until silence counts, each may let through what it believes free.
-		// Each lost message delays what was let through by a round, since the
-		// batch is sent again, and then the next one.
+		// Before silence is detected, each daemon may admit what it believes to be left.
+		// Each lost message delays usage by one round, because the batch is sent again, and
+		// the next batch by another.
 		maxDelay := SilenceTimeout + step
 		if lossThreshold < 10 {
 			maxDelay += time.Duration(1+f.maxFailedReports) * step
@@ -161,7 +162,7 @@
 				sum += u
 			}
 			if bound := 100*8.0 + 50 + unreported; sum > bound {
-				t.Fatalf("%v used in the window from step %d, at most %v", sum, from, bound)
+				t.Fatalf("%v used in the window from step %d, want at most %v", sum, from, bound)
 			}
 		}
 	})
@@ -169,9 +170,10 @@
 
 func TestExchangeThroughHubs(t *testing.T) {
 	largeBurst := &route.Workspace{Name: "w", Quota: route.Quota{PerSecond: 100, Burst: 10_000}}
-	// settled returns daemons of which the hubs are 0 and 1, after ten seconds;
-	// the buckets hold about a thousand.
+	// hub makes daemons 0 and 1 the hubs.
 	hub := func(i int) int { return i % 2 }
+	// settledFleet returns daemons with the hubs 0 and 1 after ten seconds; each bucket
+	// holds about 1000.
 	settledFleet := func(n int) *fleet {
 		f := newFleet(n, largeBurst)
 		f.exchangeAll(hub)
@@ -179,13 +181,13 @@
 			f.clock.advance(100 * time.Millisecond)
 			f.exchangeAll(hub)
 		}
-		for range 9 { // until all signs are known to all
+		for range 9 { // until all heartbeats have reached all daemons
 			f.exchangeAll(hub)
 		}
 		return f
 	}
 	level := func(f *fleet, i int) float64 { return f.limiters[i].Levels()[0].Amount }
-	Convey("All know what any has let through after three rounds, once", t, func() {
+	Convey("The usage of each daemon is deducted once at all of them", t, func() {
 		f := settledFleet(5)
 		var before []float64
 		for i := range f.limiters {
@@ -217,8 +219,8 @@
 		So(level(f, 0), ShouldAlmostEqual, before-100, 1e-6)
 		So(level(f, 2), ShouldAlmostEqual, before-100, 1e-6)
 	})
-	// Guards against this: a daemon lets too much through after its hub was killed.
-	Convey("Who changes hubs takes over what it missed", t, func() {
+	// Guards against a daemon that admits too much after its hub was killed.
+	Convey("A daemon that changes hubs learns the usage that it missed", t, func() {
 		f := settledFleet(4)
 		f.reach = func(from, to int) bool { return from != 2 && to != 2 }
 		f.limiters[1].Take(largeBurst, 0, 500)
@@ -230,8 +232,8 @@
 		f.exchangeAll(func(i int) int { return 1 })
 		So(level(f, 2), ShouldAlmostEqual, level(f, 1), 1e-6)
 	})
-	// Guards against this: after a cut of some seconds a daemon refuses for as long again.
-	Convey("Who was cut off refuses no longer for that", t, func() {
+	// Guards against a daemon that rejects requests for as long again after a partition of some seconds.
+	Convey("A daemon that was cut off has the levels of the others again after two rounds", t, func() {
 		f := settledFleet(4)
 		f.reach = func(from, to int) bool { return from != 2 && to != 2 }
 		for range 50 {
@@ -245,8 +247,8 @@
 		So(level(f, 2), ShouldAlmostEqual, level(f, 0), 1e-6)
 		So(level(f, 2), ShouldBeGreaterThan, 800)
 	})
-	// Guards against this: a daemon whose hub was late counts what the others used twice.
-	Convey("Who did not hear its hub for a second has its levels again", t, func() {
+	// Guards against a daemon that counts the usage of others twice after a late answer of its hub.
+	Convey("A daemon that did not hear its hub for a second has the hub's levels again", t, func() {
 		f := settledFleet(4)
 		f.reach = func(from, to int) bool { return from != 2 && to != 2 }
 		for range 10 {
@@ -261,8 +263,8 @@
 		So(level(f, 2), ShouldAlmostEqual, level(f, 0), 1e-6)
 		So(level(f, 2), ShouldBeGreaterThan, 750)
 	})
-	// Guards against this: a daemon that has just started refuses what is within the limit.
-	Convey("Who starts takes over its hub's levels", t, func() {
+	// Guards against a daemon that rejects usage within the quota because it has just started.
+	Convey("A daemon that has just started adopts the levels of its hub", t, func() {
 		f := settledFleet(4)
 		f.start(2, 4)
 		ok, _ := f.limiters[2].Take(largeBurst, 0, 100)
@@ -272,7 +274,7 @@
 		ok, _ = f.limiters[2].Take(largeBurst, 0, 100)
 		So(ok, ShouldBeTrue)
 	})
-	Convey("What was let through since the batch is taken from the levels that are adopted", t, func() {
+	Convey("Usage since the batch is deducted from the adopted levels", t, func() {
 		f := settledFleet(2)
 		f.start(1, 2)
 		e := f.exchanges[1]
@@ -282,8 +284,8 @@
 		e.HandleAnswer(f.exchanges[0].HandleBatch("1", b), f.otherNames(1))
 		So(level(f, 1), ShouldAlmostEqual, level(f, 0)-40, 1e-6)
 	})
-	// Guards against this: a daemon lets too much through after a pause of its process.
-	Convey("An answer that took long counts all the same", t, func() {
+	// Guards against a daemon that admits too much after a pause of its process.
+	Convey("A delayed answer counts", t, func() {
 		f := settledFleet(3)
 		before := level(f, 2)
 		f.limiters[0].Take(largeBurst, 0, 300)
@@ -293,7 +295,7 @@
 		f.exchanges[2].HandleAnswer(a, f.otherNames(2))
 		So(level(f, 2), ShouldBeLessThan, before+150-299)
 	})
-	Convey("A hub that starts anew is not taken to have counted all its time at once", t, func() {
+	Convey("The accumulated counts of a hub do not count again after its restart", t, func() {
 		f := settledFleet(4)
 		f.limiters[3].Take(largeBurst, 0, 100)
 		f.exchangeAll(hub)
@@ -305,7 +307,7 @@
 		}
 		So(level(f, 0), ShouldAlmostEqual, before, 1e-6)
 	})
-	Convey("An answer to an earlier batch, and a group's word out of order, change nothing", t, func() {
+	Convey("An answer to an earlier batch and a hub report out of order change nothing", t, func() {
 		f := settledFleet(2)
 		before, hubBefore := level(f, 1), level(f, 0)
 		So(f.exchanges[1].HandleAnswer(Answer{Number: 3, Others: []Usage{{"w", 999}}}, nil), ShouldBeFalse)
@@ -315,7 +317,7 @@
 		So(level(f, 1), ShouldAlmostEqual, before, 1e-6)
 		So(level(f, 0), ShouldAlmostEqual, hubBefore, 1e-6)
 	})
-	Convey("One that no hub hears keeps its share", t, func() {
+	Convey("A daemon that no hub hears keeps its share", t, func() {
 		f := settledFleet(4)
 		f.reach = func(from, to int) bool { return from != 3 && to != 3 }
 		for range 40 {
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -1,7 +1,7 @@
-// Package quota is the aggregate that bounds what each workspace uses,
-// over all daemons together. A Ledger holds what a daemon believes to be left;
-// an Exchange learns through a hub what the other daemons let through. Neither
-// has connections of its own, and their clock is injected.
+// Package quota limits what each workspace uses, summed over all daemons. A Limiter holds
+// one daemon's view of the remaining quota. An Exchange reports this daemon's usage and
+// learns the other daemons' usage through a hub. Neither opens connections, and their clock
+// is injected.
 package quota
 
 import (
@@ -12,16 +12,14 @@
 	"github.com/lycheekeel/lycheekeel/route"
 )
 
-// Limiter holds a token bucket for each workspace that all daemons empty
-// together. It is safe for concurrent use.
+// Limiter holds a token bucket for each workspace. All daemons draw on the same quota. It
+// is safe for concurrent use.
 //
-// What goes wrong with a bucket in each daemon: every one lets the whole
-// quota through, or, with a fixed share each, refuses while the others'
-// shares lie idle. One would notice a workspace over its limit, or refused
-// below it. Here each counts what the others let through. One that says nothing
-// keeps its share of the rate and of what was saved, which is all that it lets
-// through when it hears nobody. So the sum is bounded while daemons are cut off
-// from each other.
+// Independent buckets in each daemon would either admit the whole quota once per daemon or,
+// with a fixed share each, reject requests while the shares of idle daemons are unused.
+// Here each daemon deducts the usage that the others report. A daemon that is silent keeps
+// its share of the rate and of the saved burst, and admits no more than that while it hears
+// nobody itself. The total therefore stays bounded during a network partition.
 type Limiter struct {
 	mu        sync.Mutex
 	now       func() time.Time
@@ -31,14 +29,14 @@
 	random    func() float64 // in [0, 1)
 }
 
-// Usage is an amount of a workspace's quota.
+// Usage is an amount of a workspace's quota, in the unit of the quota: requests or tokens.
 type Usage struct {
 	Workspace string
 	Amount    float64
 }
 
-// NewLimiter returns an empty ledger. assumed is the number of daemons to
-// reckon with while no other has been met.
+// NewLimiter returns a limiter without buckets. It assumes assumedDaemons daemons in all
+// until SetMembers has named another one.
 func NewLimiter(now func() time.Time, assumedDaemons int, t Tolerance) *Limiter {
 	return &Limiter{
 		now: now, tolerance: t, buckets: map[string]*bucket{}, random: rand.Float64,
@@ -46,8 +44,8 @@
 	}
 }
 
-// AddWorkspaces begins to fill the buckets of workspaces that are new, before their
-// first request.
+// AddWorkspaces creates the buckets of new workspaces, so that they fill before the first
+// request.
 func (l *Limiter) AddWorkspaces(workspaces []*route.Workspace) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,7 +56,7 @@
 	}
 }
 
-// Return gives back what a request took that was not run.
+// Return refunds the cost of a request that did not run.
 func (l *Limiter) Return(ws *route.Workspace, cost float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,8 +66,8 @@
 	b.recentTotal.add(l.now(), -cost)
 }
 
-// SetMembers tells which other daemons there are. One that is gone for good
-// lets nothing through any more.
+// SetMembers sets the names of the other daemons. What was withheld for a silent daemon
+// that has left for good is released, because that daemon admits nothing any more.
 func (l *Limiter) SetMembers(names []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +80,8 @@
 	}
 }
 
-// RecordHeartbeat takes a sign of another daemon that is age old.
+// RecordHeartbeat records a heartbeat of another daemon that is age old. The daemon's usage
+// since its previous heartbeat is not known.
 func (l *Limiter) RecordHeartbeat(name string, age time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,8 +100,9 @@
 	}
 }
 
-// RecordReport takes signs, age old, of other daemons that have let uses through since the last
-// one, and no more. It returns whether any of them had been silent for a while.
+// RecordReport records heartbeats, age old, of daemons whose whole usage since their
+// previous heartbeats is known. It reports whether any of them had been suspected or
+// silent.
 func (l *Limiter) RecordReport(names []string, usage []Usage, age time.Duration) (returned bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,15 +136,15 @@
 	return true
 }
 
-// NeverHeard returns those of the named that were never heard.
+// NeverHeard returns those of the named daemons that have sent no heartbeat yet.
 func (l *Limiter) NeverHeard(names []string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.peers.neverHeardAmong(names)
 }
 
-// HeartbeatStatus returns how old the other daemons' signs are at most, and who has given none for
-// longer than a hub passes on.
+// HeartbeatStatus returns the age of the oldest heartbeat that a hub may still relay, and
+// the daemons whose latest heartbeat is older than that.
 func (l *Limiter) HeartbeatStatus() (age time.Duration, stale []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -152,8 +152,7 @@
 	return l.peers.maxAge(now), l.peers.stale(maxRelayedAge, now)
 }
 
-// DeductRemote takes from the buckets what other daemons have let through. An amount
-// below zero was given back.
+// DeductRemote deducts usage of other daemons. A negative amount is a refund.
 func (l *Limiter) DeductRemote(usage []Usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -171,8 +170,7 @@
 	}
 }
 
-// TakeUnreported returns what this daemon has let through since the last call, by
-// workspace.
+// TakeUnreported returns this daemon's usage since the previous call, by workspace.
 func (l *Limiter) TakeUnreported() []Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -186,7 +184,7 @@
 	return out
 }
 
-// HasUnreported tells whether Pending would return anything.
+// HasUnreported reports whether TakeUnreported would return anything.
 func (l *Limiter) HasUnreported() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -198,7 +196,7 @@
 	return false
 }
 
-// Levels returns what is left in each bucket; below zero: overdrawn.
+// Levels returns the level of each bucket. A negative level is an overdraft.
 func (l *Limiter) Levels() []Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -210,8 +208,8 @@
 	return out
 }
 
-// SettledLevels returns the levels of the buckets that could have filled since they were
-// made and are not full: how low one is tells nothing before.
+// SettledLevels returns the levels of buckets that are old enough to have filled once and
+// are not full. Before that, a low level only means that the bucket is new.
 func (l *Limiter) SettledLevels() []Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -225,8 +223,8 @@
 	return out
 }
 
-// AdoptLevels puts another daemon's levels in place of the own ones, less what was
-// let through here that the other can't know of yet.
+// AdoptLevels replaces the levels by those of another daemon, less the usage that this
+// daemon has not reported yet.
 func (l *Limiter) AdoptLevels(levels []Usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -236,12 +234,12 @@
 			b.level, b.withheld = min(b.maxLevel, u.Amount-b.unreported), 0
 		}
 	}
-	// What has accrued until now is in the levels.
+	// The adopted levels include everything that has accrued until now.
 	l.peers.markAccrued(l.now())
 }
 
-// CapLevels lowers the levels to another daemon's: what it knows of and this one does not has
-// been let through.
+// CapLevels lowers each level to that of another daemon where that is lower: the difference
+// is usage that only the other daemon knows of.
 func (l *Limiter) CapLevels(levels []Usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -253,16 +251,16 @@
 	}
 }
 
-// Empty tells whether no workspace has a quota here.
+// Empty reports whether no workspace has a bucket.
 func (l *Limiter) Empty() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.buckets) == 0
 }
 
-// bucket returns the workspace's bucket, filled up to now. A new one starts
-// empty: a daemon that has just started does not know what the others, or its
-// own former life, have let through.
+// bucket returns the workspace's bucket, refilled up to now. A new bucket starts empty,
+// because a daemon that has just started does not know what the others, or its own previous
+// process, have used.
 func (l *Limiter) bucket(ws *route.Workspace) *bucket {
 	b := l.buckets[ws.Name]
 	if b == nil {
@@ -275,7 +273,8 @@
 	return b
 }
 
-// refill adds what has accrued, and leaves the daemons that have fallen silent their part.
+// refill adds what has accrued. The part of the capacity that belongs to daemons that are
+// not heard stays unused.
 func (l *Limiter) refill(b *bucket) {
 	l.detectSilence()
 	l.peers.accrue(l.now())
@@ -283,7 +282,8 @@
 	b.fillTo(l.peers.accrued)
 }
 
-// detectSilence finds who has fallen silent, and leaves them their part of what is left.
+// detectSilence finds daemons that have become silent, and withholds their part of each
+// bucket.
 func (l *Limiter) detectSilence() {
 	now := l.now()
 	if now.Sub(l.peers.checkedAt) < silenceCheckInterval {
@@ -301,7 +301,7 @@
 	}
 }
 
-// Share is the part of the quotas that accrues here; 1: all daemons are
+// Share returns the fraction of the quotas that accrues here. It is 1 while all daemons are
 // heard.
 func (l *Limiter) Share() float64 {
 	l.mu.Lock()
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -19,7 +19,8 @@
 	return &route.Workspace{Name: "w", Quota: route.Quota{PerSecond: 100, Burst: 50}}
 }
 
-// singleLimiter returns the ledger of the only daemon, and a workspace that it knows.
+// singleLimiter returns the limiter of the only daemon, and a workspace that has a bucket
+// there.
 func singleLimiter() (*clock, *Limiter, *route.Workspace) {
 	c := &clock{now: time.Unix(1000, 0)}
 	l, w := NewLimiter(c.Now, 1, Tolerance{}), testWorkspace()
@@ -37,12 +38,12 @@
 		ok, _ = l.Take(w, 0, 10)
 		So(ok, ShouldBeTrue)
 		c.advance(time.Hour)
-		ok, _ = l.Take(w, 0, 500) // more than the bucket holds: once it is full
+		ok, _ = l.Take(w, 0, 500) // more than the bucket holds: admitted once it is full
 		So(ok, ShouldBeTrue)
 		ok, _ = l.Take(w, 0, 1)
 		So(ok, ShouldBeFalse)
 	})
-	Convey("What was not run is given back", t, func() {
+	Convey("The cost of a request that did not run is refunded", t, func() {
 		c, l, w := singleLimiter()
 		c.advance(time.Second)
 		l.Take(w, 0, 50)
@@ -50,7 +51,7 @@
 		ok, _ := l.Take(w, 0, 50)
 		So(ok, ShouldBeTrue)
 	})
-	Convey("Only what has changed is told", t, func() {
+	Convey("Only unreported usage is returned", t, func() {
 		c, l, w := singleLimiter()
 		c.advance(time.Second)
 		l.Take(w, 0, 20)
@@ -63,8 +64,8 @@
 
 func TestLimiterWithPeers(t *testing.T) {
 	largeBurst := &route.Workspace{Name: "w", Quota: route.Quota{PerSecond: 100, Burst: 10_000}}
-	// given returns a ledger that has just heard the other daemons; its bucket
-	// has gathered a thousand.
+	// limiterWithPeers returns a limiter that has just heard the other daemons. Its bucket
+	// holds 1000.
 	limiterWithPeers := func(peers ...string) (*clock, *Limiter) {
 		c := &clock{now: time.Unix(1000, 0)}
 		l := NewLimiter(c.Now, 16, Tolerance{})
@@ -88,16 +89,16 @@
 		ok, _ = l.Take(largeBurst, 0, amount)
 		So(ok, ShouldBeTrue)
 	}
-	Convey("Before another was met, only a share accrues", t, func() {
+	Convey("Before another daemon is known, only a share accrues", t, func() {
 		c := &clock{now: time.Unix(1000, 0)}
 		l := NewLimiter(c.Now, 16, Tolerance{})
 		l.AddWorkspaces([]*route.Workspace{largeBurst})
 		c.advance(16 * time.Second)
 		expectLevel(l, 100)
 	})
-	// reports returns an exchange whose daemon is the hub of another.
+	// newHub returns an exchange whose daemon is the hub of another one.
 	newHub := func(c *clock, l *Limiter) *Exchange { return NewExchange(l, c.Now, 7) }
-	Convey("What another daemon uses is taken once, and what it gives back returns", t, func() {
+	Convey("The usage of another daemon is deducted once, and its refund is added", t, func() {
 		c, l := limiterWithPeers("a")
 		hub := newHub(c, l)
 		hub.HandleBatch("a", Batch{Incarnation: 1, Number: 1, Usage: []Usage{{"w", 300}}})
@@ -105,33 +106,33 @@
 		hub.HandleBatch("a", Batch{Incarnation: 1, Number: 2, Usage: []Usage{{"w", -50}}})
 		expectLevel(l, 750)
 	})
-	Convey("A daemon that starts anew counts from zero", t, func() {
+	Convey("The batches of a restarted daemon count although their numbers start again", t, func() {
 		c, l := limiterWithPeers("a")
 		hub := newHub(c, l)
 		hub.HandleBatch("a", Batch{Incarnation: 1, Number: 1, Usage: []Usage{{"w", 300}}})
 		hub.HandleBatch("a", Batch{Incarnation: 2, Number: 1, Usage: []Usage{{"w", 100}}})
 		expectLevel(l, 600)
 	})
-	Convey("What is given back is told", t, func() {
+	Convey("A refund is reported", t, func() {
 		_, l := limiterWithPeers("a")
 		l.Take(largeBurst, 0, 20)
 		So(l.TakeUnreported(), ShouldResemble, []Usage{{"w", 20}})
 		l.Return(largeBurst, 20)
 		So(l.TakeUnreported(), ShouldResemble, []Usage{{"w", -20}})
 	})
-	Convey("The share of one that was silent is not gained by hearing it again", t, func() {
+	Convey("The share of a daemon for the time of its silence is not gained by a heartbeat", t, func() {
 		c, l := limiterWithPeers("a")
 		c.advance(10 * time.Second)
 		l.RecordHeartbeat("a", 0)
-		expectLevel(l, 1000) // half of what was saved, and its own share since
+		expectLevel(l, 1000) // half of the saved burst, and its own share since
 	})
-	Convey("It is gained where all that the other used is known", t, func() {
+	Convey("The share of a daemon for the time of its silence is gained by a report of its whole usage", t, func() {
 		c, l := limiterWithPeers("a")
 		c.advance(10 * time.Second)
 		l.RecordReport([]string{"a"}, []Usage{{"w", 300}}, 0)
 		expectLevel(l, 1700)
 	})
-	Convey("One that is gone for good keeps no share", t, func() {
+	Convey("A daemon that has left keeps no share", t, func() {
 		c, l := limiterWithPeers("a", "b")
 		l.SetMembers([]string{"a"})
 		c.advance(10 * time.Second)
@@ -141,7 +142,7 @@
 }
 
 func TestSilentDaemonsKeepTheirShare(t *testing.T) {
-	Convey("Of four daemons cut off from each other, each lets a quarter through", t, func() {
+	Convey("Each of four daemons that hear nobody admits a quarter of the quota", t, func() {
 		c := &clock{now: time.Unix(1000, 0)}
 		l, w := NewLimiter(c.Now, 16, Tolerance{}), testWorkspace()
 		l.SetMembers([]string{"a", "b", "c"})
@@ -163,7 +164,7 @@
 		}
 		So(used, ShouldBeBetween, 95, 105)
 	})
-	Convey("One that is heard again gives its share back, and its use counts", t, func() {
+	Convey("The share of a daemon that is heard again is used, and its usage counts", t, func() {
 		c := &clock{now: time.Unix(1000, 0)}
 		l, w := NewLimiter(c.Now, 16, Tolerance{}), testWorkspace()
 		l.random = func() float64 { return 0 }
@@ -179,7 +180,7 @@
 		hub.HandleBatch("a", Batch{Incarnation: 1, Number: 3, Usage: []Usage{{"w", 30}}})
 		ok, _ = l.Take(w, 0, 1)
 		So(ok, ShouldBeFalse)
-		hub.HandleBatch("a", Batch{Incarnation: 2, Number: 1}) // restarted: counts anew
+		hub.HandleBatch("a", Batch{Incarnation: 2, Number: 1}) // restarted
 		c.advance(20 * time.Millisecond)
 		hub.HandleBatch("a", Batch{Incarnation: 2, Number: 2})
 		ok, _ = l.Take(w, 0, 1)
@@ -187,10 +188,10 @@
 	})
 }
 
-// Guards against small calls that are refused because a large prompt has overdrawn the bucket.
+// Guards against small requests that are rejected because a large prompt has overdrawn the bucket.
 func TestLargeAndSmallRequestsShareABucket(t *testing.T) {
 	tolerance := Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 80}
-	Convey("A large request may overdraw the bucket once, a small one goes on", t, func() {
+	Convey("A large request may overdraw the bucket once, small ones are still admitted", t, func() {
 		c := &clock{now: time.Unix(1000, 0)}
 		l, w := NewLimiter(c.Now, 1, tolerance), testWorkspace()
 		l.AddWorkspaces([]*route.Workspace{w})
@@ -204,7 +205,7 @@
 		for range 30 {
 			ok, _ = l.Take(w, 0, 1)
 		}
-		So(ok, ShouldBeFalse) // not without end
+		So(ok, ShouldBeFalse) // the overdraft is bounded
 		c.advance(500 * time.Millisecond)
 		ok, _ = l.Take(w, 0, 500)
 		So(ok, ShouldBeTrue)
--- a/quota/overload_test.go
+++ b/quota/overload_test.go
@@ -12,23 +12,23 @@
 	"github.com/lycheekeel/lycheekeel/route"
 )
 
-// arrival is a caller's request.
+// arrival is the arrival of a request.
 type arrival struct {
 	at   time.Time
 	tier request.Tier
 	cost float64
 }
 
-// idlePeers are there, and are asked for nothing.
+// idlePeers are other daemons that receive no requests.
 var idlePeers = []string{"b", "c", "d", "e", "f", "g", "h", "i"}
 
-// outcome is how a load ended, by tier.
+// outcome counts the requests of a load, by tier.
 type outcome struct {
 	offered, served [request.MaxTiers]int
-	amount          float64 // served
+	amount          float64 // of the served requests
 }
 
-// replay lets the load ask the ledger.
+// replay sends the load to the limiter in order of arrival.
 func replay(c *clock, l *Limiter, w *route.Workspace, load []arrival) outcome {
 	var out outcome
 	slices.SortFunc(load, func(a, b arrival) int { return a.at.Compare(b.at) })
@@ -46,7 +46,7 @@
 	return out
 }
 
-// poissonArrivals makes requests of a tier at a mean rate, at random moments.
+// poissonArrivals returns requests of a tier that arrive at random at a mean rate.
 func poissonArrivals(rng *rand.Rand, from time.Time, duration time.Duration, perSecond float64, tier request.Tier, cost float64) []arrival {
 	var out []arrival
 	for at := from; ; {
@@ -58,13 +58,13 @@
 	}
 }
 
-// The quota of a large workspace and the tolerance of its operators, in tokens.
+// The quota of a large workspace and the operators' tolerance, in tokens.
 var (
 	largeWorkspace = &route.Workspace{Name: "w", Quota: route.Quota{PerSecond: 40_000, Burst: 40_000, Tokens: true}}
 	tolerance      = Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 190_000}
 )
 
-// emptyLimiter returns the ledger of a daemon that has just started among others.
+// emptyLimiter returns the limiter of a daemon that has just started, with peers.
 func emptyLimiter() (*clock, *Limiter) {
 	c := &clock{now: time.Unix(1000, 0)}
 	l := NewLimiter(c.Now, 9, tolerance)
@@ -73,7 +73,7 @@
 	return c, l
 }
 
-// fullLimiter returns a ledger whose bucket is full.
+// fullLimiter returns a limiter with a full bucket.
 func fullLimiter() (*clock, *Limiter) {
 	c, l := emptyLimiter()
 	for range 60 {
@@ -85,10 +85,10 @@
 	return c, l
 }
 
-// Guards against urgent requests that are refused while others of their workspace, which can wait, are served.
+// Guards against urgent requests that are rejected while less urgent ones of their workspace are admitted.
 func TestUrgentTiersComeFirstInAWorkspaceOverItsQuota(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
-		Convey("The most urgent tier is served but for chance, and no quota lies idle", t, func() {
+		Convey("Nearly all requests of the most urgent tier are served, and the whole quota is used", t, func() {
 			c, l := fullLimiter()
 			rng := rand.New(rand.NewPCG(seed, 0))
 			load := poissonArrivals(rng, c.now, 10*time.Second, 9, 1, 4000)
@@ -101,7 +101,7 @@
 			So(out.amount, ShouldBeGreaterThan, quota)
 		})
 	}
-	Convey("Below any number of tiers a part of the bucket is left to the last", t, func() {
+	Convey("The least urgent of all tiers still has a part of the bucket", t, func() {
 		_, l := fullLimiter()
 		for tier := request.Tier(0); tier < request.MaxTiers; tier++ {
 			l.Take(largeWorkspace, tier, 1)
@@ -109,7 +109,7 @@
 		ok, _ := l.Take(largeWorkspace, request.MaxTiers-1, 4000)
 		So(ok, ShouldBeTrue)
 	})
-	Convey("A workspace within its quota is served whole, whatever its tiers", t, func() {
+	Convey("All requests of a workspace within its quota are served, whatever their tiers", t, func() {
 		c, l := fullLimiter()
 		rng := rand.New(rand.NewPCG(4, 0))
 		load := poissonArrivals(rng, c.now, 10*time.Second, 3, 1, 4000)
@@ -117,7 +117,7 @@
 		out := replay(c, l, largeWorkspace, load)
 		So(out.served, ShouldResemble, out.offered)
 	})
-	Convey("A tier that nobody more urgent has asked before for a while has the whole bucket", t, func() {
+	Convey("A tier has the whole bucket if no more urgent tier was recently in use", t, func() {
 		c, l := fullLimiter()
 		l.Take(largeWorkspace, 1, 4000)
 		for range tierActiveWindow/time.Second + 1 {
@@ -134,9 +134,9 @@
 	})
 }
 
-// Guards against callers that come back too soon after a restart, when a part of the rate accrues.
+// Guards against callers that retry too early after a restart, when only a part of the rate accrues.
 func TestWaitFollowsTheLocalAccrualRate(t *testing.T) {
-	Convey("Who comes back as told, and alone, finds room", t, func() {
+	Convey("A lone caller that retries after the given wait is admitted", t, func() {
 		c := &clock{now: time.Unix(1000, 0)}
 		l := NewLimiter(c.Now, 16, tolerance)
 		l.AddWorkspaces([]*route.Workspace{largeWorkspace})
@@ -149,7 +149,7 @@
 		ok, _ = l.Take(largeWorkspace, 1, 4000)
 		So(ok, ShouldBeTrue)
 	})
-	Convey("Nobody is told more than the bound", t, func() {
+	Convey("The wait is at most maxWait", t, func() {
 		c := &clock{now: time.Unix(1000, 0)}
 		l := NewLimiter(c.Now, 16, tolerance)
 		l.AddWorkspaces([]*route.Workspace{largeWorkspace})
--- a/quota/peers.go
+++ b/quota/peers.go
@@ -3,45 +3,43 @@
 import "time"
 
 const (
-	// SilenceTimeout is how long another daemon may say nothing before its share is
-	// left to it.
+	// SilenceTimeout is how long another daemon may send no heartbeat before it counts as
+	// silent and its share is withheld.
 	SilenceTimeout = 1500 * time.Millisecond
-	// suspectTimeout is how long it may say nothing before its part of what is left is
-	// not used until it is heard again. Daemons that let nothing through are heard less
-	// often than each round.
+	// suspectTimeout is how long another daemon may send no heartbeat before its part of
+	// each bucket is left unused until it is heard again. It is longer than one round of
+	// reports, because daemons without usage are heard less often than every round.
 	suspectTimeout = time.Second
-	// maxRelayedAge is how old a sign may be for a hub to pass it on.
+	// maxRelayedAge is the age up to which a hub relays a heartbeat.
 	maxRelayedAge = 600 * time.Millisecond
-	// silenceCheckInterval is how often it is looked who has fallen silent.
+	// silenceCheckInterval is the minimum time between two checks for silent daemons.
 	silenceCheckInterval = 50 * time.Millisecond
 )
 
-// peers are the other daemons that may let requests through, as far as one daemon
-// knows, and how much of the rates has accrued by what it heard of them.
+// peers tracks the other daemons that may admit requests, as far as this daemon knows, and
+// how much of the rates has accrued according to their heartbeats.
 //
-// The share of a daemon accrues up to its last sign only, all at once when it gives the
-// next one: until then it may be cut off and let its share through by itself. One that was
-// silent for longer than suspectTimeout has kept its share of that time, unless all that it let
-// through meanwhile is known.
+// The share of another daemon accrues up to its latest heartbeat, all at once when the next
+// one arrives. Until then the daemon may be cut off and spend its share by itself. After a
+// gap longer than suspectTimeout its share of the gap is not accrued here, unless its usage
+// during the gap is known.
 type peers struct {
-	lastHeard map[string]time.Time // last signs; zero: none yet
-	// assumedDaemons is how many daemons there may be while none has been met.
+	lastHeard map[string]time.Time // time of the latest heartbeat by name; zero: none yet
+	// assumedDaemons is the assumed number of daemons while no other one is known.
 	assumedDaemons int
 
 	startedAt time.Time
-	accrued   float64 // seconds of the whole rate
+	accrued   float64 // seconds at the whole rate
 	accruedAt time.Time
 	checkedAt time.Time
-	// When it was last looked, doubted and silent had said nothing for so long, unmet
-	// were not heard yet, and the rest was heard.
+	// Numbers of the other daemons in each state at checkedAt.
 	suspected, silent, neverHeard, fresh int
 }
 
-// daemonCount is how many there are, this one included.
+// daemonCount is the number of daemons, including this one.
 func (p *peers) daemonCount() int { return len(p.lastHeard) + 1 }
 
-// setMembers takes the names of the others. One that is gone for good lets nothing through
-// any more.
+// setMembers sets the names of the other daemons.
 func (p *peers) setMembers(names []string, now time.Time) {
 	p.accrue(now)
 	known := make(map[string]bool, len(names))
@@ -59,9 +57,9 @@
 	p.classify(now)
 }
 
-// recordHeartbeat takes a sign of a daemon that was given at a moment. allTold: what it let through
-// meanwhile is known, so that its share has accrued however long it was silent. It returns
-// for how long it was.
+// recordHeartbeat records a daemon's heartbeat of the time at, and returns the gap since
+// its previous one. usageKnown means that its usage during the gap is known, so that its
+// share accrues however long the gap was.
 func (p *peers) recordHeartbeat(name string, at, now time.Time, usageKnown bool) (gap time.Duration) {
 	previous, known := p.lastHeard[name]
 	if !known || !at.After(previous) {
@@ -84,7 +82,7 @@
 	return gap
 }
 
-// silentAmong is how many of the named had fallen silent when it was last looked.
+// silentAmong returns how many of the named daemons were silent at checkedAt.
 func (p *peers) silentAmong(names []string) int {
 	n := 0
 	for _, name := range names {
@@ -95,7 +93,7 @@
 	return n
 }
 
-// neverHeardAmong returns those of the named that were never heard.
+// neverHeardAmong returns those of the named daemons that have sent no heartbeat yet.
 func (p *peers) neverHeardAmong(names []string) []string {
 	var out []string
 	for _, name := range names {
@@ -106,7 +104,7 @@
 	return out
 }
 
-// markAccrued takes it that the shares of all that are heard have accrued up to now.
+// markAccrued marks the shares of all daemons that are heard as accrued up to now.
 func (p *peers) markAccrued(now time.Time) {
 	for name, at := range p.lastHeard {
 		if !at.IsZero() && now.Sub(at) <= SilenceTimeout {
@@ -117,7 +115,7 @@
 	}
 }
 
-// accrue counts this daemon's own share up to now.
+// accrue adds this daemon's own share up to now.
 func (p *peers) accrue(now time.Time) {
 	if now.After(p.accruedAt) {
 		p.accrued += now.Sub(p.accruedAt).Seconds() * p.ownShare()
@@ -125,7 +123,7 @@
 	}
 }
 
-// ownShare is this daemon's share of the rates.
+// ownShare is this daemon's own fraction of the rates.
 func (p *peers) ownShare() float64 {
 	if len(p.lastHeard) == 0 {
 		return 1 / float64(p.assumedDaemons)
@@ -133,7 +131,7 @@
 	return 1 / float64(p.daemonCount())
 }
 
-// classify looks who says nothing.
+// classify counts the daemons by the age of their latest heartbeats.
 func (p *peers) classify(now time.Time) {
 	p.checkedAt = now
 	p.suspected, p.silent, p.neverHeard, p.fresh = 0, 0, 0, 0
@@ -142,7 +140,8 @@
 	}
 }
 
-// counterFor is the one that holds a daemon whose last sign is of a moment.
+// counterFor returns the counter of the state that a daemon with its latest heartbeat at
+// that time was in at checkedAt.
 func (p *peers) counterFor(at time.Time) *int {
 	switch age := p.checkedAt.Sub(at); {
 	case at.IsZero():
@@ -156,24 +155,24 @@
 	}
 }
 
-// newlySilent looks again, and returns which part of those that shared what is left has
-// fallen silent meanwhile.
+// newlySilent checks again, and returns which fraction of the daemons that were not silent
+// has become silent.
 func (p *peers) newlySilent(now time.Time) float64 {
 	previous := p.daemonCount() - p.silent
 	p.classify(now)
 	return max(0, 1-float64(p.daemonCount()-p.silent)/float64(previous))
 }
 
-// heardCount is how many are heard, this one included.
+// heardCount is the number of daemons that are heard, including this one.
 func (p *peers) heardCount() int { return p.daemonCount() - p.silent - p.neverHeard }
 
-// suspectedFraction is the part of those that share what is left who have said nothing for a while.
+// suspectedFraction is the fraction of suspected daemons among those that are not silent.
 func (p *peers) suspectedFraction() float64 {
 	return float64(p.suspected) / float64(p.daemonCount()-p.silent)
 }
 
-// share is the part of the rates, and of what may be saved, that is left to this daemon
-// and to those that it hears: all of it while it hears every other one.
+// share is the fraction of the rates and burst sizes that belongs to this daemon and to
+// those that it hears. It is 1 while it hears all others.
 func (p *peers) share() float64 {
 	if len(p.lastHeard) == 0 {
 		return 1 / float64(p.assumedDaemons)
@@ -181,7 +180,7 @@
 	return 1 - float64(p.silent+p.neverHeard)/float64(p.daemonCount())
 }
 
-// stale returns those who have given no sign for so long.
+// stale returns the daemons without a heartbeat within the limit.
 func (p *peers) stale(limit time.Duration, now time.Time) []string {
 	var out []string
 	for name, at := range p.lastHeard {
@@ -192,7 +191,7 @@
 	return out
 }
 
-// maxAge is how old the signs of those are at most who are not quiet.
+// maxAge returns the age of the oldest heartbeat among those that may be relayed.
 func (p *peers) maxAge(now time.Time) time.Duration {
 	var oldest time.Duration
 	for _, at := range p.lastHeard {
--- a/quota/slidingsum.go
+++ b/quota/slidingsum.go
@@ -3,27 +3,28 @@
 import "time"
 
 const (
-	// slotDuration is how finely recent amounts are told apart.
+	// slotDuration is the resolution of a slidingSum.
 	slotDuration = SilenceTimeout / (slotCount - 1)
-	// slotCount cover SilenceTimeout, and the slot that has just begun.
+	// slotCount slots cover SilenceTimeout and the slot in progress.
 	slotCount = 11
 )
 
-// slidingSum holds the amounts of the last SilenceTimeout.
+// slidingSum holds the amounts of the last SilenceTimeout, by slot.
 type slidingSum struct {
 	amounts    [slotCount]float64
-	latestSlot int64 // number of the latest slot, counted from the epoch
+	latestSlot int64 // number of the latest slot since the Unix epoch
 }
 
+// slotOf returns the number of the slot that contains a time.
 func slotOf(at time.Time) int64 { return at.UnixNano() / int64(slotDuration) }
 
-// add adds an amount that is of now.
+// add adds an amount at the time now.
 func (s *slidingSum) add(now time.Time, amount float64) {
 	s.advance(now)
 	s.amounts[s.latestSlot%slotCount] += amount
 }
 
-// sum returns the sum over the last d, at most SilenceTimeout, or over up to a slot more.
+// sum returns the sum over the last d, at most SilenceTimeout, rounded up to whole slots.
 func (s *slidingSum) sum(now time.Time, d time.Duration) float64 {
 	s.advance(now)
 	total := 0.0
@@ -33,6 +34,7 @@
 	return total
 }
 
+// advance clears the slots that have begun since the latest one.
 func (s *slidingSum) advance(now time.Time) {
 	slot := slotOf(now)
 	for s.latestSlot = max(s.latestSlot, slot-slotCount); s.latestSlot < slot; {
--- a/quota/take.go
+++ b/quota/take.go
@@ -8,58 +8,62 @@
 	"github.com/lycheekeel/lycheekeel/route"
 )
 
-// Tolerance is what the operators' bound lets through beyond a quota: in
-// any Window at most (rate x Window + burst) x (1 + Over) + Slack.
+// Tolerance is how far usage may exceed a quota under the operators' bound. In any Window,
+// a workspace may use at most (rate x Window + burst) x (1 + Over) + Slack.
 type Tolerance struct {
 	Window time.Duration
 	Over   float64
 	Slack  float64
 }
 
-// The parts of the tolerance that a bucket uses. What remains covers what the
-// daemons let through before they hear of each other.
+// Shares of the tolerance and of a bucket. The part of the tolerance that is not assigned
+// here covers usage that daemons admit before they hear of each other.
 const (
-	overShare       = 0.7
-	slackRateShare  = 0.35
+	// overShare of Over is added to the rate.
+	overShare = 0.7
+	// slackRateShare of Slack is added to the rate, spread over Window.
+	slackRateShare = 0.35
+	// slackBurstShare of Slack is added to the burst.
 	slackBurstShare = 0.2
-	// maxRequiredShare of the slack is what all daemons together may need to have
-	// left for one more request each, however large. A large request would
-	// otherwise wait for a full bucket while small ones empty it.
+	// maxRequiredShare of Slack, split among all daemons, is the highest level that a
+	// request needs, however large it is. Otherwise small requests drain the bucket while a
+	// large one waits for it to fill.
 	maxRequiredShare = 0.125
-	// overdraftShare of the slack is how far requests that are no larger than
-	// that may overdraw a bucket. Without it a small call is refused because
-	// a large prompt has just overdrawn it.
+	// overdraftShare of Slack is how far requests no larger than that level may overdraw a
+	// bucket. Otherwise small requests are rejected because a large prompt has just
+	// overdrawn it.
 	overdraftShare = 0.2
-	// contentionShare of the slack is what all daemons together may let through beyond
-	// what is left before they hear of each other.
+	// contentionShare of Slack is how much all daemons together may admit beyond the level
+	// before they hear of each other.
 	contentionShare = 0.25
-	// smallRequestShare of a bucket is what a request may need without leaving a reserve
-	// to more urgent tiers: a hundred plain calls are not worth one refusal among
-	// them. Larger ones that leave a reserve may not overdraw the bucket either.
+	// smallRequestShare of a bucket is the size up to which a request leaves no reserve to
+	// more urgent tiers: a hundred plain calls save too little to justify one rejection
+	// among them. Larger requests that leave a reserve must not overdraw the bucket.
 	smallRequestShare = 0.01
 )
 
 const (
-	// tierReserveShare of a bucket is left, for each more urgent tier that asks of it,
-	// to the requests of those tiers. It covers their chance bunches.
+	// tierReserveShare of a bucket is reserved for each more urgent tier that is in use. It
+	// covers random bursts of that tier.
 	tierReserveShare = 0.15
-	// maxReserveShare of a bucket is left to more urgent tiers in all.
+	// maxReserveShare of a bucket is the most that is reserved for more urgent tiers
+	// together.
 	maxReserveShare = 0.6
-	// tierActiveWindow is how long a tier counts as asking after its last request.
+	// tierActiveWindow is how long a tier counts as in use after its last request.
 	tierActiveWindow = 5 * time.Second
-	// propagationDelay is how long it takes until a daemon knows what another one let through.
+	// propagationDelay is the time until one daemon's usage is known to the others.
 	propagationDelay = 240 * time.Millisecond
-	// demandTimeConstant is over what time asked and granted amounts are compared.
+	// demandTimeConstant is the time constant of the demanded and granted rates.
 	demandTimeConstant = 2 * time.Second
-	// maxDemandRatio bounds how many times what is granted counts as asked: after a restart
-	// everybody has been refused, and what accrues is to be used.
+	// maxDemandRatio bounds the ratio of demand to grants. After a restart everything has
+	// been rejected, and what accrues must still be used.
 	maxDemandRatio = 2
-	// maxWait bounds what a refused caller is told: an overload that lasts for
-	// longer is no matter of when.
+	// maxWait bounds the retry delay given to a rejected caller. For a longer overload a
+	// delay is no useful estimate.
 	maxWait = 10 * time.Second
 )
 
-// rate and capacity return a bucket's figures for a quota.
+// rate returns the refill rate of a quota's bucket, in quota units per second.
 func (t Tolerance) rate(q route.Quota) float64 {
 	rate := q.PerSecond * (1 + overShare*t.Over)
 	if t.Window > 0 {
@@ -68,11 +72,13 @@
 	return rate
 }
 
+// capacity returns the capacity of a quota's bucket.
 func (t Tolerance) capacity(q route.Quota) float64 { return q.Burst + slackBurstShare*t.Slack }
 
-// Take uses cost of a workspace's quota for a request of a tier, or tells when
-// there will be enough, if nobody else asks: by what accrues here, which is a part of
-// the rate while other daemons are silent. The bucket may be overdrawn by one request.
+// Take deducts cost from a workspace's bucket for a request of a tier. If the level is too
+// low, it returns how long the bucket takes to accrue enough if nobody else draws on it, at
+// the rate that accrues here, which is lower while other daemons are silent. One request
+// may overdraw the bucket.
 func (l *Limiter) Take(ws *route.Workspace, tier request.Tier, cost float64) (ok bool, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,21 +98,21 @@
 	return false, timeToAccrue(max(required-available, smallRequestShare*b.maxLevel), b.rate*l.peers.share())
 }
 
-// remoteDemand is how much the other daemons are likely to be asked for, by tiers at least as
-// urgent, before what any of them lets through is known here. Where less is left, a part
-// of the requests is let through, so that all daemons together let through what is left.
+// remoteDemand estimates how much the other daemons are asked for, in tiers at least as
+// urgent, before their usage is known here. If the level is lower than that, only a random
+// part of the requests is admitted, so that all daemons together admit about what is left.
 //
-// What goes wrong without it: a workspace asks several times its quota of many daemons.
-// Whenever a bit is left, each lets one more large request through before it hears of the
-// others, and all together exceed the quota by dozens of them.
+// Without it, a workspace that sends several times its quota to many daemons exceeds it:
+// whenever a little has accrued, each daemon admits one more large request before it hears
+// of the others, and together they exceed the quota by dozens of requests.
 func (l *Limiter) remoteDemand(b *bucket, tier request.Tier, now time.Time) float64 {
 	remoteRate := max(0, b.recentRemote.sum(now, SilenceTimeout)) / SilenceTimeout.Seconds()
 	return remoteRate * propagationDelay.Seconds() * l.demandRatio(b, tier, now)
 }
 
-// demandRatio is how many times what is granted was asked for here lately. What a daemon has
-// of the rate counts on both sides, or the refusal of a single request would look like an
-// overload.
+// demandRatio returns the recent ratio of demanded to granted amounts here. This daemon's
+// fair share of the rate is added to both, or the rejection of a single request would look
+// like an overload.
 func (l *Limiter) demandRatio(b *bucket, tier request.Tier, now time.Time) float64 {
 	fairRate := b.rate / float64(l.peers.daemonCount())
 	asked, granted := fairRate, fairRate+b.grantedRate.PerSecond(now)
@@ -116,7 +122,7 @@
 	return min(max(1, asked/granted), maxDemandRatio)
 }
 
-// requiredLevel is what a bucket must hold for a request.
+// requiredLevel returns the level that a bucket must have to admit a request.
 func (l *Limiter) requiredLevel(b *bucket, tier request.Tier, cost float64) float64 {
 	maxRequired := maxRequiredShare * l.tolerance.Slack / float64(max(l.peers.assumedDaemons, l.peers.daemonCount()))
 	if l.tolerance.Slack == 0 {
@@ -129,13 +135,12 @@
 	return min(min(cost, maxRequired)+reserve, b.maxLevel)
 }
 
-// tierReserve is the part of a bucket that a request leaves to the more urgent tiers of
-// the workspace, as far as these have asked lately.
+// tierReserve returns the part of a bucket that a request must leave to more urgent tiers
+// of the workspace that were recently in use.
 //
-// What goes wrong without it: a workspace asks several times its quota, the bucket
-// is spent in the order of arrival, and an urgent request is refused because a part
-// of the quota has just gone to one that can wait. One notices refusals of the most
-// urgent tier while lower tiers are served. With a full bucket nothing changes.
+// Without it, a workspace above its quota spends the bucket in order of arrival, and an
+// urgent request is rejected although a less urgent one has just been admitted. With a full
+// bucket the reserve makes no difference.
 func (l *Limiter) tierReserve(b *bucket, tier request.Tier, cost float64) float64 {
 	if cost <= smallRequestShare*b.maxLevel {
 		return 0
@@ -149,7 +154,8 @@
 	return min(tierReserveShare*float64(moreUrgent), maxReserveShare) * b.maxLevel
 }
 
-// timeToAccrue is how long an amount takes to accrue at a rate per second.
+// timeToAccrue returns how long an amount takes to accrue at a rate per second, at most
+// maxWait.
 func timeToAccrue(amount, rate float64) time.Duration {
 	return time.Duration(math.Ceil(min(amount/max(1, rate), maxWait.Seconds()) * float64(time.Second)))
 }
