--- a/internal/decay/decay_test.go
+++ b/internal/decay/decay_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestRate(t *testing.T) {
-	Convey("A steady flow shows its rate, and what is long past counts for nothing", t, func() {
+	Convey("A steady flow yields its rate, and old amounts decay", t, func() {
 		r, now := Rate{TimeConstant: time.Second}, time.Unix(1000, 0)
 		for range 500 {
 			now = now.Add(10 * time.Millisecond)
