--- a/fairshare/fairshare_test.go
+++ b/fairshare/fairshare_test.go
@@ -15,8 +15,8 @@
 	testConfig = Config{MinRatioCheap: 0.6, MinRatioCostly: 0.3, MaxShare: 0.1, MaxCredit: 1, Window: 10 * time.Second}
 )
 
-// overload grants n requests of the top tier of an amount each and refuses as many of
-// tier 2, within a second.
+// overload grants n requests of the top tier, of the given amount each, and refuses n
+// requests of tier 2, within a second.
 func overload(l *Ledger, n int, amount float64) (now time.Time) {
 	for i := range n {
 		now = start.Add(time.Duration(i) * time.Second / time.Duration(n))
@@ -27,13 +27,13 @@
 }
 
 func TestStarvedTiers(t *testing.T) {
-	Convey("A tier of which nothing is refused is not starved, whoever else is", t, func() {
+	Convey("A tier without refusals is not starved, even if another one is", t, func() {
 		l := New(testConfig)
 		now := overload(l, 100, 1)
 		So(l.IsStarved(now, 1), ShouldBeFalse)
 		So(l.IsStarved(now, 2), ShouldBeTrue)
 	})
-	Convey("A starved tier saves up a bounded amount, and a larger one is granted on credit", t, func() {
+	Convey("The credit of a starved tier is bounded, and a larger amount may overdraw it", t, func() {
 		l := New(testConfig)
 		now := overload(l, 100, 1)
 		So(l.Allows(2, 1), ShouldBeTrue)
@@ -42,14 +42,14 @@
 		So(l.Allows(2, 0.01), ShouldBeFalse)
 		So(l.IsStarved(now, 2), ShouldBeFalse)
 	})
-	Convey("What starved tiers get follows what the others get", t, func() {
+	Convey("The credit of starved tiers is proportional to what the others are granted", t, func() {
 		l := New(testConfig)
 		now := overload(l, 5, 1)
 		So(l.Allows(2, 0.1), ShouldBeTrue)
 		So(l.Allows(2, 0.6), ShouldBeFalse)
 		So(l.IsStarved(now, 2), ShouldBeTrue)
 	})
-	Convey("A tier of cheap requests should be served more often than one of costly ones", t, func() {
+	Convey("The minimum grant ratio is higher for cheap requests than for costly ones", t, func() {
 		isStarved := func(amount float64) (starved bool) {
 			l := New(testConfig)
 			now := start
@@ -67,7 +67,7 @@
 		So(isStarved(0.01), ShouldBeTrue)
 		So(isStarved(1), ShouldBeFalse)
 	})
-	Convey("An overload is forgotten", t, func() {
+	Convey("The effect of an overload decays", t, func() {
 		l := New(testConfig)
 		now := overload(l, 100, 1).Add(5 * time.Minute)
 		So(l.IsStarved(now, 2), ShouldBeFalse)
@@ -79,7 +79,7 @@
 	})
 }
 
-// Guards against starved tiers that take more than their bound from those above them.
+// Guards against starved tiers that take more than MaxShare from the tiers above them.
 func TestOutOfTurnGrantsStayWithinTheirBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, now := New(testConfig), start
@@ -103,9 +103,9 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				// Each of three tiers may have one large request on credit.
+				// Each of three tiers may overdraw its credit by one large request.
 				if outOfTurn > testConfig.MaxShare*inTurn+3*largest+1e-9 {
-					t.Fatalf("%v out of turn beside %v in turn", outOfTurn, inTurn)
+					t.Fatalf("%v granted out of turn, %v in turn", outOfTurn, inTurn)
 				}
 			},
 		})
