--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,16 +1,15 @@
-// Package retry is the aggregate that bounds how much load our own retries
-// add to a service, over all daemons together and without talking to them.
+// Package retry bounds the load that retries add to a service, summed over all daemons and
+// without communication between them.
 package retry
 
 import "sync"
 
-// Budget lets each request of a service earn a share of one retry. What is
-// saved up is bounded, so that in any span of time the retries stay within
-// the share of that span's requests plus the bound.
+// Budget is a token bucket that requests fill: each request of a service earns a fraction
+// of one retry, up to a burst. In any interval the retries are at most that fraction of the
+// interval's requests plus the burst.
 //
-// What goes wrong without it: when servers fail, each request is sent several
-// times, and the load that grows just then keeps them down. One would notice
-// arrivals at the servers well above the callers' requests.
+// Without it, each request is sent several times when servers fail, and the additional load
+// keeps them down: the arrivals at the servers rise well above the callers' requests.
 //
 // It is safe for concurrent use.
 type Budget struct {
@@ -20,8 +19,8 @@
 	tokens float64
 }
 
-// NewBudget returns a budget in which each request earns ratio retries, and
-// at most burst are saved up. It starts full.
+// NewBudget returns a full budget. Each request earns ratio retries, and at most burst
+// retries are saved.
 func NewBudget(ratio, burst float64) *Budget {
 	return &Budget{ratio: ratio, burst: burst, tokens: burst}
 }
@@ -33,7 +32,7 @@
 	b.tokens = min(b.burst, b.tokens+b.ratio)
 }
 
-// Take takes one retry and reports whether there was one.
+// Take uses one retry. It reports whether one was left.
 func (b *Budget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,7 +43,7 @@
 	return true
 }
 
-// SetBurst changes how much can be saved up.
+// SetBurst changes how many retries can be saved.
 func (b *Budget) SetBurst(burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestBudget(t *testing.T) {
-	Convey("Retries are earned by requests and bounded", t, func() {
+	Convey("Requests earn retries up to the burst", t, func() {
 		b := NewBudget(0.5, 2)
 		So(b.Take(), ShouldBeTrue)
 		So(b.Take(), ShouldBeTrue)
@@ -26,13 +26,12 @@
 	})
 }
 
-// In any span the retries are at most the share of that span's requests plus
-// what can be saved up, whatever came before.
+// Guards against retry storms: in any interval the retries are at most the earned ones plus the burst.
 func TestBudgetBoundsEveryInterval(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ratio := rapid.Float64Range(0, 1).Draw(t, "ratio")
 		burst := rapid.Float64Range(0, 10).Draw(t, "burst")
-		steps := rapid.SliceOf(rapid.Bool()).Draw(t, "steps") // true: a request
+		steps := rapid.SliceOf(rapid.Bool()).Draw(t, "steps") // true: a request; false: a retry
 		from := rapid.IntRange(0, len(steps)).Draw(t, "from")
 		b := NewBudget(ratio, burst)
 		requests, retries := 0, 0
@@ -48,7 +47,7 @@
 			}
 		}
 		if float64(retries) > ratio*float64(requests)+burst+1e-9 {
-			t.Fatalf("%d retries of %d requests", retries, requests)
+			t.Fatalf("%d retries for %d requests", retries, requests)
 		}
 	})
 }
