--- a/request/attempts.go
+++ b/request/attempts.go
@@ -1,14 +1,14 @@
 package request
 
-// Attempts counts the servers that may have begun to run one request, and
-// says whether it may be sent once more. One goroutine uses it.
+// Attempts counts the servers that may have started to run one request, and decides whether
+// it may be sent again. It is for use by a single goroutine.
 //
-// What goes wrong without it: a request whose answer was lost is sent again
-// although it must not run twice, or is told "not run" although it did. Every
-// send takes an attempt before its first byte; only a server's own word that
-// it did not run the request gives it back.
+// Without it, a request whose answer was lost could be sent again although it must not run
+// twice, or reported as not run although it did run. Every send takes an attempt before its
+// first byte. Only a server's own statement that it did not run the request undoes the
+// attempt.
 type Attempts struct {
-	// Repeatable requests may be begun by up to Most servers, others by one.
+	// Repeatable requests may be started by up to Max servers, others by one.
 	Repeatable bool
 	Max        int
 
@@ -16,7 +16,7 @@
 	sends   int
 }
 
-// CanSend tells whether the request may be sent.
+// CanSend reports whether the request may be sent.
 func (a *Attempts) CanSend() bool {
 	if a.started == 0 {
 		return true
@@ -24,8 +24,8 @@
 	return a.Repeatable && a.started < a.Max
 }
 
-// Take takes an attempt, before the first byte of a send can leave. It
-// returns ErrNoDispatchRight where none is left.
+// Take takes an attempt. It must be called before the first byte of a send. It returns
+// ErrNoDispatchRight if no attempt is left.
 func (a *Attempts) Take() error {
 	if !a.CanSend() {
 		return ErrNoDispatchRight
@@ -35,14 +35,14 @@
 	return nil
 }
 
-// Undo undoes the last Take: no byte left, or the server said that it did
-// not and will not run the request.
+// Undo undoes the latest Take: no byte was sent, or the server said that it did not and
+// will not run the request.
 func (a *Attempts) Undo() { a.started-- }
 
-// Sends returns how many attempts were taken, given back or not.
+// Sends returns the number of attempts taken, including undone ones.
 func (a *Attempts) Sends() int { return a.sends }
 
-// NotRun tells what is known of whether the request ran.
+// NotRun returns what is known about whether the request ran.
 func (a *Attempts) NotRun() NotRun {
 	if a.started == 0 {
 		return NotRunTrue
--- a/request/lifecycle.go
+++ b/request/lifecycle.go
@@ -6,11 +6,11 @@
 	"github.com/pkg/errors"
 )
 
-// State is a step in a request's life.
+// State is a step in a request's lifecycle.
 type State uint32
 
-// The states, in order. A request never goes back, but for Granted, which
-// returns to Queued while nothing was dispatched.
+// The states, in order. A request never returns to an earlier state, except from Granted or
+// Claimed to Queued while nothing was dispatched.
 const (
 	Received State = iota
 	Queued
@@ -29,20 +29,19 @@
 	return "invalid"
 }
 
-// ErrNoDispatchRight reports that the request's one dispatch right is gone:
-// it was dispatched before, or it has ended.
+// ErrNoDispatchRight reports that the request's only dispatch right is not available: the
+// request was dispatched before, or it has ended.
 var ErrNoDispatchRight = errors.New("dispatch right already taken")
 
-// ErrBadTransition reports a step that a request's life does not allow.
+// ErrBadTransition reports a state transition that is not allowed.
 var ErrBadTransition = errors.New("transition not allowed")
 
-// Lifecycle is the state machine of one request. All its methods are safe for
-// concurrent use. The zero value is Received.
+// Lifecycle is the state machine of one request. All its methods are safe for concurrent
+// use. The zero value is Received.
 //
-// What goes wrong without it: two paths (a late grant and a degraded-mode
-// grant, say) each send the same request. One would notice two runs of one
-// request in the engines' logs. Every path must win TakeDispatchRight, a
-// single compare-and-swap, so the second one fails.
+// Without it, two paths, such as a late grant and a grant in degraded mode, could both send
+// the same request, and it would run twice. Every path must win TakeDispatchRight, a single
+// compare-and-swap, so the second one fails.
 type Lifecycle struct {
 	state atomic.Uint32
 }
@@ -50,8 +49,8 @@
 // State returns the current state.
 func (l *Lifecycle) State() State { return State(l.state.Load()) }
 
-// Advance moves from one state to another. It returns ErrBadTransition when
-// the life is not in from, or when the step is not allowed.
+// Advance moves from one state to another. It returns ErrBadTransition if the current state
+// is not from, or if the transition is not allowed.
 func (l *Lifecycle) Advance(from, to State) error {
 	if !allowed(from, to) {
 		return errors.Wrapf(ErrBadTransition, "%s to %s", from, to)
@@ -62,8 +61,8 @@
 	return nil
 }
 
-// TakeDispatchRight takes the one right to dispatch. After it returned nil,
-// it returns ErrNoDispatchRight to every other call.
+// TakeDispatchRight takes the only right to dispatch. It returns nil to one caller at most,
+// and ErrNoDispatchRight to every other one.
 func (l *Lifecycle) TakeDispatchRight() error {
 	for _, from := range []State{Granted, Claimed} {
 		if l.state.CompareAndSwap(uint32(from), uint32(Dispatched)) {
@@ -73,8 +72,8 @@
 	return errors.Wrapf(ErrNoDispatchRight, "state %s", l.State())
 }
 
-// End ends the life from any state and returns the state it was in. Only the
-// first call returns true.
+// End moves to Ended from any state, and returns the previous state. Only the first call
+// returns true.
 func (l *Lifecycle) End() (State, bool) {
 	was := State(l.state.Swap(uint32(Ended)))
 	return was, was != Ended
@@ -91,6 +90,6 @@
 	case Claimed:
 		return to == Queued
 	default:
-		return false // to Dispatched and Ended only by their own methods
+		return false // Dispatched and Ended are reached by their own methods only
 	}
 }
--- a/request/lifecycle_test.go
+++ b/request/lifecycle_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against this: one request shows up twice in the engines' run logs.
+// Guards against a request that runs twice because two paths dispatched it.
 func TestOnlyOnePathTakesTheDispatchRight(t *testing.T) {
-	Convey("of many paths that race, one wins", t, func() {
+	Convey("One of several racing paths takes the dispatch right", t, func() {
 		for range 200 {
 			var lc Lifecycle
 			So(lc.Advance(Received, Queued), ShouldBeNil)
@@ -33,6 +33,7 @@
 	})
 }
 
+// Guards against a sequence of transitions that allows a second dispatch.
 func TestLifecycleAllowsAtMostOneDispatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var lc Lifecycle
@@ -42,7 +43,7 @@
 				from := State(rapid.IntRange(int(Received), int(Ended)).Draw(t, "from"))
 				to := State(rapid.IntRange(int(Received), int(Ended)).Draw(t, "to"))
 				if lc.Advance(from, to) == nil && (to == Dispatched || to == Ended) {
-					t.Fatalf("advance reached %s", to)
+					t.Fatalf("Advance reached %s", to)
 				}
 			},
 			"dispatch": func(t *rapid.T) {
@@ -50,7 +51,7 @@
 					return
 				}
 				if dispatches++; dispatches > 1 || ended {
-					t.Fatalf("dispatch %d, ended %v", dispatches, ended)
+					t.Fatalf("dispatch number %d, ended %v", dispatches, ended)
 				}
 			},
 			"end": func(t *rapid.T) {
@@ -64,7 +65,7 @@
 }
 
 func TestEveryReasonHasAStatus(t *testing.T) {
-	Convey("every refusal maps to an error status and reads back its reason", t, func() {
+	Convey("Each refusal reason has an error status, and the error keeps its reason", t, func() {
 		for _, r := range Reasons() {
 			So(r.Status(), ShouldBeGreaterThanOrEqualTo, http.StatusBadRequest)
 		}
--- a/request/refusal.go
+++ b/request/refusal.go
@@ -6,22 +6,21 @@
 	"time"
 )
 
-// NotRun says what is known of whether a refused request ran. A refusal never
-// claims more than is known.
+// NotRun says what is known about whether a refused request ran. A refusal never claims
+// more than is known.
 type NotRun uint8
 
 // The values of NotRun.
 const (
-	// RanUnknown: bytes may have left and no proof exists either way.
+	// RanUnknown: bytes may have been sent, and there is no proof either way.
 	RanUnknown NotRun = iota
-	// NotRunTrue: the request did not run anywhere.
+	// NotRunTrue: the request did not run on any server.
 	NotRunTrue
 	// NotRunFalse: the request ran, at least in part.
 	NotRunFalse
 )
 
-// JSON returns the value of the refusal's not_run member: true, false or
-// "unknown".
+// JSON returns the value of the refusal's not_run member: true, false or "unknown".
 func (n NotRun) JSON() any {
 	switch n {
 	case NotRunTrue:
@@ -33,7 +32,7 @@
 	}
 }
 
-// Reason is the typed code of a refusal; it is also its counter's name.
+// Reason is the machine-readable code of a refusal, and the name of its counter.
 type Reason string
 
 // The refusal reasons.
@@ -41,7 +40,7 @@
 	ReasonBadRequest   Reason = "bad_request"
 	ReasonBodyTooLarge Reason = "body_too_large"
 	ReasonReadTimeout  Reason = "read_timeout"
-	// ReasonTooManyConnections refuses a connection before it is read.
+	// ReasonTooManyConnections refuses a connection before anything is read from it.
 	ReasonTooManyConnections Reason = "too_many_connections"
 	ReasonUnknownPath        Reason = "unknown_path"
 	ReasonUnauthorized       Reason = "unauthorized"
@@ -111,7 +110,7 @@
 	ReasonInternal:           http.StatusInternalServerError,
 }
 
-// Reasons returns every refusal reason, for counters and their tests.
+// Reasons returns all refusal reasons in no particular order, for counters and tests.
 func Reasons() []Reason {
 	out := make([]Reason, 0, len(reasonStatus))
 	for r := range reasonStatus {
@@ -128,12 +127,12 @@
 	return http.StatusInternalServerError
 }
 
-// Refusal ends a request without a whole answer. It is an error.
+// Refusal is the error that ends a request without a complete answer.
 type Refusal struct {
 	Reason  Reason
 	NotRun  NotRun
 	Message string
-	// RetryAfter is when to come back; zero where to retry does not help.
+	// RetryAfter is the delay after which a retry may succeed; zero: a retry does not help.
 	RetryAfter time.Duration
 }
 
@@ -142,12 +141,12 @@
 	return fmt.Sprintf("%s: %s", r.Reason, r.Message)
 }
 
-// Refuse returns a refusal of a request that certainly did not run.
+// Refuse returns a refusal of a request that is known not to have run.
 func Refuse(reason Reason, format string, args ...any) *Refusal {
 	return &Refusal{Reason: reason, NotRun: NotRunTrue, Message: fmt.Sprintf(format, args...)}
 }
 
-// WithRetryAfter sets when to come back and returns r.
+// WithRetryAfter sets the retry delay and returns r.
 func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	r.RetryAfter = d
 	return r
