--- a/route/compile.go
+++ b/route/compile.go
@@ -11,7 +11,7 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// compiler checks a document's parts and puts them into the table.
+// compiler checks a document and builds the table from it.
 type compiler struct {
 	file     string
 	table    *Table
@@ -26,9 +26,9 @@
 	path := fmt.Sprintf("services[%d]", i)
 	switch {
 	case s.Name == "":
-		c.addFinding(path, "a service without a name")
+		c.addFinding(path, "service has no name")
 	case c.table.Services[s.Name] != nil:
-		c.addFinding(path, "service %q stands twice", s.Name)
+		c.addFinding(path, "service %q is defined twice", s.Name)
 	}
 	c.table.Services[s.Name] = s
 }
@@ -39,7 +39,7 @@
 		c.addFinding(path, "prefix %q does not begin and end with a slash", r.Prefix)
 	}
 	if r.Host == "" {
-		c.addFinding(path, "a route without a host")
+		c.addFinding(path, "route has no host")
 	}
 	if r.Timeout <= 0 {
 		c.addFinding(path, "timeout %v is not positive", r.Timeout)
@@ -48,7 +48,7 @@
 	weights := 0
 	for _, t := range r.Targets {
 		if c.table.Services[t.Service] == nil {
-			c.addFinding(path, "no service %q", t.Service)
+			c.addFinding(path, "service %q is not defined", t.Service)
 		}
 		if t.Weight < 0 {
 			c.addFinding(path, "weight %d of service %q is negative", t.Weight, t.Service)
@@ -56,7 +56,7 @@
 		weights += t.Weight
 	}
 	if weights <= 0 {
-		c.addFinding(path, "no service with a weight")
+		c.addFinding(path, "route has no service with a positive weight")
 	}
 	host := hostName(r.Host)
 	c.table.byHost[host] = append(c.table.byHost[host], r)
@@ -65,19 +65,19 @@
 func (c *compiler) workspace(i int, w *Workspace) {
 	path := fmt.Sprintf("workspaces[%d]", i)
 	if w.Name == "" {
-		c.addFinding(path, "a workspace without a name")
+		c.addFinding(path, "workspace has no name")
 	}
 	for _, k := range w.Keys {
 		if other := c.table.byKey[k]; other != nil && other.Name != w.Name {
-			c.addFinding(path, "workspaces %q and %q hold the same key", other.Name, w.Name)
+			c.addFinding(path, "workspaces %q and %q have the same key", other.Name, w.Name)
 		}
 		c.table.byKey[k] = w
 	}
 	c.table.Workspaces = append(c.table.Workspaces, w)
 }
 
-// assignTiers gives the ranks that occur their tiers, most urgent first. Where more
-// occur than there are tiers, the least urgent ones share the last.
+// assignTiers assigns tiers to the priorities in use, most urgent first. If there are more
+// priorities than tiers, the least urgent ones share the last tier.
 func (c *compiler) assignTiers() {
 	t := c.table
 	t.tiers = map[priority]request.Tier{}
--- a/route/route.go
+++ b/route/route.go
@@ -1,8 +1,7 @@
-// Package route is the aggregate of what the operator lets through: routes by
-// host and path prefix, the services that they lead to, the workspaces that
-// may use them, and the bounds of a caller's request. A Document is what the
-// operator wrote; a Table is its immutable, checked form, which a request
-// takes once for its whole life.
+// Package route models what the operator admits: routes by host and path prefix, the
+// services behind them, the workspaces that may use them, and limits on a caller's request.
+// A Document is the configuration as the operator wrote it. A Table is its immutable,
+// checked form. A request uses one table throughout.
 package route
 
 import (
@@ -11,7 +10,7 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Kind says what of a route's requests may be repeated.
+// Kind says which requests of a route may be repeated.
 type Kind uint8
 
 // The kinds of routes.
@@ -25,7 +24,7 @@
 	Stream
 )
 
-// Route leads requests of a host, under a path prefix, to services.
+// Route sends requests for a host and a path prefix to services.
 type Route struct {
 	Name   string
 	Host   string // lower case, without a port
@@ -33,31 +32,32 @@
 	Kind   Kind
 	// Targets are the services that share the route's requests by weight.
 	Targets []Target
-	// Timeout is the longest time that a request may be kept waiting.
+	// Timeout is the longest time that a request may wait.
 	Timeout time.Duration
-	// LatencyTarget is the time to the answer, for streams to the first event.
+	// LatencyTarget is the target for the time to the answer, or to the first event of a
+	// stream.
 	LatencyTarget time.Duration
 	Tier          request.Tier
-	// MaxAttempts bounds the servers that may begin to run one request.
+	// MaxAttempts is the maximum number of servers that may start to run one request.
 	MaxAttempts int
 	// Public routes need no key.
 	Public bool
-	// Resumable streams may go on at another server.
+	// Resumable streams may continue on another server.
 	Resumable bool
 }
 
-// Target is a service's share of a route.
+// Target is a service with its weight on a route.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Repeatable tells whether a request may be run by a second server.
+// Repeatable reports whether a second server may run a request.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Pick returns the service for a request; roll is uniform in [0,1).
+// Pick returns the service for a request. u is uniform in [0, 1).
 func (r *Route) Pick(u float64) string {
 	total := 0
 	for _, t := range r.Targets {
@@ -73,35 +73,35 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Service is a set of backend servers that are alike but for their speed.
+// Service is a set of backend servers that differ only in speed.
 type Service struct {
 	Name string
-	// TokensPerEvent is how many tokens one event of an engine's stream holds.
+	// TokensPerEvent is the number of tokens in one event of an engine's stream.
 	TokensPerEvent int
 }
 
-// Workspace is one client organisation: its keys, rank and quota.
+// Workspace is one customer organisation with its keys, priority and quota.
 type Workspace struct {
 	Name string
 	Keys []string
-	// Tier, where not nil, goes before the route's.
+	// Tier takes precedence over the route's tier; nil: none.
 	Tier  *request.Tier
 	Quota Quota
 }
 
-// Quota bounds what a workspace may use over all daemons together.
+// Quota limits what a workspace may use, summed over all daemons.
 type Quota struct {
-	// PerSecond and Burst are in requests, or in tokens where Tokens is set.
-	// A zero PerSecond means no bound.
+	// PerSecond and Burst are in requests, or in tokens if Tokens is set. A zero PerSecond
+	// means no limit.
 	PerSecond float64
 	Burst     float64
 	Tokens    bool
-	// DefaultTokens is what a request counts that names no tokens.
+	// DefaultTokens is the cost of a request that states no number of tokens.
 	DefaultTokens int
 }
 
-// Cost returns what a request uses of the quota; tokens is what the
-// request says of itself, zero if nothing.
+// Cost returns what a request costs in units of the quota. tokens is the number that the
+// request states, or zero.
 func (q Quota) Cost(tokens int) float64 {
 	switch {
 	case !q.Tokens:
@@ -113,9 +113,9 @@
 	}
 }
 
-// Limits bound what a caller may send.
+// Limits bound a caller's request.
 type Limits struct {
-	MaxBodyBytes int // zero: no bound
+	MaxBodyBytes int // zero: no limit
 }
 
 // Document is one version of the whole configuration.
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -22,7 +22,7 @@
 }
 
 func TestLookup(t *testing.T) {
-	Convey("The longest prefix that begins the path wins, on its host alone", t, func() {
+	Convey("Lookup finds the longest matching prefix of the same host", t, func() {
 		table, findings := Compile("config/main", testDocument(1))
 		So(findings, ShouldBeEmpty)
 		for path, name := range map[string]string{"/x/": "wide", "/x/a": "wide", "/x/y/": "narrow", "/x/y/z": "narrow", "/x/y": "wide"} {
@@ -34,7 +34,7 @@
 		So(table.ByKey("k2").Name, ShouldEqual, "w")
 		So(table.ByKey(""), ShouldBeNil)
 	})
-	Convey("Requests are shared among services by weight", t, func() {
+	Convey("Requests are distributed among services by weight", t, func() {
 		table, _ := Compile("config/main", testDocument(1))
 		r := table.Lookup("a.example", "/x/y/")
 		So(r.Pick(0), ShouldEqual, "llm")
@@ -42,7 +42,7 @@
 		So(r.Pick(0.91), ShouldEqual, "app")
 		So(r.Pick(1), ShouldEqual, "app")
 	})
-	Convey("Everything wrong is reported together", t, func() {
+	Convey("All errors are reported together", t, func() {
 		d := testDocument(1)
 		d.Routes[0].Prefix, d.Routes[0].Timeout = "x", 0
 		d.Routes[1].Targets = []Target{{"none", -1}}
@@ -53,9 +53,9 @@
 	})
 }
 
-// Guards against this: requests run by a route that was withdrawn a moment before.
+// Guards against requests that use a withdrawn route because an older table returned.
 func TestLiveNeverGoesBack(t *testing.T) {
-	Convey("An older or equal version is not put in force", t, func() {
+	Convey("An older or equal version does not take effect", t, func() {
 		var l Live
 		newer, _ := Compile("config/main", testDocument(7))
 		older, _ := Compile("config/main", testDocument(6))
@@ -76,7 +76,7 @@
 }
 
 func TestQuotaCost(t *testing.T) {
-	Convey("A request costs its tokens, the plain figure, or one", t, func() {
+	Convey("A request costs its tokens, the default number of tokens, or one", t, func() {
 		So(Quota{}.Cost(500), ShouldEqual, 1)
 		So(Quota{Tokens: true, DefaultTokens: 200}.Cost(0), ShouldEqual, 200)
 		So(Quota{Tokens: true, DefaultTokens: 200}.Cost(500), ShouldEqual, 500)
@@ -84,7 +84,7 @@
 }
 
 func TestTiers(t *testing.T) {
-	Convey("A workspace's rank goes before the route's, which decides among equals", t, func() {
+	Convey("The workspace's tier decides first, then the route's", t, func() {
 		first, second := request.Tier(0), request.Tier(1)
 		d := testDocument(1)
 		d.Routes[0].Tier, d.Routes[1].Tier = 0, 2
--- a/route/table.go
+++ b/route/table.go
@@ -10,12 +10,12 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Table is a checked Document, made for lookups. It is not changed.
+// Table is a checked Document, indexed for lookups. It is immutable.
 type Table struct {
 	Version  uint64
 	Limits   Limits
 	Services map[string]*Service
-	// Workspaces in the document's order.
+	// Workspaces are in the document's order.
 	Workspaces []*Workspace
 
 	byHost map[string][]*Route // longest prefix first
@@ -23,12 +23,12 @@
 	tiers  map[priority]request.Tier
 }
 
-// priority orders requests: first by their workspace, then by their route.
+// priority orders requests by their workspace's tier first, then by their route's.
 type priority struct{ workspace, route request.Tier }
 
-// Compile checks a document and returns its table. Findings without a table
-// mean that the document can't be put in force at all; file names the
-// document in them.
+// Compile checks a document and returns its table. If it returns findings, the table is
+// nil, and the document must not take effect. file is the name of the document in the
+// findings.
 func Compile(file string, d Document) (*Table, workspace.Findings) {
 	c := compiler{file: file, table: &Table{
 		Version: d.Version, Limits: d.Limits,
@@ -54,8 +54,8 @@
 	return c.table, nil
 }
 
-// Lookup returns the route with the longest prefix that begins the path, or
-// nil. The host may carry a port.
+// Lookup returns the route with the longest prefix of the path, or nil. The host may
+// include a port.
 func (t *Table) Lookup(host, path string) *Route {
 	for _, r := range t.byHost[hostName(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -65,12 +65,11 @@
 	return nil
 }
 
-// ByKey returns the workspace that holds a key, or nil.
+// ByKey returns the workspace that has a key, or nil.
 func (t *Table) ByKey(key string) *Workspace { return t.byKey[key] }
 
-// Tier returns the tier of a workspace's requests on a route; w is nil where
-// the route needs no key. The workspace's rank goes first, the route's decides
-// among equals.
+// Tier returns the tier of a workspace's requests on a route. w is nil if the route needs
+// no key. The workspace's tier decides first, then the route's.
 func (t *Table) Tier(w *Workspace, r *Route) request.Tier { return t.tiers[priorityOf(w, r)] }
 
 func priorityOf(w *Workspace, r *Route) priority {
@@ -80,9 +79,10 @@
 	return priority{*w.Tier, r.Tier}
 }
 
-// NeedsKeys tells whether requests on routes that are not public need a key.
+// NeedsKeys reports whether requests on routes that are not public need a key.
 func (t *Table) NeedsKeys() bool { return len(t.Workspaces) > 0 }
 
+// hostName returns the host in lower case and without its port.
 func hostName(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -90,18 +90,17 @@
 	return strings.ToLower(host)
 }
 
-// Live holds the table in force. Load is one atomic read.
+// Live holds the table in effect. Load is one atomic read.
 type Live struct{ table atomic.Pointer[Table] }
 
-// Load returns the table in force, or nil before the first one.
+// Load returns the table in effect, or nil before the first one.
 func (l *Live) Load() *Table { return l.table.Load() }
 
-// Update puts a table in force unless it is older than the one in force, and
-// reports whether it did.
+// Update puts a table into effect unless the current one is as new or newer, and reports
+// whether it did.
 //
-// What goes wrong without the check: a stale read, or a peer that was paused,
-// brings an older version, and requests run by routes and keys that were
-// withdrawn. One would notice a route that comes back for a moment.
+// Without this check, a stale read or a message from a daemon that was paused could bring
+// back an older version, and requests would use routes and keys that were withdrawn.
 func (l *Live) Update(t *Table) bool {
 	for {
 		old := l.table.Load()
