--- a/rollout/analyze.go
+++ b/rollout/analyze.go
@@ -1,11 +1,11 @@
 package rollout
 
-// allRoutes stands for the sum over all routes.
+// allRoutes is the key of the sum over all routes.
 const allRoutes = ""
 
-// analyze takes what was added since the last tick into the tests, each against the
-// stable version's answers of the same interval. The sum over all routes is tested, too: a
-// version that fails a few of all requests is found sooner so.
+// analyze adds the counts since the previous tick to the tests. The new version is compared
+// with the stable version's answers of the same interval. The sum over all routes is
+// tested, too, which finds a version sooner that fails a few of all requests.
 func (d *Decider) analyze() {
 	if len(d.pending) == 0 {
 		return
@@ -27,8 +27,8 @@
 	}
 }
 
-// splitByVersion divides what was added by version: by route and server of the new one, by route
-// of the stable one.
+// splitByVersion returns the pending counts of the new version by route and server, and
+// those of the stable version by route.
 func (d *Decider) splitByVersion() (canary map[string]map[string]Counts, stable map[string]Counts) {
 	canary, stable = map[string]map[string]Counts{}, map[string]Counts{}
 	for key, added := range d.pending {
@@ -46,7 +46,7 @@
 	return canary, stable
 }
 
-// limitBroken counts the broken answers of a server as one in brokenInterval.
+// limitBroken counts the broken answers of a server as one per brokenInterval.
 func (d *Decider) limitBroken(server string, broken uint64) uint64 {
 	if broken == 0 || d.now.Sub(d.lastBroken[server]) < brokenInterval {
 		return 0
@@ -55,8 +55,9 @@
 	return 1
 }
 
-// updateTests takes the answers of an interval on a route into its tests. Servers that are cold
-// are slow for another reason than their version.
+// updateTests adds the answers of an interval on a route to its tests. Slowness is not
+// tested while the servers are cold, because they are then slow for another reason than
+// their version.
 func (d *Decider) updateTests(route string, servers map[string]Counts, baseline Counts) {
 	failed, slow := map[string]sample{}, map[string]sample{}
 	for server, c := range servers {
@@ -70,6 +71,7 @@
 	}
 }
 
+// testFor returns the test of a key, and creates it if needed.
 func (d *Decider) testFor(key testKey) *sequentialTest {
 	if d.tests[key] == nil {
 		d.tests[key] = &sequentialTest{}
@@ -77,8 +79,8 @@
 	return d.tests[key]
 }
 
-// recordBaseline keeps what the stable version answered of late; from the cutover on what it
-// answered before that, when it still had the traffic.
+// recordBaseline keeps the stable version's recent answers. After the cutover has begun it
+// keeps those from before, when the stable version still had the traffic.
 func (d *Decider) recordBaseline(stable map[string]Counts) {
 	if d.cutoverBegun {
 		return
@@ -89,11 +91,11 @@
 	}
 }
 
-// baseline returns what the new version's answers on a route are held against: the stable
-// version's of the same interval or, where these are few, those of late.
+// baseline returns the stable version's answers with which the new version's on a route are
+// compared: those of the same interval or, if they are too few, the recent ones.
 //
-// What goes wrong without the latter: a version that turns bad when it gets the whole
-// traffic has nothing to be compared with, and is promoted.
+// Without the latter, a version that turns bad when it gets the whole traffic has nothing
+// to be compared with, and is promoted.
 func (d *Decider) baseline(stable Counts, route string, servers map[string]Counts) Counts {
 	total := 0.0
 	for _, c := range servers {
--- a/rollout/decider.go
+++ b/rollout/decider.go
@@ -7,121 +7,127 @@
 )
 
 const (
-	// writeMargin is how long before the deadline the outcome is written: the store
-	// answers in milliseconds, and may answer the first call with an error.
+	// writeMargin is how long before the deadline the final state is written. The store
+	// answers in milliseconds, but the first call may fail.
 	writeMargin = 600 * time.Millisecond
-	// maxWriteMarginShare bounds writeMargin by a part of the rollout's duration.
+	// maxWriteMarginShare is the largest writeMargin as a fraction of the rollout's
+	// duration.
 	maxWriteMarginShare = 0.1
-	// openLead is how long before the cutover all servers of the new version are
-	// opened: the owners of their pools learn of it first.
+	// openLead is how long before the cutover all servers of the new version are opened,
+	// because the owners of their pools must learn of it first.
 	openLead = 700 * time.Millisecond
-	// leadPercentile of the runs of a route have ended after its lead.
+	// leadPercentile is the percentage of a route's runs that end within its lead.
 	leadPercentile = 95
-	// minCapacityRatio is the part of the stable servers' slots that the new ones must have
-	// to get the traffic. With less they would shed what the stable ones served.
+	// minCapacityRatio is the ratio of new to stable slots that the new version needs to
+	// get the traffic. With less it would shed requests that the stable version served.
 	minCapacityRatio = 0.7
-	// quorumShare is the part of the daemons that must have reported lately for an
-	// outcome to be decided: a daemon that is cut off with a few others decides nothing.
+	// quorumShare is the fraction of daemons that must have reported recently for a
+	// decision, so that a daemon that is cut off with a few others decides nothing.
 	quorumShare = 0.5
-	// maxReportAge is how recent a daemon's report is.
+	// maxReportAge is the age up to which a report counts as recent.
 	maxReportAge = 2 * time.Second
-	// baselineWindow is how much of the stable version's last answers stands in for an
-	// interval in which it gives few.
+	// baselineWindow is how much of the stable version's latest answers is used for an
+	// interval in which it gives too few.
 	baselineWindow = 4 * time.Second
-	// minBaselineRatio is how many stable answers an interval must have, by the new ones,
-	// to be held against them alone.
+	// minBaselineRatio is the ratio of stable to new answers from which on an interval
+	// needs no answers of earlier ones.
 	minBaselineRatio = 2.0
-	// brokenInterval is how often a server's broken answers count as one bad answer: a
-	// crash breaks all that run there, and rejects nobody.
+	// brokenInterval is the time in which the broken answers of a server count as one bad
+	// answer: a single crash breaks all runs on a server, and must not reject the version.
 	brokenInterval = 2 * time.Second
 )
 
-// Report is what one daemon has seen.
+// Report holds the counts of one daemon.
 type Report struct {
 	Reporter    string
 	Incarnation uint64
 	Number      uint64
-	// Age is for how long the daemon has known the rollout.
+	// Age is how long the daemon has known the rollout.
 	Age   time.Duration
 	Cells map[Key]Cell
 }
 
-// ServiceStatus are what the deciding daemon knows of the service.
+// ServiceStatus is what the deciding daemon knows about the service.
 type ServiceStatus struct {
-	// Daemons is how many are alive.
+	// Daemons is the number of daemons that are alive.
 	Daemons int
-	// StableServers and NewServers may be used now, with so many slots; WarmServers of
-	// the new ones are not slow from their start any more.
+	// StableServers and NewServers are the numbers of usable servers, StableSlots and
+	// NewSlots those of their slots. WarmServers are the new servers that are no longer
+	// slow from their start.
 	StableServers, NewServers, WarmServers int
 	StableSlots, NewSlots                  int
-	// ServedBefore is set where servers of the version served before the rollout: there is
-	// nothing to try.
+	// ServedBefore is set if servers of the version served before the rollout, so that
+	// there is nothing to test.
 	ServedBefore bool
 }
 
-// Reason is why a version is promoted or rolled back.
+// Reason is why a version is promoted or rolled back. It is logged.
 type Reason string
 
 // The reasons.
 const (
-	ReasonNoRegression Reason = "its answers were as good as the stable version's"
-	ReasonOnlyVersion  Reason = "no server of another version is there"
+	ReasonNoRegression Reason = "its answers were as good as those of the stable version"
+	ReasonOnlyVersion  Reason = "there are no servers of another version"
 	ReasonServedBefore Reason = "it served before the rollout"
 	ReasonFailures     Reason = "it fails more requests than the stable version"
 	ReasonSlow         Reason = "it is slower than the stable version"
-	ReasonNoServers    Reason = "no server of it is ready at the deadline"
-	ReasonCapacity     Reason = "its servers have too few slots at the deadline"
-	ReasonNoAnswer     Reason = "it has answered no request at the deadline"
+	ReasonNoServers    Reason = "none of its servers was ready at the deadline"
+	ReasonCapacity     Reason = "its servers had too few slots at the deadline"
+	ReasonNoAnswer     Reason = "it had answered no request by the deadline"
 )
 
-// Decision is what was decided and the figures that decided it.
+// Decision is the decision and the figures behind it.
 type Decision struct {
 	State  State
 	Reason Reason
-	// Route is where it was proved; empty: over all routes, or it was not by a test.
+	// Route is the route whose test rejected the version; empty: the test over all routes,
+	// or no test.
 	Route string
-	// Canary and Stable are the answers of both versions there.
+	// Canary and Stable are the counts of both versions on that route.
 	Canary, Stable Counts
-	// Value is the test's.
+	// Value is the value of that test.
 	Value float64
 }
 
-// Decider decides one rollout. It gathers the daemons' reports; it has no clock, and
-// is not safe for concurrent use. Two deciders of one rollout, each with a part of the
-// reports, do no harm: the outcome is one conditional write.
+// Decider decides one rollout from the reports of the daemons. It has no clock, and is not
+// safe for concurrent use. Two deciders of one rollout, each with some of the reports, do
+// no harm: the final state is one conditional write.
 type Decider struct {
 	rollout Rollout
 	bounds  Bounds
 	now     time.Time
-	// knownAt is when the rollout became known to the first daemon.
+	// knownAt is when the first daemon learned of the rollout.
 	knownAt    time.Time
 	reporters  map[string]*reporter
 	cells      map[Key]*Cell
-	pending    map[Key]Counts // added since the last tick
+	pending    map[Key]Counts // added since the previous tick
 	tests      map[testKey]*sequentialTest
 	baselines  []baselineInterval // of the stable version, oldest first
 	lastBroken map[string]time.Time
 	decision   Decision
-	// hasWarmServers is set while servers of the new version are not slow from their start.
+	// hasWarmServers is set if some servers of the new version are no longer slow from
+	// their start.
 	hasWarmServers bool
-	// cutoverBegun is set once that has begun.
+	// cutoverBegun is set once the cutover has begun.
 	cutoverBegun bool
 	// spikePlanned is set once a spike is planned.
 	spikePlanned bool
 }
 
+// reporter is the latest report of a daemon.
 type reporter struct {
 	incarnation, number uint64
 	lastReport          time.Time
 	cells               map[Key]Cell
 }
 
-// baselineInterval is what the stable version answered between two ticks, by route.
+// baselineInterval holds the stable version's answers between two ticks, by route.
 type baselineInterval struct {
 	at     time.Time
 	stable map[string]Counts
 }
 
+// measure is what a test counts as bad: failures or slow answers.
 type measure uint8
 
 const (
@@ -134,7 +140,7 @@
 	measure measure
 }
 
-// NewDecider returns a decider of a rollout that is known here since a moment.
+// NewDecider returns a decider of a rollout. known is when it became known here.
 func NewDecider(r Rollout, b Bounds, known time.Time) *Decider {
 	return &Decider{
 		rollout: r, bounds: b, knownAt: known,
@@ -143,31 +149,31 @@
 	}
 }
 
-// Rollout returns the rollout as it was last read.
+// Rollout returns the rollout as last set.
 func (d *Decider) Rollout() Rollout { return d.rollout }
 
-// SetRollout takes a change of the rollout's duration, revision or state.
+// SetRollout updates the rollout's duration, revision and state.
 func (d *Decider) SetRollout(r Rollout) { d.rollout = r }
 
-// KnownAt returns when the rollout became known.
+// KnownAt returns when the first daemon learned of the rollout.
 func (d *Decider) KnownAt() time.Time { return d.knownAt }
 
-// ObserveKnownAt takes it that the rollout was known at a moment.
+// ObserveKnownAt records that a daemon learned of the rollout at the given time.
 func (d *Decider) ObserveKnownAt(at time.Time) {
 	if at.Before(d.knownAt) {
 		d.knownAt = at
 	}
 }
 
-// Decision returns what was decided; its State is Running until then.
+// Decision returns the decision. Its State is Running until there is one.
 func (d *Decider) Decision() Decision { return d.decision }
 
-// AddReport takes a report. It may come twice or out of order.
+// AddReport adds a report. Reports may arrive twice or out of order.
 func (d *Decider) AddReport(now time.Time, r Report) {
 	d.ObserveKnownAt(now.Add(-r.Age))
 	known := d.reporters[r.Reporter]
 	if known == nil || known.incarnation < r.Incarnation {
-		// What its former incarnation counted stays counted.
+		// The counts of the daemon's previous incarnations stay.
 		known = &reporter{incarnation: r.Incarnation, cells: map[Key]Cell{}}
 		d.reporters[r.Reporter] = known
 	}
@@ -181,7 +187,7 @@
 	}
 }
 
-// addIncrease adds what a cell has more than the same daemon told before.
+// mergeCell adds the increase of a cell since the same daemon's previous report.
 func (d *Decider) mergeCell(key Key, before, now Cell) {
 	c := d.cells[key]
 	if c == nil {
@@ -196,13 +202,14 @@
 	c.Total.addIncrease(before.Total, now.Total)
 }
 
+// addIncrease adds the increase from before to now.
 func (t Times) addIncrease(before, now Times) {
 	for us, n := range now {
 		t[us] += n - before[us]
 	}
 }
 
-// Tick lets time pass, and returns the plan as of now.
+// Tick advances the time to now, decides if possible, and returns the current plan.
 func (d *Decider) Tick(now time.Time, s ServiceStatus) Plan {
 	d.now, d.hasWarmServers = now, s.WarmServers > 0
 	d.analyze()
@@ -212,7 +219,7 @@
 	return d.plan(s)
 }
 
-// decide decides where it is time, or where the new version is proved bad.
+// decide decides if a test rejects the new version, or if it is time.
 func (d *Decider) decide(s ServiceStatus) {
 	if d.rejectAbove(rejectThreshold) {
 		return
@@ -243,7 +250,8 @@
 	}
 }
 
-// rejectAbove rolls the version back where a test has reached a value.
+// rejectAbove rolls the version back if the value of a test reaches the threshold, and
+// reports whether it did.
 func (d *Decider) rejectAbove(threshold float64) bool {
 	keys := make([]testKey, 0, len(d.tests))
 	for key := range d.tests {
@@ -268,7 +276,7 @@
 	return false
 }
 
-// answeringServers is how many servers of the new version have answered.
+// answeringServers returns the number of servers of the new version that have answered.
 func (d *Decider) answeringServers() int {
 	servers := map[string]bool{}
 	for key := range d.cells {
@@ -279,7 +287,7 @@
 	return len(servers)
 }
 
-// totals returns what both versions answered on a route, or on allRoutes.
+// totals returns the counts of both versions on a route, or on allRoutes.
 func (d *Decider) totals(route string) (canary, stable Counts) {
 	for key, c := range d.cells {
 		switch {
@@ -293,7 +301,7 @@
 	return canary, stable
 }
 
-// quorum tells whether enough daemons have reported lately.
+// quorum reports whether enough daemons have reported recently.
 func (d *Decider) quorum(s ServiceStatus) bool {
 	n := 0
 	for _, r := range d.reporters {
@@ -304,10 +312,12 @@
 	return float64(n) >= quorumShare*float64(s.Daemons)
 }
 
-// stopAt is when the outcome is decided if nothing was proved before.
+// stopAt returns when the stable servers stop, which is when the decision is due if no test
+// has rejected the version.
 func (d *Decider) stopAt() time.Time {
 	margin := min(writeMargin, time.Duration(maxWriteMarginShare*float64(d.rollout.Duration)))
 	return d.deadline().Add(-margin)
 }
 
+// deadline returns when the rollout's duration ends.
 func (d *Decider) deadline() time.Time { return d.knownAt.Add(d.rollout.Duration) }
--- a/rollout/decider_plan.go
+++ b/rollout/decider_plan.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// How the new version is brought to the stable one's usual load where it has so few
-// servers that its share of the requests does not.
+// The spike exposes the new version to the stable one's usual load per server, if it has so
+// few servers that its share of the requests does not.
 const (
 	// spikeAtShare is the part of the time until the stable servers stop after which all
 	// requests go to the new version for spikeDuration.
 	spikeAtShare  = 0.5
 	spikeDuration = 400 * time.Millisecond
-	// spikeNotice is how long before it the daemons are told.
+	// spikeNotice is how long before the spike the daemons are told of it.
 	spikeNotice = 1500 * time.Millisecond
-	// minCanaryLoad is the part of a stable server's load below which one is made.
+	// minCanaryLoad is the load of a canary server, relative to a stable one, below which a
+	// spike is made.
 	minCanaryLoad = 0.5
 )
 
-// coldServersAfter is the part of the rollout's duration after which servers get canaries that
-// are still slow from their start: a version without any answer can't be promoted.
+// coldServersAfter is the fraction of the rollout's duration after which servers get
+// canaries although they are still slow from their start: a version without any answer
+// cannot be promoted.
 const coldServersAfter = 0.4
 
-// leadStep is the grain in which the cutover is planned.
+// leadStep is the resolution of the planned lead.
 const leadStep = 50 * time.Millisecond
 
-// plan returns how the daemons divide their requests.
+// plan returns how the daemons distribute their requests.
 func (d *Decider) plan(s ServiceStatus) Plan {
 	p := Plan{StableStopIn: d.stopAt().Sub(d.now), Routes: map[string]RoutePlan{}}
 	switch d.decision.State {
@@ -51,21 +53,23 @@
 }
 
 const (
-	// minRateTime is from when on the rate of the requests is known well enough to
-	// spend the slack on canaries.
+	// minRateTime is how long the requests must have been counted before their rate is used
+	// to spend the slack on canaries.
 	minRateTime = 1500 * time.Millisecond
-	// maxCanaryShare bounds the canaries' part of the requests: the stable servers stay in use.
+	// maxCanaryShare bounds the fraction of canaries, so that the stable servers stay in
+	// use.
 	maxCanaryShare = 0.3
-	// canaryBudgetShare is the part of what the bound leaves that is spent on them: reports lag.
+	// canaryBudgetShare is the part of the remaining exposure that is spent on canaries. It
+	// is below 1 because reports lag.
 	canaryBudgetShare = 0.8
 )
 
-// canaryShare returns the part of the requests that are canaries: what the bound leaves after the
-// cutover.
+// canaryShare returns the fraction of requests that are canaries: what the bound leaves
+// after the cutover.
 //
-// What goes wrong with a part of the bound's share alone: a service with ten requests a
-// second shows six of them to the new version in twelve seconds, and one that fails half
-// of them is promoted.
+// With a fixed part of the bound's share, a service with ten requests a second would show
+// six of them to the new version in twelve seconds, and a version that fails half of them
+// would be promoted.
 func (d *Decider) canaryShare(p *Plan) float64 {
 	usual := d.bounds.CanaryShare()
 	left := d.stopAt().Sub(d.now)
@@ -77,8 +81,7 @@
 	return min(max(allowed, 0), max(usual, maxCanaryShare))
 }
 
-// planRoutes fills in what the stable version's answers tell of the routes, and returns the
-// longest lead.
+// planRoutes fills in the plans of the routes, and returns the longest lead.
 func (d *Decider) planRoutes(p *Plan) time.Duration {
 	var longest time.Duration
 	for key, c := range d.cells {
@@ -103,26 +106,27 @@
 	return longest
 }
 
-// maxCanaryReserveShare is the part, of what the bound leaves after the stable servers' stop, that is
-// kept for canaries at the most; the rest is for the cutover.
+// maxCanaryReserveShare is the largest part that is kept for canaries of what the bound
+// leaves after the stop of the stable servers. The rest is for the cutover.
 const maxCanaryReserveShare = 0.6
 
-// canaryReserve returns how many requests are kept for canaries until the cutover.
+// canaryReserve returns the number of requests that are kept for canaries until the
+// cutover.
 //
-// What goes wrong without it: a service with answers of seconds plans to use all that the
-// bound leaves for its cutover, there are no canaries, and a bad version is promoted unseen.
+// Without it, a service whose answers take seconds would plan its cutover with all that the
+// bound leaves. There would be no canaries, and a bad version would be promoted unnoticed.
 func (d *Decider) canaryReserve(routes map[string]RoutePlan) float64 {
 	usual := d.bounds.CanaryShare() * d.requestRate(allRoutes) * max(0, d.stopAt().Sub(d.now)).Seconds()
 	return max(0, min(usual, maxCanaryReserveShare*(d.remainingExposure()-d.cutoverExposure(routes, 0))))
 }
 
-// cutoverExposure returns how many requests the new version gets, beyond its share, from
-// the cutover to the deadline, where no route's lead is longer than most.
+// cutoverExposure returns the number of requests that the new version gets, beyond its
+// share, from the cutover to the deadline if no route's lead is longer than maxLead.
 //
-// What goes wrong where the cutover begins as early as the longest answers need: a version
-// that turns bad under the whole traffic has had several times its part of the requests by
-// the time it is rolled back. What still runs on stable servers when they stop is cut
-// instead, and sent again where it may be.
+// If the cutover began as early as the longest answers need, a version that turns bad under
+// the whole traffic would have got several times its share of the requests before it is
+// rolled back. Instead, runs on stable servers are cut when these stop, and are sent again
+// if they may be.
 func (d *Decider) cutoverExposure(routes map[string]RoutePlan, maxLead time.Duration) float64 {
 	n := 0.0
 	for name, r := range routes {
@@ -131,18 +135,21 @@
 	return n
 }
 
-// plannedBoundShare is the part of the bound that is planned with: the rate of the requests
-// until the deadline is only expected, and what is under way is not counted yet.
+// plannedBoundShare is the part of the bound that is used for planning. It is below 1
+// because the request rate until the deadline is an estimate, and requests in flight are
+// not counted yet.
 const plannedBoundShare = 0.95
 
-// remainingExposure returns how many requests more the new version may get until the deadline.
+// remainingExposure returns how many more requests the new version may get until the
+// deadline.
 func (d *Decider) remainingExposure() float64 {
 	canary, _ := d.totals(allRoutes)
 	bound := d.bounds.Share*d.requestRate(allRoutes)*d.rollout.Duration.Seconds() + d.bounds.Slack
 	return plannedBoundShare*bound - float64(canary.Runs)
 }
 
-// requestRate returns the requests a second of a route, on both versions; empty: of all.
+// requestRate returns the requests per second of a route, or of allRoutes, on both
+// versions.
 func (d *Decider) requestRate(route string) float64 {
 	elapsed := d.now.Sub(d.knownAt).Seconds()
 	if elapsed <= 0 {
@@ -152,11 +159,11 @@
 	return float64(canary.Runs+stable.Runs) / elapsed
 }
 
-// stopToDeadline is how long requests go to the new version alone before the deadline.
+// stopToDeadline returns how long before the deadline all requests go to the new version.
 func (d *Decider) stopToDeadline() time.Duration { return d.deadline().Sub(d.stopAt()) }
 
-// planSpike plans a moment at which the new version gets every request, where its servers
-// would otherwise see less than the usual load, and as far as the bound allows it.
+// planSpike plans a time at which the new version gets all requests, if its servers would
+// otherwise have less than the usual load, and if the bound allows it.
 func (d *Decider) planSpike(p *Plan, s ServiceStatus) {
 	usual := float64(CanaryServers(p.CanaryShare, s.StableServers, s.NewServers))
 	if p.CanaryShare*float64(s.StableServers) >= minCanaryLoad*usual {
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -2,18 +2,21 @@
 
 import "time"
 
-// Phase is what a rollout does now.
+// Phase is the current phase of a rollout.
 type Phase uint8
 
 // The phases.
 const (
 	// PhaseCanary: a share of the requests are canaries.
 	PhaseCanary Phase = iota
-	// PhaseCutover: requests that would outlast the stable servers go to the new ones.
+	// PhaseCutover: requests that would run beyond the stop of the stable servers go to the
+	// new ones.
 	PhaseCutover
-	// PhasePromote: the stable servers get nothing more; the outcome is being written.
+	// PhasePromote: the stable servers get no more requests; the final state is being
+	// written.
 	PhasePromote
-	// PhaseRollBack: the new version gets nothing more; the outcome is being written.
+	// PhaseRollBack: the new version gets no more requests; the final state is being
+	// written.
 	PhaseRollBack
 )
 
@@ -22,30 +25,32 @@
 	return [...]string{"canary", "cutover", "promote", "roll back"}[min(p, PhaseRollBack)]
 }
 
-// Plan is how a daemon divides its requests from now on.
+// Plan is how a daemon distributes its requests from now on.
 type Plan struct {
 	Phase Phase
-	// CanaryShare of the requests are canaries.
+	// CanaryShare is the fraction of requests that are canaries.
 	CanaryShare float64
-	// OpenAll is set where all servers of the new version are used, not a few.
+	// OpenAll is set if all servers of the new version are used, not only a few.
 	OpenAll bool
-	// StableStopIn is when the stable servers stop; it counts from PhaseCutover on.
+	// StableStopIn is the time until the stable servers stop. It applies from PhaseCutover
+	// on.
 	StableStopIn time.Duration
-	// SpikeIn is when all requests go to the new version, for SpikeFor; 0: never.
+	// SpikeIn is the time until all requests go to the new version for SpikeFor. If
+	// SpikeFor is 0 there is no spike.
 	SpikeIn, SpikeFor time.Duration
 	Routes            map[string]RoutePlan
 }
 
-// RoutePlan is what the stable version's answers tell of a route.
+// RoutePlan is derived from the stable version's answers on a route.
 type RoutePlan struct {
 	Slow SlowThreshold
-	// Lead is how long before the stable servers stop a request must not be sent to
-	// them any more: it would be cut.
+	// Lead is how long before the stable servers stop they get no more requests of the
+	// route, because these would be cut off.
 	Lead time.Duration
 }
 
-// AllToNew tells whether every request of a route goes to the new version, so long after
-// the plan was made.
+// AllToNew reports whether every request of a route goes to the new version, at the given
+// time since the plan was made.
 func (p *Plan) AllToNew(route string, since time.Duration) bool {
 	switch p.Phase {
 	case PhasePromote:
@@ -59,10 +64,10 @@
 	}
 }
 
-// HasCanaries tells whether a share of the requests are canaries.
+// HasCanaries reports whether a share of the requests are canaries.
 func (p *Plan) HasCanaries() bool { return p.Phase == PhaseCanary || p.Phase == PhaseCutover }
 
-// longestLead returns the longest lead of any route.
+// longestLead returns the longest lead of all routes.
 func (p *Plan) longestLead() time.Duration {
 	var longest time.Duration
 	for _, r := range p.Routes {
@@ -71,13 +76,13 @@
 	return longest
 }
 
-// minCanaryServers servers of the new version get canaries at the least, so that one that is bad
-// alone doesn't speak for the version.
+// minCanaryServers is the minimum number of servers of the new version that get canaries,
+// so that a single bad server does not decide about the version.
 const minCanaryServers = 3
 
-// CanaryServers returns how many of the new version's servers get canaries while not all
-// are open: so many that each has about the load of a stable one. A version that is bad
-// under load alone would pass where a share of the requests is spread over all.
+// CanaryServers returns how many servers of the new version get canaries before all are
+// open. Each then has about the load of a stable server: if the canaries were spread over
+// all servers, a version that is bad only under load would pass.
 func CanaryServers(share float64, stable, new int) int {
 	return min(new, max(minCanaryServers, int(share*float64(stable)+0.5)))
 }
--- a/rollout/recorder.go
+++ b/rollout/recorder.go
@@ -7,44 +7,44 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Run is how one request went that was sent to a server.
+// Run is the result of one request that was sent to a server.
 type Run struct {
 	Route   string
 	Server  string
 	Canary  bool
 	Outcome Outcome
-	// FirstEvent is the time to the first event, or to the whole answer of a plain
-	// service; Pace the mean time for each further token, 0: none. Of an abandoned
-	// run they are what it had taken by then.
+	// FirstEvent is the time to the first event, or to the whole answer of a plain service.
+	// PerToken is the mean time per further token; 0: none. For an abandoned run they are
+	// the times until it was abandoned.
 	FirstEvent, PerToken time.Duration
-	// Total is the time of the whole run.
+	// Total is the duration of the whole run.
 	Total time.Duration
 }
 
 // Outcome is how a run ended.
 type Outcome uint8
 
-// The endings.
+// The outcomes.
 const (
 	Answered Outcome = iota
-	// Failed runs brought the server's own word that it failed.
+	// Failed runs are those that the server itself reported as failed.
 	Failed
-	// Broken runs brought no whole answer.
+	// Broken runs brought no complete answer.
 	Broken
-	// Abandoned runs were given up by the caller or at their deadline.
+	// Abandoned runs were ended by the caller or by their deadline.
 	Abandoned
 )
 
-// Key names a cell of evidence: a route, and a server of the new version; without a
-// server all those of the stable one.
+// Key identifies a cell: a route, and a server of the new version. An empty Server stands
+// for all servers of the stable version.
 type Key struct{ Route, Server string }
 
-// Counts are the runs of a cell; they only grow.
+// Counts are the numbers of runs in a cell. They never decrease.
 type Counts struct {
 	Runs, Failed, Broken, Slow uint64
 }
 
-// minus returns what has been added since an earlier reading.
+// minus returns the increase since an earlier reading.
 func (c Counts) minus(o Counts) Counts {
 	return Counts{Runs: c.Runs - o.Runs, Failed: c.Failed - o.Failed, Broken: c.Broken - o.Broken, Slow: c.Slow - o.Slow}
 }
@@ -53,20 +53,20 @@
 	return Counts{Runs: c.Runs + o.Runs, Failed: c.Failed + o.Failed, Broken: c.Broken + o.Broken, Slow: c.Slow + o.Slow}
 }
 
-// Times are durations with how often each was seen, by a value in microseconds that
-// stands for all within a tenth of it.
+// Times counts durations. A key is a duration in microseconds that stands for all durations
+// within a tenth of it.
 type Times map[int64]int64
 
-// Cell is a cell's counts with, for the stable version, the times of its runs.
+// Cell holds a cell's counts and, for the stable version, the times of its runs.
 type Cell struct {
 	Counts
 	FirstEvent, PerToken, Total Times
 }
 
 const (
-	// maxRunTime bounds a measured time.
+	// maxRunTime is the longest time that is recorded.
 	maxRunTime = 10 * time.Minute
-	// histogramDigits is the precision of Times: within a tenth.
+	// histogramDigits is the precision of Times in significant decimal digits.
 	histogramDigits = 1
 )
 
@@ -74,7 +74,7 @@
 	return hdrhistogram.New(1, maxRunTime.Microseconds(), histogramDigits)
 }
 
-// timesOf returns what a histogram holds; nil: there is none.
+// timesOf returns the contents of a histogram; nil if there is none.
 func timesOf(h *hdrhistogram.Histogram) Times {
 	if h == nil {
 		return nil
@@ -88,17 +88,18 @@
 	return t
 }
 
-// histogram returns the times as a histogram that tells quantiles.
+// histogram returns a histogram of the times, for quantiles.
 func (t Times) histogram() *hdrhistogram.Histogram {
 	h := newHistogram()
 	for us, n := range t {
-		// Values out of range can only be another daemon's mistake: they are left out.
+		// A value out of range can only come from a faulty report of another daemon; it is
+		// ignored.
 		_ = h.RecordValues(us, n)
 	}
 	return h
 }
 
-// cellRecord is a cell while it is counted.
+// cellRecord is a cell to which runs are being added.
 type cellRecord struct {
 	counts                      Counts
 	firstEvent, perToken, total *hdrhistogram.Histogram
@@ -109,22 +110,23 @@
 	return Cell{Counts: c.counts, FirstEvent: timesOf(c.firstEvent), PerToken: timesOf(c.perToken), Total: timesOf(c.total)}
 }
 
-// Recorder counts what one daemon sees of a rollout. It is safe for concurrent use.
+// Recorder counts the runs that one daemon sees during a rollout. It is safe for concurrent
+// use.
 type Recorder struct {
 	mu    sync.Mutex
 	cells map[Key]*cellRecord
 }
 
-// NewRecorder returns a recorder that has seen nothing.
+// NewRecorder returns a recorder without runs.
 func NewRecorder() *Recorder {
 	return &Recorder{cells: map[Key]*cellRecord{}}
 }
 
-// Record takes how a run went. Limit is what is slow on its route.
+// Record counts a run. threshold says what is slow on its route.
 func (r *Recorder) Record(run Run, threshold SlowThreshold) {
 	slow := threshold.exceededBy(run)
 	if run.Outcome == Abandoned && !slow {
-		return // it tells nothing of the server
+		return // it says nothing about the server
 	}
 	key := Key{Route: run.Route}
 	if run.Canary {
@@ -161,16 +163,16 @@
 	}
 }
 
-// recordTime counts a duration in a histogram, which is made at the first one.
+// recordTime adds a duration to a histogram, and creates the histogram if needed.
 func recordTime(h **hdrhistogram.Histogram, d time.Duration) {
 	if *h == nil {
 		*h = newHistogram()
 	}
-	_ = (*h).RecordValue(min(max(d.Microseconds(), 1), maxRunTime.Microseconds())) // it is in range
+	_ = (*h).RecordValue(min(max(d.Microseconds(), 1), maxRunTime.Microseconds())) // the value is in range
 }
 
-// TakeChanged returns the cells that have changed since they were told, and marks them
-// as told. All asks for every cell: another daemon decides now.
+// TakeChanged returns the cells that have changed since the previous call, or all of them,
+// and marks them as unchanged. all is set if another daemon decides now.
 func (r *Recorder) TakeChanged(all bool) map[Key]Cell {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -184,7 +186,7 @@
 	return out
 }
 
-// MarkChanged marks cells as not told: their report was not answered.
+// MarkChanged marks cells as changed because the report that held them was not answered.
 func (r *Recorder) MarkChanged(cells map[Key]Cell) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -193,26 +195,27 @@
 	}
 }
 
-// SlowThreshold is what counts as slow on a route; zero: unknown yet.
+// SlowThreshold holds the times above which a run is slow on a route; zero: not known yet.
 type SlowThreshold struct{ FirstEvent, PerToken time.Duration }
 
-// exceededBy tells whether a run was slow. One that was abandoned counts by what it had
-// taken: a caller who gave up waiting for a slow server would go unseen otherwise.
+// exceededBy reports whether a run was slow. An abandoned run counts by its times until
+// then. Otherwise a slow server would go unnoticed if callers give up waiting for it.
 func (t SlowThreshold) exceededBy(run Run) bool {
 	return t.FirstEvent > 0 && run.FirstEvent > t.FirstEvent || t.PerToken > 0 && run.PerToken > t.PerToken
 }
 
 const (
-	// slowMedianFactor and slowTailFactor are by how much a time must exceed the median, and the
-	// 95th percentile, of the stable version to be slow. Bad versions are several times
-	// slower; servers of one version differ by up to four times, which the tail has.
+	// A time is slow if it exceeds the stable version's median and 95th percentile by these
+	// factors. Bad versions are several times slower. Servers of one version differ by up
+	// to four times, which the tail covers.
 	slowMedianFactor, slowTailFactor = 2.5, 1.25
 	tailPercentile                   = 95
-	// minSamples is how many times make a limit.
+	// minSamples is the number of times that are needed for a threshold.
 	minSamples = 20
 )
 
-// slowThreshold returns the time above which a run is slow, by the stable version's times.
+// slowThreshold returns the time above which a run is slow, given the stable version's
+// times; 0 if there are too few of them.
 func slowThreshold(t Times) time.Duration {
 	h := t.histogram()
 	if h.TotalCount() < minSamples {
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,15 +1,15 @@
-// Package rollout is the aggregate of the moves of a service to another version of its
-// servers: which servers a request may be sent to meanwhile, how much of the traffic is
-// canary requests to the new version, what its answers tell of it against the stable
-// version's, and when it is promoted or rolled back. It has no clock and calls nobody.
+// Package rollout moves the traffic of a service to another version of its servers. It
+// decides which servers a request may use meanwhile, how many requests are canaries on the
+// new version, how the new version compares with the stable one, and whether it is promoted
+// or rolled back. It has no clock and makes no calls.
 package rollout
 
 import "time"
 
-// State is how far a rollout is, as the platform's store has it.
+// State is the state of a rollout in the platform's store.
 type State uint8
 
-// The states. An outcome (Succeeded or RolledBack) is final.
+// The states. Succeeded and RolledBack are final.
 const (
 	Running State = iota
 	Succeeded
@@ -28,35 +28,35 @@
 	}
 }
 
-// ID names a rollout among all that there ever are.
+// ID identifies a rollout. It is never reused.
 type ID struct {
 	Service string
 	To      string
-	// Created is the revision at which the rollout's object was created. One that is
-	// withdrawn and requested again is another one.
+	// Created is the revision at which the rollout's object was created. A rollout that is
+	// withdrawn and requested again has another one.
 	Created uint64
 }
 
-// Rollout is an operator's request to move a service's traffic to the servers of a
-// version, and what has become of it.
+// Rollout is an operator's request to move a service's traffic to the servers of a version,
+// together with its state.
 type Rollout struct {
 	ID
-	// Duration is how long the move may take, from the request on.
+	// Duration is the time limit of the rollout, counted from the request.
 	Duration time.Duration
-	// Revision is of the object's last write. An outcome is written on the condition
-	// that it still holds, so that there is only one.
+	// Revision is that of the object's last write. The final state is written on condition
+	// that the revision is unchanged, so there is only one.
 	Revision uint64
 	State    State
-	// Acknowledged is set once the operators were told that it runs.
+	// Acknowledged is set once the operators were told that the rollout is in progress.
 	Acknowledged bool
-	// Unreadable is set where the request could not be decoded: it names no version.
+	// Unreadable is set if the request could not be decoded. It then names no version.
 	Unreadable bool
 }
 
-// InProgress tells whether the rollout has no outcome yet.
+// InProgress reports whether the rollout is readable and has no final state yet.
 func (r Rollout) InProgress() bool { return r.State == Running && !r.Unreadable }
 
-// latest returns which of two readings of a rollout holds.
+// latest returns the newer of two readings of a rollout.
 func (r Rollout) latest(next Rollout) Rollout {
 	if next.Created == r.Created && next.Revision < r.Revision {
 		return r
@@ -64,11 +64,11 @@
 	return next
 }
 
-// Set holds the rollouts by service, as they were read.
+// Set holds the latest reading of the rollout of each service.
 type Set map[string]Rollout
 
-// Put takes a reading of a rollout, and reports whether it is news. Readings may come
-// late: one that is older than what is known changes nothing.
+// Put adds a reading of a rollout, and reports whether the set has changed. Readings may
+// arrive late: one that is older than the known one has no effect.
 func (s Set) Put(next Rollout) bool {
 	known, ok := s[next.Service]
 	if ok {
@@ -78,7 +78,7 @@
 	return !ok || next != known
 }
 
-// Replace takes a reading of all rollouts, and reports whether it is news.
+// Replace sets the readings of all rollouts, and reports whether the set has changed.
 func (s Set) Replace(all []Rollout) bool {
 	present := make(map[string]bool, len(all))
 	changed := false
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -20,13 +20,13 @@
 func TestArms(t *testing.T) {
 	both := []string{"v1", "v2"}
 	noneVetted := func(string) bool { return false }
-	Convey("Without a rollout every version serves, once the rollouts are known", t, func() {
+	Convey("Without a rollout every version serves once the rollouts are known", t, func() {
 		v := NewVersions()
 		So(v.Arms(nil, []string{"v1"}, noneVetted), ShouldResemble, map[string]Arm{"v1": Stable})
 		So(v.Arms(nil, both, noneVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Off})
 		So(v.Arms(nil, both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Stable})
 	})
-	Convey("A running rollout makes its version the canary, an outcome settles both", t, func() {
+	Convey("A running rollout makes its version the canary, a final state decides the arm of both versions", t, func() {
 		for _, remembers := range []bool{true, false} {
 			v := NewVersions()
 			if remembers {
@@ -37,42 +37,42 @@
 			So(v.Arms(testRollout(Succeeded), both, anyVetted), ShouldResemble, map[string]Arm{"v1": Off, "v2": Stable})
 		}
 	})
-	Convey("A daemon that has just started knows an outcome from the store", t, func() {
+	Convey("A daemon that has just started uses the final state from the store", t, func() {
 		So(NewVersions().Arms(testRollout(RolledBack), both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Off})
 		So(NewVersions().Arms(testRollout(Succeeded), both, anyVetted)["v2"], ShouldEqual, Stable)
 	})
-	Convey("A version that served before its rollout goes on serving", t, func() {
+	Convey("A version that served before its rollout continues to serve", t, func() {
 		v := NewVersions()
 		v.Arms(nil, both, anyVetted)
 		So(v.Arms(testRollout(Running), both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Stable})
 	})
-	// Guards against this: a service has no server left.
-	Convey("A version that served before its rollout serves on when that is rolled back", t, func() {
+	// Guards against a service that is left without servers.
+	Convey("A version that served before its rollout continues to serve when that is rolled back", t, func() {
 		v := NewVersions()
 		v.Arms(nil, []string{"v2"}, anyVetted)
 		So(v.Arms(testRollout(Running), []string{"v2"}, anyVetted), ShouldResemble, map[string]Arm{"v2": Stable})
 		So(v.Arms(testRollout(RolledBack), []string{"v2"}, anyVetted), ShouldResemble, map[string]Arm{"v2": Stable})
 	})
-	// Guards against this: the servers of a rollout that was withdrawn serve everybody.
+	// Guards against servers of a withdrawn rollout that serve all requests.
 	Convey("A canary does not serve when its rollout is withdrawn", t, func() {
 		v := NewVersions()
 		v.Arms(nil, []string{"v1"}, anyVetted)
 		v.Arms(testRollout(Running), both, anyVetted)
 		So(v.Arms(nil, both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Off})
 	})
-	// Guards against this: the servers of a rollout that was withdrawn serve the callers of one daemon.
-	Convey("nor where a daemon never saw the rollout, but was told that its version is unfit", t, func() {
+	// Guards against servers of a withdrawn rollout that serve the callers of one daemon.
+	Convey("A canary does not serve at a daemon that never saw the rollout, but was told that its version is unfit", t, func() {
 		witness, informed := NewVersions(), NewVersions()
 		witness.Arms(nil, []string{"v1"}, anyVetted)
 		witness.Arms(testRollout(Running), both, anyVetted)
 		informed.Arms(nil, []string{"v1"}, anyVetted)
 		So(witness.Unfit(), ShouldResemble, []string{"v2"})
 		informed.MarkUnfit("v2")
-		informed.Arms(nil, []string{"v1"}, anyVetted) // its servers are told after that
+		informed.Arms(nil, []string{"v1"}, anyVetted) // the servers of v2 are reported later
 		So(informed.Arms(nil, both, anyVetted), ShouldResemble, map[string]Arm{"v1": Stable, "v2": Off})
 	})
-	// Guards against this: after a rollout each later release makes the service smaller, until the last server of the promoted version is gone.
-	Convey("After an outcome a release brings further versions into use, beside the promoted one", t, func() {
+	// Guards against a service that shrinks with each release after a rollout, until the last server of the promoted version is gone.
+	Convey("After a final state a release brings further versions into use, besides the promoted one", t, func() {
 		for _, remembers := range []bool{true, false} {
 			v := NewVersions()
 			if remembers {
@@ -83,7 +83,7 @@
 			So(v.Arms(testRollout(Succeeded), []string{"v3"}, anyVetted), ShouldResemble, map[string]Arm{"v3": Stable})
 		}
 	})
-	Convey("A replaced version may come back when its servers were gone", t, func() {
+	Convey("A replaced version may serve again after all its servers were gone", t, func() {
 		v := NewVersions()
 		v.Arms(testRollout(Running), both, anyVetted)
 		v.Arms(testRollout(Succeeded), both, anyVetted)
@@ -96,7 +96,7 @@
 }
 
 func TestSet(t *testing.T) {
-	Convey("A late reading does not take an outcome back", t, func() {
+	Convey("A late reading does not undo a final state", t, func() {
 		s := Set{}
 		So(s.Put(*testRollout(Running)), ShouldBeTrue)
 		done := *testRollout(RolledBack)
@@ -108,7 +108,7 @@
 		So(s.Replace(nil), ShouldBeTrue)
 		So(len(s), ShouldEqual, 0)
 	})
-	Convey("A rollout that is requested again is another one", t, func() {
+	Convey("A rollout that is requested again is a new one", t, func() {
 		s := Set{}
 		done := *testRollout(RolledBack)
 		done.Revision = 12
@@ -120,7 +120,7 @@
 	})
 }
 
-// Guards against this: a canary gets several times its share.
+// Guards against a canary version that gets several times its share.
 func TestCanaryBudgetStaysWithinItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := Bounds{Share: rapid.Float64Range(0.01, 0.5).Draw(t, "share"), Slack: rapid.Float64Range(0, 100).Draw(t, "slack")}
@@ -149,7 +149,7 @@
 }
 
 func TestDuplicateAndLateReportsCountOnce(t *testing.T) {
-	Convey("Counts are merged, whatever the order of the reports", t, func() {
+	Convey("Counts are merged independently of the order of the reports", t, func() {
 		d := NewDecider(*testRollout(Running), Bounds{Share: 0.1, Slack: 50}, start)
 		key := Key{Route: "/r/", Server: "new-1"}
 		report := func(number, runs uint64) Report {
@@ -169,12 +169,13 @@
 	})
 }
 
-// failureRate tells how many in a hundred answers fail at a time after the request.
+// failureRate returns the percentage of answers that fail at a time after the request for
+// the rollout.
 type failureRate func(at time.Duration) int
 
 func constantRate(n int) failureRate { return func(time.Duration) int { return n } }
 
-// risingRate fails n in a hundred from a time on, and one before.
+// risingRate is 1 percent until start, and n percent afterwards.
 func risingRate(start time.Duration, n int) failureRate {
 	return func(at time.Duration) int {
 		if at > start {
@@ -184,14 +185,14 @@
 	}
 }
 
-// simulate plays a rollout of 12 s in intervals of 200 ms, in which the new version gets what
-// the plan says, with answers of 30 ms. It returns the decision, how many requests the new
-// version had got by then, and when it came.
+// simulate runs a rollout of 12 s in intervals of 200 ms, with answers that take 30 ms and
+// requests distributed by the plan. rate is in requests per second. It returns the
+// decision, the number of requests that the new version had got by then, and its time.
 func simulate(seed int, new, stable failureRate, rate int) (Decision, int, time.Duration) {
 	return simulateWithLength(seed, new, stable, rate, 30*time.Millisecond)
 }
 
-// simulateWithLength is play with answers of a length.
+// simulateWithLength is simulate with answers that take runTime.
 func simulateWithLength(seed int, new, stable failureRate, rate int, runTime time.Duration) (Decision, int, time.Duration) {
 	d := NewDecider(*testRollout(Running), Bounds{Share: 0.1, Slack: 50}, start)
 	status := ServiceStatus{Daemons: 1, StableServers: 60, NewServers: 60, WarmServers: 60, StableSlots: 540, NewSlots: 540}
@@ -235,15 +236,15 @@
 }
 
 func TestDecisions(t *testing.T) {
-	Convey("A good version is promoted before the deadline, whatever both fail alike", t, func() {
+	Convey("A version with the failure rate of the stable one is promoted before the deadline", t, func() {
 		for seed := range 200 {
 			v, _, at := simulate(seed, constantRate(seed%15), constantRate(seed%15), 200)
 			So(v.State, ShouldEqual, Succeeded)
 			So(at, ShouldBeLessThan, 12*time.Second)
 		}
 	})
-	// Guards against this: a bad version gets all the traffic.
-	Convey("A version that fails a fifth or more of its answers is rolled back, within the bound", t, func() {
+	// Guards against a bad version that gets the whole traffic.
+	Convey("A version that fails a fifth or more of its requests is rolled back within the bound", t, func() {
 		for seed := range 100 {
 			for _, percent := range []int{20, 50, 100} {
 				v, exposed, _ := simulate(seed, constantRate(percent), constantRate(1), 200)
@@ -253,7 +254,7 @@
 			}
 		}
 	})
-	Convey("One that turns bad later is rolled back, too", t, func() {
+	Convey("A version that turns bad later is rolled back, too", t, func() {
 		for seed := range 100 {
 			d, exposed, at := simulate(seed, risingRate(6*time.Second, 50), constantRate(1), 200)
 			So(d.State, ShouldEqual, RolledBack)
@@ -261,8 +262,8 @@
 			So(exposed, ShouldBeLessThan, 200*12/10+50)
 		}
 	})
-	// Guards against this: a bad version is promoted unseen.
-	Convey("Where answers last for seconds there are canaries all the same", t, func() {
+	// Guards against a bad version that is promoted because it had no canaries.
+	Convey("A service whose answers take seconds has canaries before the cutover", t, func() {
 		for seed := range 100 {
 			d, exposed, at := simulateWithLength(seed, risingRate(4*time.Second, 50), constantRate(1), 400, 4*time.Second)
 			So(d.Reason, ShouldEqual, ReasonFailures)
@@ -270,7 +271,7 @@
 			So(exposed, ShouldBeLessThan, 400*12/10+50)
 		}
 	})
-	Convey("A burst of failures that hits both versions rejects nobody", t, func() {
+	Convey("A burst of failures that affects both versions rejects neither", t, func() {
 		for seed := range 100 {
 			burst := func(at time.Duration) int {
 				if at > 4*time.Second && at < 6*time.Second {
--- a/rollout/sequential.go
+++ b/rollout/sequential.go
@@ -5,54 +5,54 @@
 	"slices"
 )
 
-// The test of a version is sequential: it is looked at after each report, and stops at the
-// first proof. Where each interval brings answers of both versions, its value is a
-// nonnegative martingale, while the new version is as good, that starts at 1; so the
-// probability that it ever exceeds 1/alpha is alpha at the most (Ville 1939; for
-// comparisons that are looked at continuously see Johari, Koomen, Pekelis and Walsh,
-// "Always Valid Inference", Operations Research 70(3), 2022). Where an interval has few
-// answers of the stable version, its latest ones stand in, and the bound is no exact one.
+// A version is tested sequentially: the test is evaluated after each report and stops at
+// the first rejection. If the new version is as good as the stable one, and each interval
+// has answers of both, the value of the test is a nonnegative martingale that starts at 1.
+// The probability that it ever exceeds 1/alpha is then at most alpha (Ville 1939; for
+// continuous monitoring see Johari, Koomen, Pekelis and Walsh, "Always Valid Inference",
+// Operations Research 70(3), 2022). If an interval has few answers of the stable version,
+// its latest earlier ones are used instead, and the bound is only approximate.
 //
-// Given that one of the bad answers of an interval came from either version, it came from
-// a server of the new one with a probability that follows from how many answers each gave
-// in that interval: a burst or an outage, which hits both, proves nothing.
+// The test is conditional: given a bad answer in an interval, the probability that it is
+// the new version's follows from the number of answers of each version in that interval. A
+// burst of failures or an outage that affects both versions is therefore no evidence.
 const (
-	// toleratedOdds is by how much the odds of a bad answer may be those of the stable
-	// version: a difference that callers hardly notice rejects nobody.
+	// toleratedOdds is the odds ratio of bad answers, new to stable version, up to which a
+	// version is not rejected: callers hardly notice the difference.
 	toleratedOdds = 1.5
-	// rejectThreshold is the value at which a version is rejected at any moment. With five
-	// routes, two measures and the sums over routes there are a dozen tests: a version
-	// with half more than the odds of the stable one is rejected in one of 40 rollouts at
-	// the most, one that is as good far less often.
+	// rejectThreshold is the value of a test at which a version is rejected at any time.
+	// With five routes, two measures and the sums over the routes there are a dozen tests.
+	// A version at toleratedOdds is rejected in at most one of 40 rollouts, one as good as
+	// the stable version far less often.
 	rejectThreshold = 500
-	// deadlineRejectThreshold is the value that suffices when it is time to decide: a good
-	// version that is rolled back costs another rollout, a bad one that is promoted an
+	// deadlineRejectThreshold is the value of a test that suffices at the time of the
+	// decision. Rolling back a good version costs another rollout, promoting a bad one an
 	// outage.
 	deadlineRejectThreshold = 15
-	// trimmedShare is the part of the new version's servers, one at the least, whose evidence
-	// against it is left out, the worst first. A version is bad on all its servers; a
-	// server that is bad alone must not reject it.
+	// trimmedShare is the fraction of the new version's servers, at least one, whose
+	// evidence against it is left out, strongest first. A bad version is bad on all its
+	// servers, and a single bad server must not reject it.
 	trimmedShare = 1.0 / 3
 )
 
-// alternativeOdds are the odds, relative to those of the stable version, that bad versions
-// are looked for at.
+// alternativeOdds are the odds ratios of the alternative hypotheses.
 var alternativeOdds = [...]float64{6, 20, 80}
 
-// sequentialTest is the value of one test, as logarithms: by server, for each alternative.
+// sequentialTest holds the state of one test: log-likelihood ratios by server and
+// alternative.
 type sequentialTest struct {
 	servers map[string]*logLikelihoodRatios
 }
 
 type logLikelihoodRatios [len(alternativeOdds)]float64
 
-// sample are how many a server gave in an interval, and how many of them were bad.
+// sample counts the answers of a server in an interval, and the bad ones among them.
 type sample struct{ total, bad float64 }
 
-// add takes the answers of an interval: of each server of the new version, and of the
-// stable one's together. Each server is held against a part of the stable answers that is
-// its part of the new ones, so that the sum over all servers is the test of the version
-// as a whole.
+// add adds the answers of an interval, by server of the new version, and in total for the
+// stable one. Each server is compared with a part of the stable answers, in proportion to
+// its part of the new ones, so that the sum over all servers is the test of the version as
+// a whole.
 func (t *sequentialTest) add(canary map[string]sample, stable sample) {
 	canaryTotal, bad := 0.0, stable.bad
 	for _, s := range canary {
@@ -72,6 +72,7 @@
 	}
 }
 
+// ratiosOf returns the ratios of a server, which are zero at first.
 func (t *sequentialTest) ratiosOf(server string) *logLikelihoodRatios {
 	if t.servers == nil {
 		t.servers = map[string]*logLikelihoodRatios{}
@@ -84,13 +85,13 @@
 	return ratios
 }
 
-// canaryProbability returns the probability that a bad answer is the new version's, which gave
-// some of the answers, where it has so many times the odds of the stable one.
+// canaryProbability returns the probability that a bad answer is the new version's, given
+// the numbers of answers of both versions and the odds ratio.
 func canaryProbability(canaryTotal, stable, odds float64) float64 {
 	return odds * canaryTotal / (odds*canaryTotal + stable)
 }
 
-// value returns the test's value over the servers that have answered.
+// value returns the value of the test, given the number of servers that have answered.
 func (t *sequentialTest) value(answering int) float64 {
 	if answering == 0 {
 		return 0
@@ -106,7 +107,8 @@
 	return sum
 }
 
-// trimmedSum sums the logarithms for one alternative, without so many of the largest.
+// trimmedSum returns the sum of the log-likelihood ratios for one alternative without the
+// trimCount largest ones.
 func (t *sequentialTest) trimmedSum(alternative, trimCount int) float64 {
 	all := make([]float64, 0, len(t.servers))
 	for _, ratios := range t.servers {
--- a/rollout/versions.go
+++ b/rollout/versions.go
@@ -2,40 +2,41 @@
 
 import "slices"
 
-// Arm is what the servers of a version are to the requests of their service.
+// Arm is the part that the servers of a version have in the comparison of two versions.
 type Arm uint8
 
 // The arms.
 const (
-	// Off servers get no request: their version was rolled back or replaced, or it is
-	// not known yet whether a rollout brings it.
+	// Off servers get no requests: their version was rolled back or replaced, or it is not
+	// known yet whether it belongs to a rollout.
 	Off Arm = iota
-	// Stable servers get every request that is no canary.
+	// Stable servers get all requests that are not canaries.
 	Stable
 	// Canary servers get the canary requests of a rollout.
 	Canary
 )
 
-// Versions remembers, for one service, which of the versions of its servers are fit to
-// serve. It is not safe for concurrent use.
+// Versions records which versions of one service are fit to serve. It is not safe for
+// concurrent use.
 //
-// What goes wrong without it: servers of another version appear without a rollout when a
-// release replaces servers one by one, and they must serve; those of a rollout that was
-// withdrawn or promoted past them stay for a while, and must not.
+// It separates two cases of servers whose version has no running rollout. A release that
+// replaces servers one by one brings new versions, which must serve. The servers of a
+// rollout that was withdrawn, or of a version that a promotion replaced, remain for a while
+// and must not serve.
 type Versions struct {
-	fit         map[string]bool // by version; absent: not judged yet
-	lastPresent []string        // as of the last call of Arms
-	// lastPromoted is the last rollout whose version was promoted.
+	fit         map[string]bool // by version; absent: not decided yet
+	lastPresent []string        // versions at the latest call of Arms
+	// lastPromoted is the latest rollout whose version was promoted.
 	lastPromoted ID
 }
 
-// NewVersions returns a memory without any version.
+// NewVersions returns a record without versions.
 func NewVersions() *Versions { return &Versions{fit: map[string]bool{}} }
 
-// Arms returns the arm of each version of the servers that are there. The rollout is nil
-// where there is none. Vetted tells whether the rollouts are known as of a moment at which
-// servers of the version were there already. A version whose servers are all gone is
-// forgotten: it may come back by a release.
+// Arms returns the arm of each version whose servers are present. r is nil if there is no
+// rollout. vetted reports whether the known rollouts are recent enough to include any
+// rollout of a version: they were read when servers of the version were already present. A
+// version without servers is forgotten, because a release may bring it back.
 func (v *Versions) Arms(r *Rollout, present []string, vetted func(version string) bool) map[string]Arm {
 	for _, version := range v.lastPresent {
 		if !slices.Contains(present, version) {
@@ -66,13 +67,13 @@
 	return out
 }
 
-// MarkUnfit takes it from another daemon that a version must not serve. What goes wrong
-// without it: a daemon that has started since a rollout was withdrawn, or heard of nothing
-// before, takes its servers for a release's.
+// MarkUnfit records that, according to another daemon, a version must not serve. Without
+// it, a daemon that started after a rollout was withdrawn, or that had not heard of the
+// rollout, would take its servers for those of a release.
 func (v *Versions) MarkUnfit(version string) { v.fit[version] = false }
 
-// hasFit tells whether a fit version is there. New ones may wait then: it is not known
-// which of them an unreadable rollout would make the canary.
+// hasFit reports whether a fit version is known. New versions can then wait while it is
+// unknown which of them an unreadable rollout would make the canary.
 func (v *Versions) hasFit() bool {
 	for _, fit := range v.fit {
 		if fit {
@@ -82,8 +83,8 @@
 	return false
 }
 
-// promote makes the version that a rollout moved to the only fit one of those known: the
-// servers of the others stop. Versions that come later are a release's.
+// promote makes the version of a rollout the only fit one of those known, because the
+// servers of the others stop. Versions that appear later belong to a release.
 func (v *Versions) promote(id ID) {
 	v.lastPromoted = id
 	for version := range v.fit {
@@ -92,11 +93,12 @@
 	v.fit[id.To] = true
 }
 
+// arm returns the arm of a version, and records whether it is fit.
 func (v *Versions) arm(r *Rollout, version string, vetted bool) Arm {
 	fit, judged := v.fit[version]
 	switch {
 	case fit:
-		return Stable // it served before the rollout: there is nothing to try
+		return Stable // it served before the rollout, so there is nothing to test
 	case r != nil && r.To == version && r.State == Running:
 		v.fit[version] = false // until it is promoted
 		return Canary
