--- a/broker/link.go
+++ b/broker/link.go
@@ -221,5 +221,5 @@
 		w.done <- result{err: l.entry.refuse(request.ReasonExpired, "deadline passed while waiting for a slot")}
 		return
 	}
-	w.done <- result{err: l.entry.refuse(request.ReasonNoOwner, "deadline passed while the pool's owner was unreachable")}
+	w.done <- result{err: l.entry.refuse(request.ReasonNoOwner, "deadline passed while the pool's owner was out of reach")}
 }
