--- a/internal/gateway/cluster_test.go
+++ b/internal/gateway/cluster_test.go
@@ -19,10 +19,10 @@
 	"github.com/lycheekeel/lycheekeel/platform/standin"
 )
 
-// waitLimit is generous: no test is decided by it.
+// waitLimit is generous; no test depends on its value.
 const waitLimit = 30 * time.Second
 
-// cluster is a store, backend servers and gateways in one process.
+// cluster runs a store, backend servers and gateways in one process.
 type cluster struct {
 	t       *testing.T
 	store   *standin.Store
@@ -47,7 +47,7 @@
 	return c
 }
 
-// serve runs a server on a port of its own until the test ends.
+// serve runs a server on its own port until the test ends.
 func (c *cluster) serve(run func(context.Context, net.Listener) error) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -93,7 +93,7 @@
 	done     chan error
 }
 
-// freePort returns a loopback address that nobody else listens at.
+// freePort returns a loopback address with a free port.
 func freePort(t *testing.T) string {
 	address, err := testport.Process.Address()
 	if err != nil {
@@ -123,7 +123,7 @@
 	return n
 }
 
-// ready asks as the balancer does.
+// ready makes a readiness check as the balancer does.
 func (n *node) ready() bool {
 	resp, err := http.Get("http://" + n.settings.Readiness + "/v1/readiness")
 	if err != nil {
@@ -133,7 +133,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// eventually waits until the condition holds; the test fails at waitLimit.
+// eventually waits until the condition holds; the test fails after waitLimit.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	testwait.Until(t, waitLimit, what, holds)
--- a/internal/gateway/clusterkey.go
+++ b/internal/gateway/clusterkey.go
@@ -15,11 +15,11 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// The object that holds the cluster key, in a kind of our own.
+// The object that holds the cluster key, in a kind of this project's own.
 const (
 	kindCluster    objectstore.Kind = "lycheekeel-cluster"
 	clusterKeyName string           = "key"
-	// clusterKeyBytes are random, so that nobody guesses a key.
+	// clusterKeyBytes is the length of the key, which is random so that it can't be guessed.
 	clusterKeyBytes int = 24
 )
 
@@ -28,20 +28,19 @@
 	Key string `json:"key"`
 }
 
-// keyCreateJitter is over how long the daemons that find no key spread their next look:
-// one of them makes it, and most of the others find it. Only the first start of a
-// system waits for it.
+// keyCreateJitter spreads the creation of a missing key: one daemon creates it, and most
+// of the others find it on their next read. Only the first start of a system waits for it.
 const keyCreateJitter = 500 * time.Millisecond
 
-// clusterKeyStore is where the cluster key is.
+// clusterKeyStore is the part of the store that holds the cluster key.
 type clusterKeyStore struct {
 	objectstore.ObjectAPI
 	objectstore.StaleReader
 }
 
-// clusterKey returns the key by which daemons know each other. The first
-// daemon makes it: whoever can read the store belongs to the system. It tries
-// until it has one or ctx ends.
+// clusterKey returns the key by which daemons authenticate each other. The first
+// daemon creates it: whoever can read the store belongs to the system. It retries
+// until it has the key or ctx ends.
 func clusterKey(ctx context.Context, store clusterKeyStore, log *logrus.Entry) ([]byte, error) {
 	logged := false
 	for ctx.Err() == nil {
@@ -58,9 +57,9 @@
 	return nil, ctx.Err()
 }
 
-// find reads the key, or makes it where there is none. The key never changes, so
-// that a stale read will do, which costs less: all daemons may start at once. A
-// stale read that finds none says nothing.
+// find reads the key, or creates it if there is none. The key never changes, so a stale
+// read suffices; it costs less, and all daemons may start at once. A stale read that
+// finds no key does not prove that there is none.
 func (s clusterKeyStore) find(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
@@ -89,24 +88,24 @@
 func decodeKey(o objectstore.Object) ([]byte, error) {
 	var r clusterKeyRecord
 	if err := json.Unmarshal(o.Value, &r); err != nil {
-		return nil, errors.Wrap(err, "decode the cluster key")
+		return nil, errors.Wrap(err, "decode cluster key")
 	}
 	return hex.DecodeString(r.Key)
 }
 
-// createKey creates the key if it is absent. A create that fails in any way is
-// settled by reading: another daemon's key, or our own, may be there.
+// createKey creates the key. After any error the caller reads again, since the store may
+// hold another daemon's key, or this one if only the answer was lost.
 func createKey(ctx context.Context, store objectstore.ObjectAPI) ([]byte, error) {
 	key := make([]byte, clusterKeyBytes)
 	if _, err := cryptorand.Read(key); err != nil {
-		return nil, errors.Wrap(err, "make a cluster key")
+		return nil, errors.Wrap(err, "generate cluster key")
 	}
 	value, err := json.Marshal(clusterKeyRecord{Key: hex.EncodeToString(key)})
 	if err != nil {
-		return nil, errors.Wrap(err, "encode the cluster key")
+		return nil, errors.Wrap(err, "encode cluster key")
 	}
 	if _, err := store.Create(ctx, kindCluster, clusterKeyName, value); err != nil {
-		return nil, errors.WithMessage(err, "create the cluster key")
+		return nil, errors.WithMessage(err, "create cluster key")
 	}
 	return key, nil
 }
--- a/internal/gateway/deciders.go
+++ b/internal/gateway/deciders.go
@@ -11,7 +11,8 @@
 	"github.com/lycheekeel/lycheekeel/rollout"
 )
 
-// deciders are the rollouts that this daemon decides. They are safe for concurrent use.
+// deciders holds the deciders of the rollouts that this daemon decides. It is safe for
+// concurrent use.
 type deciders struct {
 	state  *state
 	bounds rollout.Bounds
@@ -25,8 +26,8 @@
 type deciderEntry struct {
 	*rollout.Decider
 	plan      rollout.Plan
-	plannedAt time.Time // of the plan; zero: none yet
-	logged    bool      // the decision is in the log
+	plannedAt time.Time // when plan was made; zero: no plan yet
+	logged    bool      // the decision has been logged
 	writing   bool
 }
 
@@ -34,7 +35,7 @@
 	return &deciders{state: s, bounds: b, views: views, log: log, all: map[rollout.ID]*deciderEntry{}}
 }
 
-// retain forgets the rollouts that do not run any more.
+// retain removes the deciders of rollouts that no longer run.
 func (d *deciders) retain(running map[string]*activeRollout) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -45,7 +46,7 @@
 	}
 }
 
-// addReport takes a report; one of a rollout that is not known here is dropped.
+// addReport adds a daemon's report. Reports of unknown or ended rollouts are ignored.
 func (d *deciders) addReport(ctx context.Context, id rollout.ID, report rollout.Report) {
 	r, known := d.state.rollout(id.Service)
 	if !known || r.ID != id || !r.InProgress() {
@@ -65,7 +66,7 @@
 	x.AddReport(time.Now(), report)
 }
 
-// plan returns the plan as of now; false: there is none, or its decider has stopped.
+// plan returns the plan as of now; false: there is none, or it has expired.
 func (d *deciders) plan(id rollout.ID) (rollout.Plan, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -79,7 +80,7 @@
 	return p, true
 }
 
-// decide decides a rollout anew and returns its plan.
+// decide updates the decision on a rollout and returns its plan.
 func (d *deciders) decide(ctx context.Context, id rollout.ID) rollout.Plan {
 	facts := d.state.rolloutFacts(id.Service)
 	for _, m := range d.views.Load().Members {
@@ -109,5 +110,5 @@
 		"new_runs": x.Canary.Runs, "new_failed": x.Canary.Failed, "new_broken": x.Canary.Broken, "new_slow": x.Canary.Slow,
 		"stable_runs": x.Stable.Runs, "stable_failed": x.Stable.Failed, "stable_broken": x.Stable.Broken, "stable_slow": x.Stable.Slow,
 		"value": x.Value, "new_servers": f.NewServers, "stable_servers": f.StableServers,
-	}).Info("Rollout is decided.")
+	}).Info("Rollout decided.")
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -27,24 +27,24 @@
 )
 
 const (
-	// keyTrustShare is the part of the time for withdrawing a key at which a
-	// proof of the configuration is too old to trust a key.
+	// keyTrustShare is the share of RevokeMs beyond which a proof of the configuration's
+	// freshness is too old to accept an API key.
 	keyTrustShare = 0.95
-	// readyShare is the part of it at which the balancer is told to send
-	// callers elsewhere, before requests have to be refused here.
+	// readyShare is the share of RevokeMs beyond which the daemon is not ready, so that
+	// the balancer sends callers elsewhere before their keys have to be refused here.
 	readyShare = 0.7
-	// listenerLinger is how long the listener stays open after SIGTERM: the
-	// balancer asks each second and gives up after two misses.
+	// listenerLinger is how long the listener stays open after SIGTERM: the balancer
+	// checks readiness every second and removes a daemon after two failures.
 	listenerLinger = 2500 * time.Millisecond
-	// shutdownMargin of the grace is left for the process to end by itself.
+	// shutdownMargin is the part of GraceS that is left for the process to exit.
 	shutdownMargin = 400 * time.Millisecond
-	// memoryLimitShare of the VM's memory is the garbage collector's soft limit.
+	// memoryLimitShare is the garbage collector's soft limit as a share of MemoryMB.
 	memoryLimitShare = 0.5
-	// assumedDaemons is how many daemons are reckoned with at the least.
+	// assumedDaemons is the number of daemons to assume while fewer are known.
 	assumedDaemons = 16
 )
 
-// Gateway is one daemon. Run it once.
+// Gateway is one daemon. Run must be called once.
 type Gateway struct {
 	settings      Settings
 	platform      Platform
@@ -60,7 +60,7 @@
 	ledger  *quota.Limiter
 	forward *forward.Server
 
-	// The parts below exist once the cluster key is known.
+	// The fields below are set once the cluster key is known.
 	transport *peer.TCP
 	members   *member.Runner
 	host      *poolhost.Host
@@ -74,7 +74,7 @@
 	started  time.Time
 }
 
-// New wires a gateway and opens its listeners.
+// New builds a gateway and opens its listeners.
 func New(s Settings, p Platform, m *metrics.Registry) (*Gateway, error) {
 	g := &Gateway{
 		settings: s, platform: p, log: logs.For("gateway"), metrics: m,
@@ -99,13 +99,13 @@
 func (g *Gateway) listen() error {
 	var err error
 	if g.readyListener, err = net.Listen("tcp", g.settings.Readiness); err != nil {
-		return errors.Wrap(err, "listen for the balancer")
+		return errors.Wrap(err, "listen on the readiness address")
 	}
 	g.listener, err = net.Listen("tcp", g.settings.Listen)
-	return errors.Wrap(err, "listen for callers")
+	return errors.Wrap(err, "listen on the callers' address")
 }
 
-// initialDaemons is how many daemons to reckon with before any was met.
+// initialDaemons returns the number of daemons to assume before the membership is known.
 func (g *Gateway) initialDaemons() int {
 	for _, seed := range g.settings.Seeds {
 		if seed != g.settings.Peer {
@@ -133,7 +133,7 @@
 	return known && use.accepts(canary)
 }
 
-// ProofAge implements forward.Admission; below zero: there was no proof.
+// ProofAge implements forward.Admission; below 0: there was no proof.
 func (g *Gateway) ProofAge() time.Duration {
 	age, ok := g.state.configFreshness.Age()
 	if !ok {
@@ -155,17 +155,17 @@
 	return name
 }
 
-// freshWithin tells whether there is a proof younger than a share of the time
-// for withdrawing a key, and this daemon reads the store by itself or has not
-// tried. One that can't for so long depends on the others' reads alone; the
-// callers that it refuses are served by those, while what it would serve counts
-// for nothing by the users' contract.
+// freshWithin reports whether the newest proof of the configuration is younger than a
+// share of RevokeMs, and the store has not failed to answer this daemon for that long.
+// A daemon that the store does not answer relies on readers alone. The callers that it
+// refuses are served by the other daemons, whereas what it serves itself counts for
+// nothing by the users' contract.
 func (g *Gateway) freshWithin(share float64) bool {
 	limit := milliseconds(g.settings.Bounds.RevokeMs * share)
 	return g.state.configFreshness.Within(limit) && !g.state.storeLostLongerThan(limit)
 }
 
-// handleReadiness tells the balancer whether to send callers here.
+// handleReadiness answers the balancer's readiness checks.
 func (g *Gateway) handleReadiness(ctx *fasthttp.RequestCtx) {
 	ready := string(ctx.Path()) == g.platform.ReadinessPath && !g.draining.Load() &&
 		g.routes.Load() != nil && g.freshWithin(readyShare)
@@ -174,7 +174,7 @@
 	}
 }
 
-// Run serves until ctx ends, and then until no request is left.
+// Run serves until ctx ends, and then drains. It returns early if a listener fails.
 func (g *Gateway) Run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -182,7 +182,7 @@
 	readiness := &fasthttp.Server{Handler: g.handleReadiness, ReduceMemoryUsage: true}
 	var tasks conc.WaitGroup
 	g.serveMetrics()
-	tasks.Go(func() { failed <- errors.Wrap(readiness.Serve(g.readyListener), "readiness") })
+	tasks.Go(func() { failed <- errors.Wrap(readiness.Serve(g.readyListener), "serve readiness checks") })
 	tasks.Go(func() { failed <- g.forward.Serve(g.listener) })
 	tasks.Go(func() {
 		if err := g.runBackground(background); err != nil {
@@ -200,8 +200,8 @@
 	return err
 }
 
-// runBackground joins the other daemons and keeps in step with the store. Until there
-// is a configuration, callers are told to come back.
+// runBackground joins the other daemons and keeps the state in step with the store.
+// Requests are refused as retryable until there is a configuration.
 func (g *Gateway) runBackground(ctx context.Context) error {
 	key, err := clusterKey(ctx, clusterKeyStore{g.platform.Store, g.platform.Stale}, g.log)
 	if err != nil {
@@ -227,21 +227,21 @@
 	return nil
 }
 
-// Acquire implements broker.Broker. No request asks before a configuration is
-// in force, which is after the parts were made.
+// Acquire implements broker.Broker. Requests get here only after a configuration is in
+// force, by which time the broker exists.
 func (g *Gateway) Acquire(ctx context.Context, d broker.Demand) (broker.Grant, error) {
 	return g.broker.Acquire(ctx, d)
 }
 
-// shutdown ends without cutting a request off: not ready at once, the listener
-// stays until the balancer has noticed, and running requests end.
+// shutdown drains the daemon: it becomes not ready immediately, keeps its listener open
+// until the balancer has noticed, and waits for running requests.
 func (g *Gateway) shutdown() error {
 	start := time.Now()
 	g.draining.Store(true)
 	g.forward.Drain()
 	g.log.Info("Draining.")
 	if g.routes.Load() != nil {
-		g.members.Leave() // the pools move first
+		g.members.Leave() // first, so that the pools move to other owners
 	}
 	limit := seconds(g.settings.Bounds.GraceS) - shutdownMargin
 	ctx, cancel := context.WithDeadline(context.Background(), start.Add(limit))
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestEndToEnd(t *testing.T) {
-	Convey("Two gateways that share pools serve callers of every kind", t, func() {
+	Convey("Two gateways that share pools serve requests of all route types", t, func() {
 		c := newCluster(t)
 		for i := range 3 {
 			c.addServer(fmt.Sprint("llm-", i), "llm")
@@ -49,11 +49,11 @@
 }
 
 func TestConfigurationFollowsTheStore(t *testing.T) {
-	Convey("Before a configuration nothing is denied; then routes and keys follow the store", t, func() {
+	Convey("Without a configuration requests are retryable; then routes and keys follow the store", t, func() {
 		c := newCluster(t)
 		c.addServer("app-0", "app")
 		n := c.start("a")
-		eventually(t, "it answers", func() bool { return n.status("/once/", "i", "key-1") == 503 })
+		eventually(t, "requests are answered", func() bool { return n.status("/once/", "i", "key-1") == 503 })
 		So(n.ready(), ShouldBeFalse)
 		c.putConfig()
 		eventually(t, "the route works", func() bool { return n.status("/once/", "i", "key-1") == 200 })
@@ -61,11 +61,11 @@
 		So(n.status("/other/", "i", "key-1"), ShouldEqual, 404)
 		c.config.Keys = []string{"key-2"}
 		c.putConfig()
-		eventually(t, "the key is gone", func() bool { return n.status("/once/", "i", "key-1") == 401 })
+		eventually(t, "the key is rejected", func() bool { return n.status("/once/", "i", "key-1") == 401 })
 		So(n.status("/once/", "i", "key-2"), ShouldEqual, 200)
 	})
-	// Guards against this: a change never comes into force.
-	Convey("A change that the watch does not tell comes into force all the same", t, func() {
+	// Guards against a configuration change that never takes effect.
+	Convey("A change that the watch misses takes effect", t, func() {
 		c := newCluster(t)
 		c.addServer("app-0", "app")
 		c.putConfig()
@@ -74,18 +74,18 @@
 		c.store.Fail(standin.Faults{MuteWatches: true})
 		c.config.Keys = []string{"key-2"}
 		c.putConfig()
-		eventually(t, "the key is gone", func() bool { return n.status("/once/", "i", "key-1") == 401 })
+		eventually(t, "the key is rejected", func() bool { return n.status("/once/", "i", "key-1") == 401 })
 		c.store.Forget()
 		c.store.Fail(standin.Faults{})
 		c.config.Keys = []string{"key-1"}
 		c.putConfig()
-		eventually(t, "the key is back", func() bool { return n.status("/once/", "i", "key-1") == 200 })
+		eventually(t, "the key is accepted", func() bool { return n.status("/once/", "i", "key-1") == 200 })
 	})
 }
 
-// Guards against this: a daemon that is cut off from the store accepts a key that may have been withdrawn.
+// Guards against a daemon without access to the store that accepts a key which may be withdrawn.
 func TestStoreOutageFailsClosed(t *testing.T) {
-	Convey("Without the store keys are refused in the end, and count again after its return", t, func() {
+	Convey("In an outage of the store keys are refused after a while, and accepted again after it", t, func() {
 		c := newCluster(t)
 		c.addServer("app-0", "app")
 		c.putConfig()
@@ -95,13 +95,13 @@
 		eventually(t, "it is not ready", func() bool { return !n.ready() })
 		eventually(t, "the key is refused", func() bool { return n.status("/once/", "i", "key-1") == 503 })
 		c.store.Fail(standin.Faults{})
-		eventually(t, "the key counts again", func() bool { return n.status("/once/", "i", "key-1") == 200 })
+		eventually(t, "the key is accepted again", func() bool { return n.status("/once/", "i", "key-1") == 200 })
 		eventually(t, "it is ready", n.ready)
 	})
 }
 
 func TestServersJoinAndLeave(t *testing.T) {
-	Convey("A server that leaves gets nothing new, one that joins gets some, one that is busy none", t, func() {
+	Convey("A server that leaves gets no new requests, and one that joins gets some", t, func() {
 		c := newCluster(t)
 		first := c.addServer("app-0", "app")
 		c.putConfig()
@@ -109,7 +109,7 @@
 		eventually(t, "the route works", func() bool { return n.status("/once/", "i", "key-1") == 200 })
 		second := c.addServer("app-1", "app")
 		c.store.PutServer("app-0", "app", "127.0.0.1:1", "draining", 4)
-		eventually(t, "the second serves", func() bool {
+		eventually(t, "the second server serves", func() bool {
 			n.status("/once/", "later", "key-1")
 			return second.Runs("later") > 0
 		})
@@ -121,9 +121,9 @@
 	})
 }
 
-// Guards against this: callers lose answers when a daemon is stopped.
+// Guards against answers that are cut off when a daemon is stopped.
 func TestShutdownDrainsStreams(t *testing.T) {
-	Convey("A stopping gateway is not ready, still accepts, and finishes its streams", t, func() {
+	Convey("A gateway that shuts down is not ready, still accepts requests, and finishes its streams", t, func() {
 		c := newCluster(t)
 		c.addServer("llm-0", "llm").Events = 400
 		c.putConfig()
--- a/internal/gateway/hubs.go
+++ b/internal/gateway/hubs.go
@@ -9,27 +9,27 @@
 	"github.com/lycheekeel/lycheekeel/member"
 )
 
-// daemonsPerHub is how many daemons of an availability zone share a hub of the
-// quotas. A hub gets 12 batches a second of each, at most, and answers them: with
-// more of them it would be busy with that on a small VM.
+// daemonsPerHub is how many daemons of an availability zone share a quota hub. A hub
+// receives and answers up to 12 batches per second from each of them; a larger group
+// would take too much of a small VM's processor.
 const daemonsPerHub = 24
 
-// hubKey is the key for which the hubs of the quotas are chosen.
+// hubKey is the rendezvous hashing key by which the quota hubs are selected.
 const hubKey = "hub of the quotas"
 
-// hubRoute is where a daemon reports what it let through of the quotas.
+// hubRoute is where a daemon reports its quota usage.
 type hubRoute struct {
-	// candidates are the daemons to report to, the preferred one first; they
-	// may hold the daemon itself, and there is always one.
+	// candidates are the daemons to report to, in order of preference. The daemon itself
+	// may be one of them. The list is never empty.
 	candidates []string
 	// hubs are the hubs of all availability zones.
 	hubs []string
 }
 
-// newHubRoute chooses the hubs of a view by rendezvous hashing over the live
-// members of each availability zone, so that most messages stay within it.
-// Where no hub of its own zone answers, a daemon reports to others of its zone,
-// which become hubs by that, and then to the hubs of other zones.
+// newHubRoute selects the hubs of a view by rendezvous hashing over the live members of
+// each availability zone, so that most messages stay within a zone. If no hub of its
+// zone answers, a daemon reports to other daemons of its zone, which thereby become
+// hubs, and then to the hubs of other zones.
 func newHubRoute(v *member.View) hubRoute {
 	zones := map[string][]member.Member{}
 	for _, m := range v.Members {
@@ -59,7 +59,7 @@
 	return out
 }
 
-// rotate rotates names so that the daemons begin with different ones.
+// rotate rotates the names by a hash of self, so that daemons spread over them.
 func rotate(all []string, self string) []string {
 	if len(all) == 0 {
 		return nil
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -10,7 +10,7 @@
 	"github.com/lycheekeel/lycheekeel/platform/standin"
 )
 
-// serverEntry is a backend server's own word, as the store has it.
+// serverEntry is a backend server's entry as it stands in the store.
 func serverEntry(address, state string, startedAt int64) map[string]any {
 	e := map[string]any{"service": "app", "address": address, "zone": "z", "slots": 4, "state": state}
 	if startedAt > 0 {
@@ -19,10 +19,10 @@
 	return e
 }
 
-// serves tells whether a request was answered by a server.
+// serves reports whether a server answered a request.
 func (n *node) serves(id string) bool { return n.status("/again/x", id, "key-1") == http.StatusOK }
 
-// allServe tells whether every node answers, or none does.
+// allServe returns a condition: every node answers or, if served is false, none does.
 func allServe(nodes []*node, served bool) func() bool {
 	return func() bool {
 		for _, n := range nodes {
@@ -34,9 +34,9 @@
 	}
 }
 
-// Guards against this: a server that is well gets no request.
+// Guards against a restarted server that gets no requests.
 func TestRestartedServersAreUsed(t *testing.T) {
-	Convey("At daemons that read the store and at those that ask them", t, func() {
+	Convey("Restarts are noticed by readers and by the daemons that poll them", t, func() {
 		c := newCluster(t)
 		c.putConfig()
 		b := &standin.Server{ID: "i-1"}
@@ -46,17 +46,17 @@
 		}
 		put("ready", 1000)
 		nodes := []*node{c.start("a"), c.start("b"), c.start("c"), c.start("d"), c.start("e")}
-		eventually(t, "a server that is ready serves", allServe(nodes, true))
+		eventually(t, "a ready server serves", allServe(nodes, true))
 		put("draining", 1000)
-		eventually(t, "one that leaves does not", allServe(nodes, false))
+		eventually(t, "a leaving server does not", allServe(nodes, false))
 		put("ready", 2000)
-		eventually(t, "its next incarnation does", allServe(nodes, true))
+		eventually(t, "its next incarnation serves", allServe(nodes, true))
 	})
 }
 
-// Guards against this: requests fail although enough servers are well.
+// Guards against malformed entries that make requests fail although healthy servers remain.
 func TestMalformedEntriesAreNotUsed(t *testing.T) {
-	Convey("The others hold, in a list, in a watch and in what daemons tell each other", t, func() {
+	Convey("Malformed entries do not affect the others, in lists, in watches and in polls", t, func() {
 		c := newCluster(t)
 		c.putConfig()
 		for _, id := range []string{"i-1", "i-2"} {
@@ -66,7 +66,7 @@
 		for id, change := range map[string]map[string]any{
 			"f-slots": {"slots": 0}, "f-state": {"state": "odd"}, "f-start": {"born": "x"}, "f-zone": {"zone": 3},
 		} {
-			decoy := &standin.Server{ID: id} // there is such a server
+			decoy := &standin.Server{ID: id} // a server that would answer
 			c.servers[id] = decoy
 			spec := serverEntry(c.serve(decoy.Serve), "ready", 1000)
 			maps.Copy(spec, change)
@@ -92,6 +92,6 @@
 		c.store.Put(standin.KindServers, "i-2", map[string]any{"service": "app", "slots": 4, "state": "ready"})
 		eventually(t, "an overwritten entry is not used", allServe(nodes, false))
 		c.store.Put(standin.KindServers, "i-2", serverEntry(c.serve(c.servers["i-2"].Serve), "ready", 1000))
-		eventually(t, "a mended entry is used", allServe(nodes, true))
+		eventually(t, "a corrected entry is used", allServe(nodes, true))
 	})
 }
--- a/internal/gateway/observe.go
+++ b/internal/gateway/observe.go
@@ -11,19 +11,19 @@
 	"github.com/lycheekeel/lycheekeel/internal/wait"
 )
 
-// freshnessCheckInterval is how often it is checked whether the configuration and the
-// other daemons can be relied on; it only feeds the log.
+// freshnessCheckInterval is how often the freshness of the configuration and the share
+// of the quotas are checked for changes, which are logged.
 const freshnessCheckInterval = 500 * time.Millisecond
 
-// drainLogInterval is how often a drain tells what it waits for.
+// drainLogInterval is how often a shutdown logs what it waits for.
 const drainLogInterval = time.Second
 
-// latencies are of what a daemon learns its state by.
+// latencies are the histograms of reads of the store and of readers.
 type latencies struct {
-	// storeList is of calls that list a kind in the store; ask is the way to a
-	// reader and back, without what it held the ask for.
+	// storeList is of List calls to the store; peerPoll is of polls of a reader, without
+	// the time that the reader held them.
 	storeList, peerPoll *metrics.Histogram
-	// proofAge is the age of the configuration's proof when a key was checked.
+	// proofAge is the age of the configuration's proof when an API key was checked.
 	proofAge *metrics.Histogram
 }
 
@@ -34,7 +34,8 @@
 	}
 }
 
-// logFreshness tells each loss and return of what the daemon relies on.
+// logFreshness logs when the configuration can no longer be confirmed, or can again, and when the
+// share of the quotas changes.
 func (g *Gateway) logFreshness(ctx context.Context) {
 	fresh, share := true, -1.0
 	lostAt := time.Time{}
@@ -44,20 +45,20 @@
 			if !current {
 				lostAt = time.Now()
 				g.log.WithField("proof_ms", g.ProofAge().Milliseconds()).WithField("store_lost_ms", g.StoreLost().Milliseconds()).
-					Warn("Configuration is not proved any more: keys are refused.")
+					Warn("Configuration can't be confirmed: API keys are refused.")
 			} else {
-				g.log.WithField("away_ms", time.Since(lostAt).Milliseconds()).Info("Configuration is proved again.")
+				g.log.WithField("away_ms", time.Since(lostAt).Milliseconds()).Info("Configuration is confirmed again.")
 			}
 		}
 		if current := g.ledger.Share(); current != share {
-			g.log.WithField("share", current).WithField("before", share).Info("Share of the quotas changed.")
+			g.log.WithField("share", current).WithField("before", share).Info("Quota share changed.")
 			share = current
 		}
 		wait.For(ctx, freshnessCheckInterval)
 	}
 }
 
-// logDrain tells each second what a shutdown still waits for, until ctx ends.
+// logDrain logs the open requests and connections of a shutdown until ctx ends.
 func (g *Gateway) logDrain(ctx context.Context) {
 	for {
 		wait.For(ctx, drainLogInterval)
@@ -69,8 +70,8 @@
 	}
 }
 
-// serveMetrics serves the counters and histograms as text, where the settings
-// name an address. Without them callers are served all the same.
+// serveMetrics serves counters and histograms as text if the settings have an address
+// for them. A failure does not affect callers.
 func (g *Gateway) serveMetrics() {
 	if g.settings.Metrics == "" {
 		return
@@ -86,7 +87,7 @@
 	}}
 	go func() {
 		if err := server.Serve(ln); err != nil {
-			g.log.WithError(err).Warn("Metrics are not served any more.")
+			g.log.WithError(err).Warn("Metrics server stopped.")
 		}
 	}()
 }
--- a/internal/gateway/observe_test.go
+++ b/internal/gateway/observe_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestLatenciesAreServed(t *testing.T) {
-	Convey("The metrics tell how long lists, asks and proofs took", t, func() {
+	Convey("The metrics include the latencies of lists and polls and the age of proofs", t, func() {
 		m := metrics.New()
 		l := newLatencies(m)
 		l.storeList.Observe(4 * time.Millisecond)
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -15,7 +15,7 @@
 	"github.com/lycheekeel/lycheekeel/revision"
 )
 
-// fakePeers lets askers call each other; it notes who was asked.
+// fakePeers lets peerSyncs call each other and records whom they polled.
 type fakePeers struct {
 	*fakeTransport
 	self   string
@@ -32,7 +32,7 @@
 	return other.handlePoll(ctx, peer.Name(n.self), payload)
 }
 
-// newPeerSyncs are daemons of one zone that see each other.
+// newPeerSyncs returns the peerSyncs of n daemons in one zone that see each other.
 func newPeerSyncs(n int) (all map[string]*peerSync, nets map[string]*fakePeers, readers, standbys []string) {
 	members := zoneMembers(map[string]int{"a": n})
 	all, nets = map[string]*peerSync{}, map[string]*fakePeers{}
@@ -48,21 +48,21 @@
 	return all, nets, readers, standbys
 }
 
-// joinedAlready is what a daemon has that has met others.
+// joinedAlready returns the channel of a daemon that has joined the membership.
 func joinedAlready() <-chan struct{} {
 	joined := make(chan struct{})
 	close(joined)
 	return joined
 }
 
-// staleStore answers stale reads alone.
+// staleStore answers stale reads only.
 type staleStore struct{ err error }
 
 func (s *staleStore) GetStale(context.Context, objectstore.Kind, string) (objectstore.Object, error) {
 	return objectstore.Object{}, s.err
 }
 
-// setProofAge sets how old a daemon's proofs are.
+// setProofAge sets the age of a daemon's proofs.
 func (a *peerSync) setProofAge(age time.Duration) {
 	a.state.configFreshness, a.state.serversFreshness = freshnessOfAge(age), freshnessOfAge(age)
 }
@@ -70,7 +70,7 @@
 // stoppedClock is a clock that stands still.
 func stoppedClock() time.Duration { return time.Hour }
 
-// freshnessOfAge is of a proof that is so old.
+// freshnessOfAge returns a freshness whose newest proof has the given age.
 func freshnessOfAge(age time.Duration) *revision.Freshness {
 	f := revision.NewFreshnessOn(stoppedClock)
 	f.Prove(f.Mark() - age)
@@ -87,9 +87,9 @@
 	return err
 }
 
-// Guards against this: thousands of calls of the store while it turns a third of the VMs away.
+// Guards against thousands of calls to the store while it refuses those of a third of the VMs.
 func TestStaleReadersAreSkipped(t *testing.T) {
-	Convey("Given 30 daemons, two of which read the store", t, func() {
+	Convey("Given 30 daemons, two of which are readers", t, func() {
 		all, nets, readers, standbys := newPeerSyncs(30)
 		So(readers, ShouldHaveLength, 2)
 		So(standbys, ShouldHaveLength, 2)
@@ -107,7 +107,7 @@
 		}
 		a.setProofAge(1700 * time.Millisecond)
 
-		Convey("an asker goes from a reader that was turned away to the other one, which tells at once", func() {
+		Convey("a daemon goes from a stale reader to the other one, which answers immediately", func() {
 			all[first].setProofAge(1650 * time.Millisecond)
 			all[second].setProofAge(100 * time.Millisecond)
 			So(a.pollNext(), ShouldBeNil)
@@ -117,7 +117,7 @@
 			name, _ := a.pickReader()
 			So(name, ShouldEqual, second)
 		})
-		Convey("it goes on to the substitutes, and begins anew", func() {
+		Convey("it goes on to the standbys, and then starts over", func() {
 			for _, name := range append(slices.Clone(readers), standbys...) {
 				delete(all, name)
 			}
@@ -129,7 +129,7 @@
 			So(standbys, ShouldContain, nets[other].polled[3])
 			So(nets[other].polled[4], ShouldEqual, first)
 		})
-		Convey("a reader that was turned away asks the other one", func() {
+		Convey("a stale reader polls the other one", func() {
 			all[first].setProofAge(3 * time.Second)
 			all[second].setProofAge(100 * time.Millisecond)
 			name, ok := all[first].pickReader()
@@ -140,8 +140,9 @@
 			_, ok = all[first].pickReader()
 			So(ok, ShouldBeFalse)
 		})
-		// Guards against this: a withdrawn key is served by a daemon that the store would have answered, 2.05 s after the change.
-		Convey("while readers answer and none can read, a daemon tries by itself in time, and seldom again if that fails", func() {
+		// Guards against a withdrawn key that a daemon accepts for more than the 2 s allowed (it was
+		// 2.05 s), although the store would have answered this daemon.
+		Convey("while readers answer but none can read, a daemon lists by itself in time, and backs off if that fails", func() {
 			all[first].setProofAge(1650 * time.Millisecond)
 			So(a.pollNext(), ShouldBeNil)
 			idle := func(a *peerSync) bool {
@@ -162,12 +163,12 @@
 				return r.refresh(context.Background(), r.loops()[0])
 			}
 			So(refresh(a), ShouldBeGreaterThanOrEqualTo, storeRetryMaxDelay/2)
-			So(refresh(b), ShouldBeLessThan, 2*storeRetryDelay) // a substitute
+			So(refresh(b), ShouldBeLessThan, 2*storeRetryDelay) // a standby
 			a.lastAnswer.Store(int64(a.state.configFreshness.Mark() - 3*time.Second))
 			So(refresh(a), ShouldBeLessThan, 2*storeRetryDelay) // it may be cut off from the readers
 		})
 	})
-	Convey("A daemon whose own reads fail for long is cut off, until one is answered", t, func() {
+	Convey("A daemon whose own reads fail for long counts as cut off from the store until one is answered", t, func() {
 		s := emptyState()
 		s.configFreshness = revision.NewFreshnessOn(stoppedClock)
 		store := &listStore{err: objectstore.ErrUnavailable}
@@ -180,7 +181,7 @@
 		So(s.storeLostLongerThan(3*time.Second), ShouldBeFalse)
 		s.storeLostAt.Store(int64(stoppedClock() - 4*time.Second))
 		So(s.storeLostLongerThan(3*time.Second), ShouldBeTrue)
-		_, idle = r.idleFor(config) // it goes on trying, though others tell it
+		_, idle = r.idleFor(config) // it keeps listing, though readers send it the state
 		So(idle, ShouldBeFalse)
 		store.err = nil
 		r.refresh(context.Background(), config)
@@ -188,7 +189,7 @@
 		_, idle = r.idleFor(config)
 		So(idle, ShouldBeTrue)
 	})
-	Convey("A daemon that the store does not answer refuses keys, though others prove them", t, func() {
+	Convey("A daemon that the store does not answer refuses keys, even with fresh proofs from readers", t, func() {
 		g := &Gateway{settings: Settings{Bounds: BoundsSettings{RevokeMs: 5000}}, state: emptyState()}
 		g.state.configFreshness = freshnessOfAge(100 * time.Millisecond)
 		g.state.storeLostAt.Store(int64(stoppedClock() - 4*time.Second))
@@ -200,7 +201,7 @@
 		g.state.storeLostAt.Store(0)
 		So(g.Fresh(), ShouldBeTrue)
 	})
-	Convey("A daemon that does not read the store notices that it is cut off, and that it is back", t, func() {
+	Convey("A daemon that is not a reader notices the loss and the return of the store", t, func() {
 		s := emptyState()
 		s.configFreshness = revision.NewFreshnessOn(stoppedClock)
 		store := &staleStore{err: objectstore.ErrUnknownOutcome}
@@ -208,14 +209,14 @@
 		r.checkStore(context.Background())
 		So(s.storeLostAt.Load(), ShouldEqual, int64(stoppedClock()))
 		s.storeLostAt.Store(int64(stoppedClock() - 4*time.Second))
-		r.checkStore(context.Background()) // it counts from the first
+		r.checkStore(context.Background()) // counts from the first failure
 		So(s.storeLostLongerThan(3*time.Second), ShouldBeTrue)
-		store.err = objectstore.ErrNotFound // an answer all the same
+		store.err = objectstore.ErrNotFound // an answer nevertheless
 		r.checkStore(context.Background())
 		So(s.storeLostLongerThan(3*time.Second), ShouldBeFalse)
 	})
-	// Guards against this: after all daemons were killed, some serve nobody for seconds.
-	Convey("A daemon that knows nothing yet tries again soon, though a reader answers", t, func() {
+	// Guards against daemons that serve nobody for seconds after all daemons were killed.
+	Convey("A daemon without state retries soon, even if a reader answers", t, func() {
 		s := emptyState()
 		s.configFreshness = revision.NewFreshnessOn(stoppedClock)
 		store := &listStore{err: objectstore.ErrUnavailable}
@@ -224,12 +225,12 @@
 		s.configFreshness.Prove(s.configFreshness.Mark())
 		So(r.refresh(context.Background(), r.loops()[0]), ShouldBeGreaterThanOrEqualTo, storeRetryMaxDelay/2)
 	})
-	Convey("Of nine daemons, two stand in for the one reader", t, func() {
+	Convey("Nine daemons have one reader and two standbys", t, func() {
 		_, _, readers, standbys := newPeerSyncs(9)
 		So(readers, ShouldHaveLength, 1)
 		So(standbys, ShouldHaveLength, 2)
 	})
-	Convey("A daemon alone asks nobody", t, func() {
+	Convey("A single daemon polls nobody", t, func() {
 		all, _, readers, standbys := newPeerSyncs(1)
 		So(fmt.Sprint(readers, standbys), ShouldEqual, "[a1] []")
 		_, ok := all["a1"].pickReader()
--- a/internal/gateway/outcomes_test.go
+++ b/internal/gateway/outcomes_test.go
@@ -12,8 +12,8 @@
 	"github.com/lycheekeel/lycheekeel/rollout"
 )
 
-// outcomeStore holds one rollout's object, whose status it replaces where the expected
-// version is the object's, or none is expected.
+// outcomeStore holds one rollout's object. UpdateStatus replaces its status if the expected
+// version matches or is 0.
 type outcomeStore struct {
 	objectstore.ObjectAPI
 	object objectstore.Object
@@ -32,9 +32,9 @@
 	return s.object.Version, nil
 }
 
-// Guards against this: a version that was rolled back is promoted.
+// Guards against the promotion of a version that was rolled back.
 func TestFirstWrittenOutcomeWins(t *testing.T) {
-	Convey("Given a rollout whose outcome another daemon has written", t, func() {
+	Convey("Given a rollout whose final state another daemon has written", t, func() {
 		state := byte(rollout.RolledBack)
 		store := &outcomeStore{object: objectstore.Object{Name: "app", Version: 93, Status: []byte{state}}}
 		s := stateWithRollouts()
@@ -46,7 +46,7 @@
 		late := rolloutToV2(85, rollout.Running)
 		s.putRollout(late, 90)
 		d := newDeciders(s, rollout.Bounds{}, &member.CurrentView{}, logs.For("test"))
-		Convey("who decides late finds it, and goes by it", func() {
+		Convey("a daemon that decides later reads it and adopts it", func() {
 			late.State = rollout.Succeeded
 			d.writeOutcome(context.Background(), late)
 			So(store.object.Status, ShouldResemble, []byte{state})
--- a/internal/gateway/pacer.go
+++ b/internal/gateway/pacer.go
@@ -3,30 +3,28 @@
 import "time"
 
 const (
-	// pacingMinServers is how many servers there are where it is worth pacing what is done
-	// for each change of one.
+	// pacingMinServers is the number of servers from which rebuilds are paced; with fewer
+	// they are cheap.
 	pacingMinServers = 256
-	// pacingShare of the time is the most that paced work takes.
+	// pacingShare is the largest share of the time that paced work may take.
 	pacingShare = 0.05
-	// maxPacingDelay is the longest that paced work is put off. A server that leaves must
-	// get nothing new within seconds.
+	// maxPacingDelay is the longest delay of paced work. A server that leaves must stop
+	// getting requests within seconds.
 	maxPacingDelay = 250 * time.Millisecond
 )
 
-// pacer says when work that costs more the more there is may be done again: at once where
-// it is cheap, and for a bounded part of the time where it is not.
-//
-// What goes wrong without it: servers by the thousand change some entry many times a
-// second, and a daemon spends its core on making all pools anew for each.
+// pacer limits work whose cost grows with the number of servers to a share of the time.
+// Without it, thousands of servers that change their entries many times a second would
+// keep a daemon's core busy rebuilding all pools for each change.
 type pacer struct {
 	lastEnd      time.Time
 	lastDuration time.Duration
 }
 
-// done notes that the work ended and what it took.
+// done records when the work was done.
 func (p *pacer) done(began, ended time.Time) { p.lastEnd, p.lastDuration = ended, ended.Sub(began) }
 
-// delay returns how long the work has to wait.
+// delay returns how long the next run has to wait.
 func (p *pacer) delay(now time.Time) time.Duration {
 	pause := min(time.Duration(float64(p.lastDuration)/pacingShare), maxPacingDelay)
 	return max(0, p.lastEnd.Add(pause).Sub(now))
--- a/internal/gateway/pacer_test.go
+++ b/internal/gateway/pacer_test.go
@@ -16,16 +16,16 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// convergeLimit is generous: no test is decided by it.
+// convergeLimit is generous; no test depends on its value.
 const convergeLimit = 30 * time.Second
 
-// Guards against daemons that spend their core on making the pools anew where there are thousands of servers.
+// Guards against daemons that spend their core on rebuilding the pools of thousands of servers.
 func TestPacingBoundsShareOfTime(t *testing.T) {
 	now := time.Unix(1000, 0)
-	Convey("What has not been done yet is done at once", t, func() {
+	Convey("Work that was never done runs immediately", t, func() {
 		So((&pacer{}).delay(now), ShouldEqual, 0)
 	})
-	Convey("Cheap work is put off by little, costly work by as much as keeps its share, up to a bound", t, func() {
+	Convey("The delay is proportional to the duration of the work, up to a bound", t, func() {
 		for took, wait := range map[time.Duration]time.Duration{
 			100 * time.Microsecond: 2 * time.Millisecond,
 			7 * time.Millisecond:   140 * time.Millisecond,
@@ -39,9 +39,9 @@
 	})
 }
 
-// Guards against changes of servers that are lost because the pools are not made anew at once.
+// Guards against changes of servers that are lost when a rebuild is postponed.
 func TestLastOfManyChangesIsApplied(t *testing.T) {
-	Convey("Given changes of servers in quick succession", t, func() {
+	Convey("Given many changes of servers in quick succession", t, func() {
 		pools := &workspace.Live{}
 		routes := &route.Live{}
 		table, findings := route.Compile("test", route.Document{Version: 1, Services: []route.Service{{Name: "app"}}})
--- a/internal/gateway/peerpoll.go
+++ b/internal/gateway/peerpoll.go
@@ -11,12 +11,13 @@
 	"github.com/lycheekeel/lycheekeel/internal/peer"
 )
 
-// minProofGain is by how much a reader's proof must be newer than the asker's to be
-// told at once.
+// minProofGain is how much newer a reader's proof must be than the caller's for a
+// poll to be answered immediately.
 const minProofGain = 500 * time.Millisecond
 
-// handlePoll tells another daemon what is newer here than what it has, as soon as
-// something is or a read has proved it again.
+// handlePoll answers another daemon's poll. It answers immediately if it has something
+// newer or its own reads are stale, else at the next change or proof of freshness, or when
+// the hold time is over.
 func (p *peerSync) handlePoll(ctx context.Context, _ peer.Name, payload []byte) ([]byte, error) {
 	var req wire.SyncAsk
 	if err := proto.Unmarshal(payload, &req); err != nil {
@@ -39,8 +40,8 @@
 	return proto.Marshal(resp)
 }
 
-// maxHold is how long an ask may wait for something newer: until the reads here
-// are stale, so that the asker goes to another reader then.
+// maxHold returns how long a poll may be held: at most until the reads of this
+// daemon become stale, so that the caller goes to another reader then.
 func (p *peerSync) maxHold(req *wire.SyncAsk, resp *wire.SyncAnswer) time.Duration {
 	hold := min(time.Duration(req.HoldMs)*time.Millisecond, pollHold)
 	if !req.Changes {
@@ -49,11 +50,11 @@
 	return min(hold, staleAfter+time.Millisecond-milliseconds(max(resp.ConfigAgeMs, resp.ServersAgeMs)))
 }
 
-// buildAnswer makes the answer as of now, with the channel that is closed at the
-// next change. The ask came at a mark of the clock of proofs.
+// buildAnswer returns the answer as of now, and the channel that is closed at the
+// next change. received is when the poll arrived, by the clock of serversFreshness.
 func (p *peerSync) buildAnswer(req *wire.SyncAsk, received time.Duration) (*wire.SyncAnswer, <-chan struct{}) {
 	s := p.state
-	held := s.serversFreshness.Mark() - received // before the ages are taken
+	held := s.serversFreshness.Mark() - received // before the ages are read
 	resp := &wire.SyncAnswer{HeldMs: float64(held) / float64(time.Millisecond), ConfigAgeMs: ageMs(s.configFreshness.Age()), ServersAgeMs: ageMs(s.serversFreshness.Age())}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +110,8 @@
 	return float64(age) / float64(time.Millisecond)
 }
 
-// isFresher tells whether an answer proves much more than the asker knew.
+// isFresher reports whether the answer's proofs are newer than the caller's by more
+// than minProofGain.
 func isFresher(resp *wire.SyncAnswer, req *wire.SyncAsk) bool {
 	margin := float64(minProofGain.Milliseconds())
 	fresher := func(offered, known float64) bool { return offered >= 0 && (known < 0 || offered+margin < known) }
--- a/internal/gateway/peerpoll_test.go
+++ b/internal/gateway/peerpoll_test.go
@@ -8,7 +8,8 @@
 	"github.com/lycheekeel/lycheekeel/discovery"
 )
 
-// Guards against this: daemons that do not read the store use a server that its readers do not.
+// Guards against server fields that are lost in the answer to a poll, so that daemons use other
+// servers than the readers do.
 func TestEntriesArriveAsTheyWereTold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		told := rapid.Make[discovery.Server]().Draw(t, "server")
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -13,24 +13,22 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// How soon the loss of a pool's owner is noticed and made up for. A VM that loses
-// power says nothing: its connections go silent, membership declares it dead after
-// two seconds, and until another owner is found its service would serve nobody.
-//
-// What goes wrong with longer times: a service's requests wait for seconds after the
-// owner's VM has lost power, in the middle of a burst, and are late when they are served.
+// These times bound how soon the loss of a pool's owner is detected and compensated. A
+// VM that loses power closes no connection: membership declares it dead after 2 s, and
+// its services would not be served until another owner is found. With longer times,
+// requests would wait for seconds in the middle of a burst and miss their targets.
 const (
-	// peerPingAfter and peerSilence give a silent connection up after 0.6 s in all.
-	// A VM that is out of processor time stands still for a tenth of a second.
+	// peerPingAfter and peerSilence close a silent connection after 0.6 s in all. A VM
+	// that has used up its processor time can pause for 100 ms.
 	peerPingAfter = 200 * time.Millisecond
 	peerSilence   = 400 * time.Millisecond
-	// degradedAfter is how soon after that an entry serves on its own share of the
+	// degradedAfter is how soon after that an entry dispatches on its own share of the
 	// slots.
 	degradedAfter = 100 * time.Millisecond
 )
 
-// joinPeers makes the parts that act together with the other daemons. Those
-// that register handlers at the transport are made before it starts.
+// joinPeers creates the parts that talk to other daemons. Those that register handlers
+// at the transport are created before it starts.
 func (g *Gateway) joinPeers(key []byte) error {
 	s := g.settings
 	var err error
@@ -39,7 +37,7 @@
 		PingAfter: peerPingAfter, Silence: peerSilence,
 	})
 	if err != nil {
-		return errors.Wrap(err, "listen for peers")
+		return errors.Wrap(err, "listen on the peer address")
 	}
 	g.members, err = member.NewRunner(member.Config{
 		Self: member.Member{
@@ -50,7 +48,7 @@
 		Seeds: s.Seeds,
 	}, member.RunnerOptions{Transport: g.transport, View: g.views, Registry: g.metrics})
 	if err != nil {
-		return errors.Wrap(err, "membership")
+		return errors.Wrap(err, "create membership")
 	}
 	g.host = poolhost.New(poolhost.Config{
 		Self: s.Name, Region: s.Region, Snapshots: g.pools, Views: g.views, Transport: g.transport,
@@ -65,22 +63,21 @@
 	return nil
 }
 
-// maxWaitShare is the part of its first-token target for which a request waits for
-// a slot. One that waits longer is late, or nearly, when it is granted, and it
-// takes the slot of one that would be in time; its caller, if it is refused
-// after all, has lost that time.
+// maxWaitShare is the share of its first-token target that a request may wait for a slot.
+// One that waits longer would miss its target, or nearly, and take the slot from a request
+// that can meet its own; if it is refused in the end, its caller has lost that time.
 const maxWaitShare = 0.12
 
-// extendedWaitShare is the same where the pace of grants lets a request have its slot by
-// then: it waits as long as it may be in time. With less, those that would be served a
-// moment later are refused, come back in the burst and are refused again.
+// extendedWaitShare replaces maxWaitShare where, at the rate of grants, the request will
+// get its slot in time. With less, requests that would be served a moment later are
+// refused, and retry into the same burst.
 const extendedWaitShare = 1.0
 
-// runGrace is how long past its deadline a run stays counted: the time for its
-// release to arrive.
+// runGrace is how long after its deadline a run still occupies its slot, so that its
+// release can arrive.
 const runGrace = time.Second
 
-// headroomShare is the part of all slots kept free of lower tiers.
+// headroomShare is the share of all slots kept free of lower tiers.
 const headroomShare = 0.05
 
 func newScheduler(p *workspace.ResolvedPool, epoch uint64) poolhost.Scheduler {
--- a/internal/gateway/peersync.go
+++ b/internal/gateway/peersync.go
@@ -17,38 +17,40 @@
 )
 
 const (
-	// pollHold is how long a reader may wait for something newer. It answers
-	// after each of its reads, which come more often.
+	// pollHold is the longest that a reader may hold a poll while it has nothing
+	// newer. Usually it answers sooner, after its next read of the store.
 	pollHold = 1500 * time.Millisecond
-	// pollRoundTrip is for the way there and back.
+	// pollRoundTrip is added to pollHold for the network round trip.
 	pollRoundTrip = 400 * time.Millisecond
-	// readerCheckInterval is how often a reader looks whether it can't read any more.
+	// readerCheckInterval is how often a reader checks whether its own reads have
+	// become stale.
 	readerCheckInterval = 500 * time.Millisecond
-	// pollRetryDelay is how soon after a failure another reader is asked.
+	// pollRetryDelay is the delay before another reader is polled after a failure.
 	pollRetryDelay = 200 * time.Millisecond
-	// staleAfter is the age of a reader's own reads from which it is not waited
-	// for: reads come each 1.1 and 1.3 s, give or take a tenth.
+	// staleAfter is the age of a reader's last read of the store from which it is
+	// skipped. Readers read every 1.1 s (servers) and 1.3 s (configuration), with 10 %
+	// jitter.
 	staleAfter = 1600 * time.Millisecond
 )
 
-// peerSync gets from a daemon that reads the store what this one does not read
-// itself.
+// peerSync copies the state from a daemon that reads the store (a reader) by long
+// polls, and answers the polls of other daemons.
 //
-// An answer proves as much as a read of our own: the reader tells how old its
-// last linearizable read was when it made the answer, and how long before that
-// it had been asked. So the proof is at least as new as the asking, plus what
-// the reader held it, less that age, however long ask and answer were under
-// way. Clocks need not agree, only run at one speed.
+// An answer proves freshness just as a read by this daemon would. It carries the age
+// of the reader's last linearizable read at the time of the answer, and for how long
+// the reader held the poll. The proof therefore counts from the time at which the
+// poll was sent, plus the hold time, minus that age, however long the messages took.
+// Clocks need not agree; they only have to run at the same rate.
 type peerSync struct {
 	state     *state
 	transport peer.Transport
 	views     *member.CurrentView
-	// joined is closed when views can be gone by.
+	// joined is closed when the membership view can be relied on.
 	joined <-chan struct{}
-	// next is how many readers have been passed over because they could not
-	// read, or did not answer.
+	// next selects the reader to poll. It grows each time that a reader is skipped
+	// because it did not answer or its reads were stale.
 	next atomic.Uint64
-	// lastAnswer is the mark of the last answer, on the clock of proofs.
+	// lastAnswer is the time of the last answer by the clock of configFreshness; 0: none.
 	lastAnswer atomic.Int64
 }
 
@@ -58,7 +60,7 @@
 	return p
 }
 
-// Run asks until ctx ends.
+// Run polls readers until ctx ends.
 func (p *peerSync) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		name, ok := p.pickReader()
@@ -74,6 +76,7 @@
 	}
 }
 
+// poll polls a reader once and applies its answer.
 func (p *peerSync) poll(ctx context.Context, name string) error {
 	s := p.state
 	s.mu.Lock()
@@ -104,20 +107,20 @@
 	if isStale(&resp) {
 		p.next.Add(1)
 		if resp.HeldMs < float64(pollRetryDelay.Milliseconds()) {
-			wait.For(ctx, pollRetryDelay) // all may be like that
+			wait.For(ctx, pollRetryDelay) // all readers may be stale
 		}
 	}
 	return nil
 }
 
-// isStale tells whether a reader could not read lately.
+// isStale reports whether the reader's last reads are too old, or it has none.
 func isStale(resp *wire.SyncAnswer) bool {
 	limit := float64(staleAfter.Milliseconds())
 	return resp.ConfigAgeMs < 0 || resp.ServersAgeMs < 0 || resp.ConfigAgeMs > limit || resp.ServersAgeMs > limit
 }
 
-// apply puts in force what is newer, and takes the proofs. The marks are of the
-// asking.
+// apply applies what is newer in the answer and records its proofs of freshness.
+// configMark and serversMark were taken when the poll was sent.
 func (p *peerSync) apply(resp *wire.SyncAnswer, configMark, serversMark time.Duration) {
 	s := p.state
 	current := true
@@ -130,7 +133,7 @@
 	if current && resp.ConfigAgeMs >= 0 {
 		s.configFreshness.Prove(earliestAnswer(s.configFreshness, configMark, resp) - milliseconds(resp.ConfigAgeMs))
 	}
-	if resp.RolloutsTold { // before the servers that they concern
+	if resp.RolloutsTold { // before the servers: which versions may serve depends on the rollouts
 		s.applyPeerRollouts(rolloutsFromWire(resp.Rollouts), resp.Unfit, objectstore.Version(resp.RolloutsRevision))
 	}
 	rev := objectstore.Version(resp.ServersRevision)
@@ -143,12 +146,12 @@
 	if resp.ServersAgeMs >= 0 {
 		s.serversFreshness.Prove(earliestAnswer(s.serversFreshness, serversMark, resp) - milliseconds(resp.ServersAgeMs))
 	}
-	s.notifyChanged() // for those that ask this daemon
+	s.notifyChanged() // wakes the polls that this daemon holds
 }
 
-// earliestAnswer is the latest moment by which the answer to an ask of mark is known to
-// have been made. It is not in the future, whatever the answer says: a proof
-// would never grow old.
+// earliestAnswer returns the earliest time at which the answer can have been made:
+// the poll's time plus the hold time. It is capped at the present, since a proof
+// that lies in the future would never become stale.
 func earliestAnswer(f *revision.Freshness, mark time.Duration, resp *wire.SyncAnswer) time.Duration {
 	return min(mark+milliseconds(resp.HeldMs), f.Mark())
 }
--- a/internal/gateway/peersync_test.go
+++ b/internal/gateway/peersync_test.go
@@ -17,7 +17,7 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// pollOnce lets one daemon ask another, and returns what it was told.
+// pollOnce lets one daemon poll another and returns the answer.
 func pollOnce(from, of *peerSync) *wire.SyncAnswer {
 	q := &wire.SyncAsk{ServersRevision: uint64(from.state.serversRevision), Changes: true}
 	m, _ := of.buildAnswer(q, of.state.serversFreshness.Mark())
@@ -26,7 +26,8 @@
 	return m
 }
 
-// Guards against this: readers send megabytes a second to daemons in other zones.
+// Guards against readers that send the whole list of servers, megabytes a second, to daemons in
+// other zones.
 func TestSyncSendsOnlyChanges(t *testing.T) {
 	server := func(id string, slots int) discovery.Server {
 		return discovery.Server{ID: id, Service: "app", Slots: slots}
@@ -35,7 +36,7 @@
 		reader, follower := &peerSync{state: stateWithRoutes()}, &peerSync{state: stateWithRoutes()}
 		reader.state.replaceServers([]discovery.Server{server("a", 1), server("b", 1), server("c", 1)}, 50)
 		So(pollOnce(follower, reader).Servers, ShouldHaveLength, 3)
-		Convey("a change is told alone, and what has gone", func() {
+		Convey("only changed and removed servers are sent", func() {
 			reader.state.putServer(server("a", 2), 51)
 			reader.state.removeServer("b", 0, 52)
 			m := pollOnce(follower, reader)
@@ -44,13 +45,13 @@
 			So(follower.state.directory.Listed(), ShouldResemble, reader.state.directory.Listed())
 			So(pollOnce(follower, reader).ServersTold, ShouldBeFalse)
 		})
-		Convey("what the daemon has read by itself is told once more, and not for ever", func() {
+		Convey("a change that the daemon has listed itself is sent once more, but not repeatedly", func() {
 			follower.state.putServer(server("a", 2), 51)
 			reader.state.putServer(server("a", 2), 60)
 			So(pollOnce(follower, reader).ServersTold, ShouldBeTrue)
 			So(pollOnce(follower, reader).ServersTold, ShouldBeFalse)
 		})
-		Convey("changes since another revision than the daemon's are left alone", func() {
+		Convey("changes since a revision that the daemon does not have are ignored", func() {
 			q := &wire.SyncAsk{ServersRevision: 50, Changes: true}
 			reader.state.removeServer("b", 0, 52)
 			m, _ := reader.buildAnswer(q, 0)
@@ -59,7 +60,7 @@
 			So(follower.state.serversRevision, ShouldEqual, 51)
 			So(pollOnce(follower, reader).ServersTold, ShouldBeTrue)
 		})
-		Convey("who can't take changes, or has none of it, is told all", func() {
+		Convey("a daemon that can't apply changes, or has no list, gets the whole list", func() {
 			reader.state.removeServer("b", 0, 52)
 			m, _ := reader.buildAnswer(&wire.SyncAsk{ServersRevision: 50}, 0)
 			So(m.ServersBase, ShouldEqual, 0)
@@ -81,14 +82,15 @@
 	return newState(Platform{}, "r", &route.Live{}, &workspace.Live{}, ledger, func(map[string]string) {}, metrics.New())
 }
 
-// Guards against this: daemons that get what they know from a reader list the servers themselves each few seconds.
+// Guards against proofs that count as too old, so that each daemon lists the servers itself every
+// few seconds.
 func TestProofAgeCountsFromReadersRead(t *testing.T) {
 	Convey("Given a reader that has just read", t, func() {
 		reader := &peerSync{state: emptyState()}
 		reader.state.serversFreshness.Prove(reader.state.serversFreshness.Mark())
 		reader.state.configFreshness.Prove(reader.state.configFreshness.Mark())
 
-		Convey("an ask that it held for a second proves almost as much as its read", func() {
+		Convey("a poll that it held for a second proves almost as much as its read", func() {
 			received := reader.state.serversFreshness.Mark() - time.Second
 			m, _ := reader.buildAnswer(&wire.SyncAsk{}, received)
 			So(m.HeldMs, ShouldBeGreaterThanOrEqualTo, 1000)
@@ -105,7 +107,7 @@
 			So(ok, ShouldBeTrue)
 			So(age, ShouldBeLessThanOrEqualTo, follower.state.configFreshness.Mark()-sent-time.Second+milliseconds(m.ConfigAgeMs))
 		})
-		Convey("it tells no longer a hold than there was", func() {
+		Convey("the hold time that it reports is no longer than the real one", func() {
 			start := reader.state.serversFreshness.Mark()
 			payload, err := proto.Marshal(&wire.SyncAsk{HoldMs: 1})
 			So(err, ShouldBeNil)
@@ -116,7 +118,7 @@
 			So(m.HeldMs, ShouldBeGreaterThanOrEqualTo, 1)
 			So(milliseconds(m.HeldMs), ShouldBeLessThanOrEqualTo, reader.state.serversFreshness.Mark()-start)
 		})
-		Convey("an answer that tells too long a hold proves nothing of the future", func() {
+		Convey("an answer with too long a hold time gives no proof that lies in the future", func() {
 			follower := &peerSync{state: emptyState()}
 			sent := follower.state.serversFreshness.Mark()
 			follower.apply(&wire.SyncAnswer{ConfigAgeMs: 20, ServersAgeMs: 20, HeldMs: 3_600_000}, sent, sent)
@@ -126,7 +128,7 @@
 				So(age, ShouldBeGreaterThanOrEqualTo, 20*time.Millisecond)
 			}
 		})
-		Convey("it never proves more than the read: an ask that came after it counts as of the read", func() {
+		Convey("a poll that arrives after the read proves no more than the read", func() {
 			m := &wire.SyncAnswer{ConfigAgeMs: -1, ServersAgeMs: 5000, HeldMs: 300}
 			follower := &peerSync{state: emptyState()}
 			sent := follower.state.serversFreshness.Mark() - 400*time.Millisecond
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -1,7 +1,6 @@
-// Package gateway is the daemon in front of backend servers that register
-// themselves in the platform's store: it reads the configuration and the
-// servers from there, forwards callers' requests, and stops without cutting
-// one off.
+// Package gateway implements the daemon in front of backend servers that register
+// themselves in the platform's store. It reads the configuration and the servers from
+// the store, forwards callers' requests, and drains them before it stops.
 package gateway
 
 import (
@@ -12,20 +11,20 @@
 	"github.com/lycheekeel/lycheekeel/route"
 )
 
-// Platform is the port to the platform: its store, and how things are spelled
-// there. An adapter fills it.
+// Platform is the port to the platform: its store, its wire format and its encodings.
+// An adapter provides it.
 type Platform struct {
 	Store objectstore.ObjectAPI
-	// Stale is the same store, for reads that prove no more than that it
-	// answers.
+	// Stale reads the same store without linearizability; an answer proves only that the
+	// store can be reached.
 	Stale objectstore.StaleReader
-	// Status writes the outcomes of rollouts.
+	// Status writes the states of rollouts.
 	Status objectstore.StatusWriter
 	Wire   forward.Wire
-	// ReadinessPath is where the balancer asks whether to send callers here.
+	// ReadinessPath is the path of the balancer's readiness checks.
 	ReadinessPath string
-	// ConfigurationKind holds the configuration as one object of that name;
-	// ServersKind holds an object for each backend server.
+	// ConfigurationKind holds the configuration, in the object ConfigurationName.
+	// ServersKind holds one object for each backend server.
 	ConfigurationKind objectstore.Kind
 	ConfigurationName string
 	ServersKind       objectstore.Kind
--- a/internal/gateway/poolremovals.go
+++ b/internal/gateway/poolremovals.go
@@ -7,17 +7,17 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// poolRemovals tells those that wait for a slot when a pool of their service is there no more.
+// poolRemovals wakes requests that wait for a slot when a pool of their service is removed.
 // It is safe for concurrent use.
 //
-// What goes wrong without it: a version is promoted, or a pool's last server goes; what
-// waits in that pool has no owner any more, and is refused when its patience is over,
-// though the servers are in another pool now.
+// Without it, when a version is promoted or a pool's last server leaves, requests that
+// wait in that pool, which has no owner any more, would wait until they are refused, though
+// the servers are in another pool now.
 type poolRemovals struct {
-	signals sync.Map // service to *wait
+	signals sync.Map // service to *removalSignal
 }
 
-// removalSignal is a span in which no pool of a service goes.
+// removalSignal is cancelled when a pool of its service is removed.
 type removalSignal struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -28,7 +28,7 @@
 	return &removalSignal{ctx, cancel}
 }
 
-// contextFor returns a context that ends when a pool of the service goes.
+// contextFor returns a context that ends when a pool of the service is removed.
 func (r *poolRemovals) contextFor(service string) context.Context {
 	if s, ok := r.signals.Load(service); ok {
 		return s.(*removalSignal).ctx
@@ -37,8 +37,8 @@
 	return s.(*removalSignal).ctx
 }
 
-// update takes the snapshot that has taken the place of another one, which may be nil.
-// Whoever is woken finds the new one.
+// update compares the snapshot with the one that it has replaced, which may be nil. It must
+// be called after next is in force, so that waiters that wake find it.
 func (r *poolRemovals) update(prev, next *workspace.Snapshot) {
 	if prev == nil {
 		return
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -13,13 +13,13 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// versionGroup are the servers of a service that have pools of their own: those of one
-// version, where versions count.
+// versionGroup is the servers of a service that share pools: those of one version or,
+// without rollouts, all.
 //
-// What goes wrong with one pool for all versions: its scheduler sends to the fastest server
-// and follows prefixes, and a new version gets more than its share. Since a pool has its
-// version's name for as long as there are servers of it, none moves to another one, whose
-// owner would not know what runs there, when a version is promoted or rolled back.
+// With one pool for all versions, a new version would get more than its share, since the
+// scheduler prefers fast servers and cached prefixes. A pool keeps its version's name while
+// there are servers of the version. A promotion or rollback therefore moves no server to
+// another pool, whose owner would not know what runs on it.
 type versionGroup struct {
 	service, version string
 	arm              rollout.Arm
@@ -33,16 +33,16 @@
 	return g.service + "@" + g.version
 }
 
-// partitioner is how the servers of a service are divided by their version.
+// partitioner groups the servers of a service by version.
 type partitioner struct {
-	// arm returns what a server is to its service's requests; nil: versions don't count.
+	// arm returns the arm of the rollout that a server belongs to; nil: versions are ignored.
 	arm func(discovery.Server) rollout.Arm
-	// canaryServers returns the servers of a new version that get canaries now, beside so many
-	// stable ones.
+	// canaryServers returns the servers of a new version that get canaries now, beside that
+	// many stable ones.
 	canaryServers func(service string, stable int, servers []discovery.Server) []discovery.Server
 }
 
-// partition divides the servers, which are sorted by ID.
+// partition groups the servers, which are sorted by ID.
 func (p partitioner) partition(servers []discovery.Server) []*versionGroup {
 	type key struct{ service, version string }
 	groups := map[key]*versionGroup{}
@@ -76,9 +76,9 @@
 	return out
 }
 
-// buildPools makes the pools of each service: one a version or, where that has too many
-// servers for one owner to schedule, as many as it takes that none has many more than
-// workspace.MaxPoolServers. A service without a stable server has an empty one.
+// buildPools builds the pools of each service: one pool per version or, if a version has
+// more than workspace.MaxPoolServers servers, as many as keep each near that size, so
+// that one owner can schedule it. A service without a stable server gets an empty pool.
 func buildPools(t *route.Table, servers []discovery.Server, region string, p partitioner) *workspace.Snapshot {
 	out := &workspace.Snapshot{
 		Pools:      make(map[string]*workspace.ResolvedPool, len(t.Services)),
@@ -97,8 +97,8 @@
 	return out
 }
 
-// addPools adds the pools of a version. Requests that are no canaries ask for those of the
-// stable versions under the empty one.
+// addPools adds the pools of a version group. Stable pools are listed under the empty
+// version, which all requests but canaries ask for.
 func addPools(snapshot *workspace.Snapshot, g *versionGroup, region string) {
 	key := workspace.ModelRegion{Model: g.service, Region: region}
 	if g.arm == rollout.Canary {
@@ -120,9 +120,9 @@
 	snapshot.ModelPools[key] = append(snapshot.ModelPools[key], shards...)
 }
 
-// shardOf puts a server into one of n pools by jump consistent hashing (Lamping
-// and Veach, 2014): one pool more, or fewer, moves only the servers of one. It
-// takes about ln n steps, rendezvous hashing n, for each server at each change of one
+// shardOf assigns a server to one of n pools by jump consistent hashing (Lamping and
+// Veach, 2014): adding or removing a pool moves only the servers of one. It takes about
+// ln n steps instead of rendezvous hashing's n, for each server at each rebuild
 // (BenchmarkBuildPools).
 func shardOf(id string, n int) int {
 	key, bucket, next := xxhash.Sum64String(id), int64(0), int64(0)
@@ -138,8 +138,9 @@
 	return workspace.BackendServer{
 		Name: s.ID, Address: s.Address, Region: region, AvailabilityZone: s.AvailabilityZone,
 		Pool: pool, Slots: s.Slots, Leaving: s.Leaving,
-		// Servers of one service differ in speed for good: each is judged by
-		// what it usually does, not by the others.
+		// The servers of a service differ in speed permanently, so each is a
+		// generation of its own: it is compared with its own baseline, not with
+		// the other servers.
 		Generation: s.ID, Incarnation: s.Incarnation(),
 	}
 }
--- a/internal/gateway/pools_test.go
+++ b/internal/gateway/pools_test.go
@@ -20,7 +20,7 @@
 		}
 		return out
 	}
-	Convey("A service has one pool, or as many as its servers need", t, func() {
+	Convey("A service has as many pools as its servers need, at least one", t, func() {
 		for n, pools := range map[int]int{0: 1, 1: 1, 32: 1, 33: 2, 112: 4} {
 			s := buildPools(table, servers(n), "r", partitioner{})
 			all := s.ModelPools[workspace.ModelRegion{Model: "llm", Region: "r"}]
@@ -35,7 +35,7 @@
 			So(len(s.Pools["app"].Servers), ShouldEqual, 1)
 		}
 	})
-	Convey("A pool tells its servers' incarnations apart", t, func() {
+	Convey("A server has another incarnation after a restart", t, func() {
 		of := func(startedAt int64) string {
 			s := buildPools(table, []discovery.Server{{ID: "a-1", Service: "app", StartedAt: startedAt}}, "r", partitioner{})
 			return s.Pools["app"].Servers[0].Incarnation
@@ -44,7 +44,7 @@
 		So(of(1000), ShouldEqual, of(1000))
 		So(of(1000), ShouldNotEqual, of(2000))
 	})
-	Convey("One more pool moves no server between the others", t, func() {
+	Convey("An additional pool moves no server between the others", t, func() {
 		for i := range 200 {
 			id := fmt.Sprint("server", i)
 			few, many := shardOf(id, 3), shardOf(id, 4)
@@ -54,7 +54,7 @@
 }
 
 func TestWeightOfAVM(t *testing.T) {
-	Convey("A VM's weight follows its cores, less where its link is narrow", t, func() {
+	Convey("A VM's weight is proportional to its cores, and reduced for a narrow link", t, func() {
 		So(LimitSettings{}.weight(), ShouldEqual, uint32(0))
 		So(LimitSettings{CPUCores: 0.4, LinkMbps: 1000}.weight(), ShouldEqual, uint32(400))
 		So(LimitSettings{CPUCores: 0.192, LinkMbps: 10}.weight(), ShouldEqual, uint32(19))
@@ -62,7 +62,7 @@
 	})
 }
 
-// BenchmarkBuildPools is of the snapshot that each change of a server makes anew.
+// BenchmarkBuildPools measures the rebuild that each change of a server causes.
 func BenchmarkBuildPools(b *testing.B) {
 	table := &route.Table{Services: map[string]*route.Service{"llm": {}}}
 	servers := make([]discovery.Server, 3000)
--- a/internal/gateway/quotasync.go
+++ b/internal/gateway/quotasync.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// quotaSyncInterval is how often what was let through is told. It takes up to three
-	// of them until all daemons know (daemon, hub, hub, daemon), and what they
-	// let through meanwhile goes beyond the quota.
+	// quotaSyncInterval is how often quota usage is reported. It takes up to three
+	// intervals to reach all daemons (daemon, hub, hub, daemon); what they admit
+	// meanwhile may exceed the quota.
 	quotaSyncInterval = 80 * time.Millisecond
-	// quotaIdleInterval is how often a daemon that lets nothing through asks what the
-	// others do. It is far below quota.SilenceTimeout.
+	// quotaIdleInterval is how often a daemon without new usage sends a batch, to get
+	// the others' usage. It is far below quota.SilenceTimeout.
 	quotaIdleInterval = 3 * quotaSyncInterval
-	// hubFullSyncInterval is how often hubs tell each other all, so that a lost
-	// message counts for no longer. It is below quota.SilenceTimeout.
+	// hubFullSyncInterval is how often hubs send each other complete reports, which
+	// bounds the effect of a lost message. It is below quota.SilenceTimeout.
 	hubFullSyncInterval = 500 * time.Millisecond
-	// hubTimeout is how long a daemon waits for a hub's answer before it goes to
-	// another: five answers of it in a row are missing by then.
+	// hubTimeout is how long a daemon waits for a hub's answer before it reports to
+	// another: five consecutive answers are missing by then.
 	hubTimeout = 5 * quotaSyncInterval
 )
 
-// quotaSync tells the other daemons what was let through of the quotas, by way of
-// a hub, and is one itself for the daemons that report to it.
+// quotaSync exchanges quota usage with the other daemons through a hub, and acts as a
+// hub for the daemons that report to it.
 type quotaSync struct {
 	ledger    *quota.Limiter
 	exchange  *quota.Exchange
@@ -46,10 +46,10 @@
 	shareHolders    *shareHolders
 	others          []string // the other daemons that have a share
 	route           hubRoute
-	hubIndex        int       // of route.candidates: the hub that is reported to
-	lastSent        time.Time // the last report
-	unansweredSince time.Time // the first report without an answer; zero: none
-	lastFullSync    time.Time // when all was told to the other hubs
+	hubIndex        int       // of route.candidates: the hub that this daemon reports to
+	lastSent        time.Time // when the last batch was sent
+	unansweredSince time.Time // when the first unanswered batch was sent; zero: none
+	lastFullSync    time.Time // when the last complete report was sent to the other hubs
 	targetHubs      map[string]bool
 }
 
@@ -64,7 +64,7 @@
 	return q
 }
 
-// Run tells until ctx ends.
+// Run reports until ctx ends.
 func (q *quotaSync) Run(ctx context.Context) {
 	t := time.NewTicker(quotaSyncInterval)
 	defer t.Stop()
@@ -78,6 +78,7 @@
 	}
 }
 
+// tick reports new usage: as a hub to the other hubs, else to this daemon's hub.
 func (q *quotaSync) tick(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -94,7 +95,7 @@
 	q.sendBatch(now)
 }
 
-// refreshView takes a new view's members.
+// refreshView takes over a new membership view and its share holders.
 func (q *quotaSync) refreshView(now time.Time) {
 	view := q.views.Load()
 	if view == q.view && !q.shareHolders.due(now) {
@@ -109,14 +110,14 @@
 	q.budgets.setDaemons(len(q.others) + 1)
 }
 
-// sendBatch sends the batch to the hub, or to the next candidate if that does
-// not answer.
+// sendBatch sends a batch to the hub, or selects the next candidate if the hub has
+// not answered for hubTimeout.
 func (q *quotaSync) sendBatch(now time.Time) {
 	if !q.unansweredSince.IsZero() && now.Sub(q.unansweredSince) > hubTimeout {
 		prev := q.route.candidates[q.hubIndex]
 		q.hubIndex = (q.hubIndex + 1) % len(q.route.candidates)
 		q.unansweredSince = time.Time{}
-		q.log.WithFields(logrus.Fields{"hub": q.route.candidates[q.hubIndex], "before": prev}).Info("Hub of the quotas does not answer.")
+		q.log.WithFields(logrus.Fields{"hub": q.route.candidates[q.hubIndex], "before": prev}).Info("Quota hub does not answer.")
 		return
 	}
 	if q.unansweredSince.IsZero() && !q.ledger.HasUnreported() && now.Sub(q.lastSent) < quotaIdleInterval {
@@ -132,8 +133,8 @@
 	})
 }
 
-// sendGroup tells the other hubs what the daemons of this one let through: those
-// of the view, and those that are hubs by their own.
+// sendGroup reports the usage of this hub's daemons to the other hubs: those that the
+// view names, and those that became hubs because daemons report to them.
 func (q *quotaSync) sendGroup(now time.Time) {
 	targets := map[string]bool{}
 	for _, name := range append(q.exchange.LiveHubs(), q.route.hubs...) {
@@ -162,8 +163,8 @@
 	}
 }
 
-// send sends a message. One that is lost is made up for: batches are sent until
-// they are acknowledged, and groups hold counts, not changes.
+// send sends a message. A lost one is harmless: batches are repeated until they are
+// acknowledged, and hub reports hold totals.
 func (q *quotaSync) send(to string, t peer.Type, m proto.Message) {
 	payload, err := proto.Marshal(m)
 	if err != nil {
@@ -171,7 +172,7 @@
 		return
 	}
 	if err := q.transport.Send(peer.Name(to), t, payload); err != nil {
-		q.log.WithFields(logrus.Fields{"to": to, "type": t}).WithError(err).Debug("Not sent.")
+		q.log.WithFields(logrus.Fields{"to": to, "type": t}).WithError(err).Debug("Message not sent.")
 	}
 }
 
@@ -192,6 +193,7 @@
 	return nil, nil
 }
 
+// handleAnswer applies a hub's answer.
 func (q *quotaSync) handleAnswer(_ context.Context, _ peer.Name, payload []byte) ([]byte, error) {
 	var m wire.QuotaAnswer
 	if err := proto.Unmarshal(payload, &m); err != nil {
@@ -209,6 +211,7 @@
 	return nil, nil
 }
 
+// handleGroup applies another hub's report.
 func (q *quotaSync) handleGroup(_ context.Context, from peer.Name, payload []byte) ([]byte, error) {
 	var m wire.QuotaGroup
 	if err := proto.Unmarshal(payload, &m); err != nil {
--- a/internal/gateway/quotasync_test.go
+++ b/internal/gateway/quotasync_test.go
@@ -23,7 +23,7 @@
 	payload []byte
 }
 
-// fakeTransport is a transport that keeps what is sent; each message counts.
+// fakeTransport records what is sent; each message counts.
 type fakeTransport struct {
 	handlers map[peer.Type]peer.Handler
 	sent     []sentMessage
@@ -45,7 +45,7 @@
 	return nil, peer.ErrNotConnected
 }
 
-// zoneMembers returns members of zones with so many daemons each: a1, a2, b1.
+// zoneMembers returns the given number of members of each zone, named a1, a2, b1.
 func zoneMembers(counts map[string]int) []member.Member {
 	var out []member.Member
 	for zone, n := range counts {
@@ -56,7 +56,7 @@
 	return out
 }
 
-// newTestQuotaSync returns a daemon's part and what it sends.
+// newTestQuotaSync returns a daemon's quotaSync and the transport that it sends on.
 func newTestQuotaSync(self string, members []member.Member) (*quotaSync, *fakeTransport) {
 	stopped := func() time.Time { return time.Unix(1000, 0) }
 	ledger := quota.NewLimiter(stopped, assumedDaemons, quota.Tolerance{})
@@ -67,7 +67,7 @@
 	return newQuotaSync(ledger, newRetryBudgets(BoundsSettings{}), transport, views, stopped), transport
 }
 
-// deliver hands what was sent to one daemon over to it.
+// deliver passes the messages that were sent to one daemon to its handlers.
 func deliver(transport *fakeTransport, from string, to *quotaSync, name string, handlers map[peer.Type]peer.Handler) {
 	sent := transport.sent
 	transport.sent = nil
@@ -80,17 +80,17 @@
 }
 
 func TestQuotaSharesFollowPeers(t *testing.T) {
-	Convey("Given a daemon that sees another, and a third that is dead", t, func() {
+	Convey("Given two daemons that see each other, and a third that is dead", t, func() {
 		members := append(zoneMembers(map[string]int{"a": 2}), member.Member{Name: "a3", AvailabilityZone: "a", State: member.Dead})
 		one, oneTransport := newTestQuotaSync("a1", members)
 		two, twoTransport := newTestQuotaSync("a2", members)
 		now := time.Unix(1000, 0)
 		one.tick(now)
 		two.tick(now)
-		Convey("one that says nothing keeps its share, one that is dead has none", func() {
+		Convey("a daemon not heard of yet keeps its share, and a dead one has none", func() {
 			So(one.ledger.Share(), ShouldEqual, 0.5)
 		})
-		Convey("what each lets through is told by the hub", func() {
+		Convey("the hub passes on the usage of each daemon", func() {
 			hub, other, hubTransport, otherTransport := one, two, oneTransport, twoTransport
 			if newHubRoute(two.view).candidates[0] == "a2" {
 				hub, other, hubTransport, otherTransport = two, one, twoTransport, oneTransport
@@ -115,7 +115,7 @@
 	})
 }
 
-// Guards against this: the messages on quotas take more of a small VM than its requests.
+// Guards against quota messages that take more of a small VM than its requests do.
 func TestQuotaMessagesPerDaemonAreBounded(t *testing.T) {
 	Convey("Given 13 zones with 30 daemons each", t, func() {
 		counts := map[string]int{}
@@ -127,7 +127,7 @@
 		for _, m := range members {
 			q, transport := newTestQuotaSync(m.Name, members)
 			q.tick(time.Unix(1000, 0))
-			So(len(transport.sent), ShouldBeLessThanOrEqualTo, 25) // a hub's word to the others
+			So(len(transport.sent), ShouldBeLessThanOrEqualTo, 25) // a hub's reports to the other hubs
 			if len(transport.sent) == 1 {
 				So(transport.sent[0].kind, ShouldEqual, peer.TypeQuotaBatch)
 				So(string(transport.sent[0].to)[:6], ShouldEqual, m.Name[:6]) // its own zone
@@ -141,10 +141,11 @@
 	})
 }
 
-// Guards against this: a daemon lets only its share of each quota through for seconds.
+// Guards against a daemon that admits only its share of each quota for seconds, because its hub is
+// silent.
 func TestHubFailover(t *testing.T) {
-	// asks returns whom a daemon reports to while nobody answers, in order, and
-	// to whom it tells what its group lets through.
+	// run returns whom a daemon reports to while nobody answers, in order, and to which hubs
+	// it reports the usage of its group.
 	run := func(self string, members []member.Member) (reported []string, groups map[string]bool) {
 		q, transport := newTestQuotaSync(self, members)
 		groups = map[string]bool{}
@@ -169,12 +170,12 @@
 			ranked = c[:3]
 		}
 	}
-	Convey("A daemon goes through its zone until it is a hub itself", t, func() {
+	Convey("A daemon tries the candidates of its zone until it becomes a hub itself", t, func() {
 		reported, groups := run(ranked[2], members)
 		So(reported, ShouldResemble, ranked[:2])
 		So(groups, ShouldResemble, map[string]bool{ranked[0]: true, "b1": true, "c1": true})
 	})
-	Convey("One that is leaving, and can't be a hub, goes on to those of other zones", t, func() {
+	Convey("A leaving daemon, which can't be a hub, goes on to the hubs of other zones", t, func() {
 		leaving := zoneMembers(map[string]int{"a": 3, "b": 1, "c": 1})
 		for i := range leaving {
 			if leaving[i].Name == ranked[2] {
@@ -188,8 +189,9 @@
 	})
 }
 
+// Guards against a malformed message that changes quota levels or is accepted.
 func TestMalformedQuotaMessagesAreRefused(t *testing.T) {
-	Convey("They are refused and change nothing", t, func() {
+	Convey("Malformed messages are refused and change nothing", t, func() {
 		q, transport := newTestQuotaSync("a1", zoneMembers(map[string]int{"a": 2}))
 		for _, m := range []peer.Type{peer.TypeQuotaBatch, peer.TypeQuotaAnswer, peer.TypeQuotaGroup} {
 			_, err := transport.handlers[m](context.Background(), "a2", []byte{0xff, 0xff})
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -9,20 +9,21 @@
 )
 
 const (
-	// daemonsPerReader is how many daemons share one that reads the store, whose
-	// rates the whole fleet shares. With more of them a reader on a small VM would be
-	// busy telling them of each server that changes.
+	// daemonsPerReader is how many daemons share a reader. Fewer daemons per reader
+	// would cost more of the store's call rate, which all daemons share; with more, a
+	// reader on a small VM would be busy sending them each change of a server.
 	daemonsPerReader = 24
-	// minStandbys is how many daemons beside the readers are asked when
-	// those can't read, at the least. The store may turn a third of the VMs away.
+	// minStandbys is the least number of standbys, which are polled when the readers
+	// can't read. The store may refuse the calls of a third of the VMs.
 	minStandbys = 2
 )
 
-// readerKey is the key for which the daemons that read the store are chosen.
+// readerKey is the rendezvous hashing key by which the readers are selected.
 const readerKey = "reads the store"
 
-// selectReaders returns the daemons that read the store, by rendezvous hashing over
-// the live members, and those that are asked when these can't.
+// selectReaders returns the daemons that read the store, selected by rendezvous
+// hashing over the live members, and the standbys, which are polled when these can't
+// read.
 func selectReaders(v *member.View) (readers, standbys []string) {
 	type candidate struct {
 		name  string
@@ -43,11 +44,10 @@
 	return ranked[:n], ranked[n:]
 }
 
-// isReader tells whether this daemon reads the store at intervals and watches it:
-// also where it knows of no other that does, but not before it has looked for others.
-//
-// What goes wrong without the latter: for the moments in which it is alone, each of
-// the daemons that start together reads everything again and watches.
+// isReader reports whether this daemon lists the store at intervals and watches it.
+// A daemon that sees no other reader does so too, but not before it has joined the
+// membership. Otherwise daemons that start together would each list and watch
+// everything during the moments in which they see only themselves.
 func (p *peerSync) isReader() bool {
 	select {
 	case <-p.joined:
@@ -59,9 +59,8 @@
 	return len(readers) == 0 || slices.Contains(readers, v.Self)
 }
 
-// readerAnswers tells whether a reader has answered lately, and this daemon is not one
-// of those that are asked in a reader's place. Then, while the store is away, the
-// readers tell as soon as it is back.
+// readerAnswers reports whether a reader has answered lately and this daemon is not
+// a standby. If so, the readers will inform it as soon as an outage of the store ends.
 func (p *peerSync) readerAnswers() bool {
 	v := p.views.Load()
 	if _, standbys := selectReaders(v); slices.Contains(standbys, v.Self) {
@@ -71,9 +70,9 @@
 	return lastAnswer != 0 && p.state.configFreshness.Mark()-time.Duration(lastAnswer) <= pollHold+pollRoundTrip
 }
 
-// pickReader returns the reader to ask; askers spread over the readers, and go to the
-// substitutes when all of these were passed over. A reader asks another one only
-// while it can't read itself.
+// pickReader returns the reader to poll; false: this daemon polls none. Daemons
+// spread over the readers, and go on to the standbys when all readers were skipped. A
+// reader polls another one only while its own reads are stale.
 func (p *peerSync) pickReader() (string, bool) {
 	v := p.views.Load()
 	candidates, standbys := selectReaders(v)
@@ -88,7 +87,7 @@
 	return candidates[p.next.Load()%uint64(len(candidates))], true
 }
 
-// isCurrent tells whether what this daemon knows is as new as a reader has it.
+// isCurrent reports whether this daemon's state is as fresh as a reader's.
 func (p *peerSync) isCurrent() bool {
 	return p.state.configFreshness.Within(staleAfter) && p.state.serversFreshness.Within(staleAfter)
 }
--- a/internal/gateway/reflector.go
+++ b/internal/gateway/reflector.go
@@ -13,66 +13,64 @@
 )
 
 const (
-	// configReadInterval is how often the configuration is read although the watch
-	// tells of no change. Three reads may fail before a proof is too old.
+	// configReadInterval is how often the configuration is read in addition to the
+	// watch. Three reads may fail before the proof of freshness is too old.
 	configReadInterval = 1300 * time.Millisecond
-	// serversListInterval is how often the servers are listed in spite of the watch: a
-	// watch may keep silent over a server that leaves, and a leaving server
-	// may get no new request after 2 s.
+	// serversListInterval is how often the servers are listed in addition to the watch.
+	// A watch may miss a server that starts to leave, and such a server must get no
+	// new request after 2 s.
 	serversListInterval = 1100 * time.Millisecond
-	// storeRetryDelay is how soon a failed call is tried again; each is priced. A
-	// daemon that is not one of the readers doubles it at each failure, up to
-	// storeRetryMaxDelay: while the store is away it has nothing to find out that the
-	// readers won't tell it at once.
+	// storeRetryDelay is the delay before a failed call is repeated; each call costs
+	// part of the store's rate. Readers keep this delay. The other daemons double it at
+	// each failure up to storeRetryMaxDelay, since the readers inform them when an outage
+	// of the store ends.
 	storeRetryDelay    = 250 * time.Millisecond
 	storeRetryMaxDelay = 2 * time.Second
-	// failuresToMaxDelay is a number of failures after which the delay is storeRetryMaxDelay.
+	// failuresToMaxDelay is a number of failures that leads to storeRetryMaxDelay.
 	failuresToMaxDelay = 8
-	// watchCoalesceDelay is how long changes gather before they are asked for again.
-	// While a hundred servers register or are replaced, a watch returns for each of
-	// them, and each return is a call.
+	// watchCoalesceDelay is the pause between two calls of a watch, in which changes
+	// accumulate. When a hundred servers register or are replaced, a watch would
+	// otherwise return for each of them, and each return costs a call.
 	watchCoalesceDelay = 200 * time.Millisecond
 	// watchTimeout is how long the store may hold a watch.
 	watchTimeout = 20 * time.Second
 )
 
-// reflector keeps the state in step with the store. Only a few daemons read at
-// their intervals; the others read a kind when what they have of it from a
-// reader is too old.
+// reflector keeps the local state in step with the store by list and watch. Readers
+// list at fixed intervals and watch. The other daemons list a kind only when what
+// the readers sent them is too old.
 type reflector struct {
 	state         *state
 	store         objectstore.ObjectAPI
 	stale         objectstore.StaleReader
-	isReader      func() bool // whether this daemon is one of the few
-	readerAnswers func() bool // whether one of these answers this daemon
+	isReader      func() bool // whether this daemon is a reader
+	readerAnswers func() bool // whether a reader answers this daemon
 }
 
-// kindLoop is how one kind of objects is kept in step.
+// kindLoop is the list and watch loop of one kind of object.
 type kindLoop struct {
 	kind      objectstore.Kind
 	interval  func() time.Duration
 	freshness *revision.Freshness
-	// maxPeerAge is the age up to which what a reader told will do. Beyond it the
-	// daemon reads by itself, whatever the readers answer.
-	//
-	// What goes wrong where it waits on while they answer: the store turns the
-	// readers and their substitutes away, a change is made, and the daemons
-	// that the store would have told act by the older configuration for longer
-	// than the 2 s that they may.
+	// maxPeerAge is the age up to which the state that a reader sent is sufficient.
+	// Beyond it the daemon lists the kind itself even if readers answer. Otherwise,
+	// when the store refuses the readers' and standbys' calls, the daemons that it
+	// would still answer could miss a change for longer than the 2 s allowed.
 	maxPeerAge time.Duration
-	// applyList takes a list, change one event with the revision after it.
+	// applyList applies a list and reports whether it proves freshness; applyEvent
+	// applies one event of a watch, rev being the revision after all its events.
 	applyList  func(l objectstore.List) bool
 	applyEvent func(e objectstore.Event, rev objectstore.Version)
 	onFailure  func()
-	// mayIdle tells whether a daemon that is not one of the readers needs nothing of its
-	// own; nil: as enough says.
+	// mayIdle reports whether a daemon that is not a reader may skip listing the kind;
+	// nil: maxPeerAge decides.
 	mayIdle func() bool
-	// wake cuts a wait short; nil: nothing does.
+	// wake ends a pause early; nil: nothing does.
 	wake <-chan struct{}
 
 	watching  atomic.Bool
-	lostSince time.Time // since when the store does not answer; zero: it does
-	failures  int       // calls in a row without an answer
+	lostSince time.Time // since when the store has not answered; zero: it answers
+	failures  int       // consecutive calls without an answer
 }
 
 func (r *reflector) loops() []*kindLoop {
@@ -98,7 +96,7 @@
 
 func fixed(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
-// run reads the kind until ctx ends.
+// run keeps the kind in step until ctx ends.
 func (r *reflector) run(ctx context.Context, k *kindLoop) {
 	for ctx.Err() == nil {
 		if left, ok := r.idleFor(k); ok {
@@ -109,7 +107,7 @@
 	}
 }
 
-// pause waits for d, or until the loop is woken.
+// pause waits for d, for wake or for the end of ctx.
 func (k *kindLoop) pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -120,19 +118,21 @@
 	}
 }
 
-// idleFor tells for how long what a reader has told will do.
+// idleFor returns for how long the state that a reader sent is sufficient; false: it
+// is not.
 func (r *reflector) idleFor(k *kindLoop) (time.Duration, bool) {
 	if k.mayIdle != nil {
 		return idleCheckInterval, !r.isReader() && k.mayIdle()
 	}
 	age, ok := k.freshness.Age()
 	if r.isReader() || !ok || !k.lostSince.IsZero() {
-		return 0, false // it is also to be known when the store is back here
+		return 0, false // after a loss it keeps listing, to notice that the store answers again
 	}
 	return k.maxPeerAge - age, age < k.maxPeerAge
 }
 
-// refresh lists the kind, sees to its watch, and returns when to read again.
+// refresh lists the kind, starts its watch if needed, and returns the delay before
+// the next list.
 func (r *reflector) refresh(ctx context.Context, k *kindLoop) time.Duration {
 	mark := k.freshness.Mark()
 	l, err := r.list(ctx, k)
@@ -157,13 +157,11 @@
 	return interval - interval/10 + rand.N(interval/5)
 }
 
-// list lists the kind. A daemon that has known the kind before asks by a stale read
-// first whether the store answers it at all, where that is in doubt: it is not one of
-// the readers, or its last call failed.
-//
-// What goes wrong without that: while the store is away what the readers tell grows
-// old, and each daemon lists both kinds again and again, the readers four times a
-// second, all in vain; a stale read costs a tenth of a list.
+// list lists the kind. A daemon that has state already, and is not a reader or had
+// its last call fail, first checks by a stale read that the store answers at all.
+// Otherwise, in an outage of the store, each daemon would list two kinds repeatedly
+// in vain once the readers' state is too old, and readers four times a second. A
+// stale read costs a tenth of a list.
 func (r *reflector) list(ctx context.Context, k *kindLoop) (objectstore.List, error) {
 	if _, known := k.freshness.Age(); known && (!r.isReader() || !k.lostSince.IsZero()) {
 		if err := r.probe(ctx); err != nil {
@@ -176,8 +174,8 @@
 	return l, err
 }
 
-// retryDelay returns how soon to call again after so many failures in a row, give
-// or take a half, so that the daemons don't call together.
+// retryDelay returns the delay before the next call after that many consecutive
+// failures. It is spread by ±50 % so that the daemons don't call at the same time.
 func retryDelay(failures int, isReader bool) time.Duration {
 	delay := storeRetryDelay
 	for i := 1; i < failures && !isReader && delay < storeRetryMaxDelay; i++ {
@@ -186,6 +184,7 @@
 	return delay/2 + rand.N(delay)
 }
 
+// markLost records and logs the first failure of a kind's calls.
 func (r *reflector) markLost(k *kindLoop, err error) {
 	if k.lostSince.IsZero() {
 		k.lostSince = time.Now()
@@ -196,6 +195,7 @@
 	}
 }
 
+// markRegained records an answered call, and logs it after a loss.
 func (r *reflector) markRegained(k *kindLoop) {
 	k.failures = 0
 	if !k.lostSince.IsZero() {
@@ -207,8 +207,8 @@
 	}
 }
 
-// watch follows the changes after a version until a call fails or others read.
-// The next list starts another watch.
+// watch applies the changes after a revision until a call fails or this daemon is no
+// longer a reader. The next list starts another watch.
 func (r *reflector) watch(ctx context.Context, k *kindLoop, after objectstore.Version) {
 	defer k.watching.Store(false)
 	for ctx.Err() == nil && r.isReader() {
@@ -225,7 +225,8 @@
 	}
 }
 
-// applyConfigList reports whether the list proves what is in force.
+// applyConfigList reports whether the list proves that the configuration in force is
+// current.
 func (r *reflector) applyConfigList(l objectstore.List) bool {
 	current := false
 	for _, o := range l.Objects {
@@ -259,7 +260,7 @@
 	r.state.putServer(r.decodeServer(e.Object), rev)
 }
 
-// runExpiry ends the grace of missing servers in time until ctx ends.
+// runExpiry removes missing servers when their grace period ends, until ctx ends.
 func (r *reflector) runExpiry(ctx context.Context) {
 	for ctx.Err() == nil {
 		delay := discovery.StoreRecoveryGrace / 4
@@ -270,8 +271,8 @@
 	}
 }
 
-// decodeServer returns what an entry says. A malformed one takes the place of what its
-// name stood for; the state logs it when that changes, not at each read.
+// decodeServer decodes a server's entry. A malformed entry replaces the server of the
+// same name; the state logs this when it changes, not at each read.
 func (r *reflector) decodeServer(o objectstore.Object) discovery.Server {
 	server, err := r.state.platform.DecodeServer(o.Name, o.Value)
 	if err != nil {
--- a/internal/gateway/reflector_test.go
+++ b/internal/gateway/reflector_test.go
@@ -12,25 +12,25 @@
 	"github.com/lycheekeel/lycheekeel/revision"
 )
 
-// Guards against this: while the store is away for some seconds, the daemons call it thousands of times.
+// Guards against thousands of calls by the daemons during an outage of the store of a few seconds.
 func TestStoreRetryBackoff(t *testing.T) {
 	within := func(failures int, isReader bool, middle time.Duration) {
 		for range 100 {
 			So(retryDelay(failures, isReader), ShouldBeBetweenOrEqual, middle/2, middle*3/2)
 		}
 	}
-	Convey("A reader calls again soon, however often it fails", t, func() {
+	Convey("A reader retries after a constant delay", t, func() {
 		within(1, true, storeRetryDelay)
 		within(50, true, storeRetryDelay)
 	})
-	Convey("Another daemon calls ever later, up to a bound", t, func() {
+	Convey("Other daemons back off exponentially, up to a bound", t, func() {
 		within(1, false, storeRetryDelay)
 		within(2, false, 2*storeRetryDelay)
 		within(3, false, 4*storeRetryDelay)
 		within(4, false, storeRetryMaxDelay)
 		within(50, false, storeRetryMaxDelay)
 	})
-	Convey("The wait grows with the failures in a row, and begins anew after an answer", t, func() {
+	Convey("The delay grows with consecutive failures, and is reset by an answer", t, func() {
 		store := &listStore{err: objectstore.ErrUnavailable}
 		r := &reflector{state: emptyState(), store: store, stale: &staleStore{}, isReader: func() bool { return false }, readerAnswers: func() bool { return false }}
 		servers := r.loops()[1]
@@ -46,35 +46,36 @@
 	})
 }
 
-// Guards against this: 5,500 calls of the store on a day on which it is away for some seconds.
+// Guards against thousands of vain lists during an outage of the store: a day with one of some
+// seconds had 5,500 calls.
 func TestUnreachableStoreIsNotListedByAll(t *testing.T) {
-	Convey("Given a daemon that is no reader and whose knowledge has grown old", t, func() {
+	Convey("Given a daemon that is not a reader and whose state is stale", t, func() {
 		s := stateWithRoutes()
 		s.serversFreshness = freshnessOfAge(2 * time.Second)
 		store, stale := &listStore{err: objectstore.ErrUnavailable}, &staleStore{err: objectstore.ErrUnavailable}
 		r := &reflector{state: s, store: store, stale: stale, isReader: func() bool { return false }, readerAnswers: func() bool { return false }}
 		servers := r.loops()[1]
-		Convey("it does not list while the store does not answer it", func() {
+		Convey("it does not list while the store does not answer stale reads", func() {
 			for range 4 {
 				r.refresh(context.Background(), servers)
 			}
 			So(store.lists, ShouldEqual, 0)
 			So(servers.lostSince.IsZero(), ShouldBeFalse)
-			Convey("and does as soon as it answers", func() {
+			Convey("and lists as soon as the store answers", func() {
 				stale.err, store.err = objectstore.ErrNotFound, nil
 				r.refresh(context.Background(), servers)
 				So(store.lists, ShouldEqual, 1)
 				So(servers.lostSince.IsZero(), ShouldBeTrue)
 			})
 		})
-		Convey("a reader does so once", func() {
+		Convey("a reader lists once", func() {
 			r.isReader = func() bool { return true }
 			for range 4 {
 				r.refresh(context.Background(), servers)
 			}
 			So(store.lists, ShouldEqual, 1)
 		})
-		Convey("so does a daemon that knows nothing yet", func() {
+		Convey("a daemon without state lists once", func() {
 			s.serversFreshness = revision.NewFreshnessOn(stoppedClock)
 			servers = r.loops()[1]
 			r.refresh(context.Background(), servers)
@@ -83,9 +84,10 @@
 	})
 }
 
-// Guards against this: 195 daemons that start together make 1,500 calls of the store before they serve anybody.
+// Guards against a joint start at which each daemon lists and watches everything: 195 daemons made
+// 1,500 calls before they served.
 func TestStoreCallsAtStart(t *testing.T) {
-	Convey("Given a daemon that is alone in its view", t, func() {
+	Convey("Given a daemon that sees no other", t, func() {
 		views := &member.CurrentView{}
 		views.Store(member.NewView("a1", zoneMembers(map[string]int{"a": 1})))
 		joined := make(chan struct{})
@@ -95,15 +97,15 @@
 		r := &reflector{state: s, store: store, isReader: a.isReader, readerAnswers: a.readerAnswers}
 		servers := r.loops()[1]
 		r.refresh(context.Background(), servers)
-		Convey("it does not watch before it has looked for others", func() {
+		Convey("it does not watch before it has joined the membership", func() {
 			So(servers.watching.Load(), ShouldBeFalse)
 		})
-		Convey("it rests on its first read, until that is too old", func() {
+		Convey("it does not list again until its first list is too old", func() {
 			left, idle := r.idleFor(servers)
 			So(idle, ShouldBeTrue)
 			So(left, ShouldBeBetween, time.Second, servers.maxPeerAge)
 		})
-		Convey("it reads at intervals and watches once it knows that it is alone", func() {
+		Convey("it lists at intervals and watches once it knows that it is the only one", func() {
 			close(joined)
 			_, idle := r.idleFor(servers)
 			So(idle, ShouldBeFalse)
@@ -115,7 +117,7 @@
 	})
 }
 
-// listStore answers lists, and holds watches until they are called off.
+// listStore answers lists, and holds watches until their context ends.
 type listStore struct {
 	objectstore.ObjectAPI
 	err     error
--- a/internal/gateway/retrybudgets_test.go
+++ b/internal/gateway/retrybudgets_test.go
@@ -6,7 +6,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// savedRetries returns how many retries a budget gives when all that can be is saved.
+// savedRetries returns how many retries a full budget allows.
 func savedRetries(b *retryBudgets) int {
 	for range 10_000 {
 		b.forService("llm").RecordRequest()
@@ -18,9 +18,9 @@
 	return n
 }
 
-// Guards against this: many daemons together retry more than the bound allows.
+// Guards against many daemons whose retries together exceed the bound.
 func TestRetrySlackIsSharedByAllDaemons(t *testing.T) {
-	Convey("All daemons together save up no more than the slack", t, func() {
+	Convey("All daemons together save up no more retries than the slack", t, func() {
 		for _, daemons := range []int{1, 9, 16, 88, 300} {
 			b := newRetryBudgets(BoundsSettings{RetryRatio: 0.2, RetrySlack: 600})
 			b.forService("llm")
@@ -29,7 +29,7 @@
 			So(savedRetries(b), ShouldBeGreaterThan, 0)
 		}
 	})
-	Convey("A part does not grow when others are out of sight", t, func() {
+	Convey("A daemon's part does not grow when others are no longer visible", t, func() {
 		b := newRetryBudgets(BoundsSettings{RetryRatio: 0.2, RetrySlack: 600})
 		b.forService("llm")
 		b.setDaemons(88)
@@ -37,7 +37,7 @@
 		b.setDaemons(2)
 		So(savedRetries(b), ShouldEqual, before)
 	})
-	Convey("A process that has just started saves up one retry", t, func() {
+	Convey("A daemon that has just started saves up one retry", t, func() {
 		So(savedRetries(newRetryBudgets(BoundsSettings{RetryRatio: 0.2, RetrySlack: 600})), ShouldEqual, 1)
 	})
 }
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -14,11 +14,11 @@
 	"github.com/lycheekeel/lycheekeel/platform/standin"
 )
 
-// rolloutCluster is two gateways before three servers of version v1, with callers.
+// rolloutCluster is two gateways in front of three servers of version v1, with callers.
 type rolloutCluster struct {
 	*cluster
 	nodes    []*node
-	failed   atomic.Int64 // answers that were not the whole answer of a server
+	failed   atomic.Int64 // answers that were not a server's whole answer
 	requests atomic.Int64
 }
 
@@ -35,7 +35,7 @@
 	return c
 }
 
-// rollOut adds the servers of v2, which a function makes bad, and requests the move.
+// rollOut requests the rollout and adds the servers of v2, which configure may make faulty.
 func (c *rolloutCluster) rollOut(durationS float64, configure func(*standin.Server)) {
 	c.store.PutRollout("app", "v2", durationS)
 	for i := range 3 {
@@ -46,12 +46,12 @@
 	}
 }
 
-// burstSize is how many requests tell whether a version gets any: a canary's share of them
-// is several.
+// burstSize is the number of requests that show whether a version gets any: a canary's share
+// of them is several.
 const burstSize = 200
 
-// idle tells whether servers with a prefix get none of a burst of requests that the others
-// serve.
+// idle reports whether servers with a prefix get none of a burst of requests, all of which the
+// others serve.
 func (c *rolloutCluster) idle(prefix, others string) bool {
 	before, served := c.arrivals(prefix), c.arrivals(others)
 	for i := range burstSize {
@@ -60,7 +60,7 @@
 	return c.arrivals(prefix) == before && c.arrivals(others) >= served+burstSize
 }
 
-// call calls from a few callers until the rollout has an outcome, and some more.
+// call sends requests from several callers until the condition holds.
 func (c *rolloutCluster) call(until func() bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
@@ -89,7 +89,7 @@
 	return state
 }
 
-// arrivals returns how many requests servers with a prefix began to run.
+// arrivals returns how many requests the servers with a prefix have started.
 func (c *rolloutCluster) arrivals(prefix string) int {
 	n := 0
 	for id, b := range c.servers {
@@ -100,7 +100,7 @@
 	return n
 }
 
-// Guards against this: a good version is never promoted.
+// Guards against a good version that is never promoted.
 func TestGoodVersionIsPromoted(t *testing.T) {
 	Convey("A good version is promoted, and then gets every request", t, func() {
 		c := newRolloutCluster(t)
@@ -112,43 +112,43 @@
 	})
 }
 
-// Guards against this: a bad version gets its whole share of the traffic.
+// Guards against a bad version that gets its whole share of the traffic.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	for what, configure := range map[string]func(*standin.Server){
 		"fails half":  func(b *standin.Server) { b.Fails = func(n int) bool { return n%2 == 0 } },
 		"fails later": func(b *standin.Server) { b.Fails = func(n int) bool { return n > 15 } },
 		"is slow":     func(b *standin.Server) { b.Slow = 40 * time.Millisecond },
 	} {
-		Convey("A version that "+what+" is rolled back, and gets no more than its part", t, func() {
+		Convey("A version that "+what+" is rolled back, and gets no more than its share", t, func() {
 			c := newRolloutCluster(t)
 			c.rollOut(8, configure)
 			c.call(func() bool { return c.state() == "rolled_back" })
 			So(c.arrivals("new-"), ShouldBeGreaterThan, 0)
 			So(c.arrivals("new-"), ShouldBeLessThanOrEqualTo, c.requests.Load()/10+50)
-			eventually(t, "the new version gets nothing more", func() bool { return c.idle("new-", "old-") })
+			eventually(t, "the new version gets no more requests", func() bool { return c.idle("new-", "old-") })
 		})
 	}
 }
 
-// Guards against this: a bad version stays in use for as long as the store is away.
+// Guards against a bad version that stays in use during an outage of the store.
 func TestBadVersionIsRolledBackDuringStoreOutage(t *testing.T) {
-	Convey("A bad version is rolled back at once where the store is down, and the outcome is written later", t, func() {
+	Convey("A bad version gets no more requests during an outage of the store, and its rollback is written later", t, func() {
 		c := newRolloutCluster(t)
 		var bad atomic.Bool
 		c.rollOut(30, func(b *standin.Server) { b.Fails = func(int) bool { return bad.Load() } })
 		c.call(func() bool { return c.arrivals("new-") >= 3 })
 		c.store.Fail(standin.Faults{Busy: true})
 		bad.Store(true)
-		eventually(t, "the new version gets nothing more", func() bool { return c.idle("new-", "old-") })
+		eventually(t, "the new version gets no more requests", func() bool { return c.idle("new-", "old-") })
 		So(c.state(), ShouldEqual, "running")
 		c.store.Fail(standin.Faults{})
 		eventually(t, "the outcome is written", func() bool { return c.state() == "rolled_back" })
 	})
 }
 
-// Guards against this: a rollout has two outcomes, or none.
+// Guards against a rollout with two outcomes, or none.
 func TestOneOutcomeWhenStoreAnswersAreLost(t *testing.T) {
-	Convey("Where answers to writes are lost, there is one outcome, and it stays", t, func() {
+	Convey("When answers to writes are lost, there is one outcome, and it does not change", t, func() {
 		c := newRolloutCluster(t)
 		c.store.Fail(standin.Faults{LoseWrites: true})
 		c.rollOut(8, func(b *standin.Server) { b.Fails = func(n int) bool { return n%2 == 0 } })
@@ -156,14 +156,14 @@
 		writes := c.store.Calls("PUT")
 		c.call(func() bool { return c.requests.Load() > 2000 })
 		So(c.state(), ShouldEqual, "rolled_back")
-		So(c.store.Calls("PUT"), ShouldBeLessThanOrEqualTo, writes+1) // one may have been under way
+		So(c.store.Calls("PUT"), ShouldBeLessThanOrEqualTo, writes+1) // one may have been in flight
 	})
 }
 
-// Guards against this: a rollout stays without an outcome, or a bad version is promoted.
+// Guards against a rollout without an outcome, and a bad version that is promoted.
 func TestRolloutSurvivesLossOfItsDecider(t *testing.T) {
 	for _, leaving := range []int{0, 1} {
-		Convey(fmt.Sprint("A bad version is rolled back when daemon ", leaving, " leaves meanwhile"), t, func() {
+		Convey(fmt.Sprint("A bad version is rolled back when daemon ", leaving, " leaves during the rollout"), t, func() {
 			c := newRolloutCluster(t)
 			c.rollOut(12, func(b *standin.Server) { b.Fails = func(n int) bool { return n%3 == 0 } })
 			c.call(func() bool { return c.arrivals("new-") >= 1 })
@@ -174,20 +174,20 @@
 	}
 }
 
-// Guards against this: the servers of a rollout that was withdrawn go on getting requests.
+// Guards against servers of a withdrawn rollout that still get requests.
 func TestWithdrawnRolloutEndsItsCanaries(t *testing.T) {
-	Convey("When the rollout is withdrawn the new version gets nothing more", t, func() {
+	Convey("When the rollout is withdrawn the new version gets no more requests", t, func() {
 		c := newRolloutCluster(t)
 		c.rollOut(30, func(*standin.Server) {})
 		c.call(func() bool { return c.arrivals("new-") >= 3 })
 		c.store.Remove(standin.KindRollouts, "app")
-		eventually(t, "the new version gets nothing more", func() bool { return c.idle("new-", "old-") })
+		eventually(t, "the new version gets no more requests", func() bool { return c.idle("new-", "old-") })
 	})
 }
 
-// Guards against this: a rollout to the version that runs already leaves a service without servers.
+// Guards against a rollout to the running version that leaves the service without servers.
 func TestRolloutToTheRunningVersion(t *testing.T) {
-	Convey("A rollout to the version that runs already succeeds, and nobody is refused", t, func() {
+	Convey("A rollout to the running version succeeds, and no request fails", t, func() {
 		c := newRolloutCluster(t)
 		c.store.PutRollout("app", "v1", 6)
 		c.call(func() bool {
@@ -198,7 +198,7 @@
 	})
 }
 
-// Guards against this: a rollout stays running for ever.
+// Guards against a rollout that runs forever.
 func TestRolloutWithoutServersIsRolledBack(t *testing.T) {
 	Convey("A version without servers is rolled back at the deadline", t, func() {
 		c := newRolloutCluster(t)
@@ -208,13 +208,13 @@
 	})
 }
 
-// Guards against this: a rollout is decided long after its deadline.
+// Guards against a rollout that is decided long after its deadline.
 func TestRolloutKeepsItsDeadlineWhenAllDaemonsRestart(t *testing.T) {
-	Convey("The new daemons know since when the rollout stands", t, func() {
+	Convey("The new daemons restore the rollout's age", t, func() {
 		c := newRolloutCluster(t)
-		c.store.PutRollout("app", "v2", 3600) // no server of it comes
+		c.store.PutRollout("app", "v2", 3600) // it has no servers
 		eventually(t, "the rollout is acknowledged", func() bool { return c.state() == "running" })
-		// The record is what outlives the daemons; here it says that the hour is over.
+		// The record outlives the daemons. Aged by an hour, it shows that the deadline has passed.
 		eventually(t, "its record is written", func() bool { return c.store.AgeRolloutRecord("app", time.Hour) })
 		for _, n := range c.nodes {
 			n.stop()
--- a/internal/gateway/rolloutrecord.go
+++ b/internal/gateway/rolloutrecord.go
@@ -11,28 +11,27 @@
 	"github.com/lycheekeel/lycheekeel/rollout"
 )
 
-// kindRolloutRecords holds, in a kind of our own and by service, when a rollout became known.
-//
-// What goes wrong without it: all daemons are killed while a rollout runs; the new ones
-// take it for one that was just requested, and decide it long after its deadline.
+// kindRolloutRecords holds, in a kind of this project's own and by service, when a rollout
+// became known. Without it, if all daemons are killed during a rollout, the new ones would
+// take it for a new request and decide it long after its deadline.
 const kindRolloutRecords objectstore.Kind = "lycheekeel-rollouts"
 
 // rolloutRecord is the object's value.
 type rolloutRecord struct {
 	To      string `json:"to"`
 	Created uint64 `json:"created"`
-	// KnownAtMs is in Unix milliseconds by the clock of the daemon that wrote it. Only
-	// a daemon that knows no other one who remembers goes by it.
+	// KnownAtMs is in Unix milliseconds by the clock of the daemon that wrote it. It is used
+	// only where no running daemon has known the rollout for longer.
 	KnownAtMs int64 `json:"known_at_ms"`
 }
 
-// writeRecord writes when a rollout became known. It does not matter which of two daemons
-// that write it at once wins: both saw it just now.
+// writeRecord writes when a rollout became known. If two daemons write at once, either
+// record will do: both have just seen the rollout.
 func (d *deciders) writeRecord(ctx context.Context, id rollout.ID, known time.Time) {
 	log := d.log.WithField("service", id.Service)
 	value, err := json.Marshal(rolloutRecord{To: id.To, Created: id.Created, KnownAtMs: known.UnixMilli()})
 	if err != nil {
-		log.WithError(err).Error("Rollout's record can't be encoded.")
+		log.WithError(err).Error("Rollout record can't be encoded.")
 		return
 	}
 	store := d.state.platform.Store
@@ -44,7 +43,7 @@
 		}
 	}
 	if err != nil {
-		log.WithError(err).Warn("Rollout's record is not written.")
+		log.WithError(err).Warn("Rollout record not written.")
 	}
 }
 
@@ -56,7 +55,7 @@
 		err = json.Unmarshal(o.Value, &r)
 	}
 	if err != nil {
-		d.log.WithField("service", id.Service).WithError(err).Warn("Rollout's record can't be read.")
+		d.log.WithField("service", id.Service).WithError(err).Warn("Rollout record can't be read.")
 		return time.Time{}, false
 	}
 	age := time.Since(time.UnixMilli(r.KnownAtMs))
@@ -66,7 +65,7 @@
 	return time.Now().Add(-age), true
 }
 
-// restoreAge lets a decider that has just begun know a rollout's age from the record.
+// restoreAge sets a new decider's knowledge of the rollout's age from the record.
 func (d *deciders) restoreAge(ctx context.Context, id rollout.ID) {
 	ctx, cancel := context.WithTimeout(ctx, rolloutReadTimeout)
 	defer cancel()
--- a/internal/gateway/rolloutreflector.go
+++ b/internal/gateway/rolloutreflector.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// rolloutsReadInterval is how often the rollouts are read although the watch tells of no
-	// change; rolloutsReadIntervalActive the same while one runs or servers wait for them.
+	// rolloutsReadInterval is how often the rollouts are listed in addition to the watch;
+	// rolloutsReadIntervalActive applies while a rollout runs or servers of a new version
+	// wait for the rollouts to be read.
 	rolloutsReadInterval       = 20 * time.Second
 	rolloutsReadIntervalActive = time.Second
 )
 
-// idleCheckInterval is how often a daemon that does not read the rollouts looks whether it has to.
+// idleCheckInterval is how often a daemon that does not list the rollouts checks whether
+// it has to.
 const idleCheckInterval = 500 * time.Millisecond
 
-// rolloutsMayIdle tells whether a daemon that is not one of the readers can leave the
-// rollouts to them: they tell of each change. It can't where servers wait for them, or one
-// runs, and no reader answers.
-//
-// What goes wrong where each daemon reads them at its start and at intervals: the
-// store's calls grow with the fleet though nothing is rolled out.
+// rolloutsMayIdle reports whether a daemon that is not a reader can leave the rollouts to
+// the readers, which send it each change. It can't while no reader answers and a rollout
+// runs or servers wait for the rollouts to be read. If each daemon listed them at its
+// start and at intervals, the store's calls would grow with the number of daemons even
+// when there is no rollout.
 func (r *reflector) rolloutsMayIdle() bool { return r.readerAnswers() || !r.state.needsRollouts() }
 
-// rolloutsInterval is how often the rollouts are read.
+// rolloutsInterval returns the current list interval.
 func (r *reflector) rolloutsInterval() time.Duration {
 	if r.state.needsRollouts() {
 		return rolloutsReadIntervalActive
@@ -50,8 +51,8 @@
 	r.state.putRollout(r.state.decodeRollout(e.Object), rev)
 }
 
-// decodeRollout decodes a rollout. One that can't be read is told, and keeps new versions
-// of its service out of use until it is mended.
+// decodeRollout decodes a rollout. One that can't be decoded is logged, and new versions of
+// its service stay unused until it is corrected.
 func (s *state) decodeRollout(o objectstore.Object) rollout.Rollout {
 	x, err := s.platform.DecodeRollout(o)
 	if err != nil {
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -25,21 +25,20 @@
 )
 
 const (
-	// reportInterval is how often a daemon reports while a rollout runs, and learns the
-	// plan. A bad version gets requests for about so long after it was proved bad.
+	// reportInterval is how often a daemon reports on a running rollout and receives the
+	// plan. A bad version keeps getting requests for about this time after its rejection.
 	reportInterval = 400 * time.Millisecond
-	// reportTimeout bounds a report's way there and back.
+	// reportTimeout bounds the round trip of a report.
 	reportTimeout = time.Second
-	// planTTL is for how long a plan is gone by. A daemon that the deciding one does
-	// not answer sends no canaries after that.
+	// planTTL is how long a plan is valid. A daemon without a valid plan sends no canaries.
 	planTTL = 2500 * time.Millisecond
-	// rolloutTick is how often a rollout is decided anew.
+	// rolloutTick is how often a rollout's decision is updated.
 	rolloutTick = 200 * time.Millisecond
 )
 
-// rollouts are a daemon's part in the rollouts: it divides its requests by the plan
-// of the daemon that decides, which is found as the owner of a pool is, and reports to it
-// how they went. It implements forward.Rollouts.
+// rollouts is a daemon's part in the rollouts. It divides its requests by the plan of the
+// deciding daemon, which is the owner of the service's pool, and reports their results to
+// it. It implements forward.Rollouts.
 type rollouts struct {
 	state    *state
 	bounds   rollout.Bounds
@@ -47,10 +46,10 @@
 	counters rolloutCounters
 	// enabled is set where the operators allow rollouts.
 	enabled bool
-	// active are the rollouts that run, by service; replaced, never changed.
+	// active are the running rollouts by service; the map is replaced, never changed.
 	active atomic.Pointer[map[string]*activeRollout]
 
-	// What follows is set once the daemon has joined the others.
+	// The fields below are set by join.
 	region      string
 	transport   peer.Transport
 	views       *member.CurrentView
@@ -61,20 +60,20 @@
 
 type rolloutCounters struct{ canaries, noSlot, failed, abandoned *expvar.Int }
 
-// activeRollout is one rollout as a daemon takes part in it.
+// activeRollout is a running rollout that this daemon takes part in.
 type activeRollout struct {
 	id         rollout.ID
 	knownSince time.Time
 	budget     *rollout.Budget
 	recorder   *rollout.Recorder
 	plan       atomic.Pointer[receivedPlan]
-	// reporting is set while a report is under way; the fields below are its own.
+	// reporting is set while a report is being sent, and guards the fields below.
 	reporting    atomic.Bool
 	reportNumber uint64
 	reportedTo   string
 }
 
-// receivedPlan is a plan with when it was heard.
+// receivedPlan is a plan and when it was received.
 type receivedPlan struct {
 	rollout.Plan
 	receivedAt time.Time
@@ -95,7 +94,7 @@
 	return r
 }
 
-// join makes the parts that act together with the other daemons.
+// join sets up the parts that talk to other daemons.
 func (r *rollouts) join(region string, transport peer.Transport, views *member.CurrentView, owner func(service, region string) (string, bool)) {
 	r.region, r.transport, r.views, r.owner = region, transport, views, owner
 	r.incarnation = uint64(time.Now().UnixNano())
@@ -117,7 +116,7 @@
 	}
 }
 
-// refreshActive takes up new rollouts and drops those that have an outcome or were withdrawn.
+// refreshActive adds new rollouts, and removes those that have ended or were withdrawn.
 func (r *rollouts) refreshActive() {
 	prev, changed := *r.active.Load(), false
 	next := map[string]*activeRollout{}
@@ -134,7 +133,7 @@
 	for service, a := range prev {
 		if next[service] != a {
 			changed = true
-			r.log.WithFields(logrus.Fields{"service": service, "to": a.id.To}).Info("Rollout is over.")
+			r.log.WithFields(logrus.Fields{"service": service, "to": a.id.To}).Info("Rollout ended.")
 		}
 	}
 	if changed {
@@ -143,16 +142,18 @@
 	r.deciders.retain(next)
 }
 
+// activate starts to take part in a rollout.
 func (r *rollouts) activate(x rollout.Rollout) *activeRollout {
 	r.log.WithFields(logrus.Fields{"service": x.Service, "to": x.To, "within_s": x.Duration.Seconds(), "revision": x.Revision}).
-		Info("Rollout begins.")
+		Info("Rollout started.")
 	return &activeRollout{
 		id: x.ID, knownSince: time.Now(), recorder: rollout.NewRecorder(),
 		budget: rollout.NewBudget(0, r.bounds, len(r.views.Load().Members), rand.Float64()),
 	}
 }
 
-// step decides where this daemon owns the service's pool, and reports otherwise.
+// step updates the decision if this daemon owns the service's pool, else reports to the
+// owner.
 func (r *rollouts) step(ctx context.Context, service string, a *activeRollout) {
 	owner, ok := r.owner(service, r.region)
 	if !ok || !a.reporting.CompareAndSwap(false, true) {
@@ -174,7 +175,7 @@
 	}()
 }
 
-// buildReport returns what is to be told to the daemon that decides.
+// buildReport returns the next report for the deciding daemon.
 func (r *rollouts) buildReport(a *activeRollout, to string) rollout.Report {
 	a.reportNumber++
 	full := to != a.reportedTo
@@ -185,22 +186,23 @@
 	}
 }
 
-// sendReport reports to the daemon that decides, and takes the plan.
+// sendReport reports to the deciding daemon and applies the plan that it returns.
 func (r *rollouts) sendReport(ctx context.Context, service string, a *activeRollout, to string) {
 	report := r.buildReport(a, to)
 	plan, err := r.callOwner(ctx, a.id, report, to)
 	if err != nil {
 		a.recorder.MarkChanged(report.Cells)
-		r.log.WithFields(logrus.Fields{"service": service, "of": to}).WithError(err).Debug("Plan of the rollout not heard.")
+		r.log.WithFields(logrus.Fields{"service": service, "of": to}).WithError(err).Debug("Rollout plan not received.")
 		return
 	}
 	r.applyPlan(service, a, plan)
 }
 
+// callOwner sends a report to the deciding daemon and returns its plan.
 func (r *rollouts) callOwner(ctx context.Context, id rollout.ID, report rollout.Report, to string) (rollout.Plan, error) {
 	payload, err := proto.Marshal(reportToWire(id, report))
 	if err != nil {
-		return rollout.Plan{}, errors.Wrap(err, "encode the report")
+		return rollout.Plan{}, errors.Wrap(err, "encode rollout report")
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -210,29 +212,29 @@
 	}
 	var m wire.RolloutPlan
 	if err := proto.Unmarshal(answer, &m); err != nil {
-		return rollout.Plan{}, errors.Wrap(err, "decode the plan")
+		return rollout.Plan{}, errors.Wrap(err, "decode rollout plan")
 	}
 	return planFromWire(&m), nil
 }
 
-// applyPlan goes by a plan from now on.
+// applyPlan puts a plan in force.
 func (r *rollouts) applyPlan(service string, a *activeRollout, p rollout.Plan) {
 	prev := a.plan.Swap(&receivedPlan{p, time.Now()})
 	a.budget.SetShare(p.CanaryShare)
 	if prev == nil || prev.Phase != p.Phase {
 		r.log.WithFields(logrus.Fields{"service": service, "to": a.id.To, "phase": p.Phase.String(), "share": p.CanaryShare}).
-			Info("Rollout has another phase.")
+			Info("Rollout phase changed.")
 	}
 	if prev == nil || prev.OpenAll != p.OpenAll {
 		r.state.rebuild()
 	}
 }
 
-// handleReport answers another daemon's report.
+// handleReport answers another daemon's report with the plan.
 func (r *rollouts) handleReport(ctx context.Context, from peer.Name, payload []byte) ([]byte, error) {
 	var m wire.RolloutReport
 	if err := proto.Unmarshal(payload, &m); err != nil {
-		return nil, errors.Wrap(err, "decode the report")
+		return nil, errors.Wrap(err, "decode rollout report")
 	}
 	id, report := reportFromWire(&m, string(from))
 	r.deciders.addReport(ctx, id, report)
@@ -300,8 +302,8 @@
 	}
 }
 
-// canaryServers returns the servers of a new version that get canaries now: all where the
-// plan has opened them, a few before, and warm ones where there are any.
+// canaryServers returns the servers of a new version that get canaries now: all if the
+// plan allows it, else a few, which are warm ones if there are any.
 func (r *rollouts) canaryServers(service string, stable int, servers []discovery.Server) []discovery.Server {
 	a := (*r.active.Load())[service]
 	if a == nil {
@@ -315,7 +317,7 @@
 		warm = slices.Clone(servers)
 	}
 	n := rollout.CanaryServers(r.bounds.CanaryShare(), stable, len(warm))
-	// By a hash, so that they are spread over the availability zones.
+	// Hash order spreads them over the availability zones.
 	slices.SortFunc(warm, func(a, b discovery.Server) int {
 		return cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID))
 	})
--- a/internal/gateway/rolloutstate.go
+++ b/internal/gateway/rolloutstate.go
@@ -10,20 +10,20 @@
 	"github.com/lycheekeel/lycheekeel/rollout"
 )
 
-// rolloutState is what a daemon knows of the operators' rollouts, and which servers may
-// get requests because of it. It is used with the state's mutex held.
+// rolloutState is what a daemon knows of the operators' rollouts, and which versions may
+// get requests. It is guarded by the state's mutex.
 type rolloutState struct {
-	// enabled is set where the operators allow rollouts. Without them versions don't
-	// count, and no call of the store is spent on rollouts.
+	// enabled is set where the operators allow rollouts. Otherwise versions are ignored, and
+	// the rollouts are never read from the store.
 	enabled bool
 	all     rollout.Set
-	// revision is as of when they are known; 0: they were never read.
+	// revision is the store's revision as of which the rollouts are known; 0: never read.
 	revision objectstore.Version
 	versions map[string]*rollout.Versions // by service
 	// firstSeen is the directory's revision at which a service's version appeared.
 	firstSeen map[serviceVersion]objectstore.Version
 	arms      map[serviceVersion]rollout.Arm
-	// readNow is told when a version appears for which the rollouts have to be read.
+	// readNow gets a value when a new version appears and the rollouts have to be read.
 	readNow chan struct{}
 }
 
@@ -37,7 +37,7 @@
 	}
 }
 
-// arm returns what a server is to its service's requests.
+// arm returns the arm that a server belongs to.
 func (rs *rolloutState) arm(s discovery.Server) rollout.Arm {
 	if !rs.enabled {
 		return rollout.Stable
@@ -45,8 +45,8 @@
 	return rs.arms[serviceVersion{s.Service, s.Version}]
 }
 
-// assignArms works out the arms of all versions of the servers that are there, as of the
-// directory's revision.
+// assignArms assigns an arm to each version of the present servers, as of the directory's
+// revision.
 func (rs *rolloutState) assignArms(servers []discovery.Server, rev objectstore.Version) {
 	if !rs.enabled {
 		return
@@ -62,7 +62,7 @@
 	}
 	for v := range rs.firstSeen {
 		if !slices.Contains(present[v.service], v.version) {
-			delete(rs.firstSeen, v) // it is new when it comes back
+			delete(rs.firstSeen, v) // counts as new if it returns
 		}
 	}
 	clear(rs.arms)
@@ -89,13 +89,14 @@
 	})
 }
 
-// readSince tells whether the rollouts are known as of a moment at which servers of the
-// version were there already: a rollout is requested before its servers start.
+// readSince reports whether the rollouts are known as of a time at which servers of the
+// version were present. A rollout is requested before its servers start, so it is known
+// then.
 func (rs *rolloutState) readSince(v serviceVersion) bool {
 	return rs.revision > 0 && rs.revision >= rs.firstSeen[v]
 }
 
-// hasPendingVersions tells whether servers wait for the rollouts to be read.
+// hasPendingVersions reports whether servers wait for the rollouts to be read.
 func (rs *rolloutState) hasPendingVersions() bool {
 	for v, arm := range rs.arms {
 		if arm == rollout.Off && !rs.readSince(v) {
@@ -124,7 +125,7 @@
 	return rs.versions[service]
 }
 
-// anyRunning tells whether a rollout has no outcome yet.
+// anyRunning reports whether a rollout has no final state yet.
 func (rs *rolloutState) anyRunning() bool {
 	for _, r := range rs.all {
 		if r.InProgress() {
@@ -149,13 +150,13 @@
 	return slices.Collect(maps.Values(s.rollouts.all))
 }
 
-// applyRolloutList takes all rollouts as of a revision, unless newer ones are known.
+// replaceRollouts applies a list of all rollouts, unless newer ones are known.
 func (s *state) replaceRollouts(all []rollout.Rollout, rev objectstore.Version) {
 	s.applyPeerRollouts(all, nil, rev)
 }
 
-// applyPeerRollouts is the same of what a reader tells, with the versions that it knows must
-// not serve.
+// applyPeerRollouts does the same with the list of a reader, together with the versions
+// that the reader has rejected.
 func (s *state) applyPeerRollouts(all []rollout.Rollout, unfit []*wire.ServiceVersion, rev objectstore.Version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,8 +175,8 @@
 	}
 }
 
-// recordOutcome takes what this daemon has written of a rollout itself. It proves nothing
-// of the others.
+// recordOutcome applies a rollout that this daemon has written or re-read itself. It does
+// not advance the revision, since it proves nothing of other rollouts.
 func (s *state) recordOutcome(r rollout.Rollout) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,11 +186,13 @@
 	}
 }
 
-// putRollout takes one changed rollout, removeRollout the withdrawal of one at a revision.
+// putRollout applies one changed rollout.
 func (s *state) putRollout(r rollout.Rollout, rev objectstore.Version) {
 	s.updateRollouts(rev, func() { s.rollouts.all.Put(r) })
 }
 
+// removeRollout applies the withdrawal of a rollout at the revision removedAt. An older one
+// concerns an earlier rollout of the service.
 func (s *state) removeRollout(service string, removedAt, rev objectstore.Version) {
 	s.updateRollouts(rev, func() {
 		if s.rollouts.all[service].Revision <= uint64(removedAt) {
@@ -198,8 +201,8 @@
 	})
 }
 
-// applyRolloutEvent takes one of the changes of a watch, which come several at a time with
-// the revision after the last.
+// updateRollouts applies one event of a watch. Events come in batches, each event with the
+// revision after the whole batch.
 func (s *state) updateRollouts(rev objectstore.Version, change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,15 +215,15 @@
 	s.notifyChangedLocked()
 }
 
-// needsRollouts tells whether the rollouts have to be read often: one runs, or servers
-// wait for them.
+// needsRollouts reports whether the rollouts have to be read often: one is running, or
+// servers wait for them.
 func (s *state) needsRollouts() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rollouts.anyRunning() || s.rollouts.hasPendingVersions()
 }
 
-// rolloutFacts returns what a rollout's decision needs to know of a service's servers.
+// rolloutFacts returns the state of a service's servers for the rollout's decider.
 func (s *state) rolloutFacts(service string) rollout.ServiceStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -247,7 +250,7 @@
 	return f
 }
 
-// rebuild makes the pools anew: other servers of a new version get canaries now.
+// rebuild rebuilds the pools after the set of canary servers has changed.
 func (s *state) rebuild() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/rolloutstate_test.go
+++ b/internal/gateway/rolloutstate_test.go
@@ -15,9 +15,9 @@
 	"github.com/lycheekeel/lycheekeel/route"
 )
 
-// partitioned returns the pools of a service of two versions, the second of which a rollout in
-// a state brings: by the version under which requests ask for them, with their servers'
-// names; and the names of all.
+// partitioned builds the pools of a service with the versions v1 and v2 and a rollout to v2 in
+// the given state. It returns the names of the servers by the version that requests ask for,
+// and the names of all pools.
 func partitioned(t *testing.T, state rollout.State) (byRequestVersion map[string][]string, names []string) {
 	s := buildPools(appTable(t), []discovery.Server{v1, v2}, "r", partitionerIn(state))
 	byRequestVersion = map[string][]string{}
@@ -45,7 +45,7 @@
 	return table
 }
 
-// partitionerIn returns how v1 and v2 are divided in a state of the rollout to v2.
+// partitionerIn returns the partitioner for a rollout from v1 to v2 in the given state.
 func partitionerIn(state rollout.State) partitioner {
 	rs := newRolloutState(true)
 	rs.assignArms([]discovery.Server{v1}, 5)
@@ -57,7 +57,7 @@
 }
 
 func TestVersionPools(t *testing.T) {
-	Convey("Each version has a pool of its own, whose name no outcome changes", t, func() {
+	Convey("Each version has its own pool, which keeps its name whatever the outcome", t, func() {
 		byRequestVersion, names := partitioned(t, rollout.Running)
 		So(byRequestVersion, ShouldResemble, map[string][]string{"": {"a"}, "v2": {"b"}})
 		So(names, ShouldResemble, []string{"app@v1", "app@v2"})
@@ -68,19 +68,19 @@
 		So(byRequestVersion, ShouldResemble, map[string][]string{"": {"a"}})
 		So(names, ShouldResemble, []string{"app@v1"})
 	})
-	Convey("A service without a server has an empty pool all the same", t, func() {
+	Convey("A service without servers has an empty pool", t, func() {
 		s := buildPools(appTable(t), nil, "r", partitionerIn(rollout.Running))
 		So(len(s.Pools), ShouldEqual, 1)
 		So(s.Pools["app"].Servers, ShouldBeEmpty)
 	})
-	Convey("A canary's pool has the servers that are chosen, and is there without any", t, func() {
+	Convey("A canary pool has the selected servers, and exists without any", t, func() {
 		d := partitionerIn(rollout.Running)
 		d.canaryServers = func(string, int, []discovery.Server) []discovery.Server { return nil }
 		s := buildPools(appTable(t), []discovery.Server{v1, v2}, "r", d)
 		So(s.Pools["app@v2"].Servers, ShouldBeEmpty)
 	})
-	// Guards against this: a new version's servers get their whole share before its rollout is read.
-	Convey("A version that appears waits until the rollouts were read after it", t, func() {
+	// Guards against servers of a new version that get their whole share before its rollout is read.
+	Convey("A new version is unused until the rollouts have been read after it appeared", t, func() {
 		rs := newRolloutState(true)
 		rs.assignArms([]discovery.Server{v1}, 5)
 		rs.revision = 6
@@ -92,13 +92,13 @@
 		rs.revision = 9
 		rs.assignArms([]discovery.Server{v1, v2}, 8)
 		So(rs.arm(v2), ShouldEqual, rollout.Stable)
-		Convey("and again when its servers were gone", func() {
+		Convey("and again after its servers were gone", func() {
 			rs.assignArms([]discovery.Server{v1}, 10)
 			rs.assignArms([]discovery.Server{v1, v2}, 12)
 			So(rs.arm(v2), ShouldEqual, rollout.Off)
 		})
 	})
-	Convey("Canary servers are used for canaries, and for nothing else", t, func() {
+	Convey("Canary servers get canaries only", t, func() {
 		canary := serverUse{arm: rollout.Canary}
 		So(canary.accepts(true), ShouldBeTrue)
 		So(canary.accepts(false), ShouldBeFalse)
@@ -109,14 +109,14 @@
 }
 
 func TestRolloutWireRoundTrip(t *testing.T) {
-	Convey("What a reader tells of a rollout is what it has", t, func() {
+	Convey("A rollout survives encoding and decoding", t, func() {
 		r := rollout.Rollout{
 			ID: rollout.ID{Service: "app", To: "v2", Created: 7}, Duration: 12_500_000_000,
 			Revision: 9, State: rollout.RolledBack, Acknowledged: true, Unreadable: true,
 		}
 		So(rolloutsFromWire(rolloutsToWire(rollout.Set{"app": r})), ShouldResemble, []rollout.Rollout{r})
 	})
-	Convey("A report and a plan, too", t, func() {
+	Convey("A report and a plan survive encoding and decoding", t, func() {
 		id := rollout.ID{Service: "app", To: "v2", Created: 7}
 		r := rollout.Report{Reporter: "a", Incarnation: 3, Number: 4, Age: 1_500_000_000, Cells: map[rollout.Key]rollout.Cell{
 			{Route: "/r/"}: {Counts: rollout.Counts{Runs: 9, Failed: 1, Broken: 2, Slow: 3}, FirstEvent: rollout.Times{10: 2}, PerToken: rollout.Times{3: 1}, Total: rollout.Times{70: 4}},
@@ -131,7 +131,7 @@
 }
 
 func TestVersionsWithoutRollouts(t *testing.T) {
-	Convey("Where the operators allow no rollouts versions don't count", t, func() {
+	Convey("Without rollouts versions are ignored", t, func() {
 		rs := newRolloutState(false)
 		rs.assignArms([]discovery.Server{v1, v2}, 5)
 		So(rs.arm(v2), ShouldEqual, rollout.Stable)
@@ -142,7 +142,7 @@
 	})
 }
 
-// stateWithRollouts returns a state with a configuration in force that knows rollouts.
+// stateWithRollouts returns a state with rollouts enabled and a configuration in force.
 func stateWithRollouts() *state {
 	s := stateWithConfig()
 	s.rollouts = newRolloutState(true)
@@ -154,9 +154,9 @@
 	return rollout.Rollout{ID: rollout.ID{Service: "app", To: "v2", Created: 80}, Revision: revision, State: state}
 }
 
-// Guards against this: a withdrawn rollout stays in force.
+// Guards against a withdrawn rollout that stays in force.
 func TestBatchedRolloutChanges(t *testing.T) {
-	Convey("Each change of a watch counts, and a list as of the same revision", t, func() {
+	Convey("Each event of a batch is applied, and a list of the same revision", t, func() {
 		s := stateWithRollouts()
 		s.putRollout(rolloutToV2(85, rollout.Running), 90)
 		s.removeRollout("app", 86, 90)
@@ -165,7 +165,7 @@
 		s.replaceRollouts(nil, 90)
 		So(len(s.rollouts.all), ShouldEqual, 0)
 	})
-	Convey("A removal that is older than the rollout was of another one", t, func() {
+	Convey("A removal that is older than the rollout concerns an earlier one", t, func() {
 		s := stateWithRollouts()
 		s.putRollout(rolloutToV2(85, rollout.Running), 90)
 		s.removeRollout("app", 79, 91)
@@ -173,9 +173,9 @@
 	})
 }
 
-// Guards against this: days without any rollout cost a quarter more calls of the store.
+// Guards against lists of rollouts that cost a quarter more calls to the store when no rollout runs.
 func TestOnlyReadersReadRolloutsWhenNoneRuns(t *testing.T) {
-	Convey("A daemon that is not a reader reads them only where it needs them and nobody tells it", t, func() {
+	Convey("A daemon that is not a reader lists rollouts only if it needs them and no reader answers", t, func() {
 		s := stateWithRollouts()
 		answers := false
 		r := &reflector{state: s, isReader: func() bool { return false }, readerAnswers: func() bool { return answers }}
@@ -193,9 +193,9 @@
 	})
 }
 
-// Guards against this: a new version gets its whole share at once.
+// Guards against a new version that gets its whole share at once.
 func TestUnreadableRolloutHoldsBackNewVersions(t *testing.T) {
-	Convey("A new version waits beside a fit one until the rollout is mended", t, func() {
+	Convey("A new version is unused beside a fit one until the rollout is corrected", t, func() {
 		s := stateWithRollouts()
 		s.platform.DecodeRollout = func(objectstore.Object) (rollout.Rollout, error) { return rollout.Rollout{}, errors.New("no") }
 		s.putServer(v1, 71)
@@ -207,7 +207,7 @@
 		s.removeRollout("app", 92, 92)
 		So(s.rollouts.arm(v2), ShouldEqual, rollout.Stable)
 	})
-	Convey("Where no version is known to be fit all serve", t, func() {
+	Convey("All versions serve if none is known to be fit", t, func() {
 		s := stateWithRollouts()
 		s.putRollout(rollout.Rollout{ID: rollout.ID{Service: "app"}, Unreadable: true}, 90)
 		s.replaceServers([]discovery.Server{v1, v2}, 88)
@@ -216,9 +216,9 @@
 	})
 }
 
-// Guards against this: a request is refused after a second though all servers are free.
+// Guards against a request that is refused after a second though all servers are free.
 func TestWaitersWakeWhenAPoolIsRemoved(t *testing.T) {
-	Convey("The wait ends when a pool of the service goes, and not when one comes", t, func() {
+	Convey("The context ends when a pool of the service is removed, but not when one is added", t, func() {
 		s := stateWithRollouts()
 		s.canaryServers = func(_ string, _ int, servers []discovery.Server) []discovery.Server { return servers }
 		s.replaceServers([]discovery.Server{v1}, 71)
--- a/internal/gateway/serverlog.go
+++ b/internal/gateway/serverlog.go
@@ -6,8 +6,8 @@
 	"github.com/lycheekeel/lycheekeel/discovery"
 )
 
-// logServers tells which servers came, started again, began to leave, or went; at first only
-// how many there are, or thousands of lines would tell what the store lists.
+// logServers logs which servers registered, restarted, began to leave or are gone. The first
+// time it logs only their number, which may be thousands.
 func (s *state) logServers(servers []discovery.Server) {
 	known := make(map[string]string, len(servers))
 	for _, x := range servers {
@@ -16,17 +16,17 @@
 	defer func() { s.incarnations = known }()
 	prev := s.usable.Load()
 	if prev == nil {
-		s.log.WithFields(logrus.Fields{"servers": len(servers), "revision": s.serversRevision}).Info("Servers are there.")
+		s.log.WithFields(logrus.Fields{"servers": len(servers), "revision": s.serversRevision}).Info("Servers loaded.")
 		return
 	}
 	for _, x := range servers {
 		prevUse, ok := (*prev)[x.ID]
 		if ok && s.incarnations[x.ID] != known[x.ID] {
-			s.serverLog(x).WithField("before", s.incarnations[x.ID]).Info("Server has started again.")
+			s.serverLog(x).WithField("before", s.incarnations[x.ID]).Info("Server restarted.")
 		}
 		switch {
 		case !ok && !x.Leaving:
-			s.serverLog(x).Info("Server is there.")
+			s.serverLog(x).Info("Server registered.")
 		case ok && !prevUse.leaving && x.Leaving, !ok && x.Leaving:
 			s.serverLog(x).Info("Server is leaving.")
 		}
@@ -38,8 +38,8 @@
 	}
 }
 
-// logInvalid tells and counts the entries that have become malformed, or are so for
-// another reason now.
+// logInvalid logs and counts the entries that have become malformed, or are malformed for a
+// new reason.
 func (s *state) logInvalid(entries []discovery.Server) {
 	now := make(map[string]string, len(entries))
 	for _, x := range entries {
@@ -48,7 +48,7 @@
 			continue
 		}
 		s.invalidEntries.Add(1)
-		s.log.WithFields(logrus.Fields{"server": x.ID, "reason": x.InvalidReason, "revision": x.Revision}).Warn("Server's entry is malformed.")
+		s.log.WithFields(logrus.Fields{"server": x.ID, "reason": x.InvalidReason, "revision": x.Revision}).Warn("Server entry is malformed.")
 	}
 	s.invalidReasons = now
 }
--- a/internal/gateway/serverlog_test.go
+++ b/internal/gateway/serverlog_test.go
@@ -10,9 +10,9 @@
 	"github.com/lycheekeel/lycheekeel/discovery"
 )
 
-// Guards against this: the log has nothing of a server's restart, or a line at each read.
+// Guards against a log without a server's restart, or with a line at each read.
 func TestEachServerChangeIsLoggedOnce(t *testing.T) {
-	Convey("A restart and a malformed entry are told once each", t, func() {
+	Convey("A restart and a malformed entry are logged once each", t, func() {
 		s := stateWithConfig()
 		logger, lines := logtest.NewNullLogger()
 		s.log = logrus.NewEntry(logger)
@@ -26,15 +26,15 @@
 		}
 		s.replaceServers(nil, 50)
 		a := discovery.Server{ID: "a", Service: "app", StartedAt: 1000}
-		So(messages(a), ShouldResemble, []string{"Server is there."})
+		So(messages(a), ShouldResemble, []string{"Server registered."})
 		So(messages(a), ShouldBeEmpty)
 		a.StartedAt = 2000
-		So(messages(a), ShouldResemble, []string{"Server has started again."})
+		So(messages(a), ShouldResemble, []string{"Server restarted."})
 		a.Leaving = true
 		So(messages(a), ShouldResemble, []string{"Server is leaving."})
-		So(messages(discovery.Server{ID: "a", InvalidReason: "no object"}), ShouldResemble, []string{"Server is gone.", "Server's entry is malformed."})
+		So(messages(discovery.Server{ID: "a", InvalidReason: "no object"}), ShouldResemble, []string{"Server is gone.", "Server entry is malformed."})
 		So(messages(discovery.Server{ID: "a", InvalidReason: "no object"}), ShouldBeEmpty)
-		So(messages(discovery.Server{ID: "a", InvalidReason: "state is unknown"}), ShouldResemble, []string{"Server's entry is malformed."})
+		So(messages(discovery.Server{ID: "a", InvalidReason: "state is unknown"}), ShouldResemble, []string{"Server entry is malformed."})
 		So(s.invalidEntries.Value(), ShouldEqual, 2)
 	})
 }
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -18,9 +18,9 @@
 	return LoadSettings(file)
 }
 
-// Guards against this: a bound that the operator set is not in force, and nothing tells so.
+// Guards against a bound in the settings file that is ignored without an error.
 func TestSettings(t *testing.T) {
-	Convey("Good settings are read, with defaults for what is left out", t, func() {
+	Convey("Valid settings are read, with defaults for omitted ones", t, func() {
 		s, err := load(t, `{"name": "a", "region": "r", "availability_zone": "z", "listen": "127.0.0.1:1", "readiness": "127.0.0.1:2",
 			"peer": "127.0.0.1:3", "seeds": ["127.0.0.1:3"], "metrics": "127.0.0.1:9464", "store": "127.0.0.1:4",
 			"limits": {"memory_mb": 184, "cpu_cores": 0.192, "link_mbps": 10.0},
@@ -30,7 +30,7 @@
 		So(s.LogLevel, ShouldEqual, "info")
 		So(s.PeerAddress, ShouldEqual, "127.0.0.1:3")
 	})
-	Convey("Every finding comes back at once, with its place", t, func() {
+	Convey("All findings are returned together, with their paths", t, func() {
 		_, err := load(t, `{"name": "a", "region": "r", "availability_zone": "z", "listen": "nowhere", "readiness": "127.0.0.1:2",
 			"peer": "127.0.0.1:3", "store": "127.0.0.1:4", "colour": "red",
 			"limits": {"memory_mb": 1}, "bounds": {"grace_s": 0, "revoke": 5000, "retry_ratio": 2, "retry_window_s": 10}}`)
--- a/internal/gateway/shareholders.go
+++ b/internal/gateway/shareholders.go
@@ -6,19 +6,19 @@
 	"github.com/lycheekeel/lycheekeel/member"
 )
 
-// lostShareTTL is how long a daemon that was lost without leaving keeps its share of the
-// quotas. Regions and zones may be cut off from each other for minutes.
+// lostShareTTL is how long a daemon that died without leaving keeps its share of the
+// quotas. Regions and zones may be partitioned from each other for minutes.
 const lostShareTTL = 5 * time.Minute
 
 // shareHolders are the daemons among which the quotas are divided.
 //
-// What goes wrong where the dead have no share: membership takes the far side of a cut for
-// dead after some seconds, each side divides the whole rate among its own daemons, and a
-// workspace gets its quota once on each side.
+// Dead daemons keep a share. Otherwise, in a network partition, each side would declare
+// the other dead after some seconds and divide the whole rate among its own daemons, and a
+// workspace would get its quota once on each side.
 type shareHolders struct {
-	present map[string]bool      // seen here, and not seen to leave
-	lostAt  map[string]time.Time // when they were first taken for dead without leaving
-	// nextExpiry is when the first of the lost has no share any more; zero: none is lost.
+	present map[string]bool      // seen, and not seen to leave
+	lostAt  map[string]time.Time // when they were first seen dead without having left
+	// nextExpiry is when the first of the lost shares expires; zero: none is lost.
 	nextExpiry time.Time
 }
 
@@ -26,7 +26,7 @@
 	return &shareHolders{present: map[string]bool{}, lostAt: map[string]time.Time{}}
 }
 
-// others returns the names of a view's other daemons that have a share.
+// others returns the names of the view's other daemons that have a share.
 func (s *shareHolders) others(v *member.View, now time.Time) []string {
 	var out []string
 	s.nextExpiry = time.Time{}
@@ -60,7 +60,7 @@
 	return true
 }
 
-// due tells whether the answer has changed though the view has not.
+// due reports whether the result of others has changed since, though the view has not.
 func (s *shareHolders) due(now time.Time) bool {
 	return !s.nextExpiry.IsZero() && !now.Before(s.nextExpiry)
 }
--- a/internal/gateway/shareholders_test.go
+++ b/internal/gateway/shareholders_test.go
@@ -9,7 +9,8 @@
 	"github.com/lycheekeel/lycheekeel/member"
 )
 
-// Guards against both sides of a cut that each divide a whole quota once they take the other for dead.
+// Guards against a network partition each side of which divides the whole quota after it has
+// declared the other dead.
 func TestLostDaemonsKeepTheirShare(t *testing.T) {
 	now := time.Unix(1000, 0)
 	view := func(states ...member.State) *member.View {
@@ -19,7 +20,7 @@
 		}
 		return v
 	}
-	Convey("One that is dead without having left keeps its share for a while", t, func() {
+	Convey("A daemon that died without leaving keeps its share until the TTL ends", t, func() {
 		s := newShareHolders()
 		s.others(view(member.Alive, member.Suspect), now)
 		So(s.others(view(member.Alive, member.Dead), now), ShouldResemble, []string{"a", "b"})
@@ -29,14 +30,14 @@
 		So(s.others(view(member.Alive, member.Dead), later), ShouldResemble, []string{"a"})
 		So(s.due(later), ShouldBeFalse)
 	})
-	Convey("One that has left has none, and one that is back has one", t, func() {
+	Convey("A daemon that has left has no share, and one that returns has one", t, func() {
 		s := newShareHolders()
 		s.others(view(member.Leaving), now)
 		So(s.others(view(member.Dead), now), ShouldBeEmpty)
 		So(s.others(view(member.Alive), now), ShouldResemble, []string{"a"})
 		So(s.others(view(member.Dead), now), ShouldResemble, []string{"a"})
 	})
-	Convey("A daemon that is cut off alone has its part of the quota, not that of the only one", t, func() {
+	Convey("A daemon cut off from all others uses its own share of the quota, not all of it", t, func() {
 		q, _ := newTestQuotaSync("a1", zoneMembers(map[string]int{"a": 4}))
 		q.tick(now)
 		So(q.others, ShouldHaveLength, 3)
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -19,33 +19,35 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// state is what a daemon knows of the configuration and of the servers, from
-// the store or from a daemon that reads it, and what it puts in force.
+// state is a daemon's copy of the configuration, the servers and the rollouts, from
+// the store or from a reader, and what it derives from them.
+//
+// A proof of freshness is an answered linearizable read, by this daemon or by a
+// reader; it counts from when the read was sent (see revision.Freshness).
 type state struct {
 	platform       Platform
 	region         string
 	routes         *route.Live
 	pools          *workspace.Live
 	ledger         *quota.Limiter
-	onIncarnations func(map[string]string) // told which incarnation is at each address
+	onIncarnations func(map[string]string) // called with the incarnation at each address
 	log            *logrus.Entry
 	latency        latencies
 
-	// configFreshness and serversFreshness know how old the newest linearizable reads
-	// are.
+	// configFreshness and serversFreshness hold the age of the newest proof.
 	configFreshness, serversFreshness *revision.Freshness
 	usable                            atomic.Pointer[map[string]serverUse] // by server ID
 	// rolloutsFreshness is the same for the rollouts.
 	rolloutsFreshness *revision.Freshness
 	invalidEntries    *expvar.Int
-	// storeLostAt is the mark since which this daemon's own reads of the
-	// configuration fail; 0: the last one was answered.
+	// storeLostAt is the time, by the clock of configFreshness, since which the store
+	// has not answered this daemon itself; 0: it answers.
 	storeLostAt atomic.Int64
 
 	mu        sync.Mutex
 	directory *discovery.Directory
-	// config is the newest configuration's object; serversRevision is as of
-	// when the directory is.
+	// config is the newest configuration's object; serversRevision is the
+	// revision of the directory.
 	config          objectstore.Object
 	serversRevision objectstore.Version
 	changes         discovery.ChangeLog
@@ -53,20 +55,20 @@
 	poolRemovals    poolRemovals
 	// canaryServers returns the servers of a new version that get canaries now.
 	canaryServers  func(service string, stable int, servers []discovery.Server) []discovery.Server
-	invalidReasons map[string]string // why, by the entry's name, as last logged
+	invalidReasons map[string]string // by the entry's name, as last logged
 	incarnations   map[string]string // by server ID, as last logged
-	changed        chan struct{}     // closed at each change
-	rebuildPacer   pacer             // of making the pools anew
-	rebuildPending bool              // a change waits for that
+	changed        chan struct{}     // closed and replaced at each change
+	rebuildPacer   pacer             // limits the rate of rebuilds
+	rebuildPending bool              // a rebuild is scheduled
 }
 
-// serverUse is what a server may be used for.
+// serverUse says which requests a server may get.
 type serverUse struct {
 	leaving bool
 	arm     rollout.Arm
 }
 
-// accepts tells whether the server may get a request, which is a canary or not.
+// accepts reports whether the server may get a request that is a canary or not.
 func (u serverUse) accepts(canary bool) bool {
 	return !u.leaving && (u.arm == rollout.Stable || canary && u.arm == rollout.Canary)
 }
@@ -81,7 +83,7 @@
 	}
 }
 
-// partitioner returns how the servers are divided now; the mutex is held.
+// partitioner returns the current partitioner; the mutex is held.
 func (s *state) partitioner() partitioner {
 	if !s.rollouts.enabled {
 		return partitioner{}
@@ -117,7 +119,7 @@
 	return true
 }
 
-// applyServerList takes all servers as of a revision.
+// replaceServers applies a list of all servers as of a revision.
 func (s *state) replaceServers(listed []discovery.Server, rev objectstore.Version) {
 	s.updateServers(rev, func(now time.Time) bool {
 		changed := s.directory.Replace(now, listed)
@@ -125,20 +127,20 @@
 	})
 }
 
-// applyPeerServers takes what a reader tells: the whole list, or what has changed
-// since a revision, if that is still the one that is known here. Then what is
-// known is as of the reader's revision, though it may have brought nothing new.
+// applyPeerServers applies what a reader sent: the whole list if base is 0, else the
+// changes since the revision base, which are ignored if this daemon has another
+// revision.
 //
-// What goes wrong where the revision stays behind then: a reader notices a
-// change later than this daemon did, by its own read, so the reader's revision
-// is the newer one, and it tells the same at each ask, without end.
+// The reader's revision is taken over even where nothing has changed. This daemon
+// may have read a change itself before the reader did, at a lower revision; if it
+// kept that one, the reader would send the same change at every poll.
 func (s *state) applyPeerServers(base objectstore.Version, d discovery.Delta, rev objectstore.Version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	listed := d.Changed
 	if base > 0 {
 		if s.serversRevision != base {
-			return // read from the store meanwhile; the next answer fits
+			return // listed from the store meanwhile; the next answer will match
 		}
 		listed = d.Apply(s.directory.Listed())
 	}
@@ -149,18 +151,18 @@
 	s.serversRevision = max(s.serversRevision, rev)
 }
 
-// putServer takes one changed entry, removeServer the removal of one.
+// putServer applies one changed entry.
 func (s *state) putServer(server discovery.Server, rev objectstore.Version) {
 	s.updateServers(rev, func(now time.Time) bool { return s.directory.Put(now, server) })
 }
 
-// removeServer takes the removal of an entry at a revision.
+// removeServer applies the removal of an entry at the revision removedAt.
 func (s *state) removeServer(id string, removedAt, rev objectstore.Version) {
 	s.updateServers(rev, func(now time.Time) bool { return s.directory.Delete(now, id, discovery.Revision(removedAt)) })
 }
 
-// updateServers changes the directory unless what it has is newer, and the
-// pools where that matters.
+// updateServers changes the directory unless that is newer, and rebuilds the pools
+// if the change matters.
 func (s *state) updateServers(rev objectstore.Version, change func(now time.Time) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,8 +183,8 @@
 	s.notifyChangedLocked()
 }
 
-// scheduleRebuildLocked makes the pools anew now or, where that takes too much of the time, a little
-// later for all changes that have come by then; the mutex is held.
+// scheduleRebuildLocked rebuilds the pools now or, where rebuilds would take too much
+// processor time, once later for all changes until then; the mutex is held.
 func (s *state) scheduleRebuildLocked() {
 	delay := s.rebuildPacer.delay(time.Now())
 	if delay == 0 || s.directory.Len() < pacingMinServers {
@@ -202,8 +204,8 @@
 	})
 }
 
-// expireServers removes what is still missing when the grace has passed, and
-// returns when that will be; false: nothing is missing.
+// expireServers removes missing servers whose grace period has ended, and returns the
+// time until the next one ends; false: no server is missing.
 func (s *state) expireServers() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,8 +216,8 @@
 	return s.directory.ExpiresIn(time.Now())
 }
 
-// confirmServers takes it that a daemon that reads the store has the servers as
-// of a revision; where that is ours, the store has the same ones.
+// confirmServers records that a reader has the servers as of a revision. If this
+// daemon has the same revision, its servers are what the store has.
 func (s *state) confirmServers(rev objectstore.Version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,15 +226,15 @@
 	}
 }
 
-// storeUnavailable tells that the servers could not be listed.
+// storeUnavailable records that the servers could not be listed.
 func (s *state) storeUnavailable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.directory.StoreUnavailable()
 }
 
-// rebuildLocked makes the pools' snapshot from the table and the directory; it is
-// called with the mutex held.
+// rebuildLocked builds the pools' snapshot from the table and the directory; the mutex
+// is held.
 func (s *state) rebuildLocked() {
 	s.rebuildPending = false
 	table := s.routes.Load()
@@ -258,12 +260,12 @@
 	s.usable.Store(&usable)
 }
 
-// storeLostLongerThan tells whether this daemon's own reads of the store have failed for so
-// long, though it may be told by others what is in force.
+// storeLostLongerThan reports whether the store has not answered this daemon itself for
+// longer than limit, even if readers sent it the state.
 func (s *state) storeLostLongerThan(limit time.Duration) bool { return s.storeLostFor() > limit }
 
-// storeLostFor is for how long the store has not answered this daemon's own reads; 0:
-// it does.
+// storeLostFor returns for how long the store has not answered this daemon itself; 0:
+// it answers.
 func (s *state) storeLostFor() time.Duration {
 	lostAt := s.storeLostAt.Load()
 	if lostAt == 0 {
@@ -272,7 +274,7 @@
 	return s.configFreshness.Mark() - time.Duration(lostAt)
 }
 
-// notifyChanged tells those that wait that a read has proved what is in force.
+// notifyChanged wakes the polls that wait for a change, after a new proof.
 func (s *state) notifyChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/state_test.go
+++ b/internal/gateway/state_test.go
@@ -14,8 +14,8 @@
 	"github.com/lycheekeel/lycheekeel/route"
 )
 
-// stateWithConfig returns a state with a configuration of one service in force, whose
-// objects' values are versions.
+// stateWithConfig returns a state with a configuration of one service in force. The value
+// of a configuration's object is its version.
 func stateWithConfig() *state {
 	s := emptyState()
 	s.platform.DecodeConfiguration = func(value []byte) (route.Document, error) {
@@ -25,7 +25,7 @@
 	return s
 }
 
-// Guards against this: a server that has left comes back for a moment, or a route that was withdrawn.
+// Guards against a server that has left, or a withdrawn route, that comes back for a moment.
 func TestStateIgnoresOlderRevisions(t *testing.T) {
 	Convey("An older list of servers changes nothing", t, func() {
 		s := stateWithConfig()
@@ -34,27 +34,27 @@
 		s.putServer(discovery.Server{ID: "c", Service: "app"}, 48)
 		So(*s.usable.Load(), ShouldResemble, map[string]serverUse{"a": {arm: rollout.Stable}})
 	})
-	Convey("An older configuration is neither in force nor told to others", t, func() {
+	Convey("An older configuration is neither put in force nor sent to others", t, func() {
 		s := stateWithConfig()
 		So(s.applyConfig(objectstore.Object{Version: 60, Value: []byte{6}}), ShouldBeTrue)
 		So(s.config.Version, ShouldEqual, 70)
 		So(s.routes.Load().Version, ShouldEqual, 7)
 	})
-	Convey("A leaving server may not be used, whoever grants it", t, func() {
+	Convey("A leaving server must not be used, even with a grant", t, func() {
 		s := stateWithConfig()
 		s.replaceServers([]discovery.Server{{ID: "a", Service: "app", Leaving: true}, {ID: "b", Service: "app"}}, 50)
 		So(*s.usable.Load(), ShouldResemble, map[string]serverUse{"a": {leaving: true, arm: rollout.Stable}, "b": {arm: rollout.Stable}})
 	})
 }
 
-// Guards against this: after an outage of the store a server that has left is used for seconds.
+// Guards against a server that has left and is used for seconds after an outage of the store.
 func TestReaderConfirmsServers(t *testing.T) {
-	Convey("What a reader has confirmed since the outage goes at once", t, func() {
+	Convey("A server is removed immediately if a reader has confirmed the list since the outage", t, func() {
 		for _, confirmed := range []bool{true, false} {
 			s := stateWithConfig()
 			s.replaceServers([]discovery.Server{{ID: "a", Service: "app"}, {ID: "b", Service: "app"}}, 50)
 			s.storeUnavailable()
-			s.replaceServers([]discovery.Server{{ID: "b", Service: "app"}}, 51) // the store is back
+			s.replaceServers([]discovery.Server{{ID: "b", Service: "app"}}, 51) // the store has recovered
 			if confirmed {
 				s.replaceServers([]discovery.Server{{ID: "a", Service: "app"}, {ID: "b", Service: "app"}}, 52)
 				s.confirmServers(52)
@@ -64,7 +64,7 @@
 			So(known, ShouldEqual, !confirmed)
 		}
 	})
-	Convey("A reader that has another list confirms nothing", t, func() {
+	Convey("A reader with another revision confirms nothing", t, func() {
 		s := stateWithConfig()
 		s.replaceServers([]discovery.Server{{ID: "a", Service: "app"}}, 50)
 		s.storeUnavailable()
@@ -75,14 +75,14 @@
 	})
 }
 
-// keyStore holds the cluster key; get and create tell what their calls end with.
+// keyStore holds the cluster key; get and create are the errors of these calls.
 type keyStore struct {
 	objectstore.ObjectAPI
 	value   []byte
 	get     error
 	create  error
 	creates int
-	reads   int  // that were not stale
+	reads   int  // linearizable reads
 	behind  bool // stale reads find nothing yet
 }
 
@@ -112,16 +112,16 @@
 	return 1, s.create
 }
 
-// Guards against this: daemons do not know each other after a start.
+// Guards against daemons that can't authenticate each other after a start.
 func TestClusterKey(t *testing.T) {
 	ctx := context.Background()
-	Convey("A key is made only where the store says that there is none", t, func() {
+	Convey("A key is created only if the store answers that there is none", t, func() {
 		s := &keyStore{get: objectstore.ErrUnavailable}
 		_, err := s.asStore().find(ctx)
 		So(errors.Is(err, objectstore.ErrUnavailable), ShouldBeTrue)
 		So(s.creates, ShouldEqual, 0)
 	})
-	Convey("A create whose answer was lost is settled by reading", t, func() {
+	Convey("A create whose answer was lost is resolved by reading", t, func() {
 		s := &keyStore{create: objectstore.ErrUnknownOutcome}
 		key, err := clusterKey(ctx, s.asStore(), logs.For("test"))
 		So(err, ShouldBeNil)
@@ -131,14 +131,14 @@
 		So(err, ShouldBeNil)
 		So(again, ShouldResemble, key)
 	})
-	Convey("A daemon that starts again reads the key for a tenth of a call", t, func() {
+	Convey("A restarted daemon reads the key by a stale read", t, func() {
 		s := &keyStore{value: []byte(`{"key":"0a0b"}`)}
 		key, err := s.asStore().find(ctx)
 		So(err, ShouldBeNil)
 		So(key, ShouldResemble, []byte{10, 11})
 		So(s.reads, ShouldEqual, 0)
 	})
-	Convey("No key is made because a stale read has not seen it yet", t, func() {
+	Convey("No key is created when only a stale read does not find it", t, func() {
 		s := &keyStore{value: []byte(`{"key":"0a0b"}`), behind: true}
 		key, err := s.asStore().find(ctx)
 		So(err, ShouldBeNil)
--- a/internal/gateway/storeprobe.go
+++ b/internal/gateway/storeprobe.go
@@ -11,16 +11,15 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// probeInterval is how often a daemon that does not read the store checks whether
-// it could. A stale read costs a tenth of another call: 0.05 calls a second.
+// probeInterval is how often a daemon that does not list the store checks that the
+// store answers it. A stale read counts as a tenth of a call: 0.05 calls per second.
 const probeInterval = 2 * time.Second
 
-// runProbe checks whether the store answers this daemon until ctx ends.
+// runProbe checks whether the store answers this daemon, until ctx ends.
 //
-// What goes wrong without it: a VM is cut off from the store and not from the
-// other daemons. It serves on by what they prove to it, and does not notice; its
-// callers are served for nothing, by the users' contract, while they take the
-// slots of those of other VMs.
+// Without it, a VM that is cut off from the store but not from the other daemons
+// would keep serving on the state that they send it. By the users' contract its
+// answers count for nothing, while they take slots from requests on other VMs.
 func (r *reflector) runProbe(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, probeInterval-probeInterval/10+rand.N(probeInterval/5))
@@ -30,7 +29,7 @@
 	}
 }
 
-// probe asks the store for what may be old, and returns why it does not answer.
+// probe makes a stale read and returns an error if the store does not answer.
 func (r *reflector) probe(ctx context.Context) error {
 	_, err := r.stale.GetStale(ctx, kindCluster, clusterKeyName)
 	if errors.Is(err, objectstore.ErrNotFound) {
@@ -39,7 +38,7 @@
 	return err
 }
 
-// checkStore makes one check.
+// checkStore probes once and records the loss or return of the store.
 func (r *reflector) checkStore(ctx context.Context) {
 	mark := r.state.configFreshness.Mark()
 	if err := r.probe(ctx); err != nil {
