--- a/broker/cluster_test.go
+++ b/broker/cluster_test.go
@@ -48,7 +48,7 @@
 	ctx, c.stop = context.WithCancel(context.Background())
 	for _, name := range names {
 		h := poolhost.New(poolhost.Config{
-			Self: name, Region: testRegion, Snapshots: &c.snapshot, Views: &c.views, Transport: transport(name),
+			Self: name, Region: testRegion, Snapshots: &c.snapshot, View: &c.views, Transport: transport(name),
 			NewScheduler: func(p *workspace.ResolvedPool, epoch uint64) poolhost.Scheduler {
 				return pool.New(pool.Config{Name: p.Name, Policy: pool.PolicyFIFO, Epoch: epoch, MaxWaiting: 100000})
 			},
@@ -115,8 +115,8 @@
 				n.Add(-1)
 				g.Release(Completion{Outcome: pool.OutcomeDone})
 				if i == 0 && r%5 == 4 {
-					c.net.Down("a", "b")
-					c.net.Down("b", "c")
+					c.net.BreakConnection("a", "b")
+					c.net.BreakConnection("b", "c")
 				}
 			}
 		})
--- a/broker/commands.go
+++ b/broker/commands.go
@@ -29,16 +29,16 @@
 // handleBatch handles a batch of the current session.
 func (l *link) handleBatch(b poolwire.Commands) {
 	s := &l.session
-	switch b.Verdict {
-	case poolwire.VerdictNotOwner:
+	switch b.Status {
+	case poolwire.SessionNotOwner:
 		l.entry.counters.notOwner.Add(1)
 		l.dropSession(helloRetryInterval)
 		return
-	case poolwire.VerdictReset:
+	case poolwire.SessionReset:
 		l.entry.counters.sessionsReset.Add(1)
 		l.dropSession(0)
 		return
-	case poolwire.VerdictAccepted:
+	case poolwire.SessionAccepted:
 		l.sessionAccepted(b)
 	}
 	if !s.acceptSeq(b) {
@@ -46,11 +46,11 @@
 		l.dropSession(0)
 		return
 	}
-	s.lastReceived, s.ownerInterval = l.now, b.Next
+	s.lastReceived, s.ownerInterval = l.now, b.NextWithin
 	s.ackDue = s.ackDue || len(b.Commands) > 0
 	l.dropAcked(b.Ack)
 	if b.Brief != nil {
-		l.brief.Store(&cachedBrief{*b.Brief, l.now.Add(max(briefMaxAge, poolhost.SilenceLimit(b.Next)))})
+		l.brief.Store(&cachedBrief{*b.Brief, l.now.Add(max(briefMaxAge, poolhost.SilenceTimeoutFor(b.NextWithin)))})
 	}
 	for _, c := range b.Commands {
 		l.handleCommand(c)
@@ -182,7 +182,7 @@
 			events = append(events, notDispatched(g))
 		}
 	}
-	if m.batch.Verdict == poolwire.VerdictReset || m.batch.Verdict == poolwire.VerdictNotOwner {
+	if m.batch.Status == poolwire.SessionReset || m.batch.Status == poolwire.SessionNotOwner {
 		return
 	}
 	if len(events) > 0 {
--- a/broker/entry.go
+++ b/broker/entry.go
@@ -72,7 +72,7 @@
 
 // Run calls Tick periodically until ctx ends.
 func (e *Entry) Run(ctx context.Context) {
-	t := time.NewTicker(poolhost.TickEvery)
+	t := time.NewTicker(poolhost.TickInterval)
 	defer t.Stop()
 	for {
 		e.Tick()
@@ -157,10 +157,10 @@
 // live entries have reported their running requests.
 func (e *Entry) openOwnerSessions() {
 	snapshot := e.cfg.Snapshots.Load()
-	if e.cfg.Views == nil || snapshot == nil {
+	if e.cfg.View == nil || snapshot == nil {
 		return
 	}
-	view, before := e.cfg.Views.Load(), e.view
+	view, before := e.cfg.View.Load(), e.view
 	if view == before {
 		return
 	}
--- a/broker/heartbeat.go
+++ b/broker/heartbeat.go
@@ -50,41 +50,41 @@
 func (l *link) ownerSilent() bool {
 	s := &l.session
 	silence := l.now.Sub(s.lastReceived)
-	if silence > poolhost.SilenceLimit(s.ownerInterval) {
+	if silence > poolhost.SilenceTimeoutFor(s.ownerInterval) {
 		return true
 	}
-	return silence > poolhost.SilentAfter && !s.awaitingSince.IsZero() && l.now.Sub(s.awaitingSince) > poolhost.SilentAfter
+	return silence > poolhost.SilenceTimeout && !s.awaitingSince.IsZero() && l.now.Sub(s.awaitingSince) > poolhost.SilenceTimeout
 }
 
 // nextInterval returns the interval to announce with a batch of these events: the
 // time until the next batch at the latest. An owner that does not announce its own
-// interval is of a version that expects a message every poolhost.HeartbeatEvery.
+// interval is of a version that expects a message every poolhost.MinHeartbeatInterval.
 func (l *link) nextInterval(events []pool.Event) time.Duration {
 	if l.session.ownerInterval == 0 || l.awaitsOwner() {
-		return poolhost.HeartbeatEvery
+		return poolhost.MinHeartbeatInterval
 	}
 	for _, ev := range events {
 		if _, ok := ev.(pool.Progress); !ok {
-			return poolhost.HeartbeatEvery // the loss of this batch is only noticed with the next one
+			return poolhost.MinHeartbeatInterval // the loss of this batch is only noticed with the next one
 		}
 	}
-	return l.entry.cfg.Heartbeat(int(l.entry.sessions.Load()))
+	return l.entry.cfg.HeartbeatInterval(int(l.entry.sessions.Load()))
 }
 
 // heartbeatDue reports whether a heartbeat is due. Progress is sent every
-// poolhost.HeartbeatEvery, whatever the session's interval. The first heartbeat of
+// poolhost.MinHeartbeatInterval, whatever the session's interval. The first heartbeat of
 // a session that has just become busy waits that long for events to send with it.
 func (l *link) heartbeatDue() bool {
 	s := &l.session
 	silence := l.now.Sub(s.lastSent)
 	interval := l.nextInterval(nil)
 	if s.ackDue {
-		interval = poolhost.HeartbeatEvery
+		interval = poolhost.MinHeartbeatInterval
 	}
-	if silence >= s.announcedInterval || len(l.pendingProgress) > 0 && silence >= poolhost.HeartbeatEvery {
+	if silence >= s.announcedInterval || len(l.pendingProgress) > 0 && silence >= poolhost.MinHeartbeatInterval {
 		return true
 	}
-	return silence >= interval && l.now.Sub(s.busySince) >= poolhost.HeartbeatEvery
+	return silence >= interval && l.now.Sub(s.busySince) >= poolhost.MinHeartbeatInterval
 }
 
 // heartbeat sends the pending progress or, if there is none, a batch without
--- a/broker/heartbeat_test.go
+++ b/broker/heartbeat_test.go
@@ -18,12 +18,12 @@
 	switch t {
 	case peer.TypePoolEvents:
 		if b, err := poolwire.DecodeEvents(payload); err == nil {
-			b.Next = 0
+			b.NextWithin = 0
 			return poolwire.EncodeEvents(b)
 		}
 	case peer.TypePoolCommands:
 		if b, err := poolwire.DecodeCommands(payload, ""); err == nil {
-			b.Next = 0
+			b.NextWithin = 0
 			return poolwire.EncodeCommands(b)
 		}
 	}
@@ -113,7 +113,7 @@
 
 		Convey("the entry of a new request notices it soon", func() {
 			n.acquire(1, time.Hour)
-			So(took(1), ShouldBeLessThanOrEqualTo, poolhost.SilentAfter+2*poolhost.TickEvery)
+			So(took(1), ShouldBeLessThanOrEqualTo, poolhost.SilenceTimeout+2*poolhost.TickInterval)
 		})
 		Convey("so does the entry of a request that ends", func() {
 			for _, g := range grants {
@@ -121,7 +121,7 @@
 					g.Release(Completion{})
 				}
 			}
-			So(took(1), ShouldBeLessThanOrEqualTo, poolhost.SilentAfter+2*poolhost.TickEvery)
+			So(took(1), ShouldBeLessThanOrEqualTo, poolhost.SilenceTimeout+2*poolhost.TickInterval)
 		})
 		Convey("the other entries notice it after the announced interval", func() {
 			So(took(39), ShouldBeLessThan, poolhost.HeartbeatInterval(40))
@@ -132,13 +132,13 @@
 // Guards against slots of a vanished entry that stay taken longer in a larger region.
 func TestVanishedEntryOnIdleSession(t *testing.T) {
 	Convey("Given an entry that vanishes while its session has a long heartbeat interval", t, func() {
-		sim := newSimulationWithHeartbeat(1, func(int) time.Duration { return poolhost.MaxHeartbeat }, "a", "b")
+		sim := newSimulationWithHeartbeat(1, func(int) time.Duration { return poolhost.MaxHeartbeatInterval }, "a", "b")
 		sim.advance(time.Second)
 		n := sim.nonOwner()
 		n.acquire(1, time.Hour)
 		sim.advance(5 * time.Second)
 		So(sim.owner().host.Summaries()[0].Running, ShouldEqual, 1)
-		So(n.entry.link(testPool).session.announcedInterval, ShouldEqual, poolhost.MaxHeartbeat)
+		So(n.entry.link(testPool).session.announcedInterval, ShouldEqual, poolhost.MaxHeartbeatInterval)
 		owner := sim.owner()
 		n.paused = true
 		sim.advance(40 * time.Second)
@@ -153,7 +153,7 @@
 		So(grants[0].link.session.announcedInterval, ShouldBeGreaterThan, 5*time.Second)
 		for i := range 4 {
 			grants[0].Progress(time.Second, i+1, time.Millisecond)
-			sim.advance(poolhost.HeartbeatEvery + poolhost.TickEvery)
+			sim.advance(poolhost.MinHeartbeatInterval + poolhost.TickInterval)
 			So(len(sim.progressReports()), ShouldEqual, i+1)
 		}
 	})
--- a/broker/link.go
+++ b/broker/link.go
@@ -55,7 +55,7 @@
 	ownerName string
 	// share is open in degraded mode. probe is the session that is being opened with
 	// a new owner while another owner or the share still schedules.
-	share *poolhost.Share
+	share *poolhost.StaticShare
 	probe session
 }
 
--- a/broker/owner.go
+++ b/broker/owner.go
@@ -56,7 +56,7 @@
 
 // shareOwner is this daemon's share of the pool in degraded mode.
 type shareOwner struct {
-	share *poolhost.Share
+	share *poolhost.StaticShare
 	link  *link
 }
 
--- a/broker/property_test.go
+++ b/broker/property_test.go
@@ -223,7 +223,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newStateMachine(
 			rapid.SampledFrom([]pool.Policy{pool.PolicyFIFO, pool.PolicyLycheekeel}).Draw(t, "policy"),
-			rapid.SampledFrom([]time.Duration{poolhost.HeartbeatEvery, poolhost.MaxHeartbeat}).Draw(t, "idle heartbeat"),
+			rapid.SampledFrom([]time.Duration{poolhost.MinHeartbeatInterval, poolhost.MaxHeartbeatInterval}).Draw(t, "idle heartbeat"),
 		)
 		t.Repeat(m.actions())
 		m.recoverAndCheck(t)
--- a/broker/session.go
+++ b/broker/session.go
@@ -225,7 +225,7 @@
 		n := batchLen(l.outbox)
 		switch err := l.send(l.outbox[:n:n]); {
 		case errors.Is(err, peer.ErrOverloaded):
-			l.sendAfter = l.now.Add(poolhost.TickEvery)
+			l.sendAfter = l.now.Add(poolhost.TickInterval)
 			return
 		case err != nil:
 			l.dropSession(helloRetryInterval)
@@ -264,7 +264,7 @@
 	}
 	err := s.owner.events(poolwire.Events{
 		Pool: l.pool, Entry: l.entry.id, Session: s.id, Seq: seq, Ack: s.seqIn, Events: events,
-		Next: promised,
+		NextWithin: promised,
 	})
 	if err != nil {
 		l.entry.counters.sendFailed.Add(1)
--- a/broker/simulation_test.go
+++ b/broker/simulation_test.go
@@ -102,8 +102,8 @@
 func (sim *simulation) add(name string) *node {
 	n := &node{sim: sim, name: name, handlers: map[peer.Type]peer.Handler{}}
 	n.host = poolhost.New(poolhost.Config{
-		Self: name, Region: testRegion, Snapshots: &sim.snapshot, Views: &n.views, Transport: n,
-		Now: func() time.Time { return sim.now }, Spawn: func(f func()) { f() }, Heartbeat: sim.heartbeat, DegradedAfter: sim.degradedAfter,
+		Self: name, Region: testRegion, Snapshots: &sim.snapshot, View: &n.views, Transport: n,
+		Now: func() time.Time { return sim.now }, Spawn: func(f func()) { f() }, HeartbeatInterval: sim.heartbeat, DegradedAfter: sim.degradedAfter,
 		Trace: func(_ string, _ time.Time, ev pool.Event, _ []pool.Command) {
 			if _, tick := ev.(pool.Tick); !tick {
 				sim.events = append(sim.events, ev)
@@ -232,7 +232,7 @@
 // advance advances the time tick by tick.
 func (sim *simulation) advance(d time.Duration) {
 	for end := sim.now.Add(d); sim.now.Before(end); {
-		sim.now = sim.now.Add(poolhost.TickEvery)
+		sim.now = sim.now.Add(poolhost.TickInterval)
 		sim.tick()
 		sim.pump()
 	}
--- a/broker/tick.go
+++ b/broker/tick.go
@@ -63,10 +63,10 @@
 // ownerMoved reports whether membership names another owner than o. If it names
 // none, the session is kept.
 func (l *link) ownerMoved(o owner) bool {
-	if l.entry.cfg.Views == nil {
+	if l.entry.cfg.View == nil {
 		return false
 	}
-	if view := l.entry.cfg.Views.Load(); view != l.ownerView {
+	if view := l.entry.cfg.View.Load(); view != l.ownerView {
 		l.ownerView = view
 		l.ownerName, _ = l.entry.host.Owner(l.pool, l.entry.cfg.Region)
 	}
@@ -91,7 +91,7 @@
 		return
 	}
 	l.entry.counters.degradedEntered.Add(1)
-	l.share = l.entry.host.OpenShare(snapshot.Pools[l.pool])
+	l.share = l.entry.host.OpenStaticShare(snapshot.Pools[l.pool])
 	l.startSession(&l.session, shareOwner{l.share, l})
 }
 
@@ -117,7 +117,7 @@
 // handleProbeAnswer switches to the probed session if the owner accepts it. Requests
 // granted by the previous owner or from the share are reported as running.
 func (l *link) handleProbeAnswer(b poolwire.Commands) {
-	if b.Verdict != poolwire.VerdictAccepted {
+	if b.Status != poolwire.SessionAccepted {
 		l.probe.state = sessionClosed
 		return
 	}
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -194,7 +194,7 @@
 	}
 	interval := poolhost.HeartbeatInterval(int(math.Ceil(sessions)))
 	if c.fixedHeartbeat {
-		interval = poolhost.HeartbeatEvery
+		interval = poolhost.MinHeartbeatInterval
 	}
 	return sessions / interval.Seconds()
 }
@@ -273,7 +273,7 @@
 const blocksOfAServer = 1024
 
 func (c *model) probes(l Load) Item {
-	rate := l.servers / poolhost.ProbeEvery.Seconds()
+	rate := l.servers / poolhost.ProbeInterval.Seconds()
 	return Item{
 		Role: RoleOwner, Name: "probes of backend servers", Control: true, Mechanism: "one owner a pool asks, not every entry",
 		Messages: rate, Bytes: rate * c.at(seriesProbeBytes, 1), CPU: rate * c.at(seriesProbeCPU, 1),
@@ -288,7 +288,7 @@
 	if l.poolWaiting > 0 {
 		owned = 1
 	}
-	rate := owned * siblings / poolhost.SpreadEvery.Seconds()
+	rate := owned * siblings / poolhost.SummaryInterval.Seconds()
 	payload := c.at(seriesAnswerBytes, 1)
 	return Item{
 		Role: RoleOwner, Name: "briefs to pools of the same model", Control: true, Mechanism: "twice a second where something changed",
@@ -297,7 +297,7 @@
 }
 
 func (c *model) ticks(l Load) Item {
-	rate := l.pools / poolhost.TickEvery.Seconds()
+	rate := l.pools / poolhost.TickInterval.Seconds()
 	return Item{
 		Role: RoleOwner, Name: "ticks of idle pools", Control: true, Mechanism: "a tick looks at servers and expired requests only",
 		CPU: rate * c.at(seriesTickSeconds, 100),
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -140,8 +140,8 @@
 	engines := httpengine.NewDialer(s.engineSettings())
 	d.vms = newLeavingVMs(d.platform, func() bool { return len(d.host.Summaries()) > 0 })
 	d.host = poolhost.New(poolhost.Config{
-		Self: s.Name, Region: s.Region, Snapshots: d.config, Views: d.views, Transport: d.transport,
-		Engines: engines, Leaving: d.vms.leaving, Metrics: d.metrics,
+		Self: s.Name, Region: s.Region, Snapshots: d.config, View: d.views, Transport: d.transport,
+		Engines: engines, IsLeaving: d.vms.leaving, Metrics: d.metrics,
 	})
 	d.broker = broker.New(d.host)
 	d.ledger = claim.NewLedger(d.platform, claim.Options{Metrics: d.metrics})
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -34,7 +34,7 @@
 	var err error
 	g.transport, err = peer.NewTCP(peer.Options{
 		Name: peer.Name(s.Name), Listen: s.Peer, Keys: [][]byte{key}, Registry: g.metrics,
-		PingAfter: peerPingAfter, Silence: peerSilence,
+		PingDelay: peerPingAfter, PingTimeout: peerSilence,
 	})
 	if err != nil {
 		return errors.Wrap(err, "listen on the peer address")
@@ -51,8 +51,8 @@
 		return errors.Wrap(err, "create membership")
 	}
 	g.host = poolhost.New(poolhost.Config{
-		Self: s.Name, Region: s.Region, Snapshots: g.pools, Views: g.views, Transport: g.transport,
-		DegradedAfter: degradedAfter, Unmonitored: true, Metrics: g.metrics, NewScheduler: newScheduler,
+		Self: s.Name, Region: s.Region, Snapshots: g.pools, View: g.views, Transport: g.transport,
+		DegradedAfter: degradedAfter, DisableProbes: true, Metrics: g.metrics, NewScheduler: newScheduler,
 	})
 	g.broker = broker.New(g.host)
 	g.quotas = newQuotaSync(g.ledger, g.budgets, g.transport, g.views, time.Now)
--- a/internal/gateway/quotasync.go
+++ b/internal/gateway/quotasync.go
@@ -60,7 +60,7 @@
 	}
 	t.Handle(peer.TypeQuotaBatch, q.handleBatch)
 	t.Handle(peer.TypeQuotaAnswer, q.handleAnswer)
-	t.Handle(peer.TypeQuotaGroup, q.handleGroup)
+	t.Handle(peer.TypeQuotaHubReport, q.handleGroup)
 	return q
 }
 
@@ -158,7 +158,7 @@
 	}
 	for name, other := range targets {
 		if other {
-			q.send(name, peer.TypeQuotaGroup, m)
+			q.send(name, peer.TypeQuotaHubReport, m)
 		}
 	}
 }
--- a/internal/gateway/quotasync_test.go
+++ b/internal/gateway/quotasync_test.go
@@ -155,7 +155,7 @@
 		}
 		for _, m := range transport.sent {
 			switch {
-			case m.kind == peer.TypeQuotaGroup:
+			case m.kind == peer.TypeQuotaHubReport:
 				groups[string(m.to)] = true
 			case len(reported) == 0 || reported[len(reported)-1] != string(m.to):
 				reported = append(reported, string(m.to))
@@ -193,7 +193,7 @@
 func TestMalformedQuotaMessagesAreRefused(t *testing.T) {
 	Convey("Malformed messages are refused and change nothing", t, func() {
 		q, transport := newTestQuotaSync("a1", zoneMembers(map[string]int{"a": 2}))
-		for _, m := range []peer.Type{peer.TypeQuotaBatch, peer.TypeQuotaAnswer, peer.TypeQuotaGroup} {
+		for _, m := range []peer.Type{peer.TypeQuotaBatch, peer.TypeQuotaAnswer, peer.TypeQuotaHubReport} {
 			_, err := transport.handlers[m](context.Background(), "a2", []byte{0xff, 0xff})
 			So(err, ShouldNotBeNil)
 		}
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -10,8 +10,8 @@
 // TestOneAtATime checks that messages of many posters, and those that the
 // handler posts itself, are handled one batch at a time, all of them, and in
 // order of each poster.
-func TestOneAtATime(t *testing.T) {
-	const posters, each = 8, 2000
+func TestHandlesBatchesSerially(t *testing.T) {
+	const posters, perPoster = 8, 2000
 	type message struct{ poster, n int }
 	var handling atomic.Int32
 	var last [posters]int
@@ -26,10 +26,10 @@
 				t.Errorf("poster %d: %d after %d", m.poster, m.n, last[m.poster])
 			}
 			last[m.poster] = m.n
-			if m.poster == 0 && m.n < each {
+			if m.poster == 0 && m.n < perPoster {
 				box.Post(message{0, m.n + 1}) // by the handler itself
 			}
-			if handled++; handled == posters*each {
+			if handled++; handled == posters*perPoster {
 				close(all)
 			}
 		}
@@ -38,7 +38,7 @@
 	var group conc.WaitGroup
 	for p := range posters {
 		group.Go(func() {
-			for n := 1; n <= each && (p > 0 || n == 1); n++ {
+			for n := 1; n <= perPoster && (p > 0 || n == 1); n++ {
 				box.Post(message{p, n})
 			}
 		})
--- a/internal/peer/auth.go
+++ b/internal/peer/auth.go
@@ -33,8 +33,8 @@
 	exporterBytes = 32
 	// maxHelloBytes bounds what is read from a peer before it is trusted.
 	maxHelloBytes = 1024
-	// certificateLife is longer than any daemon runs; nobody checks it.
-	certificateLife = 100 * 365 * 24 * time.Hour
+	// certificateValidity is longer than any daemon runs; nobody checks it.
+	certificateValidity = 100 * 365 * 24 * time.Hour
 )
 
 // role is part of each proof, so that a proof can't be reflected.
@@ -47,14 +47,14 @@
 
 // authError is a failed handshake with its reason.
 type authError struct {
-	why reason
-	err error
+	reason reason
+	err    error
 }
 
-func (e *authError) Error() string { return string(e.why) + ": " + e.err.Error() }
+func (e *authError) Error() string { return string(e.reason) + ": " + e.err.Error() }
 
-func authFailed(why reason, format string, args ...any) error {
-	return &authError{why: why, err: errors.Errorf(format, args...)}
+func newAuthError(why reason, format string, args ...any) error {
+	return &authError{reason: why, err: errors.Errorf(format, args...)}
 }
 
 // newTLSConfig returns the configuration for both roles. Sessions are never
@@ -68,7 +68,7 @@
 		SerialNumber: big.NewInt(1),
 		Subject:      pkix.Name{CommonName: "peer"},
 		NotBefore:    time.Unix(0, 0),
-		NotAfter:     time.Unix(0, 0).Add(certificateLife),
+		NotAfter:     time.Unix(0, 0).Add(certificateValidity),
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, public, private)
 	if err != nil {
@@ -108,12 +108,12 @@
 	if err != nil {
 		return handshakeResult{}, err
 	}
-	mine, err := a.hello(to, replaces)
+	ownHello, err := a.marshalHello(to, replaces)
 	if err != nil {
 		return handshakeResult{}, err
 	}
-	proof := prove(a.keys[0], roleDialer, binding, mine)
-	if err := writeHello(conn, &wire.SignedHello{Hello: mine, Proof: proof}); err != nil {
+	proof := computeProof(a.keys[0], roleDialer, binding, ownHello)
+	if err := writeHello(conn, &wire.SignedHello{Hello: ownHello, Proof: proof}); err != nil {
 		return handshakeResult{}, err
 	}
 	answer, err := readHello(conn)
@@ -121,12 +121,12 @@
 		return handshakeResult{}, err
 	}
 	if answer.Refusal != "" {
-		return handshakeResult{}, authFailed(authRefused, "peer refused: %.64q", answer.Refusal)
+		return handshakeResult{}, newAuthError(authRefused, "peer refused: %.64q", answer.Refusal)
 	}
-	if !a.proven(answer.Proof, roleAcceptor, binding, mine, answer.Hello) {
-		return handshakeResult{}, authFailed(authWrongKey, "acceptor holds no known cluster key")
+	if !a.verifyProof(answer.Proof, roleAcceptor, binding, ownHello, answer.Hello) {
+		return handshakeResult{}, newAuthError(authWrongKey, "acceptor holds no known cluster key")
 	}
-	return a.check(answer.Hello, to)
+	return a.checkHello(answer.Hello, to)
 }
 
 // accept checks the dialer first and then proves this daemon. A refusal is
@@ -136,35 +136,35 @@
 	if err != nil {
 		return handshakeResult{}, err
 	}
-	theirs, err := readHello(conn)
+	peerHello, err := readHello(conn)
 	if err != nil {
 		return handshakeResult{}, err
 	}
-	if !a.proven(theirs.Proof, roleDialer, binding, theirs.Hello) {
-		return handshakeResult{}, refuse(conn, authFailed(authWrongKey, "dialer holds no known cluster key"))
+	if !a.verifyProof(peerHello.Proof, roleDialer, binding, peerHello.Hello) {
+		return handshakeResult{}, refuse(conn, newAuthError(authWrongKey, "dialer holds no known cluster key"))
 	}
-	res, err := a.check(theirs.Hello, "")
+	res, err := a.checkHello(peerHello.Hello, "")
 	if err != nil {
 		return res, refuse(conn, err)
 	}
-	mine, err := a.hello(res.peer, false)
+	ownHello, err := a.marshalHello(res.peer, false)
 	if err != nil {
 		return res, err
 	}
-	proof := prove(a.keys[0], roleAcceptor, binding, theirs.Hello, mine)
-	return res, writeHello(conn, &wire.SignedHello{Hello: mine, Proof: proof})
+	proof := computeProof(a.keys[0], roleAcceptor, binding, peerHello.Hello, ownHello)
+	return res, writeHello(conn, &wire.SignedHello{Hello: ownHello, Proof: proof})
 }
 
 // refuse tells the dialer the reason as far as it can, and returns err.
 func refuse(conn *tls.Conn, err error) error {
 	var ae *authError
 	if errors.As(err, &ae) {
-		_ = writeHello(conn, &wire.SignedHello{Refusal: string(ae.why)})
+		_ = writeHello(conn, &wire.SignedHello{Refusal: string(ae.reason)})
 	}
 	return err
 }
 
-func (a *authenticator) hello(to Name, replaces bool) ([]byte, error) {
+func (a *authenticator) marshalHello(to Name, replaces bool) ([]byte, error) {
 	h := &wire.Hello{
 		Name: string(a.name), Instance: a.instance, Replaces: replaces,
 		OldestVersion: a.oldest, NewestVersion: a.newest,
@@ -176,11 +176,11 @@
 	return b, errors.Wrap(err, "peer: encode hello")
 }
 
-// check validates a proven hello; expected is the name that was dialed.
-func (a *authenticator) check(hello []byte, expected Name) (handshakeResult, error) {
+// checkHello validates a proven hello; expected is the name that was dialed.
+func (a *authenticator) checkHello(hello []byte, expected Name) (handshakeResult, error) {
 	var h wire.Hello
 	if err := proto.Unmarshal(hello, &h); err != nil {
-		return handshakeResult{}, authFailed(authBadHello, "hello: %v", err)
+		return handshakeResult{}, newAuthError(authBadHello, "hello: %v", err)
 	}
 	name := Name(h.Name)
 	_, nameIsAddress := name.Address()
@@ -188,33 +188,33 @@
 	version := min(a.newest, h.NewestVersion)
 	switch {
 	case name == "" || len(name) > maxNameBytes || nameIsAddress:
-		return handshakeResult{}, authFailed(authBadHello, "bad name")
+		return handshakeResult{}, newAuthError(authBadHello, "bad name")
 	case name == a.name:
-		return handshakeResult{}, authFailed(authSelf, "connected to a daemon with my own name")
+		return handshakeResult{}, newAuthError(authSelf, "connected to a daemon with my own name")
 	case h.To != "" && Name(h.To) != a.name:
-		return handshakeResult{}, authFailed(authWrongPeer, "peer wanted %q", h.To)
+		return handshakeResult{}, newAuthError(authWrongPeer, "peer wanted %q", h.To)
 	case expected != "" && !byAddress && name != expected:
-		return handshakeResult{}, authFailed(authWrongPeer, "wanted %q, found %q", expected, name)
+		return handshakeResult{}, newAuthError(authWrongPeer, "wanted %q, found %q", expected, name)
 	case version < a.oldest || version < h.OldestVersion:
-		return handshakeResult{}, authFailed(authProtocol, "no common version with %q: %d to %d", name, h.OldestVersion, h.NewestVersion)
+		return handshakeResult{}, newAuthError(authProtocol, "no common version with %q: %d to %d", name, h.OldestVersion, h.NewestVersion)
 	}
 	return handshakeResult{peer: name, instance: h.Instance, version: version, replaces: h.Replaces}, nil
 }
 
-// proven tells whether any known key made the proof.
-func (a *authenticator) proven(proof []byte, r role, binding []byte, parts ...[]byte) bool {
+// verifyProof tells whether any known key made the proof.
+func (a *authenticator) verifyProof(proof []byte, r role, binding []byte, parts ...[]byte) bool {
 	ok := false
 	for _, k := range a.keys {
-		if hmac.Equal(proof, prove(k, r, binding, parts...)) {
+		if hmac.Equal(proof, computeProof(k, r, binding, parts...)) {
 			ok = true
 		}
 	}
 	return ok
 }
 
-// prove is an HMAC-SHA256 over length-prefixed parts, so that no two lists of
+// computeProof is an HMAC-SHA256 over length-prefixed parts, so that no two lists of
 // parts give the same input.
-func prove(key []byte, r role, binding []byte, parts ...[]byte) []byte {
+func computeProof(key []byte, r role, binding []byte, parts ...[]byte) []byte {
 	m := hmac.New(sha256.New, key)
 	for _, p := range append([][]byte{[]byte(r), binding}, parts...) {
 		var size [8]byte
@@ -227,12 +227,12 @@
 
 func channelBinding(conn *tls.Conn) ([]byte, error) {
 	if err := conn.Handshake(); err != nil {
-		return nil, authFailed(authTLS, "tls: %v", err)
+		return nil, newAuthError(authTLS, "tls: %v", err)
 	}
 	state := conn.ConnectionState()
 	b, err := state.ExportKeyingMaterial(exporterLabel, nil, exporterBytes)
 	if err != nil {
-		return nil, authFailed(authTLS, "export keying material: %v", err)
+		return nil, newAuthError(authTLS, "export keying material: %v", err)
 	}
 	return b, nil
 }
@@ -243,7 +243,7 @@
 		return err
 	}
 	if _, err := w.Write(b); err != nil {
-		return authFailed(authTLS, "write hello: %v", err)
+		return newAuthError(authTLS, "write hello: %v", err)
 	}
 	return nil
 }
@@ -253,7 +253,7 @@
 	var h wire.SignedHello
 	opts := protodelim.UnmarshalOptions{MaxSize: maxHelloBytes}
 	if err := opts.UnmarshalFrom(byteReader{r}, &h); err != nil {
-		return nil, authFailed(authBadHello, "read hello: %v", err)
+		return nil, newAuthError(authBadHello, "read hello: %v", err)
 	}
 	return &h, nil
 }
--- a/internal/peer/auth_test.go
+++ b/internal/peer/auth_test.go
@@ -26,7 +26,7 @@
 	newKey = "the new cluster key"
 )
 
-func TestKeys(t *testing.T) {
+func TestClusterKeys(t *testing.T) {
 	Convey("Daemons connect if and only if each accepts the other's first key", t, func() {
 		for _, c := range []struct {
 			a, b []string
@@ -41,7 +41,7 @@
 			{a: []string{newKey, oldKey}, b: []string{oldKey}},
 		} {
 			a, b := startNode("a", withKeys(c.a...)), startNode("b", withKeys(c.b...))
-			a.knows(b)
+			a.setAddresses(b)
 			_, err := a.call("b", "x")
 			So(err == nil, ShouldEqual, c.ok)
 			if !c.ok {
@@ -55,22 +55,22 @@
 	})
 }
 
-func TestVersionsSideBySide(t *testing.T) {
+func TestMixedVersions(t *testing.T) {
 	// Guards against this: during an upgrade the old and the new daemons form two clusters, or a daemon closes connections on a message type that it does not know.
 	Convey("Given an old daemon and a new one with more message types", t, func() {
 		old := startNode("old", nil)
-		young := startNode("young", func(o *Options) { o.newest = NewestVersion + 1 })
-		young.knows(old)
+		newer := startNode("young", func(o *Options) { o.newest = NewestVersion + 1 })
+		newer.setAddresses(old)
 
 		Convey("they agree on the old version and ignore what they don't know", func() {
-			const typeOfTheFuture Type = 9000
-			So(young.Send("old", typeOfTheFuture, []byte("?")), ShouldBeNil)
-			So(young.Send("old", TypePoolEvents, []byte("1")), ShouldBeNil)
-			So(await(old.got), ShouldEqual, "young:1")
+			const unknownType Type = 9000
+			So(newer.Send("old", unknownType, []byte("?")), ShouldBeNil)
+			So(newer.Send("old", TypePoolEvents, []byte("1")), ShouldBeNil)
+			So(await(old.received), ShouldEqual, "young:1")
 			eventually(func() bool { return old.count(groupDrops, dropUnknownType) == 1 })
-			_, err := young.Call(t.Context(), "old", typeOfTheFuture, nil)
+			_, err := newer.Call(t.Context(), "old", unknownType, nil)
 			So(err, ShouldEqual, ErrUnknownType)
-			v, ok := young.Version("old")
+			v, ok := newer.Version("old")
 			So(ok, ShouldBeTrue)
 			So(v, ShouldEqual, NewestVersion)
 		})
@@ -78,7 +78,7 @@
 			strict := startNode("strict", func(o *Options) {
 				o.oldest, o.newest = NewestVersion+1, NewestVersion+1
 			})
-			strict.knows(old)
+			strict.setAddresses(old)
 			_, err := strict.call("old", "x")
 			So(err, ShouldNotBeNil)
 			eventually(func() bool { return old.count(groupAuth, authProtocol) > 0 })
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestNames(t *testing.T) {
+func TestPeerNameMismatch(t *testing.T) {
 	// Guards against this: messages meant for one daemon are handled by another.
 	Convey("A daemon that finds another name at an address refuses it", t, func() {
 		a, b := startNode("a", nil), startNode("b", nil)
@@ -100,15 +100,15 @@
 		a := startNode("a", nil)
 		So(a.Send(ByAddress(a.Addr().String()), TypePoolEvents, nil), ShouldBeNil)
 		eventually(func() bool { return a.count(groupAuth, authSelf) > 0 })
-		So(len(a.got), ShouldEqual, 0)
+		So(len(a.received), ShouldEqual, 0)
 	})
 }
 
-// strangerDial opens a TLS connection to a daemon as anybody may.
-func strangerDial(n *node) *tls.Conn {
+// dialUnauthenticated opens a TLS connection to a daemon as anybody may.
+func dialUnauthenticated(n *node) *tls.Conn {
 	c, err := tls.Dial("tcp", n.Addr().String(), &tls.Config{InsecureSkipVerify: true, MinVersion: tls.VersionTLS13})
 	So(err, ShouldBeNil)
-	So(c.SetDeadline(time.Now().Add(patience)), ShouldBeNil)
+	So(c.SetDeadline(time.Now().Add(waitTimeout)), ShouldBeNil)
 	return c
 }
 
@@ -118,25 +118,25 @@
 	return err != nil || (h.Refusal != "" && len(h.Proof) == 0)
 }
 
-func TestStrangers(t *testing.T) {
+func TestUnauthenticatedPeers(t *testing.T) {
 	// Guards against this: grants from nobody's daemon, or a daemon busy with strangers.
 	Convey("Given a daemon", t, func() {
 		a := startNode("a", func(o *Options) { o.HandshakeTimeout = 300 * time.Millisecond })
 
 		Convey("a hello recorded on another connection proves nothing", func() {
 			recorded := recordHello(a)
-			c := strangerDial(a)
+			c := dialUnauthenticated(a)
 			So(writeHello(c, recorded), ShouldBeNil)
 			So(refused(c), ShouldBeTrue)
 			eventually(func() bool { return a.count(groupAuth, authWrongKey) == 1 })
 		})
 		Convey("somebody in the middle who passes the hellos on is refused", func() {
 			victim := startNode("victim", nil)
-			middle, err := net.Listen("tcp", "127.0.0.1:0")
+			relay, err := net.Listen("tcp", "127.0.0.1:0")
 			So(err, ShouldBeNil)
-			Reset(func() { middle.Close() })
-			go passHellosOn(middle, a.Addr().String())
-			victim.SetAddress("a", middle.Addr().String())
+			Reset(func() { relay.Close() })
+			go relayHellos(relay, a.Addr().String())
+			victim.SetAddress("a", relay.Addr().String())
 			_, err = victim.call("a", "x")
 			So(err, ShouldNotBeNil)
 			eventually(func() bool { return a.count(groupAuth, authWrongKey) == 1 })
@@ -145,20 +145,20 @@
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			So(err, ShouldBeNil)
 			Reset(func() { ln.Close() })
-			go reflect(ln)
+			go echo(ln)
 			a.SetAddress("b", ln.Addr().String())
 			_, err = a.call("b", "x")
 			So(err, ShouldNotBeNil)
 			eventually(func() bool { return a.count(groupAuth, authWrongKey) == 1 })
 		})
 		Convey("garbage and large hellos are refused, silence is cut off", func() {
-			c := strangerDial(a)
+			c := dialUnauthenticated(a)
 			So(writeHello(c, &wire.SignedHello{Hello: make([]byte, 2*maxHelloBytes)}), ShouldBeNil)
 			So(refused(c), ShouldBeTrue)
 			eventually(func() bool { return a.count(groupAuth, authBadHello) == 1 })
 			silent, err := net.Dial("tcp", a.Addr().String())
 			So(err, ShouldBeNil)
-			_ = silent.SetDeadline(time.Now().Add(patience))
+			_ = silent.SetDeadline(time.Now().Add(waitTimeout))
 			_, err = io.ReadAll(silent)
 			So(err, ShouldBeNil)
 			eventually(func() bool { return a.count(groupAuth, authTLS) == 1 })
@@ -176,20 +176,20 @@
 
 // recordHello returns what a holder of the key proved on its own connection.
 func recordHello(a *node) *wire.SignedHello {
-	c := strangerDial(a)
+	c := dialUnauthenticated(a)
 	defer c.Close()
 	binding, err := channelBinding(c)
 	So(err, ShouldBeNil)
 	hello, err := proto.Marshal(&wire.Hello{Name: "b", OldestVersion: OldestVersion, NewestVersion: NewestVersion})
 	So(err, ShouldBeNil)
-	signed := &wire.SignedHello{Hello: hello, Proof: prove(testKey, roleDialer, binding, hello)}
+	signed := &wire.SignedHello{Hello: hello, Proof: computeProof(testKey, roleDialer, binding, hello)}
 	So(writeHello(c, signed), ShouldBeNil)
 	So(refused(c), ShouldBeFalse)
 	return signed
 }
 
-// passHellosOn is a TLS server towards the dialer and a client of the target.
-func passHellosOn(ln net.Listener, target string) {
+// relayHellos is a TLS server towards the dialer and a client of the target.
+func relayHellos(ln net.Listener, target string) {
 	conf, err := newTLSConfig()
 	if err != nil {
 		return
@@ -209,8 +209,8 @@
 	_, _ = io.Copy(client, server)
 }
 
-// reflect is a TLS server that sends back whatever it is sent.
-func reflect(ln net.Listener) {
+// echo is a TLS server that sends back whatever it is sent.
+func echo(ln net.Listener) {
 	conf, err := newTLSConfig()
 	if err != nil {
 		return
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -9,15 +9,15 @@
 
 // benchPair starts two transports; the second answers calls and acks messages.
 func benchPair(b *testing.B) (*TCP, *TCP, chan struct{}) {
-	acks := make(chan struct{}, queueMessages)
-	make1 := func(name Name) *TCP {
+	acks := make(chan struct{}, maxQueuedMessages)
+	newTransport := func(name Name) *TCP {
 		t, err := NewTCP(Options{Name: name, Listen: "127.0.0.1:0", Keys: [][]byte{testKey}, Registry: metrics.New()})
 		if err != nil {
 			b.Fatal(err)
 		}
 		return t
 	}
-	a, c := make1("a"), make1("c")
+	a, c := newTransport("a"), newTransport("c")
 	c.Handle(TypeMemberProbe, func(_ context.Context, from Name, p []byte) ([]byte, error) {
 		return nil, c.Send(from, TypeMemberAck, p)
 	})
@@ -35,7 +35,7 @@
 
 // wireBytes is what a transport sent and received with encryption and framing,
 // without the TCP and IP headers.
-func wireBytes(t *TCP) int64 { return t.count.wireIn.Value() + t.count.wireOut.Value() }
+func wireBytes(t *TCP) int64 { return t.count.wireBytesIn.Value() + t.count.wireBytesOut.Value() }
 
 // BenchmarkProbe is one small message and its answer, one at a time.
 func BenchmarkProbe(b *testing.B) {
@@ -69,7 +69,7 @@
 		a.mu.Lock()
 		l := a.peers["c"].current
 		a.mu.Unlock()
-		a.down(l, closedSilent) // the next dial replaces it at once
+		a.closeLink(l, closedSilent) // the next dial replaces it at once
 	}
 	b.ReportMetric(float64(wireBytes(a))/float64(b.N), "wire-B/op")
 }
--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -15,7 +15,7 @@
 	if !l.startCall() {
 		return nil, errLinkClosing
 	}
-	defer l.calls.Add(-1)
+	defer l.outgoingCalls.Add(-1)
 	if err := l.awaitUp(ctx); err != nil {
 		return nil, err
 	}
@@ -24,14 +24,14 @@
 		return nil, errors.WithMessage(ErrNotConnected, err.Error())
 	}
 	defer l.session.closeStream(stream)
-	stop := context.AfterFunc(ctx, func() { _ = stream.SetDeadline(l.t.now()) })
+	stop := context.AfterFunc(ctx, func() { _ = stream.SetDeadline(l.transport.now()) })
 	defer stop()
-	l.noteSent(t)
+	l.markSent(t)
 	e, err := l.exchange(stream, t, payload)
 	if err != nil {
 		return nil, errors.WithMessage(ErrUnknownOutcome, err.Error())
 	}
-	return answerOf(e)
+	return callResult(e)
 }
 
 // startCall counts a call, so that the link is not closed as idle under it.
@@ -41,7 +41,7 @@
 	if l.closed || l.closing {
 		return false
 	}
-	l.calls.Add(1)
+	l.outgoingCalls.Add(1)
 	return true
 }
 
@@ -54,17 +54,17 @@
 	if _, err := stream.Write(b); err != nil {
 		return nil, err
 	}
-	l.t.count.countSent(t, len(b))
+	l.transport.count.countSent(t, len(b))
 	e, size, err := readEnvelope(bufio.NewReaderSize(stream, readBufferBytes))
 	if err != nil {
 		return nil, err
 	}
-	l.t.count.countReceived(t, size)
+	l.transport.count.countReceived(t, size)
 	return e, nil
 }
 
-// answerOf turns an answer into Call's result.
-func answerOf(e *wire.Envelope) ([]byte, error) {
+// callResult turns an answer into Call's result.
+func callResult(e *wire.Envelope) ([]byte, error) {
 	switch e.Status {
 	case wire.Status_STATUS_OK:
 		return e.Payload, nil
@@ -84,8 +84,8 @@
 		return
 	}
 	t := Type(e.Type)
-	l.t.count.countReceived(t, size)
-	l.noteUse(t)
+	l.transport.count.countReceived(t, size)
+	l.markUsed(t)
 	answer := l.handleCall(t, e.Payload)
 	answer.Version = l.version
 	answer.Type = e.Type
@@ -93,24 +93,24 @@
 	if err != nil {
 		return
 	}
-	_ = s.SetWriteDeadline(l.t.now().Add(streamTimeout))
+	_ = s.SetWriteDeadline(l.transport.now().Add(streamTimeout))
 	if _, err := s.Write(b); err == nil {
-		l.t.count.countSent(t, len(b))
+		l.transport.count.countSent(t, len(b))
 	}
 }
 
 // handleCall bounds how many calls of one connection run at once.
 func (l *link) handleCall(t Type, payload []byte) *wire.Envelope {
-	h, ok := l.t.handlers[t]
+	h, ok := l.transport.handlers[t]
 	if !ok {
-		l.t.drop(dropUnknownType)
+		l.transport.countDrop(dropUnknownType)
 		return &wire.Envelope{Status: wire.Status_STATUS_UNKNOWN_TYPE}
 	}
 	select {
-	case l.served <- struct{}{}:
-		defer func() { <-l.served }()
+	case l.callSlots <- struct{}{}:
+		defer func() { <-l.callSlots }()
 	default:
-		l.t.drop(dropCallsFull)
+		l.transport.countDrop(dropCallsFull)
 		return &wire.Envelope{Status: wire.Status_STATUS_OVERLOADED}
 	}
 	out, err := l.handle(h, t, payload)
--- a/internal/peer/connect.go
+++ b/internal/peer/connect.go
@@ -12,28 +12,28 @@
 
 // dial connects a link, authenticates it and runs it until it ends.
 func (t *TCP) dial(l *link, address string, replaces bool) {
-	res, conn, err := t.dialAndProve(l, address, replaces)
+	res, conn, err := t.dialAndAuthenticate(l, address, replaces)
 	if err != nil {
-		t.noteAuthError(err, address)
-		t.down(l, closedDialFailed)
+		t.recordAuthError(err, address)
+		t.closeLink(l, closedDialFailed)
 		return
 	}
 	session, err := newSession(conn, yamux.Client)
 	if err != nil {
-		t.down(l, closedDialFailed)
+		t.closeLink(l, closedDialFailed)
 		return
 	}
 	t.serve(l, res, session)
 }
 
-func (t *TCP) dialAndProve(l *link, address string, replaces bool) (handshakeResult, *tls.Conn, error) {
+func (t *TCP) dialAndAuthenticate(l *link, address string, replaces bool) (handshakeResult, *tls.Conn, error) {
 	d := net.Dialer{Timeout: t.opts.HandshakeTimeout, KeepAlive: -1}
 	raw, err := d.DialContext(t.ctx, "tcp", address)
 	if err != nil {
 		return handshakeResult{}, nil, err
 	}
-	conn := t.secure(l, raw, tls.Client)
-	res, err := t.auth.dial(conn, l.key, replaces)
+	conn := t.wrapTLS(l, raw, tls.Client)
+	res, err := t.auth.dial(conn, l.dialedName, replaces)
 	if err != nil {
 		raw.Close()
 		return res, nil, err
@@ -41,16 +41,16 @@
 	return res, conn, raw.SetReadDeadline(noDeadline)
 }
 
-// secure wraps a raw connection for the handshake, under its deadline.
-func (t *TCP) secure(l *link, raw net.Conn, side func(net.Conn, *tls.Config) *tls.Conn) *tls.Conn {
+// wrapTLS wraps a raw connection for the handshake, under its deadline.
+func (t *TCP) wrapTLS(l *link, raw net.Conn, wrap func(net.Conn, *tls.Config) *tls.Conn) *tls.Conn {
 	l.mu.Lock()
-	l.raw = raw
+	l.rawConn = raw
 	if l.closed {
 		raw.Close()
 	}
 	l.mu.Unlock()
 	_ = raw.SetReadDeadline(t.now().Add(t.opts.HandshakeTimeout))
-	return side(&countedConn{Conn: raw, link: l}, t.tls)
+	return wrap(&countedConn{Conn: raw, link: l}, t.tls)
 }
 
 func (t *TCP) acceptLoop() {
@@ -64,10 +64,10 @@
 			continue
 		}
 		select {
-		case t.shaking <- struct{}{}:
+		case t.handshakeSlots <- struct{}{}:
 			t.group.Go(func() { t.accept(raw) })
 		default:
-			t.count.auth[authBusy].Add(1)
+			t.count.authFailures[authBusy].Add(1)
 			raw.Close()
 		}
 	}
@@ -80,24 +80,24 @@
 	closed := t.closed
 	t.links[l] = struct{}{}
 	t.mu.Unlock()
-	conn := t.secure(l, raw, tls.Server)
+	conn := t.wrapTLS(l, raw, tls.Server)
 	if closed {
 		raw.Close()
 	}
 	res, err := t.auth.accept(conn)
-	<-t.shaking
+	<-t.handshakeSlots
 	if err == nil {
 		err = raw.SetReadDeadline(noDeadline)
 	}
 	if err != nil {
-		t.noteAuthError(err, raw.RemoteAddr().String())
-		t.down(l, closedRefused)
+		t.recordAuthError(err, raw.RemoteAddr().String())
+		t.closeLink(l, closedRefused)
 		return
 	}
 	t.count.accepts.Add(1)
 	session, err := newSession(conn, yamux.Server)
 	if err != nil {
-		t.down(l, closedRefused)
+		t.closeLink(l, closedRefused)
 		return
 	}
 	t.serve(l, res, session)
@@ -107,15 +107,15 @@
 func (t *TCP) serve(l *link, res handshakeResult, session *session) {
 	stale, ok := t.attach(l, res, session)
 	for s, why := range stale {
-		t.down(s, why)
+		t.closeLink(s, why)
 	}
 	if !ok {
 		session.Close()
 		return
 	}
-	l.noteReceived()
+	l.markReceived()
 	close(l.up)
-	t.down(l, l.run())
+	t.closeLink(l, l.run())
 }
 
 // attach makes an authenticated link known under its peer's name and returns
@@ -128,7 +128,7 @@
 	if _, ok := t.links[l]; !ok {
 		return nil, false
 	}
-	p := t.peer(l.peer)
+	p := t.stateOf(l.peer)
 	stale := map[*link]reason{}
 	for other := range t.links {
 		if other == l || other.session == nil || other.peer != l.peer {
@@ -140,7 +140,7 @@
 			stale[other] = closedReplaced
 		}
 	}
-	p.replace = false
+	p.replaceNext = false
 	switch {
 	case p.current == nil:
 		p.current = l
@@ -158,12 +158,12 @@
 	l.mu.Unlock()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.unlist(l)
+	t.unlistLocked(l)
 }
 
-// unlist needs t.mu. Another open connection to the peer takes l's place.
-func (t *TCP) unlist(l *link) {
-	for _, key := range []Name{l.key, l.peer} {
+// unlistLocked needs t.mu. Another open connection to the peer takes l's place.
+func (t *TCP) unlistLocked(l *link) {
+	for _, key := range []Name{l.dialedName, l.peer} {
 		p, ok := t.peers[key]
 		if !ok {
 			continue
@@ -179,85 +179,85 @@
 	}
 }
 
-// down closes a link, loses its queue and tells OnDown, unless the close was
+// closeLink closes a link, loses its queue and tells OnDown, unless the close was
 // agreed on. Only the first call has an effect.
-func (t *TCP) down(l *link, why reason) {
+func (t *TCP) closeLink(l *link, why reason) {
 	first, lost := l.close()
 	if !first {
 		return
 	}
-	agreed := why == closedIdle || (why == closedBroken && l.byeReceived.Load())
-	if agreed {
+	graceful := why == closedIdle || (why == closedBroken && l.goAwayReceived.Load())
+	if graceful {
 		why = closedIdle
 	}
 	t.mu.Lock()
 	delete(t.links, l)
-	t.unlist(l)
-	known := l.peer
-	if known == "" {
-		known = l.key
+	t.unlistLocked(l)
+	name := l.peer
+	if name == "" {
+		name = l.dialedName
 	}
-	if known != "" && !agreed {
-		t.noteBreak(l, known, why)
+	if name != "" && !graceful {
+		t.recordDisconnect(l, name, why)
 	}
-	fs := slices.Clone(t.onDown)
+	callbacks := slices.Clone(t.onDown)
 	closed := t.closed
 	t.mu.Unlock()
 
 	t.count.closed[why].Add(1)
 	t.count.drops[dropLinkDown].Add(int64(lost))
-	if known == "" || agreed || closed {
+	if name == "" || graceful || closed {
 		return
 	}
 	level := logrus.InfoLevel
 	if why == closedDialFailed {
 		level = logrus.DebugLevel // repeated for as long as a peer is away
 	}
-	t.log.WithField("of", known).WithField("reason", why).WithField("lost", lost).Log(level, "connection down")
-	for _, f := range fs {
-		f(known)
+	t.log.WithField("of", name).WithField("reason", why).WithField("lost", lost).Log(level, "connection down")
+	for _, f := range callbacks {
+		f(name)
 	}
-	t.redial(l, known, why)
+	t.redial(l, name, why)
 }
 
-// noteBreak remembers that the next dial replaces a connection, and puts the
+// recordDisconnect remembers that the next dial replaces a connection, and puts the
 // dial off when this one never came up or broke soon after. A silent one took
 // its time already. It needs t.mu.
-func (t *TCP) noteBreak(l *link, known Name, why reason) {
-	p := t.peer(known)
-	p.replace = p.replace || l.session != nil
-	if why == closedSilent || (l.session != nil && t.now().Sub(l.created) > shortLife) {
+func (t *TCP) recordDisconnect(l *link, name Name, why reason) {
+	p := t.stateOf(name)
+	p.replaceNext = p.replaceNext || l.session != nil
+	if why == closedSilent || (l.session != nil && t.now().Sub(l.created) > minStableDuration) {
 		p.backoff.Reset()
 		return
 	}
-	p.notYet = t.now().Add(p.backoff.NextBackOff())
+	p.dialAfter = t.now().Add(p.backoff.NextBackOff())
 }
 
 // redial opens a new connection at once in place of one that was in use, so
 // that the peer's next message doesn't wait for the dial.
 func (t *TCP) redial(l *link, to Name, why reason) {
-	c, counted := t.count.redo[why]
-	if !counted || !l.watched() {
+	c, counted := t.count.redials[why]
+	if !counted || !l.hasAppTraffic() {
 		return
 	}
 	c.Add(1)
 	_, _ = t.linkTo(to)
 }
 
-// noteAuthError counts a failed handshake by its reason; a failed connect is
+// recordAuthError counts a failed handshake by its reason; a failed connect is
 // counted by its caller.
-func (t *TCP) noteAuthError(err error, address string) {
+func (t *TCP) recordAuthError(err error, address string) {
 	var ae *authError
 	if !errors.As(err, &ae) {
 		return
 	}
-	if c, ok := t.count.auth[ae.why]; ok {
+	if c, ok := t.count.authFailures[ae.reason]; ok {
 		c.Add(1)
 	}
 	if t.ctx.Err() != nil {
 		return
 	}
-	t.authLog.Do(func() {
-		t.log.WithField("address", address).WithField("reason", ae.why).Warn(ae.err.Error())
+	t.authLogLimiter.Do(func() {
+		t.log.WithField("address", address).WithField("reason", ae.reason).Warn(ae.err.Error())
 	})
 }
--- a/internal/peer/counters.go
+++ b/internal/peer/counters.go
@@ -60,11 +60,11 @@
 // typeNames names the known message types in counters.
 var typeNames = map[Type]string{
 	TypePing: "ping", TypeMemberGossip: "member_gossip", TypeMemberProbe: "member_probe",
-	TypeMemberAsk: "member_ask", TypeMemberAck: "member_ack", TypePoolEvents: "pool_events",
+	TypeMemberIndirectProbe: "member_ask", TypeMemberAck: "member_ack", TypePoolEvents: "pool_events",
 	TypePoolCommands: "pool_commands", TypePoolHello: "pool_hello", TypePoolSummary: "pool_summary",
 	TypeSuspect: "suspect", TypeConfigDigest: "config_digest", TypeConfigPull: "config_pull",
 	TypeStatus: "status", TypeSync: "sync",
-	TypeQuotaBatch: "quota_batch", TypeQuotaAnswer: "quota_answer", TypeQuotaGroup: "quota_group",
+	TypeQuotaBatch: "quota_batch", TypeQuotaAnswer: "quota_answer", TypeQuotaHubReport: "quota_group",
 	TypeRolloutReport: "rollout_report",
 }
 
@@ -87,32 +87,32 @@
 // counters holds every counter of a transport, made at its start so that a
 // reason that never happened shows as zero.
 type counters struct {
-	reg                       *metrics.Registry
-	dials, accepts            *expvar.Int
-	wireIn, wireOut           *expvar.Int
-	pings, pauses, panics     *expvar.Int
-	auth, closed, drops, redo map[reason]*expvar.Int
-	sent, received            map[Type]traffic
-	sentOther, receivedOther  traffic
+	reg                                  *metrics.Registry
+	dials, accepts                       *expvar.Int
+	wireBytesIn, wireBytesOut            *expvar.Int
+	pings, ownPauses, panics             *expvar.Int
+	authFailures, closed, drops, redials map[reason]*expvar.Int
+	sent, received                       map[Type]traffic
+	sentOther, receivedOther             traffic
 }
 
 func newCounters(reg *metrics.Registry) *counters {
 	c := &counters{
-		reg:     reg,
-		dials:   reg.Counter(groupPeer, "dials"),
-		accepts: reg.Counter(groupPeer, "accepts"),
-		wireIn:  reg.Counter(groupPeer, "wire_bytes_in"),
-		wireOut: reg.Counter(groupPeer, "wire_bytes_out"),
-		pings:   reg.Counter(groupPeer, "pings"),
-		panics:  reg.Counter(groupPeer, "handler_panics"),
-		pauses:  reg.Counter(groupPeer, "own_pauses"),
-		auth: reasons(reg, groupAuth, authWrongKey, authWrongPeer, authBadHello, authProtocol,
+		reg:          reg,
+		dials:        reg.Counter(groupPeer, "dials"),
+		accepts:      reg.Counter(groupPeer, "accepts"),
+		wireBytesIn:  reg.Counter(groupPeer, "wire_bytes_in"),
+		wireBytesOut: reg.Counter(groupPeer, "wire_bytes_out"),
+		pings:        reg.Counter(groupPeer, "pings"),
+		panics:       reg.Counter(groupPeer, "handler_panics"),
+		ownPauses:    reg.Counter(groupPeer, "own_pauses"),
+		authFailures: reasonCounters(reg, groupAuth, authWrongKey, authWrongPeer, authBadHello, authProtocol,
 			authTLS, authBusy, authSelf, authRefused),
-		closed: reasons(reg, groupClosed, closedDialFailed, closedRefused, closedBroken, closedSilent, closedWrite,
+		closed: reasonCounters(reg, groupClosed, closedDialFailed, closedRefused, closedBroken, closedSilent, closedWrite,
 			closedReplaced, closedRestarted, closedIdle, closedShutdown),
-		drops: reasons(reg, groupDrops, dropQueueFull, dropNotConnected, dropLinkDown,
+		drops: reasonCounters(reg, groupDrops, dropQueueFull, dropNotConnected, dropLinkDown,
 			dropUnknownType, dropCallsFull),
-		redo:          reasons(reg, groupRedials, closedSilent, closedBroken, closedWrite),
+		redials:       reasonCounters(reg, groupRedials, closedSilent, closedBroken, closedWrite),
 		sent:          map[Type]traffic{},
 		received:      map[Type]traffic{},
 		sentOther:     newTraffic(reg, groupSent, "other"),
@@ -125,7 +125,7 @@
 	return c
 }
 
-func reasons(reg *metrics.Registry, group string, rs ...reason) map[reason]*expvar.Int {
+func reasonCounters(reg *metrics.Registry, group string, rs ...reason) map[reason]*expvar.Int {
 	m := make(map[reason]*expvar.Int, len(rs))
 	for _, r := range rs {
 		m[r] = reg.Counter(group, string(r))
@@ -165,18 +165,18 @@
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.link.noteReceived()
-		c.link.t.count.wireIn.Add(int64(n))
+		c.link.markReceived()
+		c.link.transport.count.wireBytesIn.Add(int64(n))
 	}
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *countedConn) Write(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(c.link.t.now().Add(writeTimeout)); err != nil {
+	if err := c.SetWriteDeadline(c.link.transport.now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(p)
-	c.link.t.count.wireOut.Add(int64(n))
+	c.link.transport.count.wireBytesOut.Add(int64(n))
 	return n, err
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -53,33 +53,33 @@
 	yamuxTypeData     = 0
 )
 
-// joiner joins a yamux data frame's header with its body, which yamux writes
+// frameWriter joins a yamux data frame's header with its body, which yamux writes
 // one after the other: apart they would cost two TLS records, two system
 // calls and two packets for each small message.
-type joiner struct {
+type frameWriter struct {
 	net.Conn
-	header []byte
-	// closing is called before the connection is closed.
-	closing func()
+	pendingHeader []byte
+	// onClose is called before the connection is closed.
+	onClose func()
 }
 
 // Close implements net.Conn.
-func (j *joiner) Close() error {
-	j.closing()
+func (j *frameWriter) Close() error {
+	j.onClose()
 	return j.Conn.Close()
 }
 
 // Write implements net.Conn. yamux writes from one goroutine.
-func (j *joiner) Write(p []byte) (int, error) {
-	if len(j.header) == 0 && isDataHeader(p) {
-		j.header = append(j.header, p...)
+func (j *frameWriter) Write(p []byte) (int, error) {
+	if len(j.pendingHeader) == 0 && isDataHeader(p) {
+		j.pendingHeader = append(j.pendingHeader, p...)
 		return len(p), nil
 	}
-	if len(j.header) == 0 {
+	if len(j.pendingHeader) == 0 {
 		return j.Conn.Write(p)
 	}
-	joined := append(j.header, p...)
-	j.header = joined[:0]
+	joined := append(j.pendingHeader, p...)
+	j.pendingHeader = joined[:0]
 	n, err := j.Conn.Write(joined)
 	return max(0, n-yamuxHeaderBytes), err
 }
--- a/internal/peer/watch_test.go
+++ b/internal/peer/heartbeat_test.go
@@ -14,35 +14,35 @@
 		transport, err := NewTCP(Options{Name: "a", Listen: "127.0.0.1:0", Keys: [][]byte{testKey}})
 		So(err, ShouldBeNil)
 		Reset(transport.Close)
-		transport.pingRate = rate.NewLimiter(0, 3)
+		transport.pingLimiter = rate.NewLimiter(0, 3)
 		transport.start = time.Now().Add(-time.Hour)
-		quietFor := func(quiet, unanswered time.Duration) *link {
+		newQuietLink := func(quiet, unanswered time.Duration) *link {
 			l := newLink(transport, "b", true)
 			now := l.nanos()
 			l.receivedAt.Store(now - int64(quiet))
-			l.watchedAt.Store(now)
+			l.appMessageAt.Store(now)
 			if unanswered > 0 {
-				l.expectSince.Store(now - int64(unanswered))
+				l.awaitingSince.Store(now - int64(unanswered))
 			}
 			close(l.up)
 			return l
 		}
 		var links []*link
 		for i := range 60 {
-			links = append(links, quietFor(time.Duration(2000+i)*time.Millisecond, 0))
+			links = append(links, newQuietLink(time.Duration(2000+i)*time.Millisecond, 0))
 		}
-		asked := quietFor(time.Second/2, time.Second/2)
-		older := quietFor(time.Second, time.Second)
-		fresh := quietFor(time.Millisecond, time.Millisecond)
-		due := transport.watchAll(append(links, asked, older, fresh), false)
+		recentUnanswered := newQuietLink(time.Second/2, time.Second/2)
+		oldUnanswered := newQuietLink(time.Second, time.Second)
+		fresh := newQuietLink(time.Millisecond, time.Millisecond)
+		due := transport.checkAll(append(links, recentUnanswered, oldUnanswered, fresh), false)
 		So(len(due), ShouldEqual, 62)
 		transport.pingDue(due)
 
-		So(asked.pingedAt.Load() != 0, ShouldBeTrue)
-		So(older.pingedAt.Load() != 0, ShouldBeTrue)
+		So(recentUnanswered.pingedAt.Load() != 0, ShouldBeTrue)
+		So(oldUnanswered.pingedAt.Load() != 0, ShouldBeTrue)
 		So(links[59].pingedAt.Load() != 0, ShouldBeTrue)
 		pinged := 0
-		for _, l := range append(links, asked, older, fresh) {
+		for _, l := range append(links, recentUnanswered, oldUnanswered, fresh) {
 			if l.pingedAt.Load() != 0 {
 				pinged++
 			}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -20,27 +20,27 @@
 	writeTimeout = 2 * time.Second
 	// streamTimeout bounds a yamux stream's opening and closing.
 	streamTimeout = 5 * time.Second
-	// queueMessages and queueBytes bound what waits for one peer.
-	queueMessages = 2048
-	queueBytes    = 8 << 20
-	// batchBytes is how much of the queue leaves in one write.
-	batchBytes = 64 << 10
-	// keepBufferBytes is the largest write buffer that a connection keeps.
-	keepBufferBytes = 16 << 10
-	// maxServedCalls bounds the calls of one connection that run at once.
-	maxServedCalls = 128
+	// maxQueuedMessages and maxQueuedBytes bound what waits for one peer.
+	maxQueuedMessages = 2048
+	maxQueuedBytes    = 8 << 20
+	// writeBatchBytes is how much of the queue leaves in one write.
+	writeBatchBytes = 64 << 10
+	// maxKeptBufferBytes is the largest write buffer that a connection keeps.
+	maxKeptBufferBytes = 16 << 10
+	// maxConcurrentCalls bounds the calls of one connection that run at once.
+	maxConcurrentCalls = 128
 )
 
 // The payloads of TypePing.
 const (
-	pingAsk  byte = 1 // answer with pingEcho
-	pingEcho byte = 2
-	pingBye  byte = 3 // no further message will be sent on this connection
+	pingRequest byte = 1 // answer with pingReply
+	pingReply   byte = 2
+	pingGoAway  byte = 3 // no further message will be sent on this connection
 )
 
 // outMessage waits in a link's queue.
 type outMessage struct {
-	t       Type
+	typ     Type
 	payload []byte
 }
 
@@ -48,16 +48,16 @@
 // closed. A link is never revived: what was in its queue when it broke is lost
 // and told through OnDown.
 type link struct {
-	t       *TCP
-	key     Name // what was dialed: a name or ByAddress; empty when accepted
-	dialed  bool
-	created time.Time
+	transport  *TCP
+	dialedName Name // what was dialed: a name or ByAddress; empty when accepted
+	dialed     bool
+	created    time.Time
 
 	// Set once, before up is closed.
 	peer     Name
 	instance uint64
 	version  uint32
-	raw      net.Conn
+	rawConn  net.Conn
 	session  *session
 
 	up   chan struct{} // closed when messages can flow
@@ -70,57 +70,57 @@
 	queuedBytes int
 	wake        chan struct{} // the queue may have grown
 
-	byeReceived atomic.Bool
-	byeSent     atomic.Bool
-	calls       atomic.Int64 // own calls under way
-	served      chan struct{}
+	goAwayReceived atomic.Bool
+	goAwaySent     atomic.Bool
+	outgoingCalls  atomic.Int64 // own calls under way
+	callSlots      chan struct{}
 
 	// Times in nanoseconds of the transport's clock; zero: none.
-	expectSince atomic.Int64 // first message since anything was received
-	pingedAt    atomic.Int64 // ping since anything was received
-	receivedAt  atomic.Int64
-	usedAt      atomic.Int64 // last message other than heartbeats
-	watchedAt   atomic.Int64 // last message that keeps the heartbeats going
-	closingAt   atomic.Int64
+	awaitingSince atomic.Int64 // first message since anything was received
+	pingedAt      atomic.Int64 // ping since anything was received
+	receivedAt    atomic.Int64
+	usedAt        atomic.Int64 // last message other than heartbeats
+	appMessageAt  atomic.Int64 // last message that keeps the heartbeats going
+	closingAt     atomic.Int64
 }
 
-func newLink(t *TCP, key Name, dialed bool) *link {
+func newLink(t *TCP, dialedName Name, dialed bool) *link {
 	l := &link{
-		t: t, key: key, dialed: dialed, created: t.now(),
+		transport: t, dialedName: dialedName, dialed: dialed, created: t.now(),
 		up: make(chan struct{}), done: make(chan struct{}),
-		wake:   make(chan struct{}, 1),
-		served: make(chan struct{}, maxServedCalls),
+		wake:      make(chan struct{}, 1),
+		callSlots: make(chan struct{}, maxConcurrentCalls),
 	}
 	l.usedAt.Store(l.nanos())
 	return l
 }
 
-func (l *link) nanos() int64 { return l.t.nanos() }
+func (l *link) nanos() int64 { return l.transport.nanos() }
 
 func (t *TCP) nanos() int64 { return t.now().Sub(t.start).Nanoseconds() }
 
-// noteReceived is called for every arrival, of whatever kind.
-func (l *link) noteReceived() {
+// markReceived is called for every arrival, of whatever kind.
+func (l *link) markReceived() {
 	l.receivedAt.Store(l.nanos())
-	l.expectSince.Store(0)
+	l.awaitingSince.Store(0)
 	l.pingedAt.Store(0)
 }
 
-// noteUse is called for every message sent or received but heartbeats.
-func (l *link) noteUse(t Type) {
+// markUsed is called for every message sent or received but heartbeats.
+func (l *link) markUsed(t Type) {
 	now := l.nanos()
 	l.usedAt.Store(now)
 	if t < TypeMemberGossip || t > TypeMemberAck {
-		l.watchedAt.Store(now)
+		l.appMessageAt.Store(now)
 	}
 }
 
-// noteSent starts the wait for a sign of life, unless one is awaited already.
+// markSent starts the wait for a sign of life, unless one is awaited already.
 // An ack asks for none, or the two ends would ping each other for ever.
-func (l *link) noteSent(t Type) {
-	l.noteUse(t)
+func (l *link) markSent(t Type) {
+	l.markUsed(t)
 	if t != TypeMemberAck {
-		l.expectSince.CompareAndSwap(0, max(1, l.nanos()))
+		l.awaitingSince.CompareAndSwap(0, max(1, l.nanos()))
 	}
 }
 
@@ -134,13 +134,13 @@
 	if err := l.enqueue(m); err != nil {
 		return err
 	}
-	l.noteSent(m.t)
+	l.markSent(m.typ)
 	return nil
 }
 
 // enqueue needs l.mu.
 func (l *link) enqueue(m outMessage) error {
-	if len(l.queue) >= queueMessages || l.queuedBytes+len(m.payload) > queueBytes {
+	if len(l.queue) >= maxQueuedMessages || l.queuedBytes+len(m.payload) > maxQueuedBytes {
 		return ErrOverloaded
 	}
 	l.queue = append(l.queue, m)
@@ -152,12 +152,12 @@
 	return nil
 }
 
-// dequeue takes messages of about batchBytes from the queue's front.
+// dequeue takes messages of about writeBatchBytes from the queue's front.
 func (l *link) dequeue() []outMessage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n, size := 0, 0
-	for n < len(l.queue) && size < batchBytes {
+	for n < len(l.queue) && size < writeBatchBytes {
 		size += len(l.queue[n].payload)
 		n++
 	}
@@ -178,7 +178,7 @@
 	if l.closed {
 		return errLinkClosing
 	}
-	return l.enqueue(outMessage{t: TypePing, payload: []byte{kind}})
+	return l.enqueue(outMessage{typ: TypePing, payload: []byte{kind}})
 }
 
 // startClosing lets nothing more into the queue but a bye. False if messages
@@ -186,7 +186,7 @@
 func (l *link) startClosing() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closing || l.closed || len(l.queue) > 0 || l.calls.Load() > 0 {
+	if l.closing || l.closed || len(l.queue) > 0 || l.outgoingCalls.Load() > 0 {
 		return false
 	}
 	l.closing = true
@@ -197,10 +197,10 @@
 // run serves the link until it is closed; the reason is why.
 func (l *link) run() reason {
 	defer l.session.Close()
-	writeErr := make(chan struct{})
-	l.t.group.Go(func() {
+	writeFailed := make(chan struct{})
+	l.transport.group.Go(func() {
 		if l.write() != nil {
-			close(writeErr)
+			close(writeFailed)
 		}
 		l.session.Close()
 	})
@@ -209,10 +209,10 @@
 		if err != nil {
 			break
 		}
-		l.t.group.Go(func() { l.serveStream(s) })
+		l.transport.group.Go(func() { l.serveStream(s) })
 	}
 	select {
-	case <-writeErr:
+	case <-writeFailed:
 		return closedWrite
 	default:
 		return closedBroken
@@ -242,7 +242,7 @@
 		for _, m := range batch {
 			buf = l.encode(buf, m)
 		}
-		_ = stream.SetWriteDeadline(l.t.now().Add(writeTimeout))
+		_ = stream.SetWriteDeadline(l.transport.now().Add(writeTimeout))
 		if _, err := stream.Write(buf); err != nil {
 			if errors.Is(err, yamux.ErrTimeout) || errors.Is(err, yamux.ErrConnectionWriteTimeout) {
 				return err
@@ -250,7 +250,7 @@
 			return nil
 		}
 		buf = buf[:0]
-		if cap(buf) > keepBufferBytes {
+		if cap(buf) > maxKeptBufferBytes {
 			buf = nil
 		}
 	}
@@ -258,12 +258,12 @@
 
 func (l *link) encode(buf []byte, m outMessage) []byte {
 	before := len(buf)
-	buf, err := appendDelimited(buf, &wire.Envelope{Version: l.version, Type: uint32(m.t), Payload: m.payload})
+	buf, err := appendDelimited(buf, &wire.Envelope{Version: l.version, Type: uint32(m.typ), Payload: m.payload})
 	if err != nil {
-		l.t.log.WithError(err).Error("message not encoded")
+		l.transport.log.WithError(err).Error("message not encoded")
 		return buf[:before]
 	}
-	l.t.count.countSent(m.t, len(buf)-before)
+	l.transport.count.countSent(m.typ, len(buf)-before)
 	return buf
 }
 
@@ -297,19 +297,19 @@
 			return
 		}
 		t := Type(e.Type)
-		l.t.count.countReceived(t, size)
+		l.transport.count.countReceived(t, size)
 		if t == TypePing {
 			l.receivePing(e.Payload)
 			continue
 		}
-		l.noteUse(t)
-		h, ok := l.t.handlers[t]
+		l.markUsed(t)
+		h, ok := l.transport.handlers[t]
 		if !ok {
-			l.t.drop(dropUnknownType)
+			l.transport.countDrop(dropUnknownType)
 			continue
 		}
 		if _, err := l.handle(h, t, e.Payload); err != nil {
-			l.t.log.WithError(err).WithField("from", l.peer).WithField("type", t).Warn("message not handled")
+			l.transport.log.WithError(err).WithField("from", l.peer).WithField("type", t).Warn("message not handled")
 		}
 	}
 }
@@ -317,10 +317,10 @@
 // handle runs a handler. Its panic is logged and counted and ends the message
 // alone: the goroutine group would keep it silent until the transport closes.
 func (l *link) handle(h Handler, t Type, payload []byte) (out []byte, err error) {
-	recovered := panics.Try(func() { out, err = h(l.t.ctx, l.peer, payload) })
+	recovered := panics.Try(func() { out, err = h(l.transport.ctx, l.peer, payload) })
 	if recovered != nil {
-		l.t.count.panics.Add(1)
-		l.t.log.WithField("type", t).Error(recovered.String())
+		l.transport.count.panics.Add(1)
+		l.transport.log.WithField("type", t).Error(recovered.String())
 		return nil, errors.New("handler panicked")
 	}
 	return out, err
@@ -331,11 +331,11 @@
 		return
 	}
 	switch payload[0] {
-	case pingAsk:
-		_ = l.sendPing(pingEcho)
-	case pingBye:
-		l.byeReceived.Store(true)
-		l.t.detach(l)
+	case pingRequest:
+		_ = l.sendPing(pingReply)
+	case pingGoAway:
+		l.goAwayReceived.Store(true)
+		l.transport.detach(l)
 	}
 }
 
@@ -351,10 +351,10 @@
 	lost = len(l.queue)
 	l.mu.Unlock()
 	close(l.done)
-	if l.raw != nil {
+	if l.rawConn != nil {
 		// The raw connection goes first: closing the session or TLS above it
 		// would write, and wait for, a connection that may be silent.
-		l.raw.Close()
+		l.rawConn.Close()
 	}
 	return true, lost
 }
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -38,15 +38,15 @@
 
 	// HandshakeTimeout bounds dialing and authentication, each. Default 2 s.
 	HandshakeTimeout time.Duration
-	// PingAfter is how long a message may go without any byte from the peer
+	// PingDelay is how long a message may go without any byte from the peer
 	// before it is asked for a sign of life. Default 300 ms.
-	PingAfter time.Duration
-	// Silence is how long after such a ping the connection is given up.
+	PingDelay time.Duration
+	// PingTimeout is how long after such a ping the connection is given up.
 	// Default 700 ms.
-	Silence time.Duration
-	// WatchInterval is the longest quiet time on a connection that was used
+	PingTimeout time.Duration
+	// KeepaliveInterval is the longest quiet time on a connection that was used
 	// within IdleTimeout before it is pinged. Default 1 s.
-	WatchInterval time.Duration
+	KeepaliveInterval time.Duration
 	// IdleTimeout closes a connection without messages. Default 30 s.
 	IdleTimeout time.Duration
 	// PingsPerSecond bounds the heartbeats of all connections together, so
@@ -62,11 +62,11 @@
 
 // The other defaults of Options.
 const (
-	defaultHandshakeTimeout = 2 * time.Second
-	defaultPingAfter        = 300 * time.Millisecond
-	defaultSilence          = 700 * time.Millisecond
-	defaultWatchInterval    = time.Second
-	defaultIdleTimeout      = 30 * time.Second
+	defaultHandshakeTimeout  = 2 * time.Second
+	defaultPingDelay         = 300 * time.Millisecond
+	defaultPingTimeout       = 700 * time.Millisecond
+	defaultKeepaliveInterval = time.Second
+	defaultIdleTimeout       = 30 * time.Second
 )
 
 // withDefaults checks the options and fills in the defaults.
@@ -89,9 +89,9 @@
 		o.Registry = metrics.New()
 	}
 	setDefault(&o.HandshakeTimeout, defaultHandshakeTimeout)
-	setDefault(&o.PingAfter, defaultPingAfter)
-	setDefault(&o.Silence, defaultSilence)
-	setDefault(&o.WatchInterval, defaultWatchInterval)
+	setDefault(&o.PingDelay, defaultPingDelay)
+	setDefault(&o.PingTimeout, defaultPingTimeout)
+	setDefault(&o.KeepaliveInterval, defaultKeepaliveInterval)
 	setDefault(&o.IdleTimeout, defaultIdleTimeout)
 	setDefault(&o.PingsPerSecond, DefaultPingsPerSecond)
 	setDefault(&o.oldest, OldestVersion)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -19,10 +19,10 @@
 const (
 	TypePing Type = 1 // app-level heartbeat
 
-	TypeMemberGossip Type = 10
-	TypeMemberProbe  Type = 11 // direct probe
-	TypeMemberAsk    Type = 12 // indirect probe
-	TypeMemberAck    Type = 13 // answer to either probe
+	TypeMemberGossip        Type = 10
+	TypeMemberProbe         Type = 11 // direct probe
+	TypeMemberIndirectProbe Type = 12 // indirect probe
+	TypeMemberAck           Type = 13 // answer to either probe
 
 	TypePoolEvents   Type = 20 // entry to owner: batch of pool events
 	TypePoolCommands Type = 21 // owner to entry: batch of pool commands
@@ -35,10 +35,10 @@
 	TypeStatus       Type = 32 // for `lycheekeel status`
 
 	// 40 was each daemon's word to all others on the quotas.
-	TypeSync        Type = 41 // what a daemon that reads the store knows
-	TypeQuotaBatch  Type = 42 // what a daemon let through of the quotas, to its hub
-	TypeQuotaAnswer Type = 43 // the hub's answer
-	TypeQuotaGroup  Type = 44 // what a hub's daemons let through, to the other hubs
+	TypeSync           Type = 41 // what a daemon that reads the store knows
+	TypeQuotaBatch     Type = 42 // what a daemon let through of the quotas, to its hub
+	TypeQuotaAnswer    Type = 43 // the hub's answer
+	TypeQuotaHubReport Type = 44 // what a hub's daemons let through, to the other hubs
 	// what a daemon saw of a rollout, to the one that decides; its answer is the plan
 	TypeRolloutReport Type = 45
 )
@@ -96,8 +96,8 @@
 	// Call sends a message and waits for its answer until ctx ends.
 	Call(ctx context.Context, to Name, t Type, payload []byte) ([]byte, error)
 	// SetAddress tells where a peer listens (IP:port); learnt from membership.
-	SetAddress(of Name, address string)
+	SetAddress(name Name, address string)
 	// OnDown registers a function called when the connection to a peer broke
 	// or went silent, so that sessions on it are opened again.
-	OnDown(f func(of Name))
+	OnDown(f func(name Name))
 }
--- a/internal/peer/peertest/network.go
+++ b/internal/peer/peertest/network.go
@@ -21,30 +21,30 @@
 	BytesOut, BytesIn       uint64
 }
 
-// rule is what a directed link does to messages.
-type rule struct {
-	cut   bool
-	lose  bool
-	delay time.Duration
+// faults is what a directed link does to messages.
+type faults struct {
+	partitioned bool
+	drop        bool
+	delay       time.Duration
 }
 
-// pair is a directed link.
-type pair struct{ from, to peer.Name }
+// direction is a directed link.
+type direction struct{ from, to peer.Name }
 
 // Network connects its nodes with each other. It is safe for concurrent use.
 type Network struct {
-	mu    sync.Mutex
-	nodes map[peer.Name]*Node
-	rules map[pair]rule
-	links map[pair]*link
+	mu     sync.Mutex
+	nodes  map[peer.Name]*Node
+	faults map[direction]faults
+	links  map[direction]*link
 }
 
 // NewNetwork returns a network in which every link works at once.
 func NewNetwork() *Network {
 	return &Network{
-		nodes: map[peer.Name]*Node{},
-		rules: map[pair]rule{},
-		links: map[pair]*link{},
+		nodes:  map[peer.Name]*Node{},
+		faults: map[direction]faults{},
+		links:  map[direction]*link{},
 	}
 }
 
@@ -61,34 +61,34 @@
 	return d
 }
 
-// Cut breaks the links of two nodes both ways: sends fail at once with
+// Partition breaks the links of two nodes both ways: sends fail at once with
 // peer.ErrNotConnected, and both sides' OnDown functions are called.
-func (n *Network) Cut(a, b peer.Name) {
-	n.change(a, b, func(r *rule) { r.cut = true })
-	n.change(b, a, func(r *rule) { r.cut = true })
+func (n *Network) Partition(a, b peer.Name) {
+	n.updateFaults(a, b, func(r *faults) { r.partitioned = true })
+	n.updateFaults(b, a, func(r *faults) { r.partitioned = true })
 	n.breakLinks(a, b)
 }
 
-// Lose drops what is sent from one node to the other, without telling either.
+// Drop drops what is sent from one node to the other, without telling either.
 // Answers to the other's calls are dropped with it.
-func (n *Network) Lose(from, to peer.Name) {
-	n.change(from, to, func(r *rule) { r.lose = true })
+func (n *Network) Drop(from, to peer.Name) {
+	n.updateFaults(from, to, func(r *faults) { r.drop = true })
 }
 
 // Delay delivers what is sent from one node to the other that much later.
 func (n *Network) Delay(from, to peer.Name, d time.Duration) {
-	n.change(from, to, func(r *rule) { r.delay = d })
+	n.updateFaults(from, to, func(r *faults) { r.delay = d })
 }
 
 // Heal takes back Cut, Lose and Delay between two nodes, both ways.
 func (n *Network) Heal(a, b peer.Name) {
-	n.change(a, b, func(r *rule) { *r = rule{} })
-	n.change(b, a, func(r *rule) { *r = rule{} })
+	n.updateFaults(a, b, func(r *faults) { *r = faults{} })
+	n.updateFaults(b, a, func(r *faults) { *r = faults{} })
 }
 
-// Down calls both sides' OnDown functions, as when the connection broke and
+// BreakConnection calls both sides' OnDown functions, as when the connection broke and
 // the next message dials a new one. What is under way is lost.
-func (n *Network) Down(a, b peer.Name) { n.breakLinks(a, b) }
+func (n *Network) BreakConnection(a, b peer.Name) { n.breakLinks(a, b) }
 
 // Crash removes a node: what it sent and was sent is lost, and its peers'
 // OnDown functions are called. Node(name) starts it again, without handlers.
@@ -109,26 +109,26 @@
 func (n *Network) Close() {
 	n.mu.Lock()
 	links := n.links
-	n.links = map[pair]*link{}
+	n.links = map[direction]*link{}
 	n.mu.Unlock()
 	for _, l := range links {
 		l.stop()
 	}
 }
 
-func (n *Network) change(from, to peer.Name, f func(*rule)) {
+func (n *Network) updateFaults(from, to peer.Name, f func(*faults)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r := n.rules[pair{from, to}]
+	r := n.faults[direction{from, to}]
 	f(&r)
-	n.rules[pair{from, to}] = r
+	n.faults[direction{from, to}] = r
 }
 
 // breakLinks loses what is under way between two nodes and tells them.
 func (n *Network) breakLinks(a, b peer.Name) {
 	n.mu.Lock()
 	used := false
-	for _, p := range []pair{{a, b}, {b, a}} {
+	for _, p := range []direction{{a, b}, {b, a}} {
 		if l, ok := n.links[p]; ok {
 			l.stop()
 			delete(n.links, p)
@@ -141,36 +141,36 @@
 		return
 	}
 	if na != nil {
-		na.tellDown(b)
+		na.notifyDown(b)
 	}
 	if nb != nil {
-		nb.tellDown(a)
+		nb.notifyDown(a)
 	}
 }
 
-// realName resolves peer.ByAddress: a node's address is its name here.
-func realName(n peer.Name) peer.Name {
+// resolveName resolves peer.ByAddress: a node's address is its name here.
+func resolveName(n peer.Name) peer.Name {
 	if a, ok := n.Address(); ok {
 		return peer.Name(a)
 	}
 	return n
 }
 
-// rule returns the rule in force and the receiving node, nil if it is gone.
-func (n *Network) rule(from, to peer.Name) (rule, *Node) {
+// faults returns the rule in force and the receiving node, nil if it is gone.
+func (n *Network) faultsBetween(from, to peer.Name) (faults, *Node) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.nodes[from] == nil {
-		return rule{cut: true}, nil
+		return faults{partitioned: true}, nil
 	}
-	return n.rules[pair{from, to}], n.nodes[to]
+	return n.faults[direction{from, to}], n.nodes[to]
 }
 
 // link returns the queue of a directed link, starting it at the first use.
 func (n *Network) link(from, to peer.Name) *link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p := pair{from, to}
+	p := direction{from, to}
 	l, ok := n.links[p]
 	if !ok {
 		l = newLink()
--- a/internal/peer/peertest/network_test.go
+++ b/internal/peer/peertest/network_test.go
@@ -20,7 +20,7 @@
 			return append([]byte("re:"), p...), nil
 		})
 		down := make(chan peer.Name, 4)
-		a.OnDown(func(of peer.Name) { down <- of })
+		a.OnDown(func(name peer.Name) { down <- name })
 
 		Convey("messages arrive in order and calls are answered", func() {
 			So(a.Send("b", peer.TypePing, []byte("1")), ShouldBeNil)
@@ -41,11 +41,11 @@
 		})
 		Convey("a cut is told and refuses; one-way loss leaves the outcome unknown", func() {
 			So(a.Send("b", peer.TypePing, []byte("1")), ShouldBeNil)
-			net.Cut("a", "b")
+			net.Partition("a", "b")
 			So(<-down, ShouldEqual, peer.Name("b"))
 			So(a.Send("b", peer.TypePing, nil), ShouldEqual, peer.ErrNotConnected)
 			net.Heal("a", "b")
-			net.Lose("b", "a")
+			net.Drop("b", "a")
 			ctx, cancel := context.WithCancel(context.Background())
 			go func() {
 				for m := range got {
--- a/internal/peer/peertest/node.go
+++ b/internal/peer/peertest/node.go
@@ -41,7 +41,7 @@
 }
 
 // OnDown implements peer.Transport.
-func (d *Node) OnDown(f func(of peer.Name)) {
+func (d *Node) OnDown(f func(name peer.Name)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.onDown = append(d.onDown, f)
@@ -57,16 +57,16 @@
 
 // Send implements peer.Transport.
 func (d *Node) Send(to peer.Name, t peer.Type, payload []byte) error {
-	to = realName(to)
-	r, dst := d.net.rule(d.name, to)
-	if r.cut || dst == nil {
+	to = resolveName(to)
+	r, dst := d.net.faultsBetween(d.name, to)
+	if r.partitioned || dst == nil {
 		return peer.ErrNotConnected
 	}
 	l := d.net.link(d.name, to)
 	sent := bytes.Clone(payload)
 	due := time.Now().Add(r.delay)
 	deliver := func() {
-		if !r.lose && l.wait(due) {
+		if !r.drop && l.wait(due) {
 			dst.receive(context.Background(), d.name, t, sent)
 		}
 	}
@@ -87,16 +87,16 @@
 
 // Call implements peer.Transport.
 func (d *Node) Call(ctx context.Context, to peer.Name, t peer.Type, payload []byte) ([]byte, error) {
-	to = realName(to)
-	r, dst := d.net.rule(d.name, to)
-	if r.cut || dst == nil {
+	to = resolveName(to)
+	r, dst := d.net.faultsBetween(d.name, to)
+	if r.partitioned || dst == nil {
 		return nil, peer.ErrNotConnected
 	}
 	l := d.net.link(d.name, to)
 	d.countOut(payload)
 	answers := make(chan answer, 1)
-	if !r.lose {
-		go d.carryCall(ctx, l, dst, t, bytes.Clone(payload), answers)
+	if !r.drop {
+		go d.deliverCall(ctx, l, dst, t, bytes.Clone(payload), answers)
 	}
 	select {
 	case a := <-answers:
@@ -107,17 +107,17 @@
 	return nil, peer.ErrUnknownOutcome
 }
 
-// carryCall takes a call to its handler and the answer back, under the rules
+// deliverCall takes a call to its handler and the answer back, under the rules
 // that are in force at each moment.
-func (d *Node) carryCall(ctx context.Context, l *link, dst *Node, t peer.Type, payload []byte, answers chan<- answer) {
-	r, _ := d.net.rule(d.name, dst.name)
+func (d *Node) deliverCall(ctx context.Context, l *link, dst *Node, t peer.Type, payload []byte, answers chan<- answer) {
+	r, _ := d.net.faultsBetween(d.name, dst.name)
 	if !l.wait(time.Now().Add(r.delay)) {
 		return
 	}
 	out, err := dst.receive(ctx, d.name, t, payload)
 	dst.countOut(out)
-	back, _ := d.net.rule(dst.name, d.name)
-	if back.cut || back.lose || !l.wait(time.Now().Add(back.delay)) {
+	back, _ := d.net.faultsBetween(dst.name, d.name)
+	if back.partitioned || back.drop || !l.wait(time.Now().Add(back.delay)) {
 		return
 	}
 	d.countIn(out)
@@ -138,12 +138,12 @@
 	return h(ctx, from, payload)
 }
 
-func (d *Node) tellDown(of peer.Name) {
+func (d *Node) notifyDown(name peer.Name) {
 	d.mu.Lock()
-	fs := append([]func(peer.Name){}, d.onDown...)
+	callbacks := append([]func(peer.Name){}, d.onDown...)
 	d.mu.Unlock()
-	for _, f := range fs {
-		f(of)
+	for _, f := range callbacks {
+		f(name)
 	}
 }
 
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -24,9 +24,9 @@
 }
 
 // newSession runs a session on conn; side is yamux.Client or yamux.Server.
-func newSession(conn net.Conn, side func(io.ReadWriteCloser, *yamux.Config) (*yamux.Session, error)) (*session, error) {
+func newSession(conn net.Conn, newMux func(io.ReadWriteCloser, *yamux.Config) (*yamux.Session, error)) (*session, error) {
 	s := &session{streams: map[*yamux.Stream]struct{}{}}
-	mux, err := side(&joiner{Conn: conn, closing: s.endStreams}, yamuxConfig())
+	mux, err := newMux(&frameWriter{Conn: conn, onClose: s.expireStreams}, yamuxConfig())
 	if err != nil {
 		return nil, err
 	}
@@ -66,19 +66,19 @@
 	defer s.mu.Unlock()
 	s.streams[stream] = struct{}{}
 	if s.ended {
-		endStream(stream)
+		expireStream(stream)
 	}
 }
 
-// endStreams is called when the session has begun to close.
-func (s *session) endStreams() {
+// expireStreams is called when the session has begun to close.
+func (s *session) expireStreams() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ended = true
 	for stream := range s.streams {
-		endStream(stream)
+		expireStream(stream)
 	}
 }
 
-// endStream makes reads and writes that are under way, and all further ones, time out.
-func endStream(stream *yamux.Stream) { _ = stream.SetDeadline(time.Unix(1, 0)) }
+// expireStream makes reads and writes that are under way, and all further ones, time out.
+func expireStream(stream *yamux.Stream) { _ = stream.SetDeadline(time.Unix(1, 0)) }
--- a/internal/peer/session_test.go
+++ b/internal/peer/session_test.go
@@ -24,7 +24,7 @@
 }
 
 // Guards against streams that spin on a core while their session's connection closes.
-func TestAReadEndsBeforeItsConnectionHasClosed(t *testing.T) {
+func TestClosingSessionEndsReads(t *testing.T) {
 	Convey("Given streams with reads under way, on a connection whose close is stuck", t, func() {
 		near, far := net.Pipe()
 		stuck := &stuckConn{Conn: near, closing: make(chan struct{}), released: make(chan struct{})}
--- a/internal/peer/tcp.go
+++ b/internal/peer/tcp.go
@@ -23,16 +23,16 @@
 
 // The pause before a peer is dialed again after a failure.
 const (
-	backoffFirst = 100 * time.Millisecond
-	backoffLast  = 2 * time.Second
-	// shortLife is how long a connection must last for its end not to count as
+	minRedialBackoff = 100 * time.Millisecond
+	maxRedialBackoff = 2 * time.Second
+	// minStableDuration is how long a connection must last for its end not to count as
 	// a failed dial.
-	shortLife = 500 * time.Millisecond
+	minStableDuration = 500 * time.Millisecond
 )
 
 // Failed handshakes are all counted, but logged only so often.
 const (
-	authLogFirst    = 10
+	authLogBurst    = 10
 	authLogInterval = time.Second
 )
 
@@ -46,26 +46,26 @@
 	// connections, e.g. when both sides dialed at once; they are only read.
 	current *link
 	others  []*link
-	// replace is set when a connection was given up, until a dial succeeded.
-	replace bool
-	backoff *backoff.ExponentialBackOff
-	notYet  time.Time // no dial before
+	// replaceNext is set when a connection was given up, until a dial succeeded.
+	replaceNext bool
+	backoff     *backoff.ExponentialBackOff
+	dialAfter   time.Time // no dial before
 }
 
 // TCP is a Transport over TCP, TLS 1.3 and yamux. Register handlers before
 // Start. All methods are safe for concurrent use.
 type TCP struct {
-	opts     Options
-	auth     authenticator
-	tls      *tls.Config
-	log      *logrus.Entry
-	count    *counters
-	start    time.Time
-	pingRate *rate.Limiter
-	authLog  rate.Sometimes // strangers must not fill the log
-	handlers map[Type]Handler
-	listener net.Listener
-	shaking  chan struct{}
+	opts           Options
+	auth           authenticator
+	tls            *tls.Config
+	log            *logrus.Entry
+	count          *counters
+	start          time.Time
+	pingLimiter    *rate.Limiter
+	authLogLimiter rate.Sometimes // strangers must not fill the log
+	handlers       map[Type]Handler
+	listener       net.Listener
+	handshakeSlots chan struct{}
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conf, err := newTLSConfig()
+	tlsConfig, err := newTLSConfig()
 	if err != nil {
 		return nil, err
 	}
@@ -104,17 +104,17 @@
 			name: opts.Name, keys: opts.Keys, oldest: opts.oldest, newest: opts.newest,
 			instance: binary.BigEndian.Uint64(instance[:]),
 		},
-		tls:      conf,
-		log:      logs.For("peer"),
-		count:    newCounters(opts.Registry),
-		start:    time.Now(),
-		pingRate: rate.NewLimiter(rate.Limit(opts.PingsPerSecond), pingBurst),
-		authLog:  rate.Sometimes{First: authLogFirst, Interval: authLogInterval},
-		handlers: map[Type]Handler{},
-		listener: ln,
-		shaking:  make(chan struct{}, maxHandshakes),
-		peers:    map[Name]*peerState{},
-		links:    map[*link]struct{}{},
+		tls:            tlsConfig,
+		log:            logs.For("peer"),
+		count:          newCounters(opts.Registry),
+		start:          time.Now(),
+		pingLimiter:    rate.NewLimiter(rate.Limit(opts.PingsPerSecond), pingBurst),
+		authLogLimiter: rate.Sometimes{First: authLogBurst, Interval: authLogInterval},
+		handlers:       map[Type]Handler{},
+		listener:       ln,
+		handshakeSlots: make(chan struct{}, maxHandshakes),
+		peers:          map[Name]*peerState{},
+		links:          map[*link]struct{}{},
 	}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	opts.Registry.Gauge(groupPeer, "connections", func() any { return t.Connections() })
@@ -127,7 +127,7 @@
 // Start begins to accept connections and to watch them.
 func (t *TCP) Start() {
 	t.group.Go(t.acceptLoop)
-	t.group.Go(t.watchLoop)
+	t.group.Go(t.heartbeatLoop)
 }
 
 // Close ends all connections and waits for their goroutines; handlers that
@@ -140,7 +140,7 @@
 	t.cancel()
 	t.listener.Close()
 	for _, l := range links {
-		t.down(l, closedShutdown)
+		t.closeLink(l, closedShutdown)
 	}
 	t.group.Wait()
 }
@@ -156,29 +156,29 @@
 
 // OnDown implements Transport. The functions run on the goroutine that found
 // the break and may Send; they must not block.
-func (t *TCP) OnDown(f func(of Name)) {
+func (t *TCP) OnDown(f func(name Name)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.onDown = append(t.onDown, f)
 }
 
 // SetAddress implements Transport.
-func (t *TCP) SetAddress(of Name, address string) {
+func (t *TCP) SetAddress(name Name, address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p := t.peer(of)
+	p := t.stateOf(name)
 	if p.address != address {
 		p.address = address
-		p.notYet = time.Time{}
+		p.dialAfter = time.Time{}
 	}
 }
 
 // Version returns the protocol version agreed on with a peer; false while no
 // connection to it is up.
-func (t *TCP) Version(of Name) (uint32, bool) {
+func (t *TCP) Version(name Name) (uint32, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p, ok := t.peers[of]
+	p, ok := t.peers[name]
 	if !ok || p.current == nil || !p.current.isUp() {
 		return 0, false
 	}
@@ -193,16 +193,16 @@
 	for {
 		l, err := t.linkTo(to)
 		if err != nil {
-			t.drop(dropNotConnected)
+			t.countDrop(dropNotConnected)
 			return err
 		}
-		err = l.send(outMessage{t: typ, payload: payload})
+		err = l.send(outMessage{typ: typ, payload: payload})
 		if err == errLinkClosing {
 			t.detach(l)
 			continue
 		}
 		if err != nil {
-			t.drop(dropQueueFull)
+			t.countDrop(dropQueueFull)
 		}
 		return err
 	}
@@ -234,7 +234,7 @@
 	if t.closed {
 		return nil, ErrNotConnected
 	}
-	p := t.peer(to)
+	p := t.stateOf(to)
 	if p.current != nil {
 		return p.current, nil
 	}
@@ -245,24 +245,24 @@
 			address = o
 		}
 	}
-	if address == "" || t.now().Before(p.notYet) {
+	if address == "" || t.now().Before(p.dialAfter) {
 		return nil, ErrNotConnected
 	}
 	l := newLink(t, to, true)
 	p.current = l
 	t.links[l] = struct{}{}
-	replaces := p.replace
+	replaces := p.replaceNext
 	t.count.dials.Add(1)
 	t.group.Go(func() { t.dial(l, address, replaces) })
 	return l, nil
 }
 
-// peer returns a name's state; it needs t.mu.
-func (t *TCP) peer(name Name) *peerState {
+// stateOf returns a name's state; it needs t.mu.
+func (t *TCP) stateOf(name Name) *peerState {
 	p, ok := t.peers[name]
 	if !ok {
 		b := backoff.NewExponentialBackOff()
-		b.InitialInterval, b.MaxInterval = backoffFirst, backoffLast
+		b.InitialInterval, b.MaxInterval = minRedialBackoff, maxRedialBackoff
 		p = &peerState{backoff: b}
 		t.peers[name] = p
 	}
@@ -271,11 +271,11 @@
 
 // allLinks needs t.mu.
 func (t *TCP) allLinks() []*link {
-	ls := make([]*link, 0, len(t.links))
+	links := make([]*link, 0, len(t.links))
 	for l := range t.links {
-		ls = append(ls, l)
+		links = append(links, l)
 	}
-	return ls
+	return links
 }
 
 // Connections counts the open connections, those being dialed included.
@@ -285,4 +285,4 @@
 	return len(t.links)
 }
 
-func (t *TCP) drop(why reason) { t.count.drops[why].Add(1) }
+func (t *TCP) countDrop(why reason) { t.count.drops[why].Add(1) }
--- a/internal/peer/tcp_test.go
+++ b/internal/peer/tcp_test.go
@@ -13,31 +13,31 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// patience bounds every wait for something that must happen.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait for something that must happen.
+const waitTimeout = 20 * time.Second
 
 var testKey = []byte("0123456789abcdef")
 
 // node is a started transport with what its handlers saw.
 type node struct {
 	*TCP
-	reg  *metrics.Registry
-	got  chan string
-	down chan Name
+	reg      *metrics.Registry
+	received chan string
+	down     chan Name
 }
 
 // startNode starts a daemon's transport; change may alter its options.
-func startNode(name Name, change func(*Options)) *node {
-	n := &node{reg: metrics.New(), got: make(chan string, 1<<14), down: make(chan Name, 64)}
+func startNode(name Name, configure func(*Options)) *node {
+	n := &node{reg: metrics.New(), received: make(chan string, 1<<14), down: make(chan Name, 64)}
 	o := Options{Name: name, Listen: "127.0.0.1:0", Keys: [][]byte{testKey}, Registry: n.reg}
-	if change != nil {
-		change(&o)
+	if configure != nil {
+		configure(&o)
 	}
 	t, err := NewTCP(o)
 	So(err, ShouldBeNil)
 	n.TCP = t
 	t.Handle(TypePoolEvents, func(_ context.Context, from Name, p []byte) ([]byte, error) {
-		n.got <- fmt.Sprintf("%s:%s", from, p)
+		n.received <- fmt.Sprintf("%s:%s", from, p)
 		return nil, nil
 	})
 	t.Handle(TypeConfigPull, func(_ context.Context, _ Name, p []byte) ([]byte, error) {
@@ -46,13 +46,13 @@
 		}
 		return append([]byte("re:"), p...), nil
 	})
-	t.OnDown(func(of Name) { n.down <- of })
+	t.OnDown(func(peer Name) { n.down <- peer })
 	t.Start()
 	Reset(t.Close)
 	return n
 }
 
-func (n *node) knows(others ...*node) {
+func (n *node) setAddresses(others ...*node) {
 	for _, o := range others {
 		n.SetAddress(o.Self(), o.Addr().String())
 	}
@@ -63,7 +63,7 @@
 }
 
 func (n *node) call(to Name, payload string) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	out, err := n.Call(ctx, to, TypeConfigPull, []byte(payload))
 	return string(out), err
@@ -74,7 +74,7 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		panic("nothing arrived")
 	}
 }
@@ -83,7 +83,7 @@
 func eventually(cond func() bool) {
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
-	end := time.After(patience)
+	end := time.After(waitTimeout)
 	for !cond() {
 		select {
 		case <-tick.C:
@@ -96,17 +96,17 @@
 func TestMessages(t *testing.T) {
 	Convey("Given two daemons", t, func() {
 		a, b := startNode("a", nil), startNode("b", nil)
-		a.knows(b)
+		a.setAddresses(b)
 
 		Convey("one-way messages arrive in order, also back on the same connection", func() {
 			for i := range 1000 {
 				So(a.Send("b", TypePoolEvents, fmt.Append(nil, i)), ShouldBeNil)
 			}
 			for i := range 1000 {
-				So(await(b.got), ShouldEqual, fmt.Sprintf("a:%d", i))
+				So(await(b.received), ShouldEqual, fmt.Sprintf("a:%d", i))
 			}
 			So(b.Send("a", TypePoolEvents, []byte("back")), ShouldBeNil)
-			So(await(a.got), ShouldEqual, "b:back")
+			So(await(a.received), ShouldEqual, "b:back")
 			So(a.Connections()+b.Connections(), ShouldEqual, 2)
 		})
 		Convey("calls are answered, large and failing ones too", func() {
@@ -121,9 +121,9 @@
 		})
 		Convey("a seed is reached by its address alone, and answers under names", func() {
 			So(a.Send(ByAddress(b.Addr().String()), TypePoolEvents, []byte("hi")), ShouldBeNil)
-			So(await(b.got), ShouldEqual, "a:hi")
+			So(await(b.received), ShouldEqual, "a:hi")
 			So(b.Send("a", TypePoolEvents, []byte("welcome")), ShouldBeNil)
-			So(await(a.got), ShouldEqual, "b:welcome")
+			So(await(a.received), ShouldEqual, "b:welcome")
 		})
 		Convey("a peer without an address, and a large payload, are refused", func() {
 			So(a.Send("nobody", TypePoolEvents, nil), ShouldEqual, ErrNotConnected)
@@ -136,9 +136,9 @@
 				<-release
 				return nil, nil
 			}
-			a.knows(slow)
+			a.setAddresses(slow)
 			var err error
-			for range queueBytes / (64 << 10) * 2 {
+			for range maxQueuedBytes / (64 << 10) * 2 {
 				if err = a.Send("slow", TypeSuspect, make([]byte, 64<<10)); err != nil {
 					break
 				}
@@ -153,17 +153,17 @@
 func TestIdleConnectionIsClosedWithoutLoss(t *testing.T) {
 	// Guards against this: a queue was rebuilt although nothing had failed.
 	Convey("An idle connection is closed by agreement and OnDown is not called", t, func() {
-		short := func(o *Options) { o.IdleTimeout = 50 * time.Millisecond }
-		a, b := startNode("a", short), startNode("b", short)
-		a.knows(b)
+		shortIdle := func(o *Options) { o.IdleTimeout = 50 * time.Millisecond }
+		a, b := startNode("a", shortIdle), startNode("b", shortIdle)
+		a.setAddresses(b)
 		So(a.Send("b", TypePoolEvents, []byte("1")), ShouldBeNil)
-		So(await(b.got), ShouldEqual, "a:1")
+		So(await(b.received), ShouldEqual, "a:1")
 		eventually(func() bool { return a.Connections() == 0 && b.Connections() == 0 })
 		eventually(func() bool { return a.count(groupClosed, closedIdle) == 1 })
 		eventually(func() bool { return b.count(groupClosed, closedIdle) == 1 })
 		So(len(a.down)+len(b.down), ShouldEqual, 0)
 		So(a.Send("b", TypePoolEvents, []byte("2")), ShouldBeNil)
-		So(await(b.got), ShouldEqual, "a:2")
+		So(await(b.received), ShouldEqual, "a:2")
 	})
 }
 
@@ -179,7 +179,7 @@
 			Reset(p.Close)
 			a.SetAddress("b", p.Addr())
 			So(a.Send("b", TypePoolEvents, []byte("0")), ShouldBeNil)
-			So(await(b.got), ShouldEqual, "a:0")
+			So(await(b.received), ShouldEqual, "a:0")
 
 			p.Silence(direction)
 			pending := make(chan error, 1)
@@ -190,19 +190,19 @@
 			So(errors.Is(await(pending), ErrUnknownOutcome), ShouldBeTrue)
 			So(await(a.down), ShouldEqual, Name("b"))
 			// In one direction the peer may notice first; its close arrives then.
-			noticed := closedSilent
+			wantReason := closedSilent
 			if direction == faultproxy.ToTarget && a.count(groupClosed, closedBroken) == 1 {
-				noticed = closedBroken
+				wantReason = closedBroken
 			}
-			eventually(func() bool { return a.count(groupClosed, noticed) == 1 })
-			eventually(func() bool { return a.count(groupRedials, noticed) == 1 })
+			eventually(func() bool { return a.count(groupClosed, wantReason) == 1 })
+			eventually(func() bool { return a.count(groupRedials, wantReason) == 1 })
 			out, err := a.call("b", "new")
 			So(err, ShouldBeNil)
 			So(out, ShouldEqual, "re:new")
 			// The other end is told by the new connection, not by the old one.
 			So(await(b.down), ShouldEqual, Name("a"))
 			So(b.Send("a", TypePoolEvents, []byte("back")), ShouldBeNil)
-			So(await(a.got), ShouldEqual, "b:back")
+			So(await(a.received), ShouldEqual, "b:back")
 		})
 	}
 }
@@ -217,13 +217,13 @@
 		a := startNode("a", nil)
 		a.SetAddress("b", p.Addr())
 		So(a.Send("b", TypePoolEvents, []byte("1")), ShouldBeNil)
-		So(await(b.got), ShouldEqual, "a:1")
+		So(await(b.received), ShouldEqual, "a:1")
 		p.Silence(faultproxy.Both)
 		a.Close()
-		again := startNode("a", nil)
-		again.knows(b)
-		So(again.Send("b", TypePoolEvents, []byte("2")), ShouldBeNil)
-		So(await(b.got), ShouldEqual, "a:2")
+		restarted := startNode("a", nil)
+		restarted.setAddresses(b)
+		So(restarted.Send("b", TypePoolEvents, []byte("2")), ShouldBeNil)
+		So(await(b.received), ShouldEqual, "a:2")
 		So(await(b.down), ShouldEqual, Name("a"))
 		eventually(func() bool { return b.count(groupClosed, closedRestarted)+b.count(groupClosed, closedSilent) == 1 })
 	})
--- a/internal/poolhost/spread.go
+++ b/internal/poolhost/broadcast.go
@@ -33,14 +33,14 @@
 	return &suspects{known: known}
 }
 
-func (s *suspects) note(now time.Time, ev pool.SuspectShared) {
+func (s *suspects) record(now time.Time, ev pool.SuspectShared) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.known.Add(ev.Fingerprint, knownSuspect{ev.State, now.Add(ev.ExpiresIn)})
 }
 
-// feed tells a new runtime what is known.
-func (s *suspects) feed(r *Runtime, now time.Time) {
+// replayTo tells a new runtime what is known.
+func (s *suspects) replayTo(r *Runtime, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range s.known.Keys() {
@@ -51,16 +51,16 @@
 	}
 }
 
-// shareSuspect tells this daemon's other pools and every other member.
-func (h *Host) shareSuspect(from *Runtime, c pool.ShareSuspect) {
+// broadcastSuspect tells this daemon's other pools and every other member.
+func (h *Host) broadcastSuspect(from *Runtime, c pool.ShareSuspect) {
 	h.count.suspectsShared.Add(1)
 	ev := pool.SuspectShared(c)
-	h.takeSuspect(from, ev)
-	if h.cfg.Transport == nil || h.cfg.Views == nil {
+	h.receiveSuspect(from, ev)
+	if h.cfg.Transport == nil || h.cfg.View == nil {
 		return
 	}
 	payload := poolwire.EncodeSuspect(ev)
-	for _, m := range h.cfg.Views.Load().Members {
+	for _, m := range h.cfg.View.Load().Members {
 		if m.Name != h.cfg.Self {
 			// A member that misses it learns at the worst from a crash of its own.
 			_ = h.cfg.Transport.Send(peer.Name(m.Name), peer.TypeSuspect, payload)
@@ -68,8 +68,8 @@
 	}
 }
 
-func (h *Host) takeSuspect(from *Runtime, ev pool.SuspectShared) {
-	h.suspects.note(h.cfg.Now(), ev)
+func (h *Host) receiveSuspect(from *Runtime, ev pool.SuspectShared) {
+	h.suspects.record(h.cfg.Now(), ev)
 	for _, r := range *h.owned.Load() {
 		if r != from {
 			r.post(ev)
@@ -77,38 +77,38 @@
 	}
 }
 
-// spreadSummary tells the owners of a pool's siblings how it stands.
-func (h *Host) spreadSummary(r *Runtime, s pool.Summary) {
+// sendBriefs tells the owners of a pool's siblings how it stands.
+func (h *Host) sendBriefs(r *Runtime, s pool.Summary) {
 	snapshot := h.cfg.Snapshots.Load()
-	if r.share || snapshot == nil {
+	if r.degraded || snapshot == nil {
 		return
 	}
 	brief := poolwire.BriefOf(s)
-	to := reconciled{snapshot: snapshot}
-	if h.cfg.Views != nil {
-		to.view = h.cfg.Views.Load()
+	inputs := reconcileInputs{snapshot: snapshot}
+	if h.cfg.View != nil {
+		inputs.view = h.cfg.View.Load()
 	}
-	if brief == r.lastBrief && to == r.briefTo && r.now.Sub(r.briefAt) < spreadUnchanged {
+	if brief == r.lastBrief && inputs == r.briefInputs && r.now.Sub(r.briefSentAt) < unchangedBriefInterval {
 		return
 	}
-	r.lastBrief, r.briefTo, r.briefAt = brief, to, r.now
-	told := map[string]bool{}
+	r.lastBrief, r.briefInputs, r.briefSentAt = brief, inputs, r.now
+	notified := map[string]bool{}
 	for _, sibling := range siblings(snapshot, r.name) {
 		owner, ok := h.Owner(sibling, h.cfg.Region)
 		switch {
-		case !ok || told[owner]:
+		case !ok || notified[owner]:
 		case owner == h.cfg.Self:
-			h.takeBrief(brief)
-			told[owner] = true
+			h.receiveBrief(brief)
+			notified[owner] = true
 		case h.cfg.Transport != nil:
 			_ = h.cfg.Transport.Send(peer.Name(owner), peer.TypePoolSummary, poolwire.EncodeBrief(brief))
-			told[owner] = true
+			notified[owner] = true
 		}
 	}
 }
 
-// takeBrief tells the owned siblings of a pool how it stands.
-func (h *Host) takeBrief(b poolwire.Brief) {
+// receiveBrief tells the owned siblings of a pool how it stands.
+func (h *Host) receiveBrief(b poolwire.Brief) {
 	snapshot := h.cfg.Snapshots.Load()
 	if snapshot == nil {
 		return
--- a/internal/poolhost/config.go
+++ b/internal/poolhost/config.go
@@ -17,50 +17,50 @@
 )
 
 // The host's times. Entries and owners of mixed versions must agree on none
-// of them exactly; each only needs HeartbeatEvery well below SilentAfter.
+// of them exactly; each only needs MinHeartbeatInterval well below SilenceTimeout.
 const (
-	// TickEvery is how often Run lets time pass in the pools.
-	TickEvery = 25 * time.Millisecond
-	// HeartbeatEvery is how often either side of a session says that it lives.
-	HeartbeatEvery = 500 * time.Millisecond
-	// SilentAfter is how long a session's other side may say nothing.
-	SilentAfter = 1600 * time.Millisecond
-	// ProbeEvery is how often, on average, a backend server's load report is
+	// TickInterval is how often Run lets time pass in the pools.
+	TickInterval = 25 * time.Millisecond
+	// MinHeartbeatInterval is how often either side of a session says that it lives.
+	MinHeartbeatInterval = 500 * time.Millisecond
+	// SilenceTimeout is how long a session's other side may say nothing.
+	SilenceTimeout = 1600 * time.Millisecond
+	// ProbeInterval is how often, on average, a backend server's load report is
 	// asked for while it is up. What fails at a server is noticed sooner by our
 	// own requests, whose bad outcomes bring the next probe forward; the bound
 	// is that a leaving engine gets no new work after three seconds.
-	ProbeEvery = 2500 * time.Millisecond
-	// probeDown is how often a server is asked that is not up, and probeAgain
+	ProbeInterval = 2500 * time.Millisecond
+	// unhealthyProbeInterval is how often a server is asked that is not up, and probeRetryDelay
 	// how soon after a first miss.
-	probeDown  = 500 * time.Millisecond
-	probeAgain = 250 * time.Millisecond
+	unhealthyProbeInterval = 500 * time.Millisecond
+	probeRetryDelay        = 250 * time.Millisecond
 	// probeJitter keeps the probes of a pool's servers apart.
-	probeJitter = ProbeEvery / 5
-	// cacheEvery is after how many probes cache events are asked for.
-	cacheEvery = 2
+	probeJitter = ProbeInterval / 5
+	// probesPerCachePoll is after how many probes cache events are asked for.
+	probesPerCachePoll = 2
 	// probeTimeout bounds one probe.
 	probeTimeout = 450 * time.Millisecond
-	// probeMisses is how many probes in a row without an answer make a
+	// maxProbeMisses is how many probes in a row without an answer make a
 	// server silent.
-	probeMisses = 3
-	// unconfirmedHold is how long a grant is counted whose entry's session
+	maxProbeMisses = 3
+	// unconfirmedGrantTTL is how long a grant is counted whose entry's session
 	// ended before the entry told that it runs it.
-	unconfirmedHold = 30 * time.Second
-	// lingerFor is how long a pool that was given up is served on for the
+	unconfirmedGrantTTL = 30 * time.Second
+	// drainTimeout is how long a pool that was given up is served on for the
 	// entries that have not moved to its new owner.
-	lingerFor = 2 * time.Second
-	// absentHold is how long an entry without a live member or session is
+	drainTimeout = 2 * time.Second
+	// absentEntryTTL is how long an entry without a live member or session is
 	// still counted among the entries.
-	absentHold = 2 * time.Second
+	absentEntryTTL = 2 * time.Second
 	// defaultSlots is the number of slots of a server that names none.
 	defaultSlots = 16
-	// entriesEvery is how often it is checked which entries are still there.
-	entriesEvery = 250 * time.Millisecond
-	// SpreadEvery is how often sibling pools' owners are told how a pool stands.
-	SpreadEvery = 500 * time.Millisecond
-	// spreadUnchanged is how often they are told the same again. A scheduler
+	// entryCheckInterval is how often it is checked which entries are still there.
+	entryCheckInterval = 250 * time.Millisecond
+	// SummaryInterval is how often sibling pools' owners are told how a pool stands.
+	SummaryInterval = 500 * time.Millisecond
+	// unchangedBriefInterval is how often they are told the same again. A scheduler
 	// goes by no report older than 2 s.
-	spreadUnchanged = 1500 * time.Millisecond
+	unchangedBriefInterval = 1500 * time.Millisecond
 )
 
 // DegradedAfter is the default of Config.DegradedAfter: another owner is usually
@@ -80,9 +80,9 @@
 	Region string
 	// Snapshots is the configuration in force.
 	Snapshots *workspace.Live
-	// Views is the membership in force; nil where this daemon is alone and
+	// View is the membership in force; nil where this daemon is alone and
 	// owns every pool.
-	Views *member.CurrentView
+	View *member.CurrentView
 	// Transport reaches the other daemons; nil where this daemon is alone.
 	Transport peer.Transport
 	// Engines dials model engines for load reports and cache events; nil:
@@ -92,22 +92,22 @@
 	// serves waiting requests on its own share of the slots; the default is
 	// DegradedAfter.
 	DegradedAfter time.Duration
-	// Unmonitored servers are not probed: what the configuration and the
+	// DisableProbes servers are not probed: what the configuration and the
 	// requests show of them is all that is known.
-	Unmonitored bool
+	DisableProbes bool
 	// Connect probes a plain service's server; the default connects by TCP.
 	Connect func(ctx context.Context, address string) error
-	// Leaving tells from elsewhere, e.g. the VM list, that a server leaves.
-	Leaving func(s workspace.BackendServer) bool
+	// IsLeaving tells from elsewhere, e.g. the VM list, that a server leaves.
+	IsLeaving func(s workspace.BackendServer) bool
 	// Now is the clock; the default is time.Now.
 	Now func() time.Time
 	// Spawn starts a goroutine, which is the default; a test may run inline.
 	// A panic in a scheduler ends the process: its counts can't be trusted,
 	// and the entries go on at another owner.
 	Spawn func(func())
-	// Heartbeat tells the interval of idle sessions' heartbeats; the default
+	// HeartbeatInterval tells the interval of idle sessions' heartbeats; the default
 	// is HeartbeatInterval.
-	Heartbeat func(sessions int) time.Duration
+	HeartbeatInterval func(sessions int) time.Duration
 	// NewScheduler makes a pool's scheduler; the default is pool.New.
 	NewScheduler func(p *workspace.ResolvedPool, epoch uint64) Scheduler
 	// Trace sees every event that a pool handles, and the commands that
@@ -133,14 +133,14 @@
 	if c.NewScheduler == nil {
 		c.NewScheduler = newPool
 	}
-	if c.Heartbeat == nil {
-		c.Heartbeat = HeartbeatInterval
+	if c.HeartbeatInterval == nil {
+		c.HeartbeatInterval = HeartbeatInterval
 	}
 	if c.Metrics == nil {
 		c.Metrics = metrics.New()
 	}
-	if c.Leaving == nil {
-		c.Leaving = func(workspace.BackendServer) bool { return false }
+	if c.IsLeaving == nil {
+		c.IsLeaving = func(workspace.BackendServer) bool { return false }
 	}
 	return c
 }
--- a/internal/poolhost/counters.go
+++ b/internal/poolhost/counters.go
@@ -9,9 +9,9 @@
 
 // counters are the host's; names are those of the metrics group "poolhost".
 type counters struct {
-	sessions, resets, gaps, silentSessions, sendFailed    *expvar.Int
-	takenBack, entriesEnded, unknownReleases, badMessages *expvar.Int
-	probeMisses, cacheGaps, suspectsShared, serversDown   *expvar.Int
+	sessionsOpened, sessionResets, batchGaps, sessionTimeouts, sendFailed *expvar.Int
+	grantsReclaimed, entriesEnded, unknownReleases, badMessages           *expvar.Int
+	probeMisses, cacheEventGaps, suspectsShared, breakersOpened           *expvar.Int
 
 	tiers [request.MaxTiers]tierCounters
 }
@@ -19,12 +19,12 @@
 func newCounters(m *metrics.Registry) counters {
 	c := func(name string) *expvar.Int { return m.Counter("poolhost", name) }
 	return counters{
-		sessions: c("sessions_opened"), resets: c("sessions_reset"), gaps: c("batch_gaps"),
-		silentSessions: c("sessions_silent"), sendFailed: c("send_failed"),
-		takenBack: c("grants_taken_back"), entriesEnded: c("entries_ended"), unknownReleases: c("unknown_releases"),
+		sessionsOpened: c("sessions_opened"), sessionResets: c("sessions_reset"), batchGaps: c("batch_gaps"),
+		sessionTimeouts: c("sessions_silent"), sendFailed: c("send_failed"),
+		grantsReclaimed: c("grants_taken_back"), entriesEnded: c("entries_ended"), unknownReleases: c("unknown_releases"),
 		badMessages: c("bad_messages"), probeMisses: c("probe_misses"),
-		cacheGaps: c("cache_event_gaps"), suspectsShared: c("suspects_shared"),
-		serversDown: c("servers_down"),
-		tiers:       newTierCounters(m),
+		cacheEventGaps: c("cache_event_gaps"), suspectsShared: c("suspects_shared"),
+		breakersOpened: c("servers_down"),
+		tiers:          newTierCounters(m),
 	}
 }
--- a/internal/poolhost/wire.go
+++ b/internal/poolhost/handlers.go
@@ -17,25 +17,25 @@
 	h.cfg.Transport.Handle(peer.TypePoolEvents, h.onEvents)
 	h.cfg.Transport.Handle(peer.TypePoolSummary, h.onSummary)
 	h.cfg.Transport.Handle(peer.TypeSuspect, h.onSuspect)
-	h.cfg.Transport.OnDown(func(of peer.Name) {
-		for _, all := range []map[string]*Runtime{*h.owned.Load(), *h.lingering.Load()} {
+	h.cfg.Transport.OnDown(func(name peer.Name) {
+		for _, all := range []map[string]*Runtime{*h.owned.Load(), *h.draining.Load()} {
 			for _, r := range all {
-				r.box.Post(downMessage{string(of)})
+				r.mailbox.Post(peerDownMessage{string(name)})
 			}
 		}
 	})
 }
 
-// errNotItsEntry reports a peer that speaks for another daemon's entry.
-var errNotItsEntry = errors.New("message for another member's entry")
+// errForeignEntry reports a peer that speaks for another daemon's entry.
+var errForeignEntry = errors.New("message for another member's entry")
 
 func (h *Host) onHello(_ context.Context, from peer.Name, payload []byte) ([]byte, error) {
 	hello, err := poolwire.DecodeHello(payload)
 	if err == nil && poolwire.MemberOf(hello.Entry) != string(from) {
-		err = errNotItsEntry
+		err = errForeignEntry
 	}
 	if err != nil {
-		return nil, h.bad(err)
+		return nil, h.countBadMessage(err)
 	}
 	h.Hello(hello, h.replyTo(from))
 	return nil, nil
@@ -44,10 +44,10 @@
 func (h *Host) onEvents(_ context.Context, from peer.Name, payload []byte) ([]byte, error) {
 	batch, err := poolwire.DecodeEvents(payload)
 	if err == nil && poolwire.MemberOf(batch.Entry) != string(from) {
-		err = errNotItsEntry
+		err = errForeignEntry
 	}
 	if err != nil {
-		return nil, h.bad(err)
+		return nil, h.countBadMessage(err)
 	}
 	h.Events(batch, h.replyTo(from))
 	return nil, nil
@@ -61,22 +61,22 @@
 	}
 	b, err := poolwire.DecodeBrief(payload)
 	if err != nil {
-		return nil, h.bad(err)
+		return nil, h.countBadMessage(err)
 	}
-	h.takeBrief(b)
+	h.receiveBrief(b)
 	return nil, nil
 }
 
 func (h *Host) onSuspect(_ context.Context, _ peer.Name, payload []byte) ([]byte, error) {
 	ev, err := poolwire.DecodeSuspect(payload)
 	if err != nil {
-		return nil, h.bad(err)
+		return nil, h.countBadMessage(err)
 	}
-	h.takeSuspect(nil, ev)
+	h.receiveSuspect(nil, ev)
 	return nil, nil
 }
 
-func (h *Host) bad(err error) error {
+func (h *Host) countBadMessage(err error) error {
 	h.count.badMessages.Add(1)
 	return err
 }
@@ -92,7 +92,7 @@
 func (h *Host) Hello(hello poolwire.Hello, reply Reply) {
 	r := h.Owned(hello.Pool)
 	if r == nil && hello.Close {
-		r = (*h.lingering.Load())[hello.Pool]
+		r = (*h.draining.Load())[hello.Pool]
 	}
 	switch {
 	case r != nil:
@@ -106,7 +106,7 @@
 func (h *Host) Events(b poolwire.Events, reply Reply) {
 	r := h.Owned(b.Pool)
 	if r == nil {
-		r = (*h.lingering.Load())[b.Pool]
+		r = (*h.draining.Load())[b.Pool]
 	}
 	if r != nil {
 		r.Events(b, reply)
@@ -116,5 +116,5 @@
 }
 
 func (h *Host) notOwner(pool string, s poolwire.SessionID, reply Reply) {
-	_ = reply(poolwire.Commands{Pool: pool, Session: s, Verdict: poolwire.VerdictNotOwner})
+	_ = reply(poolwire.Commands{Pool: pool, Session: s, Status: poolwire.SessionNotOwner})
 }
--- a/internal/poolhost/host.go
+++ b/internal/poolhost/host.go
@@ -22,22 +22,22 @@
 
 	// owned is replaced as a whole: readers on a request's path only load it.
 	owned atomic.Pointer[map[string]*Runtime]
-	// lingering are pools that were given up a moment ago. Membership changes
+	// draining are pools that were given up a moment ago. Membership changes
 	// reach the daemons one after the other; without this, a planned change
 	// of owner would stop a pool until the last of them has heard of it.
-	lingering atomic.Pointer[map[string]*Runtime]
-	mu        sync.Mutex // one reconciliation at a time
-	shares    map[*Share]struct{}
-	state     reconciled
-	// alive are the names of aliveMembers, made from the view aliveOf.
-	aliveOf *member.View
-	alive   []string
+	draining   atomic.Pointer[map[string]*Runtime]
+	mu         sync.Mutex // one reconciliation at a time
+	shares     map[*StaticShare]struct{}
+	lastInputs reconcileInputs
+	// aliveNames are the names of aliveMembers, made from the view aliveView.
+	aliveView  *member.View
+	aliveNames []string
 
 	suspects *suspects
 }
 
-// reconciled is what the owned pools were last made from.
-type reconciled struct {
+// reconcileInputs is what the owned pools were last made from.
+type reconcileInputs struct {
 	snapshot *workspace.Snapshot
 	view     *member.View
 }
@@ -45,10 +45,10 @@
 // New returns a host that owns nothing until Tick or Run.
 func New(cfg Config) *Host {
 	cfg = cfg.withDefaults()
-	h := &Host{cfg: cfg, shares: map[*Share]struct{}{}, suspects: newSuspects()}
+	h := &Host{cfg: cfg, shares: map[*StaticShare]struct{}{}, suspects: newSuspects()}
 	h.count = newCounters(cfg.Metrics)
 	h.owned.Store(&map[string]*Runtime{})
-	h.lingering.Store(&map[string]*Runtime{})
+	h.draining.Store(&map[string]*Runtime{})
 	h.register()
 	return h
 }
@@ -59,7 +59,7 @@
 // Run lets time pass until ctx ends; then the pools' entries are told to ask
 // for the new owner.
 func (h *Host) Run(ctx context.Context) {
-	t := time.NewTicker(TickEvery)
+	t := time.NewTicker(TickInterval)
 	defer t.Stop()
 	for {
 		h.Tick()
@@ -80,30 +80,30 @@
 	h.reconcile()
 	members := h.aliveMembers()
 	for _, r := range *h.owned.Load() {
-		r.box.Post(tickMessage{members})
+		r.mailbox.Post(tickMessage{members})
 		r.monitor.tick()
 	}
-	h.tickLingering(members)
+	h.tickDraining(members)
 	for s := range h.shares {
 		s.tick(members)
 	}
 }
 
-// tickLingering serves given-up pools on, and ends those that no entry uses
+// tickDraining serves given-up pools on, and ends those that no entry uses
 // any more or whose time is up.
-func (h *Host) tickLingering(members []string) {
-	left := map[string]*Runtime{}
-	for name, r := range *h.lingering.Load() {
-		if h.cfg.Now().After(r.lingerUntil) || r.sessions.Load() == 0 {
-			r.box.Post(closeMessage{})
+func (h *Host) tickDraining(members []string) {
+	remaining := map[string]*Runtime{}
+	for name, r := range *h.draining.Load() {
+		if h.cfg.Now().After(r.drainUntil) || r.openSessions.Load() == 0 {
+			r.mailbox.Post(closeMessage{})
 			continue
 		}
-		left[name] = r
-		r.box.Post(tickMessage{members})
+		remaining[name] = r
+		r.mailbox.Post(tickMessage{members})
 		r.monitor.tick()
 	}
-	if len(left) != len(*h.lingering.Load()) {
-		h.lingering.Store(&left)
+	if len(remaining) != len(*h.draining.Load()) {
+		h.draining.Store(&remaining)
 	}
 }
 
@@ -127,10 +127,10 @@
 // it; false where the region has no live member. A daemon that leaves keeps
 // the pools for which there is nobody else.
 func (h *Host) Owner(pool, region string) (string, bool) {
-	if h.cfg.Views == nil {
+	if h.cfg.View == nil {
 		return h.cfg.Self, true
 	}
-	m, ok := h.cfg.Views.Load().Owner(pool, region)
+	m, ok := h.cfg.View.Load().Owner(pool, region)
 	if !ok && h.Owned(pool) != nil {
 		return h.cfg.Self, true
 	}
@@ -139,36 +139,36 @@
 
 // reconcile takes the pools that this daemon owns now and gives up the rest.
 func (h *Host) reconcile() {
-	now := reconciled{snapshot: h.cfg.Snapshots.Load()}
-	if h.cfg.Views != nil {
-		now.view = h.cfg.Views.Load()
+	inputs := reconcileInputs{snapshot: h.cfg.Snapshots.Load()}
+	if h.cfg.View != nil {
+		inputs.view = h.cfg.View.Load()
 	}
-	if now == h.state || now.snapshot == nil {
+	if inputs == h.lastInputs || inputs.snapshot == nil {
 		return
 	}
-	reconfigured := now.snapshot != h.state.snapshot
-	h.state = now
-	old, lingering := *h.owned.Load(), maps.Clone(*h.lingering.Load())
+	reconfigured := inputs.snapshot != h.lastInputs.snapshot
+	h.lastInputs = inputs
+	old, draining := *h.owned.Load(), maps.Clone(*h.draining.Load())
 	next := map[string]*Runtime{}
-	for name, p := range now.snapshot.Pools {
+	for name, p := range inputs.snapshot.Pools {
 		if !h.owns(p) {
 			continue
 		}
 		r := old[name]
 		if r == nil {
-			r = lingering[name]
-			delete(lingering, name)
+			r = draining[name]
+			delete(draining, name)
 		}
 		if r != nil && r.policy != p.Policy {
 			// A scheduler keeps its policy for life. A new one takes over as
 			// a new owner does: the entries enqueue again and report.
-			r.box.Post(closeMessage{})
+			r.mailbox.Post(closeMessage{})
 			r = nil
 		}
 		if r == nil {
 			logs.For("poolhost").WithField("pool", name).Info("Owns the pool now.")
 			r = newRuntime(h, p, h.aliveMembers())
-			h.suspects.feed(r, h.cfg.Now())
+			h.suspects.replayTo(r, h.cfg.Now())
 			r.configure(p)
 		} else if reconfigured {
 			r.configure(p)
@@ -179,11 +179,11 @@
 	for name, r := range old {
 		if next[name] == nil {
 			logs.For("poolhost").WithField("pool", name).Info("Gave the pool up.")
-			r.lingerUntil = h.cfg.Now().Add(lingerFor)
-			lingering[name] = r
+			r.drainUntil = h.cfg.Now().Add(drainTimeout)
+			draining[name] = r
 		}
 	}
-	h.lingering.Store(&lingering)
+	h.draining.Store(&draining)
 }
 
 func (h *Host) owns(p *workspace.ResolvedPool) bool {
@@ -197,12 +197,12 @@
 // aliveMembers returns the names of the region's members that may hold
 // requests, sorted. It is called with the mutex held; the result is not changed.
 func (h *Host) aliveMembers() []string {
-	if h.cfg.Views == nil {
+	if h.cfg.View == nil {
 		return []string{h.cfg.Self}
 	}
-	view := h.cfg.Views.Load()
-	if view == h.aliveOf {
-		return h.alive
+	view := h.cfg.View.Load()
+	if view == h.aliveView {
+		return h.aliveNames
 	}
 	var names []string
 	for _, m := range view.Members {
@@ -210,21 +210,21 @@
 			names = append(names, m.Name)
 		}
 	}
-	h.aliveOf, h.alive = view, names
+	h.aliveView, h.aliveNames = view, names
 	return names
 }
 
 func (h *Host) closeAll() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, all := range []map[string]*Runtime{*h.owned.Load(), *h.lingering.Load()} {
+	for _, all := range []map[string]*Runtime{*h.owned.Load(), *h.draining.Load()} {
 		for _, r := range all {
-			r.box.Post(closeMessage{})
+			r.mailbox.Post(closeMessage{})
 		}
 	}
 	h.owned.Store(&map[string]*Runtime{})
-	h.lingering.Store(&map[string]*Runtime{})
-	h.state = reconciled{}
+	h.draining.Store(&map[string]*Runtime{})
+	h.lastInputs = reconcileInputs{}
 }
 
 // configure gives the runtime the pool's servers and the bound of its queue.
@@ -237,7 +237,7 @@
 		})
 	}
 	if snapshot := r.host.cfg.Snapshots.Load(); snapshot != nil {
-		r.siblings.Store(len(siblings(snapshot, p.Name)) > 0)
+		r.hasSiblings.Store(len(siblings(snapshot, p.Name)) > 0)
 	}
 	r.post(pool.QueueBound{MaxWaiting: p.MaxWaiting})
 	r.post(set)
--- a/internal/poolhost/host_test.go
+++ b/internal/poolhost/host_test.go
@@ -39,27 +39,27 @@
 
 func (d fakeDialer) Engine(string) engine.Engine { return d.engine }
 
-// bench is one host on one thread with an injected clock, and a record of all
+// harness is one host on one thread with an injected clock, and a record of all
 // that its pools handled.
-type bench struct {
-	host     *Host
-	now      time.Time
-	snapshot workspace.Live
-	leaving  bool
-	connect  error // what a plain connect ends with
-	events   map[string][]pool.Event
-	engine   *fakeEngine
+type harness struct {
+	host       *Host
+	now        time.Time
+	snapshot   workspace.Live
+	leaving    bool
+	connectErr error // what a plain connect ends with
+	events     map[string][]pool.Event
+	engine     *fakeEngine
 }
 
-func newBench(pools ...string) *bench {
-	b := &bench{now: time.Unix(1_800_000_000, 0), events: map[string][]pool.Event{}, engine: &fakeEngine{}}
+func newHarness(pools ...string) *harness {
+	b := &harness{now: time.Unix(1_800_000_000, 0), events: map[string][]pool.Event{}, engine: &fakeEngine{}}
 	b.engine.report.Incarnation = 1
 	b.configure(false, pools...)
 	b.host = New(Config{
 		Self: "a", Region: "r", Snapshots: &b.snapshot, Engines: fakeDialer{b.engine},
 		Now: func() time.Time { return b.now }, Spawn: func(f func()) { f() },
-		Connect: func(context.Context, string) error { return b.connect },
-		Leaving: func(workspace.BackendServer) bool { return b.leaving },
+		Connect:   func(context.Context, string) error { return b.connectErr },
+		IsLeaving: func(workspace.BackendServer) bool { return b.leaving },
 		Trace: func(p string, _ time.Time, ev pool.Event, _ []pool.Command) {
 			b.events[p] = append(b.events[p], ev)
 		},
@@ -67,7 +67,7 @@
 	return b
 }
 
-func (b *bench) configure(leaving bool, pools ...string) {
+func (b *harness) configure(leaving bool, pools ...string) {
 	s := &workspace.Snapshot{Pools: map[string]*workspace.ResolvedPool{}, ModelPools: map[workspace.ModelRegion][]*workspace.ResolvedPool{}}
 	for _, name := range pools {
 		p := &workspace.ResolvedPool{Pool: workspace.Pool{Name: name, Region: "r", Model: "m", Version: "1", Policy: "fifo"}}
@@ -79,27 +79,27 @@
 	b.snapshot.Store(s)
 }
 
-func (b *bench) advance(d time.Duration) {
+func (b *harness) advance(d time.Duration) {
 	for end := b.now.Add(d); b.now.Before(end); {
-		b.now = b.now.Add(TickEvery)
+		b.now = b.now.Add(TickInterval)
 		b.host.Tick()
 	}
 }
 
 // advanceUntil lets time pass until done, and returns how long that took; it
 // gives up after ten seconds.
-func (b *bench) advanceUntil(done func() bool) time.Duration {
-	from := b.now
-	for !done() && b.now.Sub(from) < 10*time.Second {
-		b.advance(TickEvery)
+func (b *harness) advanceUntil(done func() bool) time.Duration {
+	start := b.now
+	for !done() && b.now.Sub(start) < 10*time.Second {
+		b.advance(TickInterval)
 	}
-	return b.now.Sub(from)
+	return b.now.Sub(start)
 }
 
-func (b *bench) misses() string { return b.host.count.probeMisses.String() }
+func (b *harness) misses() string { return b.host.count.probeMisses.String() }
 
 // health returns the last health that a pool was told.
-func (b *bench) health(p string) (last pool.ServerHealth) {
+func (b *harness) health(p string) (last pool.ServerHealth) {
 	for _, ev := range b.events[p] {
 		if h, ok := ev.(pool.ServerHealth); ok {
 			last = h
@@ -109,7 +109,7 @@
 }
 
 // eventsOf returns the events of one type that a pool handled.
-func eventsOf[T pool.Event](b *bench, p string) (out []T) {
+func eventsOf[T pool.Event](b *harness, p string) (out []T) {
 	for _, ev := range b.events[p] {
 		if e, ok := ev.(T); ok {
 			out = append(out, e)
@@ -120,7 +120,7 @@
 
 func TestMonitor(t *testing.T) {
 	Convey("Given a monitored server", t, func() {
-		b := newBench("p")
+		b := newHarness("p")
 		b.advance(time.Second)
 		So(b.health("p"), ShouldResemble, pool.ServerHealth{Server: "p-server", Health: pool.HealthUp, Incarnation: 1})
 		So(len(eventsOf[pool.ServerLoad](b, "p")), ShouldBeBetween, 0, 3)
@@ -129,31 +129,31 @@
 			b.engine.err = engine.ErrBroken
 			b.advanceUntil(func() bool { return b.misses() == "2" })
 			So(b.health("p").Health, ShouldEqual, pool.HealthUp)
-			b.advance(2 * probeAgain)
+			b.advance(2 * probeRetryDelay)
 			So(b.health("p").Health, ShouldEqual, pool.HealthUnresponsive)
 			b.engine.err = nil
-			b.advance(ProbeEvery + probeJitter)
+			b.advance(ProbeInterval + probeJitter)
 			So(b.health("p").Health, ShouldEqual, pool.HealthUp)
 		})
 		Convey("a refused connect is gone at once", func() {
 			b.engine.err = engine.ErrNotSent
-			b.connect = fmt.Errorf("probe: %w", syscall.ECONNREFUSED)
-			b.advance(ProbeEvery + probeJitter)
+			b.connectErr = fmt.Errorf("probe: %w", syscall.ECONNREFUSED)
+			b.advance(ProbeInterval + probeJitter)
 			So(b.health("p").Health, ShouldEqual, pool.HealthGone)
 		})
 		Convey("an engine that holds other models only is warming until it has the pool's", func() {
 			b.engine.report.Models = []engine.LoadedModel{{Model: "m", Version: "0"}}
-			b.advance(ProbeEvery + probeJitter)
+			b.advance(ProbeInterval + probeJitter)
 			So(b.health("p").Health, ShouldEqual, pool.HealthWarming)
 			b.engine.report.Models = append(b.engine.report.Models, engine.LoadedModel{Model: "m", Version: "1"})
-			b.advance(probeDown + TickEvery)
+			b.advance(unhealthyProbeInterval + TickInterval)
 			So(b.health("p").Health, ShouldEqual, pool.HealthUp)
 		})
 		Convey("a request that ended badly there brings the next probe forward", func() {
-			b.advance(ProbeEvery + probeJitter)
+			b.advance(ProbeInterval + probeJitter)
 			b.engine.report.Leaving = true
-			b.host.Owned("p").monitor.doubt("p-server")
-			b.advance(2 * TickEvery)
+			b.host.Owned("p").monitor.probeNow("p-server")
+			b.advance(2 * TickInterval)
 			So(b.health("p").Health, ShouldEqual, pool.HealthLeaving)
 		})
 		Convey("a restart is a new incarnation, and its cache events start anew", func() {
@@ -173,10 +173,10 @@
 }
 
 // Guards against runs of a killed process that stay counted when another one has taken its place.
-func TestAnotherProcessOfAMember(t *testing.T) {
+func TestNewEntryEndsPreviousEntriesOfItsMember(t *testing.T) {
 	Convey("A new entry of a member ends its other ones", t, func() {
-		b := newBench("p")
-		b.advance(TickEvery)
+		b := newHarness("p")
+		b.advance(TickInterval)
 		reply := func(poolwire.Commands) error { return nil }
 		hello := func(id pool.EntryID, session poolwire.SessionID) {
 			b.host.Hello(poolwire.Hello{Pool: "p", Entry: id, Session: session}, reply)
@@ -195,13 +195,13 @@
 
 // Guards against requests to a leaving server, whichever of the three signs comes first.
 func TestLeavingWithinThreeSeconds(t *testing.T) {
-	for name, leave := range map[string]func(b *bench){
-		"operator": func(b *bench) { b.configure(true, "p") },
-		"VM list":  func(b *bench) { b.leaving = true },
-		"engine":   func(b *bench) { b.engine.report.Leaving = true },
+	for name, leave := range map[string]func(b *harness){
+		"operator": func(b *harness) { b.configure(true, "p") },
+		"VM list":  func(b *harness) { b.leaving = true },
+		"engine":   func(b *harness) { b.engine.report.Leaving = true },
 	} {
 		Convey("Given a sign from the "+name, t, func() {
-			b := newBench("p")
+			b := newHarness("p")
 			b.advance(time.Second)
 			leave(b)
 			took := b.advanceUntil(func() bool { return b.health("p").Health == pool.HealthLeaving })
@@ -212,7 +212,7 @@
 
 func TestSpread(t *testing.T) {
 	Convey("Given two pools of one model", t, func() {
-		b := newBench("p", "q")
+		b := newHarness("p", "q")
 		b.advance(time.Second)
 
 		Convey("each learns how the other stands", func() {
@@ -222,7 +222,7 @@
 		})
 		Convey("what has not changed is told again often enough to count, and not more", func() {
 			before := len(eventsOf[pool.Sibling](b, "p"))
-			b.advance(4 * spreadUnchanged)
+			b.advance(4 * unchangedBriefInterval)
 			So(len(eventsOf[pool.Sibling](b, "p"))-before, ShouldBeBetweenOrEqual, 3, 5)
 		})
 		Convey("a change is told within half a second", func() {
@@ -232,12 +232,12 @@
 			before := count()
 			b.host.Owned("p").post(pool.Running{Entry: "a/1", Request: "r", Grant: pool.GrantID{Epoch: 1, Seq: 1}, Server: "p-server"})
 			took := b.advanceUntil(func() bool { return count() > before })
-			So(took, ShouldBeLessThanOrEqualTo, SpreadEvery+TickEvery)
-			told := eventsOf[pool.Sibling](b, "q")
-			So(told[len(told)-1].Free, ShouldEqual, 1)
+			So(took, ShouldBeLessThanOrEqualTo, SummaryInterval+TickInterval)
+			briefs := eventsOf[pool.Sibling](b, "q")
+			So(briefs[len(briefs)-1].Free, ShouldEqual, 1)
 		})
 		Convey("a suspect of one is told to the other, and to a pool taken later", func() {
-			b.host.shareSuspect(b.host.Owned("p"), pool.ShareSuspect{Fingerprint: 7, State: pool.SuspectConfirmed, ExpiresIn: time.Minute})
+			b.host.broadcastSuspect(b.host.Owned("p"), pool.ShareSuspect{Fingerprint: 7, State: pool.SuspectConfirmed, ExpiresIn: time.Minute})
 			b.configure(false, "p", "q", "later")
 			b.advance(time.Second)
 			So(eventsOf[pool.SuspectShared](b, "p"), ShouldBeEmpty)
@@ -253,7 +253,7 @@
 				return nil
 			})
 			So(len(got), ShouldEqual, 1)
-			So(got[0].Verdict, ShouldEqual, poolwire.VerdictNotOwner)
+			So(got[0].Status, ShouldEqual, poolwire.SessionNotOwner)
 		})
 	})
 }
@@ -274,14 +274,14 @@
 		for i := range rapid.IntRange(1, 12).Draw(t, "members") {
 			members = append(members, fmt.Sprintf("m%d", i))
 		}
-		sum, extra := 0, 0
+		sum, withoutSlots := 0, 0
 		for _, m := range members {
 			own := 0
 			for _, s := range p.Servers {
-				own += shareOf(s, m, members)
+				own += slotShare(s, m, members)
 			}
 			got := 0
-			for _, s := range sharedPool(p, m, members).Servers {
+			for _, s := range poolShare(p, m, members).Servers {
 				got += s.Slots
 			}
 			if got != max(1, own) {
@@ -289,11 +289,11 @@
 			}
 			sum += own
 			if own == 0 {
-				extra++
+				withoutSlots++
 			}
 		}
-		if sum != slots || extra >= len(members) {
-			t.Fatalf("shares sum to %d of %d slots, %d members without any", sum, slots, extra)
+		if sum != slots || withoutSlots >= len(members) {
+			t.Fatalf("shares sum to %d of %d slots, %d members without any", sum, slots, withoutSlots)
 		}
 	})
 }
--- a/internal/poolhost/settle.go
+++ b/internal/poolhost/recovery.go
@@ -7,11 +7,11 @@
 	"github.com/lycheekeel/lycheekeel/pool"
 )
 
-// settleFor is how long a new owner's requests wait for the reports of the
+// recoveryTimeout is how long a new owner's requests wait for the reports of the
 // entries that it has not heard of.
-const settleFor = 250 * time.Millisecond
+const recoveryTimeout = 250 * time.Millisecond
 
-// settling holds requests back from a new owner's scheduler until every live
+// recovery holds requests back from a new owner's scheduler until every live
 // entry has told what it runs, or a moment has passed.
 //
 // Entries find a new owner some tens of milliseconds after one another. What
@@ -19,30 +19,30 @@
 // that the others' are still using; one would see servers over their slots at
 // each restart of a daemon. After the moment the scheduler grants the missing
 // entries' share only as they report.
-type settling struct {
+type recovery struct {
 	started time.Time
 	done    bool
 	held    []heldEnqueue
 }
 
 type heldEnqueue struct {
-	ev   pool.Enqueue
-	came time.Time
+	ev         pool.Enqueue
+	receivedAt time.Time
 }
 
 // enqueue feeds a request, or holds it.
 func (r *Runtime) enqueue(ev pool.Enqueue) {
-	if r.settling.done {
+	if r.recovery.done {
 		r.feed(ev)
 		return
 	}
-	r.settling.held = append(r.settling.held, heldEnqueue{ev, r.now})
+	r.recovery.held = append(r.recovery.held, heldEnqueue{ev, r.now})
 }
 
-// settle feeds the held requests when it is time.
-func (r *Runtime) settle() {
-	s := &r.settling
-	if s.done || (r.now.Sub(s.started) < settleFor && !r.allReported()) {
+// finishRecovery feeds the held requests when it is time.
+func (r *Runtime) finishRecovery() {
+	s := &r.recovery
+	if s.done || (r.now.Sub(s.started) < recoveryTimeout && !r.allReported()) {
 		return
 	}
 	s.done = true
@@ -51,16 +51,16 @@
 		if e == nil {
 			continue
 		}
-		if _, waits := e.waiting[h.ev.Request]; !waits {
+		if _, waiting := e.waiting[h.ev.Request]; !waiting {
 			continue
 		}
-		r.feed(h.after(r.now.Sub(h.came)))
+		r.feed(h.delayedBy(r.now.Sub(h.receivedAt)))
 	}
 	s.held = nil
 }
 
-// after returns the event as if sent that much later.
-func (h heldEnqueue) after(d time.Duration) pool.Enqueue {
+// delayedBy returns the event as if sent that much later.
+func (h heldEnqueue) delayedBy(d time.Duration) pool.Enqueue {
 	ev := h.ev
 	ev.Waited += d
 	ev.DeadlineIn -= d
--- a/internal/poolhost/report.go
+++ b/internal/poolhost/report.go
@@ -36,20 +36,20 @@
 	c.slotMs.Add(t.SlotTime.Milliseconds())
 }
 
-// report counts what became of requests since the last summary, and tells of a pool
+// reportTally counts what became of requests since the last summary, and tells of a pool
 // that refused some.
-func (r *Runtime) report(s pool.Summary) {
-	since := s.Tally.Since(r.tally)
-	r.tally = s.Tally
+func (r *Runtime) reportTally(s pool.Summary) {
+	since := s.Tally.Since(r.lastTally)
+	r.lastTally = s.Tally
 	for t, x := range since {
 		r.host.count.tiers[t].add(x)
 	}
-	r.logCrowd(s, since)
+	r.logRefusals(s, since)
 }
 
-// logCrowd tells how the pool stood when it refused requests, and what ran instead,
+// logRefusals tells how the pool stood when it refused requests, and what ran instead,
 // by tier, so that a refused caller's log line leads to its cause.
-func (r *Runtime) logCrowd(s pool.Summary, since pool.Tally) {
+func (r *Runtime) logRefusals(s pool.Summary, since pool.Tally) {
 	var granted, late, shed, expired, slotMs [request.MaxTiers]int
 	refused := 0
 	for t, x := range since {
@@ -60,24 +60,24 @@
 	if refused == 0 {
 		return
 	}
-	up := 0
+	healthy := 0
 	for _, x := range s.Servers {
 		if x.Health == pool.HealthUp {
-			up++
+			healthy++
 		}
 	}
 	logs.For("poolhost").WithFields(logrus.Fields{
 		"pool": r.name, "shed": refused, "waiting": s.Waiting, "running": s.Running, "free": s.Free,
-		"servers_up": up, "servers": len(s.Servers), "share": r.share, "lost_runs": s.LostRuns,
+		"servers_up": healthy, "servers": len(s.Servers), "share": r.degraded, "lost_runs": s.LostRuns,
 		"tier_granted": granted, "tier_granted_late": late, "tier_shed": shed, "tier_expired": expired, "tier_slot_ms": slotMs,
 	}).Info("Pool is crowded.")
 }
 
-// logDown tells when a server counts as down and when it answers again.
-func (r *Runtime) logDown(c pool.BreakerChanged) {
-	l := logs.For("poolhost").WithFields(logrus.Fields{"pool": r.name, "server": c.Server, "share": r.share})
+// logBreaker tells when a server counts as down and when it answers again.
+func (r *Runtime) logBreaker(c pool.BreakerChanged) {
+	l := logs.For("poolhost").WithFields(logrus.Fields{"pool": r.name, "server": c.Server, "share": r.degraded})
 	if c.Open {
-		r.host.count.serversDown.Add(1)
+		r.host.count.breakersOpened.Add(1)
 		l.Warn("Server counts as down.")
 		return
 	}
--- a/internal/poolhost/report_test.go
+++ b/internal/poolhost/report_test.go
@@ -11,15 +11,15 @@
 )
 
 // Guards against counters that don't tell which tier was refused while another ran.
-func TestEachTiersGrantsAndRefusalsAreCounted(t *testing.T) {
+func TestCountsGrantsAndRefusalsByTier(t *testing.T) {
 	Convey("What a pool granted and refused since its last summary is counted by tier", t, func() {
-		b := newBench("p")
+		b := newHarness("p")
 		b.host.Tick()
 		r := b.host.Owned("p")
 		r.post(pool.Enqueue{Request: "high", Entry: "e", DeadlineIn: time.Minute})
 		r.post(pool.Enqueue{Request: "low", Entry: "e", Tier: 2, DeadlineIn: -1})
 		for range 2 {
-			b.now = b.now.Add(SpreadEvery)
+			b.now = b.now.Add(SummaryInterval)
 			b.host.Tick()
 		}
 		var text strings.Builder
--- a/internal/poolhost/runtime.go
+++ b/internal/poolhost/runtime.go
@@ -15,37 +15,37 @@
 // Runtime runs one pool: one mailbox feeds its scheduler, so the scheduler is
 // used by one goroutine at a time. Its methods are safe for concurrent use.
 type Runtime struct {
-	host   *Host
-	name   string
-	policy string // of the scheduler
-	epoch  uint64
-	box    *mailbox.Mailbox[message]
+	host    *Host
+	name    string
+	policy  string // of the scheduler
+	epoch   uint64
+	mailbox *mailbox.Mailbox[message]
 
 	// What follows is touched only by the mailbox's handler.
-	scheduler Scheduler
-	now       time.Time
-	commands  []pool.Command
-	entries   map[pool.EntryID]*entry
-	members   []string // alive in the region, as of the last view
-	settling  settling
-	entriesAt time.Time // of the last tellEntries
-	told      []pool.EntryID
-	spread    time.Time
-	// lastBrief is what siblings were told at briefAt, briefTo by what
+	scheduler        Scheduler
+	now              time.Time
+	commands         []pool.Command
+	entries          map[pool.EntryID]*entry
+	members          []string // alive in the region, as of the last view
+	recovery         recovery
+	entriesCheckedAt time.Time // of the last updateEntries
+	lastEntrySet     []pool.EntryID
+	summaryAt        time.Time
+	// lastBrief is what siblings were told at briefSentAt, briefInputs by what
 	// configuration and membership.
-	lastBrief poolwire.Brief
-	briefTo   reconciled
-	briefAt   time.Time
-	closed    bool
-	tally     pool.Tally // as of the last summary
-	share     bool       // a degraded share, not an owner
-
-	monitor     *monitor
-	lingerUntil time.Time                    // guarded by the host's mutex
-	sessions    atomic.Int64                 // open ones, as of the last tick
-	summary     atomic.Pointer[pool.Summary] // refreshed every SpreadEvery
-	// siblings tells whether other pools serve the same model version.
-	siblings atomic.Bool
+	lastBrief   poolwire.Brief
+	briefInputs reconcileInputs
+	briefSentAt time.Time
+	closed      bool
+	lastTally   pool.Tally // as of the last summary
+	degraded    bool       // a degraded share, not an owner
+
+	monitor      *monitor
+	drainUntil   time.Time                    // guarded by the host's mutex
+	openSessions atomic.Int64                 // open ones, as of the last tick
+	summary      atomic.Pointer[pool.Summary] // refreshed every SummaryInterval
+	// hasSiblings tells whether other pools serve the same model version.
+	hasSiblings atomic.Bool
 }
 
 // message is one thing for a runtime to do.
@@ -54,21 +54,21 @@
 func newRuntime(h *Host, p *workspace.ResolvedPool, members []string) *Runtime {
 	r := &Runtime{
 		host: h, name: p.Name, policy: p.Policy, epoch: rand.Uint64(), entries: map[pool.EntryID]*entry{}, members: members,
-		settling: settling{started: h.cfg.Now()},
+		recovery: recovery{started: h.cfg.Now()},
 	}
 	r.scheduler = h.cfg.NewScheduler(p, r.epoch)
-	r.box = mailbox.New(h.cfg.Spawn, r.handle)
+	r.mailbox = mailbox.New(h.cfg.Spawn, r.handle)
 	r.monitor = newMonitor(r)
 	return r
 }
 
 // Hello opens or closes an entry's session; reply takes batches to the entry
 // and must not block.
-func (r *Runtime) Hello(h poolwire.Hello, reply Reply) { r.box.Post(helloMessage{h, reply}) }
+func (r *Runtime) Hello(h poolwire.Hello, reply Reply) { r.mailbox.Post(helloMessage{h, reply}) }
 
 // Events takes a batch of an entry's session. reply is used where the session
 // is not known.
-func (r *Runtime) Events(b poolwire.Events, reply Reply) { r.box.Post(eventsMessage{b, reply}) }
+func (r *Runtime) Events(b poolwire.Events, reply Reply) { r.mailbox.Post(eventsMessage{b, reply}) }
 
 func (r *Runtime) handle(batch []message) {
 	if now := r.host.cfg.Now(); now.After(r.now) {
@@ -89,17 +89,17 @@
 		trace(r.name, r.now, ev, r.commands)
 	}
 	for _, c := range r.commands {
-		r.route(c)
+		r.routeCommand(c)
 	}
 }
 
-// route notes what a command changes and queues it for its entry.
-func (r *Runtime) route(c pool.Command) {
+// routeCommand notes what a command changes and queues it for its entry.
+func (r *Runtime) routeCommand(c pool.Command) {
 	switch c := c.(type) {
 	case pool.Grant:
 		if e := r.entries[c.Entry]; e != nil {
 			delete(e.waiting, c.Request)
-			e.granted[c.Grant] = granted{request: c.Request, server: c.Server, confirmed: e.open, since: r.now}
+			e.grants[c.Grant] = outstandingGrant{request: c.Request, server: c.Server, confirmed: e.open, since: r.now}
 			e.queue(c)
 		}
 	case pool.Shed:
@@ -113,20 +113,20 @@
 			e.queue(c)
 		}
 	case pool.ShareSuspect:
-		r.host.shareSuspect(r, c)
+		r.host.broadcastSuspect(r, c)
 	case pool.BreakerChanged:
-		r.logDown(c)
+		r.logBreaker(c)
 	}
 }
 
 // flush sends each session what has come together for it.
 func (r *Runtime) flush() {
-	for again := true; again; {
-		again = false
+	for pending := true; pending; {
+		pending = false
 		for _, e := range r.entries {
-			if len(e.out) > 0 {
-				e.send(r, poolwire.VerdictNone)
-				again = true // a failed send frees slots for other entries
+			if len(e.outbox) > 0 {
+				e.send(r, poolwire.SessionUnchanged)
+				pending = true // a failed send frees slots for other entries
 			}
 		}
 	}
@@ -137,7 +137,7 @@
 func (m eventMessage) apply(r *Runtime) { r.feed(m.ev) }
 
 // post gives the runtime an event that does not come from an entry.
-func (r *Runtime) post(ev pool.Event) { r.box.Post(eventMessage{ev}) }
+func (r *Runtime) post(ev pool.Event) { r.mailbox.Post(eventMessage{ev}) }
 
 // tickMessage lets time pass.
 type tickMessage struct{ members []string }
@@ -146,9 +146,9 @@
 	changed := !slices.Equal(r.members, m.members)
 	r.members = m.members
 	r.checkSessions()
-	r.settle()
-	if changed || r.now.Sub(r.entriesAt) >= entriesEvery {
-		r.tellEntries()
+	r.finishRecovery()
+	if changed || r.now.Sub(r.entriesCheckedAt) >= entryCheckInterval {
+		r.updateEntries()
 	}
 	r.feed(pool.Tick{})
 	r.refreshSummary()
@@ -156,21 +156,21 @@
 
 // refreshSummary renews the summary that others read, and spreads it.
 func (r *Runtime) refreshSummary() {
-	if r.now.Sub(r.spread) < SpreadEvery {
+	if r.now.Sub(r.summaryAt) < SummaryInterval {
 		return
 	}
-	r.spread = r.now
+	r.summaryAt = r.now
 	s := r.scheduler.Summary(r.now)
 	r.summary.Store(&s)
-	r.report(s)
-	r.host.spreadSummary(r, s)
+	r.reportTally(s)
+	r.host.sendBriefs(r, s)
 }
 
 // brief returns the pool's standing for a session's batch; entries need it
 // only to choose among siblings.
 func (r *Runtime) brief() *poolwire.Brief {
 	s := r.summary.Load()
-	if s == nil || !r.siblings.Load() {
+	if s == nil || !r.hasSiblings.Load() {
 		return nil
 	}
 	b := poolwire.BriefOf(*s)
@@ -183,7 +183,7 @@
 func (closeMessage) apply(r *Runtime) {
 	for _, e := range r.entries {
 		if e.open {
-			e.send(r, poolwire.VerdictNotOwner)
+			e.send(r, poolwire.SessionNotOwner)
 		}
 	}
 	r.entries = map[pool.EntryID]*entry{}
--- a/internal/poolwire/check.go
+++ b/internal/poolwire/check.go
@@ -21,13 +21,13 @@
 	MaxBatch  = 4096
 	maxBlocks = 1 << 16
 	// maxServers bounds the servers that one request was sent to before.
-	maxServers = 64
-	maxNumber  = 1 << 40
-	maxSpan    = 30 * 24 * time.Hour
-	// maxNext bounds how long a peer may announce to be silent: a faulty one
+	maxServers  = 64
+	maxCount    = 1 << 40
+	maxDuration = 30 * 24 * time.Hour
+	// maxNextWithin bounds how long a peer may announce to be silent: a faulty one
 	// could otherwise keep a dead session open for days.
-	maxNext    = time.Minute
-	maxTierRaw = uint32(request.MaxTiers)
+	maxNextWithin = time.Minute
+	tierCount     = uint32(request.MaxTiers)
 )
 
 // checker collects the first thing wrong with a message.
@@ -39,16 +39,16 @@
 	}
 }
 
-// name checks a name that must be there.
-func (c *checker) name(field, s string) string {
+// requiredName checks a name that must be there.
+func (c *checker) requiredName(field, s string) string {
 	if s == "" {
 		c.fail("%s is empty", field)
 	}
-	return c.text(field, s)
+	return c.optionalName(field, s)
 }
 
-// text checks a name that may be empty.
-func (c *checker) text(field, s string) string {
+// optionalName checks a name that may be empty.
+func (c *checker) optionalName(field, s string) string {
 	if len(s) > maxNameBytes {
 		c.fail("%s of %d bytes", field, len(s))
 	}
@@ -56,14 +56,14 @@
 }
 
 func (c *checker) number(field string, v uint64) int {
-	if v > maxNumber {
+	if v > maxCount {
 		c.fail("%s is %d", field, v)
 		return 0
 	}
 	return int(v)
 }
 
-func (c *checker) below(field string, v, limit uint32) uint8 {
+func (c *checker) enum(field string, v, limit uint32) uint8 {
 	if v >= limit {
 		c.fail("%s is %d", field, v)
 		return 0
@@ -71,16 +71,16 @@
 	return uint8(v)
 }
 
-func (c *checker) count(field string, n int) {
+func (c *checker) batchSize(field string, n int) {
 	if n > MaxBatch {
 		c.fail("%d %s in one batch", n, field)
 	}
 }
 
-// span checks a duration that may be negative: what is left of a target.
-func (c *checker) span(field string, v int64) time.Duration {
+// duration checks a duration that may be negative: what is left of a target.
+func (c *checker) duration(field string, v int64) time.Duration {
 	d := time.Duration(v)
-	if d > maxSpan || d < -maxSpan {
+	if d > maxDuration || d < -maxDuration {
 		c.fail("%s is %s", field, d)
 		return 0
 	}
@@ -93,13 +93,13 @@
 		c.fail("%s is %d ns", field, v)
 		return 0
 	}
-	return c.span(field, v)
+	return c.duration(field, v)
 }
 
-// next checks when a peer speaks again.
-func (c *checker) next(ms uint32) time.Duration {
+// nextWithin checks when a peer speaks again.
+func (c *checker) nextWithin(ms uint32) time.Duration {
 	d := time.Duration(ms) * time.Millisecond
-	if d > maxNext {
+	if d > maxNextWithin {
 		c.fail("next_ms is %s", d)
 		return 0
 	}
@@ -121,14 +121,14 @@
 		return nil
 	}
 	for _, s := range names {
-		c.name(field, s)
+		c.requiredName(field, s)
 	}
 	return names
 }
 
-func (c *checker) tier(v uint32) request.Tier { return request.Tier(c.below("tier", v, maxTierRaw)) }
+func (c *checker) tier(v uint32) request.Tier { return request.Tier(c.enum("tier", v, tierCount)) }
 
-func (c *checker) request(s string) request.ID { return request.ID(c.name("request", s)) }
+func (c *checker) request(s string) request.ID { return request.ID(c.requiredName("request", s)) }
 
 func (c *checker) grant(g *wirepb.GrantID) pool.GrantID {
 	if g == nil {
@@ -159,10 +159,10 @@
 func (c *checker) enqueue(m *wirepb.Enqueue, entry pool.EntryID) pool.Event {
 	return pool.Enqueue{
 		Request: c.request(m.GetRequest()), Entry: entry,
-		Workspace: c.text("workspace", m.GetWorkspace()), Template: c.text("template", m.GetTemplate()),
-		Model: c.text("model", m.GetModel()), Tier: c.tier(m.GetTier()),
-		Waited: c.elapsed("waited", m.GetWaited()), FirstTokenIn: c.span("first_token_in", m.GetFirstTokenIn()),
-		DeadlineIn: c.span("deadline_in", m.GetDeadlineIn()), PerToken: c.elapsed("per_token", m.GetPerToken()),
+		Workspace: c.optionalName("workspace", m.GetWorkspace()), Template: c.optionalName("template", m.GetTemplate()),
+		Model: c.optionalName("model", m.GetModel()), Tier: c.tier(m.GetTier()),
+		Waited: c.elapsed("waited", m.GetWaited()), FirstTokenIn: c.duration("first_token_in", m.GetFirstTokenIn()),
+		DeadlineIn: c.duration("deadline_in", m.GetDeadlineIn()), PerToken: c.elapsed("per_token", m.GetPerToken()),
 		PromptTokens: c.number("prompt_tokens", m.GetPromptTokens()), MaxTokens: c.number("max_tokens", m.GetMaxTokens()),
 		ExpectedTokens: c.number("expected_tokens", m.GetExpectedTokens()),
 		Blocks:         c.blocks(m.GetBlocks()), Fingerprint: m.GetFingerprint(),
@@ -172,7 +172,7 @@
 
 func (c *checker) progress(m *wirepb.Progress) pool.Event {
 	return pool.Progress{
-		Request: c.request(m.GetRequest()), Grant: c.grant(m.GetGrant()), Server: c.name("server", m.GetServer()),
+		Request: c.request(m.GetRequest()), Grant: c.grant(m.GetGrant()), Server: c.requiredName("server", m.GetServer()),
 		FirstToken: c.elapsed("first_token", m.GetFirstToken()), Tokens: c.number("tokens", m.GetTokens()),
 		PerToken: c.elapsed("per_token", m.GetPerToken()),
 	}
@@ -180,8 +180,8 @@
 
 func (c *checker) release(m *wirepb.Release, entry pool.EntryID) pool.Event {
 	return pool.Release{
-		Request: c.request(m.GetRequest()), Entry: entry, Grant: c.grant(m.GetGrant()), Server: c.name("server", m.GetServer()),
-		Outcome:    pool.Outcome(c.below("outcome", m.GetOutcome(), uint32(pool.OutcomeFailed)+1)),
+		Request: c.request(m.GetRequest()), Entry: entry, Grant: c.grant(m.GetGrant()), Server: c.requiredName("server", m.GetServer()),
+		Outcome:    pool.Outcome(c.enum("outcome", m.GetOutcome(), uint32(pool.OutcomeFailed)+1)),
 		FirstToken: c.elapsed("first_token", m.GetFirstToken()), Total: c.elapsed("total", m.GetTotal()),
 		OutputTokens: c.number("output_tokens", m.GetOutputTokens()), PromptTokens: c.number("prompt_tokens", m.GetPromptTokens()),
 		PrefillComputed: c.number("prefill_computed", m.GetPrefillComputed()), RefusedLeaving: m.GetRefusedLeaving(),
@@ -190,9 +190,9 @@
 
 func (c *checker) running(m *wirepb.Running, entry pool.EntryID) pool.Event {
 	return pool.Running{
-		Entry: entry, Request: c.request(m.GetRequest()), Grant: c.grant(m.GetGrant()), Server: c.name("server", m.GetServer()),
-		Workspace: c.text("workspace", m.GetWorkspace()), Template: c.text("template", m.GetTemplate()),
-		Model: c.text("model", m.GetModel()), Tier: c.tier(m.GetTier()), Fingerprint: m.GetFingerprint(),
+		Entry: entry, Request: c.request(m.GetRequest()), Grant: c.grant(m.GetGrant()), Server: c.requiredName("server", m.GetServer()),
+		Workspace: c.optionalName("workspace", m.GetWorkspace()), Template: c.optionalName("template", m.GetTemplate()),
+		Model: c.optionalName("model", m.GetModel()), Tier: c.tier(m.GetTier()), Fingerprint: m.GetFingerprint(),
 		PromptTokens: c.number("prompt_tokens", m.GetPromptTokens()), MaxTokens: c.number("max_tokens", m.GetMaxTokens()),
 		ExpectedTokens: c.number("expected_tokens", m.GetExpectedTokens()),
 		Tokens:         c.number("tokens", m.GetTokens()), Blocks: c.blocks(m.GetBlocks()),
@@ -204,17 +204,17 @@
 	case *wirepb.Command_Grant:
 		return pool.Grant{
 			Request: c.request(k.Grant.GetRequest()), Entry: entry,
-			Grant: c.grant(k.Grant.GetGrant()), Server: c.name("server", k.Grant.GetServer()),
+			Grant: c.grant(k.Grant.GetGrant()), Server: c.requiredName("server", k.Grant.GetServer()),
 		}
 	case *wirepb.Command_Shed:
 		return pool.Shed{
 			Request: c.request(k.Shed.GetRequest()), Entry: entry,
-			Reason:     request.Reason(c.name("reason", k.Shed.GetReason())),
+			Reason:     request.Reason(c.requiredName("reason", k.Shed.GetReason())),
 			RetryAfter: c.elapsed("retry_after", k.Shed.GetRetryAfter()),
 		}
 	case *wirepb.Command_Redirect:
 		return pool.Redirect{
-			Request: c.request(k.Redirect.GetRequest()), Entry: entry, Pool: c.name("pool", k.Redirect.GetPool()),
+			Request: c.request(k.Redirect.GetRequest()), Entry: entry, Pool: c.requiredName("pool", k.Redirect.GetPool()),
 		}
 	default:
 		return pool.ShareSuspect{} // of a newer peer; an entry ignores it
--- a/internal/poolwire/decode.go
+++ b/internal/poolwire/decode.go
@@ -27,7 +27,7 @@
 	}
 	var c checker
 	h := Hello{
-		Pool: c.name("pool", m.Pool), Entry: pool.EntryID(c.name("entry", m.Entry)),
+		Pool: c.requiredName("pool", m.Pool), Entry: pool.EntryID(c.requiredName("entry", m.Entry)),
 		Session: SessionID(m.Session), Close: m.Close,
 	}
 	return h, c.err
@@ -40,10 +40,10 @@
 		return Events{}, err
 	}
 	var c checker
-	c.count("events", len(m.Events))
+	c.batchSize("events", len(m.Events))
 	b := Events{
-		Pool: c.name("pool", m.Pool), Entry: pool.EntryID(c.name("entry", m.Entry)),
-		Session: SessionID(m.Session), Seq: m.Seq, Ack: m.Ack, Next: c.next(m.NextMs),
+		Pool: c.requiredName("pool", m.Pool), Entry: pool.EntryID(c.requiredName("entry", m.Entry)),
+		Session: SessionID(m.Session), Seq: m.Seq, Ack: m.Ack, NextWithin: c.nextWithin(m.NextMs),
 	}
 	for _, e := range m.Events {
 		b.Events = append(b.Events, c.event(e, b.Entry))
@@ -58,10 +58,10 @@
 		return Commands{}, err
 	}
 	var c checker
-	c.count("commands", len(m.Commands))
+	c.batchSize("commands", len(m.Commands))
 	b := Commands{
-		Pool: c.name("pool", m.Pool), Session: SessionID(m.Session), Seq: m.Seq, Ack: m.Ack, Epoch: m.Epoch,
-		Verdict: Verdict(c.below("verdict", m.Verdict, uint32(VerdictReset)+1)), Next: c.next(m.NextMs),
+		Pool: c.requiredName("pool", m.Pool), Session: SessionID(m.Session), Seq: m.Seq, Ack: m.Ack, Epoch: m.Epoch,
+		Status: SessionStatus(c.enum("verdict", m.Verdict, uint32(SessionReset)+1)), NextWithin: c.nextWithin(m.NextMs),
 	}
 	if m.Brief != nil {
 		brief := c.brief(m.Brief)
@@ -93,8 +93,8 @@
 	var c checker
 	s := pool.SuspectShared{
 		Fingerprint: m.Fingerprint,
-		State:       pool.SuspectState(c.below("state", m.State, uint32(pool.SuspectConfirmed)+1)),
-		ExpiresIn:   c.span("expires_in", m.ExpiresIn),
+		State:       pool.SuspectState(c.enum("state", m.State, uint32(pool.SuspectConfirmed)+1)),
+		ExpiresIn:   c.duration("expires_in", m.ExpiresIn),
 	}
 	return s, c.err
 }
@@ -115,8 +115,8 @@
 		}
 		for _, v := range w.Servers {
 			s.Servers = append(s.Servers, pool.ServerSummary{
-				Name:    c.name("server", v.GetName()),
-				Health:  pool.Health(c.below("health", v.GetHealth(), uint32(pool.HealthGone)+1)),
+				Name:    c.requiredName("server", v.GetName()),
+				Health:  pool.Health(c.enum("health", v.GetHealth(), uint32(pool.HealthGone)+1)),
 				Running: c.number("running", v.GetRunning()), Limit: c.number("limit", v.GetLimit()),
 				Straggler: v.GetStraggler(),
 			})
@@ -127,7 +127,7 @@
 }
 
 func (c *checker) brief(m *wirepb.Brief) Brief {
-	b := Brief{Pool: c.name("pool", m.GetPool()), Free: c.number("free", m.GetFree())}
+	b := Brief{Pool: c.requiredName("pool", m.GetPool()), Free: c.number("free", m.GetFree())}
 	if len(m.GetWaiting()) > request.MaxTiers || len(m.GetExpectedWait()) > request.MaxTiers {
 		c.fail("brief of more than %d tiers", request.MaxTiers)
 		return b
@@ -136,7 +136,7 @@
 		b.Waiting[t] = c.number("waiting", v)
 	}
 	for t, v := range m.GetExpectedWait() {
-		b.ExpectedWait[t] = c.span("expected_wait", v)
+		b.ExpectedWait[t] = c.duration("expected_wait", v)
 	}
 	return b
 }
--- a/internal/poolwire/encode.go
+++ b/internal/poolwire/encode.go
@@ -26,7 +26,7 @@
 func EncodeEvents(b Events) []byte {
 	m := &wirepb.Events{
 		Pool: b.Pool, Entry: string(b.Entry), Session: uint64(b.Session), Seq: b.Seq, Ack: b.Ack,
-		NextMs: uint32(b.Next.Milliseconds()),
+		NextMs: uint32(b.NextWithin.Milliseconds()),
 		Events: make([]*wirepb.Event, 0, len(b.Events)),
 	}
 	for _, ev := range b.Events {
@@ -41,8 +41,8 @@
 // each command is left out: it is the session's.
 func EncodeCommands(b Commands) []byte {
 	m := &wirepb.Commands{
-		Pool: b.Pool, Session: uint64(b.Session), Seq: b.Seq, Ack: b.Ack, Epoch: b.Epoch, Verdict: uint32(b.Verdict),
-		NextMs:   uint32(b.Next.Milliseconds()),
+		Pool: b.Pool, Session: uint64(b.Session), Seq: b.Seq, Ack: b.Ack, Epoch: b.Epoch, Verdict: uint32(b.Status),
+		NextMs:   uint32(b.NextWithin.Milliseconds()),
 		Commands: make([]*wirepb.Command, 0, len(b.Commands)),
 	}
 	if b.Brief != nil {
--- a/internal/poolwire/entry.go
+++ b/internal/poolwire/entry.go
@@ -9,8 +9,8 @@
 
 // NewEntryID names a daemon's entry: the member's name and a number drawn at
 // its start, so that a restarted daemon is another entry.
-func NewEntryID(member string, start uint64) pool.EntryID {
-	return pool.EntryID(member + "/" + strconv.FormatUint(start, 16))
+func NewEntryID(member string, incarnation uint64) pool.EntryID {
+	return pool.EntryID(member + "/" + strconv.FormatUint(incarnation, 16))
 }
 
 // MemberOf returns the name of the member whose entry it is.
--- a/internal/poolwire/messages.go
+++ b/internal/poolwire/messages.go
@@ -35,20 +35,20 @@
 	// Ack is the last Seq received from the owner in this session.
 	Ack    uint64
 	Events []pool.Event
-	// Next is within how long the entry speaks again, in milliseconds on the
+	// NextWithin is within how long the entry speaks again, in milliseconds on the
 	// wire; zero from an entry that does not tell.
-	Next time.Duration
+	NextWithin time.Duration
 }
 
-// Verdict is what an owner says of a session.
-type Verdict uint8
+// SessionStatus is what an owner says of a session.
+type SessionStatus uint8
 
 // The verdicts.
 const (
-	VerdictNone     Verdict = iota
-	VerdictAccepted         // the session is open
-	VerdictNotOwner         // ask the pool's owner, as membership has it now
-	VerdictReset            // a batch is missing: open a new session
+	SessionUnchanged SessionStatus = iota
+	SessionAccepted                // the session is open
+	SessionNotOwner                // ask the pool's owner, as membership has it now
+	SessionReset                   // a batch is missing: open a new session
 )
 
 // Commands is a batch from an owner to an entry, numbered like Events.
@@ -57,14 +57,14 @@
 	Session SessionID
 	Seq     uint64
 	// Ack is the last Seq received from the entry in this session.
-	Ack     uint64
-	Epoch   uint64
-	Verdict Verdict
+	Ack    uint64
+	Epoch  uint64
+	Status SessionStatus
 	// Brief tells how the pool stands; nil where nothing new is to tell.
 	Brief    *Brief
 	Commands []pool.Command
-	// Next is within how long the owner speaks again, as in Events.
-	Next time.Duration
+	// NextWithin is within how long the owner speaks again, as in Events.
+	NextWithin time.Duration
 }
 
 // Brief is a pool's standing as sibling pools and entries need it.
--- a/internal/poolwire/poolwire_test.go
+++ b/internal/poolwire/poolwire_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func same(t *testing.T, got, want any, err error) {
+func assertDecoded(t *testing.T, got, want any, err error) {
 	t.Helper()
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Fatalf("got %+v, %v\nwant %+v", got, err, want)
@@ -58,30 +58,30 @@
 	}
 	hello := Hello{Pool: "p", Entry: entry, Session: 1 << 63, Close: true}
 	gotHello, err := DecodeHello(EncodeHello(hello))
-	same(t, gotHello, hello, err)
+	assertDecoded(t, gotHello, hello, err)
 
-	events := Events{Pool: "p", Entry: entry, Session: 5, Seq: 6, Ack: 7, Events: allEvents(entry), Next: 7 * time.Second}
+	events := Events{Pool: "p", Entry: entry, Session: 5, Seq: 6, Ack: 7, Events: allEvents(entry), NextWithin: 7 * time.Second}
 	gotEvents, err := DecodeEvents(EncodeEvents(events))
-	same(t, gotEvents, events, err)
+	assertDecoded(t, gotEvents, events, err)
 
 	brief := Brief{Pool: "p", Waiting: [request.MaxTiers]int{0, 3}, Free: 4, ExpectedWait: [request.MaxTiers]time.Duration{0, time.Second}}
 	commands := Commands{
-		Pool: "p", Session: 5, Seq: 6, Ack: 7, Epoch: 8, Verdict: VerdictReset, Brief: &brief, Commands: allCommands(entry),
-		Next: 500 * time.Millisecond,
+		Pool: "p", Session: 5, Seq: 6, Ack: 7, Epoch: 8, Status: SessionReset, Brief: &brief, Commands: allCommands(entry),
+		NextWithin: 500 * time.Millisecond,
 	}
 	gotCommands, err := DecodeCommands(EncodeCommands(commands), entry)
-	same(t, gotCommands, commands, err)
+	assertDecoded(t, gotCommands, commands, err)
 
 	suspect := pool.SuspectShared{Fingerprint: 1, State: pool.SuspectConfirmed, ExpiresIn: time.Hour}
 	gotSuspect, err := DecodeSuspect(EncodeSuspect(suspect))
-	same(t, gotSuspect, suspect, err)
+	assertDecoded(t, gotSuspect, suspect, err)
 
 	summaries := []pool.Summary{{
 		Pool: "p", Waiting: brief.Waiting, Running: 2, Free: 4, ExpectedWait: brief.ExpectedWait,
 		Servers: []pool.ServerSummary{{Name: "s", Health: pool.HealthGone, Running: 1, Limit: 2, Straggler: true}},
 	}}
 	gotSummaries, err := DecodeSummaries(EncodeSummaries(summaries))
-	same(t, gotSummaries, summaries, err)
+	assertDecoded(t, gotSummaries, summaries, err)
 }
 
 func TestOutOfBounds(t *testing.T) {
@@ -116,7 +116,7 @@
 
 // TestNewerPeer checks that an event of a kind that is not known here neither
 // fails its batch nor reaches a pool as anything that it acts on.
-func TestNewerPeer(t *testing.T) {
+func TestUnknownEventKind(t *testing.T) {
 	payload := marshal(&wirepb.Events{Pool: "p", Entry: "e", Seq: 1, Events: []*wirepb.Event{{}}})
 	b, err := DecodeEvents(payload)
 	if err != nil || len(b.Events) != 1 || b.Events[0] != (pool.Tick{}) {
@@ -125,15 +125,15 @@
 }
 
 // TestAnyEnqueue checks that what an entry may send is read back unchanged.
-func TestAnyEnqueue(t *testing.T) {
+func TestEnqueueRoundTripProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringMatching(`[a-z0-9-]{1,40}`)
-		span := rapid.Int64Range(0, int64(maxSpan))
+		nanos := rapid.Int64Range(0, int64(maxDuration))
 		want := pool.Enqueue{
 			Request: request.ID(name.Draw(t, "request")), Entry: "e/1", Workspace: name.Draw(t, "workspace"),
-			Tier: request.Tier(rapid.IntRange(0, request.MaxTiers-1).Draw(t, "tier")), Waited: time.Duration(span.Draw(t, "waited")),
-			FirstTokenIn: -time.Duration(span.Draw(t, "first")), DeadlineIn: time.Duration(span.Draw(t, "deadline")),
-			PromptTokens: rapid.IntRange(0, maxNumber).Draw(t, "prompt"), Blocks: rapid.SliceOfN(rapid.Uint64(), 1, 50).Draw(t, "blocks"),
+			Tier: request.Tier(rapid.IntRange(0, request.MaxTiers-1).Draw(t, "tier")), Waited: time.Duration(nanos.Draw(t, "waited")),
+			FirstTokenIn: -time.Duration(nanos.Draw(t, "first")), DeadlineIn: time.Duration(nanos.Draw(t, "deadline")),
+			PromptTokens: rapid.IntRange(0, maxCount).Draw(t, "prompt"), Blocks: rapid.SliceOfN(rapid.Uint64(), 1, 50).Draw(t, "blocks"),
 			Fingerprint: rapid.Uint64().Draw(t, "fingerprint"),
 		}
 		b, err := DecodeEvents(EncodeEvents(Events{Pool: "p", Entry: "e/1", Seq: 1, Events: []pool.Event{want}}))
@@ -155,19 +155,19 @@
 		_, _ = DecodeBrief(payload)
 		_, _ = DecodeSuspect(payload)
 		_, _ = DecodeSummaries(payload)
-		if b, err := DecodeEvents(payload); err == nil && known(b.Events) {
+		if b, err := DecodeEvents(payload); err == nil && allEventsKnown(b.Events) {
 			again, err := DecodeEvents(EncodeEvents(b))
-			same(t, again, b, err)
+			assertDecoded(t, again, b, err)
 		}
-		if b, err := DecodeCommands(payload, "e"); err == nil && knownCommands(b.Commands) {
+		if b, err := DecodeCommands(payload, "e"); err == nil && allCommandsKnown(b.Commands) {
 			again, err := DecodeCommands(EncodeCommands(b), "e")
-			same(t, again, b, err)
+			assertDecoded(t, again, b, err)
 		}
 	})
 }
 
-// known tells whether no event is of a newer kind, which isn't written again.
-func known(events []pool.Event) bool {
+// allEventsKnown tells whether no event is of a newer kind, which isn't written again.
+func allEventsKnown(events []pool.Event) bool {
 	for _, ev := range events {
 		if _, newer := ev.(pool.Tick); newer {
 			return false
@@ -176,7 +176,7 @@
 	return true
 }
 
-func knownCommands(cmds []pool.Command) bool {
+func allCommandsKnown(cmds []pool.Command) bool {
 	for _, c := range cmds {
 		if _, newer := c.(pool.ShareSuspect); newer {
 			return false
--- a/member/machine.go
+++ b/member/machine.go
@@ -120,7 +120,7 @@
 	switch t {
 	case peer.TypeMemberProbe:
 		m.send(from, peer.TypeMemberAck, &wire.Message{Seq: msg.Seq})
-	case peer.TypeMemberAsk:
+	case peer.TypeMemberIndirectProbe:
 		m.startRelay(from, &msg)
 	case peer.TypeMemberAck:
 		m.handleAck(from, &msg)
--- a/member/probe.go
+++ b/member/probe.go
@@ -172,7 +172,7 @@
 		p.helpers[h] = false
 	}
 	for _, h := range helpers {
-		m.send(peer.Name(h), peer.TypeMemberAsk, &wire.Message{Seq: p.seq, Target: p.target})
+		m.send(peer.Name(h), peer.TypeMemberIndirectProbe, &wire.Message{Seq: p.seq, Target: p.target})
 	}
 	m.failIfNoHelperPending(p)
 }
--- a/member/runner.go
+++ b/member/runner.go
@@ -60,7 +60,7 @@
 	r := &Runner{opts: opts, log: logs.For("member"), machine: m, joined: make(chan struct{})}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.opts.View.Store(m.View())
-	for _, t := range []peer.Type{peer.TypeMemberProbe, peer.TypeMemberAsk, peer.TypeMemberAck, peer.TypeMemberGossip} {
+	for _, t := range []peer.Type{peer.TypeMemberProbe, peer.TypeMemberIndirectProbe, peer.TypeMemberAck, peer.TypeMemberGossip} {
 		opts.Transport.Handle(t, func(_ context.Context, from peer.Name, payload []byte) ([]byte, error) {
 			r.handleEvent(func(now time.Time) []Outgoing { return m.Receive(now, from, t, payload) })
 			return nil, nil
--- a/revision/cluster_test.go
+++ b/revision/cluster_test.go
@@ -160,7 +160,7 @@
 	case 3:
 		m.Cut.Store(r.IntN(2) == 0)
 	case 4:
-		c.Network.Lose(peer.Name(m.Name), peer.Name(other.Name))
+		c.Network.Drop(peer.Name(m.Name), peer.Name(other.Name))
 	case 5:
 		c.Network.Heal(peer.Name(m.Name), peer.Name(other.Name))
 	default:
