--- a/broker/cluster_test.go
+++ b/broker/cluster_test.go
@@ -21,7 +21,7 @@
 // real time and on an in-memory network.
 type cluster struct {
 	net      *peertest.Network
-	snapshot workspace.Live
+	snapshot workspace.CurrentSnapshot
 	views    member.CurrentView
 	entries  map[string]*Entry
 	stop     context.CancelFunc
--- a/broker/simulation_test.go
+++ b/broker/simulation_test.go
@@ -19,7 +19,7 @@
 	now        time.Time
 	nodes      map[string]*node
 	names      []string
-	snapshot   workspace.Live
+	snapshot   workspace.CurrentSnapshot
 	queue      []envelope
 	cutLinks   map[[2]string]bool // both directions; sends fail
 	lossyLinks map[[2]string]bool // one direction; sent messages are lost
--- a/internal/apply/apply.go
+++ b/internal/apply/apply.go
@@ -27,7 +27,7 @@
 func Load(paths []string) ([]workspace.Document, workspace.Findings, error) {
 	var docs []workspace.Document
 	var findings workspace.Findings
-	files, err := expand(paths)
+	files, err := findFiles(paths)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -42,8 +42,8 @@
 	return docs, findings, nil
 }
 
-// expand replaces directories by the JSON files under them, sorted.
-func expand(paths []string) ([]string, error) {
+// findFiles replaces directories by the JSON files under them, sorted.
+func findFiles(paths []string) ([]string, error) {
 	var out []string
 	for _, path := range paths {
 		before := len(out)
@@ -96,7 +96,7 @@
 	Version objectstore.Version `json:"version"`
 	Fields  []FieldChange       `json:"fields,omitempty"`
 
-	old, value []byte
+	oldValue, newValue []byte
 }
 
 // Ref names an object.
@@ -114,13 +114,13 @@
 // in which to write them. A document whose expected version is not the stored
 // one gives a *ConflictError.
 func Plan(docs []workspace.Document, deletions []Ref, stored []objectstore.Object) ([]Change, error) {
-	at := make(map[Ref]objectstore.Object, len(stored))
+	storedByRef := make(map[Ref]objectstore.Object, len(stored))
 	for _, o := range stored {
-		at[Ref{o.Kind, o.Name}] = o
+		storedByRef[Ref{o.Kind, o.Name}] = o
 	}
 	changes := make([]Change, 0, len(docs)+len(deletions))
 	for _, d := range docs {
-		c, err := planDocument(d, at[Ref{d.Kind, d.Name}])
+		c, err := planDocument(d, storedByRef[Ref{d.Kind, d.Name}])
 		if err != nil {
 			return nil, err
 		}
@@ -130,13 +130,13 @@
 		return cmp.Compare(writeOrder[a.Kind], writeOrder[b.Kind])
 	})
 	for _, ref := range deletions {
-		o, ok := at[ref]
+		o, ok := storedByRef[ref]
 		if !ok {
 			return nil, errors.Wrapf(objectstore.ErrNotFound, "delete %s/%s", ref.Kind, ref.Name)
 		}
 		changes = append(changes, Change{
 			Kind: ref.Kind, Name: ref.Name, Action: Delete, Version: o.Version,
-			Fields: Diff(o.Value, nil), old: o.Value,
+			Fields: Diff(o.Value, nil), oldValue: o.Value,
 		})
 	}
 	return changes, nil
@@ -151,12 +151,12 @@
 	}
 	c := Change{
 		Kind: d.Kind, Name: d.Name, Action: Update, Version: stored.Version,
-		Fields: Diff(stored.Value, value), old: stored.Value, value: value,
+		Fields: Diff(stored.Value, value), oldValue: stored.Value, newValue: value,
 	}
 	switch {
-	case d.Expect != 0 && d.Expect != stored.Version:
+	case d.ExpectVersion != 0 && d.ExpectVersion != stored.Version:
 		return c, &ConflictError{
-			Ref: Ref{d.Kind, d.Name}, Expected: d.Expect, Found: stored.Version, Theirs: Diff(value, stored.Value),
+			Ref: Ref{d.Kind, d.Name}, Expected: d.ExpectVersion, Found: stored.Version, Theirs: Diff(value, stored.Value),
 		}
 	case stored.Version == 0:
 		c.Action = Create
@@ -168,10 +168,10 @@
 
 // Check checks documents and deletions against what is stored.
 func Check(docs []workspace.Document, deletions []Ref, stored []objectstore.Object) workspace.Findings {
-	left := slices.DeleteFunc(slices.Clone(stored), func(o objectstore.Object) bool {
+	remaining := slices.DeleteFunc(slices.Clone(stored), func(o objectstore.Object) bool {
 		return slices.Contains(deletions, Ref{o.Kind, o.Name})
 	})
-	findings := workspace.CheckDocuments(docs, left)
+	findings := workspace.CheckDocuments(docs, remaining)
 	_, before := workspace.Compile(stored)
 	for i, f := range findings {
 		// What is wrong already does not stop a change of something else.
--- a/internal/apply/apply_test.go
+++ b/internal/apply/apply_test.go
@@ -19,16 +19,16 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// pool returns a document of a pool with a bound on its queue.
-func pool(name, waiting string) workspace.Document {
+// poolDocument returns a document of a pool with a bound on its queue.
+func poolDocument(name, waiting string) workspace.Document {
 	docs, findings := workspace.ParseFile(name+".json",
 		[]byte(`{"kind":"Pool","name":"`+name+`","region":"r","service":"s","max_waiting":`+waiting+`}`))
 	So(findings, ShouldBeEmpty)
 	return docs[0]
 }
 
-// plan plans a document against what the store holds now.
-func plan(ctx context.Context, store *standin.Standin, docs ...workspace.Document) []Change {
+// planChanges plans a document against what the store holds now.
+func planChanges(ctx context.Context, store *standin.Standin, docs ...workspace.Document) []Change {
 	stored, err := Read(ctx, store)
 	So(err, ShouldBeNil)
 	So(Check(docs, nil, stored), ShouldBeEmpty)
@@ -37,14 +37,14 @@
 	return changes
 }
 
-func TestOperatorsRacing(t *testing.T) {
+func TestConcurrentWritesConflict(t *testing.T) {
 	// Guards against this: an operator's accepted change is gone, and nobody was told.
 	Convey("The second of two operators gets the first one's change shown", t, func() {
 		ctx := context.Background()
 		store := standin.New(standin.Options{})
-		_, err := Write(ctx, store, plan(ctx, store, pool("p", "1"))[0])
+		_, err := Write(ctx, store, planChanges(ctx, store, poolDocument("p", "1"))[0])
 		So(err, ShouldBeNil)
-		mine, theirs := plan(ctx, store, pool("p", "2"))[0], plan(ctx, store, pool("p", "3"))[0]
+		mine, theirs := planChanges(ctx, store, poolDocument("p", "2"))[0], planChanges(ctx, store, poolDocument("p", "3"))[0]
 		So(mine.Fields, ShouldHaveLength, 1)
 		So(mine.Fields[0].String(), ShouldEqual, "~ max_waiting: 1 -> 2")
 		v, err := Write(ctx, store, theirs)
@@ -59,8 +59,8 @@
 		So(o.Version, ShouldEqual, v)
 
 		Convey("also where the file names the version that it was made from", func() {
-			d := pool("p", "4")
-			d.Expect = mine.Version
+			d := poolDocument("p", "4")
+			d.ExpectVersion = mine.Version
 			stored, _ := Read(ctx, store)
 			_, err := Plan([]workspace.Document{d}, nil, stored)
 			So(errors.As(err, &conflict), ShouldBeTrue)
@@ -80,26 +80,26 @@
 	Convey("A lost answer is settled by reading back", t, func() {
 		ctx := context.Background()
 		store := standin.New(standin.Options{})
-		lose := func() { store.SetFaults(standin.Faults{LoseNext: 1}) }
-		lose()
-		v, err := Write(ctx, store, plan(ctx, store, pool("p", "1"))[0])
+		loseNextAnswer := func() { store.SetFaults(standin.Faults{LoseNext: 1}) }
+		loseNextAnswer()
+		v, err := Write(ctx, store, planChanges(ctx, store, poolDocument("p", "1"))[0])
 		So(err, ShouldBeNil)
 		So(v, ShouldEqual, 1)
-		lose()
-		v, err = Write(ctx, store, plan(ctx, store, pool("p", "2"))[0])
+		loseNextAnswer()
+		v, err = Write(ctx, store, planChanges(ctx, store, poolDocument("p", "2"))[0])
 		So(err, ShouldBeNil)
 		So(v, ShouldEqual, 2)
 		Convey("also when the reads are stale and the write is tried again", func() {
-			change := plan(ctx, store, pool("p", "3"))[0]
+			change := planChanges(ctx, store, poolDocument("p", "3"))[0]
 			store.SetFaults(standin.Faults{LoseNext: 1, StaleWrites: 1})
-			reads := &staleOnce{Standin: store}
+			reads := &staleFirstRead{Standin: store}
 			v, err := Write(ctx, reads, change)
 			So(err, ShouldBeNil)
 			So(v, ShouldEqual, 3)
 			So(reads.gets, ShouldBeGreaterThan, 1)
 		})
 		Convey("also a deletion's", func() {
-			lose()
+			loseNextAnswer()
 			_, err = Write(ctx, store, Change{Kind: workspace.KindPool, Name: "p", Action: Delete, Version: v})
 			So(err, ShouldBeNil)
 			_, err = store.Get(ctx, workspace.KindPool, "p")
@@ -109,7 +109,7 @@
 	Convey("A write that the store refused is told as not written", t, func() {
 		ctx := context.Background()
 		store := standin.New(standin.Options{})
-		change := plan(ctx, store, pool("p", "1"))[0]
+		change := planChanges(ctx, store, poolDocument("p", "1"))[0]
 		store.SetFaults(standin.Faults{Down: true})
 		_, err := Write(ctx, store, change)
 		So(errors.Is(err, objectstore.ErrUnavailable), ShouldBeTrue)
@@ -131,7 +131,7 @@
 			wg.Go(func() {
 				for n := range edits {
 					name := fmt.Sprintf("p%d-%d", i, n)
-					for edit(ctx, store, name) != nil {
+					for addParameter(ctx, store, name) != nil {
 						continue
 					}
 					accepted.Store(name, true)
@@ -151,8 +151,8 @@
 	})
 }
 
-// edit adds a parameter to the template.
-func edit(ctx context.Context, store *standin.Standin, name string) error {
+// addParameter adds a parameter to the template.
+func addParameter(ctx context.Context, store *standin.Standin, name string) error {
 	o, err := store.Get(ctx, workspace.KindTemplate, "t")
 	if err != nil {
 		return err
@@ -177,7 +177,7 @@
 	Convey("What came in between and does not fit is found after the write", t, func() {
 		ctx := context.Background()
 		store := standin.New(standin.Options{})
-		v, err := Write(ctx, store, plan(ctx, store, pool("p", "1"))[0])
+		v, err := Write(ctx, store, planChanges(ctx, store, poolDocument("p", "1"))[0])
 		So(err, ShouldBeNil)
 		before, err := Read(ctx, store)
 		So(err, ShouldBeNil)
@@ -195,13 +195,13 @@
 	})
 }
 
-// staleOnce makes the first read stale and heals the store after it.
-type staleOnce struct {
+// staleFirstRead makes the first read stale and heals the store after it.
+type staleFirstRead struct {
 	*standin.Standin
 	gets int
 }
 
-func (s *staleOnce) Get(ctx context.Context, kind objectstore.Kind, name string) (objectstore.Object, error) {
+func (s *staleFirstRead) Get(ctx context.Context, kind objectstore.Kind, name string) (objectstore.Object, error) {
 	o, err := s.Standin.Get(ctx, kind, name)
 	if s.gets++; s.gets == 1 {
 		s.SetFaults(standin.Faults{})
@@ -231,7 +231,7 @@
 			{Kind: workspace.KindBackendServer, Name: "s", Version: 2, Value: []byte(`{"name":"s","address":"10.0.0.1:1","region":"r","availability_zone":"z","pool":"p"}`)},
 			{Kind: workspace.KindBackendServer, Name: "t", Version: 3, Value: []byte(`{"name":"t","address":"10.0.0.2:1","region":"r","availability_zone":"z","pool":"q"}`)},
 		}
-		So(Check([]workspace.Document{pool("p", "1")}, nil, stored).Fatal(), ShouldBeEmpty)
+		So(Check([]workspace.Document{poolDocument("p", "1")}, nil, stored).Fatal(), ShouldBeEmpty)
 		findings := Check(nil, []Ref{{workspace.KindPool, "p"}}, stored)
 		So(findings, ShouldHaveLength, 2)
 		So(findings.Fatal(), ShouldHaveLength, 1)
--- a/internal/apply/diff.go
+++ b/internal/apply/diff.go
@@ -33,12 +33,12 @@
 // or no JSON counts as an empty object.
 func Diff(old, next []byte) []FieldChange {
 	var out []FieldChange
-	compare("", tree(old), tree(next), &out)
+	diffValues("", decodeValue(old), decodeValue(next), &out)
 	return out
 }
 
-// tree decodes JSON, keeping numbers as they are written.
-func tree(b []byte) any {
+// decodeValue decodes JSON, keeping numbers as they are written.
+func decodeValue(b []byte) any {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.UseNumber()
 	var v any
@@ -48,38 +48,38 @@
 	return v
 }
 
-// compare adds the differences of two values.
-func compare(path string, a, b any, out *[]FieldChange) {
-	ma, aIs := a.(map[string]any)
-	mb, bIs := b.(map[string]any)
-	if !aIs || !bIs {
-		ma, mb, aIs = members(a, b)
-		bIs = aIs
+// diffValues adds the differences of two values.
+func diffValues(path string, a, b any, out *[]FieldChange) {
+	ma, aOK := a.(map[string]any)
+	mb, bOK := b.(map[string]any)
+	if !aOK || !bOK {
+		ma, mb, aOK = namedMembers(a, b)
+		bOK = aOK
 	}
-	if !aIs || !bIs {
-		if x, y := compact(a), compact(b); !bytes.Equal(x, y) {
-			*out = append(*out, FieldChange{Path: path, Old: x, New: y})
+	if !aOK || !bOK {
+		if oldJSON, newJSON := encodeValue(a), encodeValue(b); !bytes.Equal(oldJSON, newJSON) {
+			*out = append(*out, FieldChange{Path: path, Old: oldJSON, New: newJSON})
 		}
 		return
 	}
 	_, isList := a.([]any)
-	for _, name := range keys(ma, mb) {
-		at := join(path, name, isList)
+	for _, name := range unionKeys(ma, mb) {
+		memberPath := joinPath(path, name, isList)
 		va, inA := ma[name]
 		vb, inB := mb[name]
 		switch {
 		case !inA:
-			*out = append(*out, FieldChange{Path: at, New: compact(vb)})
+			*out = append(*out, FieldChange{Path: memberPath, New: encodeValue(vb)})
 		case !inB:
-			*out = append(*out, FieldChange{Path: at, Old: compact(va)})
+			*out = append(*out, FieldChange{Path: memberPath, Old: encodeValue(va)})
 		default:
-			compare(at, va, vb, out)
+			diffValues(memberPath, va, vb, out)
 		}
 	}
 }
 
-// join returns the path of a member.
-func join(path, name string, inList bool) string {
+// joinPath returns the path of a member.
+func joinPath(path, name string, inList bool) string {
 	switch {
 	case inList:
 		return path + "[" + name + "]"
@@ -90,13 +90,13 @@
 	}
 }
 
-// members returns two lists of objects as maps by their names, so that a
+// namedMembers returns two lists of objects as maps by their names, so that a
 // member put in front does not make all others differ; false where they are
 // no such lists.
-func members(a, b any) (map[string]any, map[string]any, bool) {
-	la, aIs := a.([]any)
-	lb, bIs := b.([]any)
-	if !aIs || !bIs {
+func namedMembers(a, b any) (map[string]any, map[string]any, bool) {
+	la, aOK := a.([]any)
+	lb, bOK := b.([]any)
+	if !aOK || !bOK {
 		return nil, nil, false
 	}
 	ma, aNamed := byName(la)
@@ -114,7 +114,7 @@
 		if !ok {
 			name, ok = m["id"].(string)
 		}
-		if _, twice := out[name]; !ok || twice {
+		if _, duplicate := out[name]; !ok || duplicate {
 			return nil, false
 		}
 		out[name] = item
@@ -122,8 +122,8 @@
 	return out, true
 }
 
-// keys returns the names in either map, sorted.
-func keys(a, b map[string]any) []string {
+// unionKeys returns the names in either map, sorted.
+func unionKeys(a, b map[string]any) []string {
 	var out []string
 	for k := range a {
 		out = append(out, k)
@@ -137,8 +137,8 @@
 	return out
 }
 
-// compact encodes a decoded value; nil for none.
-func compact(v any) json.RawMessage {
+// encodeValue encodes a decoded value; nil for none.
+func encodeValue(v any) json.RawMessage {
 	if v == nil {
 		return json.RawMessage("null")
 	}
--- a/internal/apply/write.go
+++ b/internal/apply/write.go
@@ -33,8 +33,8 @@
 
 // Attempts at one write whose outcome is unknown, and the delays between.
 const (
-	maxAttempts = 6
-	firstDelay  = 100 * time.Millisecond
+	maxWriteAttempts  = 6
+	initialRetryDelay = 100 * time.Millisecond
 )
 
 // Write writes one change, conditionally on its version, and returns the
@@ -48,20 +48,20 @@
 // which the object API lets through only once.
 func Write(ctx context.Context, api objectstore.ObjectAPI, c Change) (objectstore.Version, error) {
 	delays := backoff.NewExponentialBackOff()
-	delays.InitialInterval = firstDelay
+	delays.InitialInterval = initialRetryDelay
 	var err error
-	unknown := false
-	for range maxAttempts {
+	outcomeUnknown := false
+	for range maxWriteAttempts {
 		var v objectstore.Version
-		v, err = write(ctx, api, c)
+		v, err = attemptWrite(ctx, api, c)
 		switch {
 		case err == nil:
 			return v, nil
 		case errors.Is(err, objectstore.ErrUnknownOutcome):
-			unknown = true
+			outcomeUnknown = true
 		case errors.Is(err, objectstore.ErrConflict), errors.Is(err, objectstore.ErrNotFound):
-			return settle(ctx, api, c, unknown)
-		case !unknown:
+			return resolveConflict(ctx, api, c, outcomeUnknown)
+		case !outcomeUnknown:
 			return 0, errors.Wrapf(err, "%s/%s", c.Kind, c.Name)
 		}
 		if v, settled := readBack(ctx, api, c); settled {
@@ -74,15 +74,15 @@
 	return 0, errors.Wrapf(objectstore.ErrUnknownOutcome, "%s/%s: last error: %v", c.Kind, c.Name, err)
 }
 
-// write makes one attempt.
-func write(ctx context.Context, api objectstore.ObjectAPI, c Change) (objectstore.Version, error) {
+// attemptWrite makes one attempt.
+func attemptWrite(ctx context.Context, api objectstore.ObjectAPI, c Change) (objectstore.Version, error) {
 	switch c.Action {
 	case Create:
-		return api.Create(ctx, c.Kind, c.Name, c.value)
+		return api.Create(ctx, c.Kind, c.Name, c.newValue)
 	case Delete:
 		return api.Delete(ctx, c.Kind, c.Name, c.Version)
 	default:
-		return api.Update(ctx, c.Kind, c.Name, c.value, c.Version)
+		return api.Update(ctx, c.Kind, c.Name, c.newValue, c.Version)
 	}
 }
 
@@ -92,25 +92,25 @@
 	if c.Action == Delete {
 		return 0, errors.Is(err, objectstore.ErrNotFound)
 	}
-	return o.Version, err == nil && o.Version > c.Version && bytes.Equal(o.Value, c.value)
+	return o.Version, err == nil && o.Version > c.Version && bytes.Equal(o.Value, c.newValue)
 }
 
-// settle tells a conflict with somebody else from one with this write's own
+// resolveConflict tells a conflict with somebody else from one with this write's own
 // earlier attempt. A read that still shows the version written on is stale and
 // is made again.
-func settle(ctx context.Context, api objectstore.ObjectAPI, c Change, unknown bool) (objectstore.Version, error) {
+func resolveConflict(ctx context.Context, api objectstore.ObjectAPI, c Change, outcomeUnknown bool) (objectstore.Version, error) {
 	delays := backoff.NewExponentialBackOff()
-	delays.InitialInterval = firstDelay
+	delays.InitialInterval = initialRetryDelay
 	var o objectstore.Object
 	var err error
-	for range maxAttempts {
-		if v, ours := readBack(ctx, api, c); unknown && ours {
+	for range maxWriteAttempts {
+		if v, ours := readBack(ctx, api, c); outcomeUnknown && ours {
 			return v, nil
 		}
 		o, err = api.Get(ctx, c.Kind, c.Name)
 		if errors.Is(err, objectstore.ErrNotFound) || (err == nil && o.Version > c.Version) {
 			return 0, &ConflictError{
-				Ref: Ref{c.Kind, c.Name}, Expected: c.Version, Found: o.Version, Theirs: Diff(c.old, o.Value),
+				Ref: Ref{c.Kind, c.Name}, Expected: c.Version, Found: o.Version, Theirs: Diff(c.oldValue, o.Value),
 			}
 		}
 		if !wait.For(ctx, delays.NextBackOff()) {
--- a/internal/capacity/measure_config.go
+++ b/internal/capacity/measure_config.go
@@ -28,8 +28,8 @@
 const applyRounds = 40
 
 // fleetOf returns the target's configuration with some of its workspaces.
-func fleetOf(workspaces int) workspacetest.Fleet {
-	f := workspacetest.Target
+func fleetOf(workspaces int) workspacetest.Size {
+	f := workspacetest.TargetSize
 	f.Workspaces = workspaces
 	return f
 }
@@ -94,7 +94,7 @@
 func measureSpread(ctx context.Context, m *Measured) error {
 	var bytes, messages, inForce, idle, calls []Point
 	for _, size := range []struct{ members, regions int }{{9, 1}, {65, 1}, {130, 2}, {390, 6}} {
-		r, err := revisiontest.MeasureSpread(ctx, size.members, size.regions, spreadChanges)
+		r, err := revisiontest.MeasurePropagation(ctx, size.members, size.regions, spreadChanges)
 		if err != nil {
 			return errors.Wrapf(err, "spread over %d members", size.members)
 		}
--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -86,7 +86,7 @@
 		return withExit(ExitUsage, errors.Errorf("--expect-version is for a single object, the files hold %d", len(docs)))
 	}
 	for i := range docs {
-		docs[i].Expect = max(docs[i].Expect, objectstore.Version(f.expect))
+		docs[i].ExpectVersion = max(docs[i].ExpectVersion, objectstore.Version(f.expect))
 	}
 	api, err := openPlatform(*f.platform)
 	if err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -39,7 +39,7 @@
 
 	listener, adminListener net.Listener
 
-	config    *workspace.Live
+	config    *workspace.CurrentSnapshot
 	views     *member.CurrentView
 	platform  objectstore.Platform
 	transport *peer.TCP
@@ -81,7 +81,7 @@
 		settings: s,
 		log:      logs.For("daemon"),
 		metrics:  metrics.New(),
-		config:   &workspace.Live{},
+		config:   &workspace.CurrentSnapshot{},
 		views:    &member.CurrentView{},
 		drain:    make(chan struct{}),
 	}
@@ -132,7 +132,7 @@
 	if err := d.wireMembers(); err != nil {
 		return err
 	}
-	configuration := revision.NewConfiguration(d.config, d.metrics)
+	configuration := revision.NewPublisher(d.config, d.metrics)
 	d.findings = configuration.Findings
 	d.syncer = revision.New(configuration.Attach(revision.Options{
 		API: d.platform, Transport: d.transport, View: d.views.Load, Metrics: d.metrics,
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -100,7 +100,7 @@
 // Deps are the parts that an entry works with.
 type Deps struct {
 	// Config holds the snapshot in force.
-	Config   *workspace.Live
+	Config   *workspace.CurrentSnapshot
 	Broker   broker.Broker
 	Ledger   claim.Ledger
 	Engines  engine.Dialer
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -24,7 +24,7 @@
 	received time.Time
 	header   callerHeader
 	snapshot *workspace.Snapshot
-	space    *workspace.Resolved
+	space    *workspace.ResolvedWorkspace
 	spec     *request.Spec
 	life     request.Lifecycle
 	body     *reservation
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -62,7 +62,7 @@
 }
 
 // pickTier returns the tier that the caller asks for, else the given default.
-func (h callerHeader) pickTier(w *workspace.Resolved, def *workspace.ResolvedTier) (*workspace.ResolvedTier, error) {
+func (h callerHeader) pickTier(w *workspace.ResolvedWorkspace, def *workspace.ResolvedTier) (*workspace.ResolvedTier, error) {
 	if h.tier == "" {
 		return def, nil
 	}
@@ -78,7 +78,7 @@
 
 // targets returns the tier's targets with the caller's deadline, which can
 // only shorten the tier's.
-func (h callerHeader) targets(w *workspace.Resolved, t *workspace.ResolvedTier) (request.Targets, error) {
+func (h callerHeader) targets(w *workspace.ResolvedWorkspace, t *workspace.ResolvedTier) (request.Targets, error) {
 	out := t.Targets
 	if h.deadline == "" {
 		return out, nil
--- a/internal/entry/rig_test.go
+++ b/internal/entry/rig_test.go
@@ -69,7 +69,7 @@
 	running.Go(func() { _ = standin.ServeEngine(ctx, engineLn, e) })
 	running.Go(func() { _ = r.service.Serve(ctx, serviceLn) })
 
-	live := &workspace.Live{}
+	live := &workspace.CurrentSnapshot{}
 	live.Store(testSnapshot(engineLn.Addr().String(), serviceLn.Addr().String()))
 	r.broker = &testBroker{freed: make(chan struct{})}
 	settings := httpconn.Settings{SilenceTimeout: silence}
@@ -105,7 +105,7 @@
 func testSnapshot(engineAddr, serviceAddr string) *workspace.Snapshot {
 	urgent := &workspace.ResolvedTier{Name: "urgent", Tier: 0, Targets: request.Targets{Deadline: waitLimit}}
 	late := &workspace.ResolvedTier{Name: "late", Tier: 3, Targets: request.Targets{Deadline: waitLimit}}
-	w := &workspace.Resolved{
+	w := &workspace.ResolvedWorkspace{
 		Workspace: "acme", Template: "desk", DefaultTier: urgent,
 		TierByName:      map[string]*workspace.ResolvedTier{"urgent": urgent, "late": late},
 		AllowTierHeader: true, AllowDeadlineHeader: true, MaxTokens: 4096, MaxBodyBytes: 1 << 20,
@@ -124,7 +124,7 @@
 	writers := &workspace.ResolvedPool{Pool: workspace.Pool{Name: "writers", Region: testRegion}, Servers: server("engine", engineAddr)}
 	booking := &workspace.ResolvedPool{Pool: workspace.Pool{Name: "booking", Region: testRegion}, Servers: server("service", serviceAddr)}
 	return &workspace.Snapshot{
-		Workspaces: map[workspace.KeyHash]*workspace.Resolved{sha256.Sum256([]byte(testKey)): w},
+		Workspaces: map[workspace.KeyHash]*workspace.ResolvedWorkspace{sha256.Sum256([]byte(testKey)): w},
 		Pools:      map[string]*workspace.ResolvedPool{"booking": booking},
 		ModelPools: map[workspace.ModelRegion][]*workspace.ResolvedPool{
 			{Model: testModel, Version: "v1", Region: testRegion}: {writers},
--- a/internal/experiment/system.go
+++ b/internal/experiment/system.go
@@ -59,7 +59,7 @@
 		y.closeEngines()
 		return nil, err
 	}
-	var live workspace.Live
+	var live workspace.CurrentSnapshot
 	live.Store(snapshot)
 	registry := metrics.New()
 	y.host = poolhost.New(poolhost.Config{
--- a/internal/forward/server.go
+++ b/internal/forward/server.go
@@ -55,7 +55,7 @@
 // Deps are the parts that a Server works with.
 type Deps struct {
 	Routes    *route.Live
-	Pools     *workspace.Live
+	Pools     *workspace.CurrentSnapshot
 	Broker    broker.Broker
 	Admission Admission
 	Quotas    Quotas
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -54,7 +54,7 @@
 	readyListener net.Listener
 
 	routes  *route.Live
-	pools   *workspace.Live
+	pools   *workspace.CurrentSnapshot
 	views   *member.CurrentView
 	state   *state
 	ledger  *quota.Limiter
@@ -78,7 +78,7 @@
 func New(s Settings, p Platform, m *metrics.Registry) (*Gateway, error) {
 	g := &Gateway{
 		settings: s, platform: p, log: logs.For("gateway"), metrics: m,
-		started: time.Now(), routes: &route.Live{}, pools: &workspace.Live{}, views: &member.CurrentView{},
+		started: time.Now(), routes: &route.Live{}, pools: &workspace.CurrentSnapshot{}, views: &member.CurrentView{},
 	}
 	debug.SetMemoryLimit(int64(s.Limits.MemoryMB * 1e6 * memoryLimitShare))
 	g.budgets = newRetryBudgets(s.Bounds)
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -41,7 +41,7 @@
 		views.Store(member.NewView(m.Name, members))
 		net := &fakePeers{fakeTransport: newFakeTransport(), self: m.Name, syncs: all}
 		s := stateWithRoutes()
-		s.configFreshness, s.serversFreshness = revision.NewFreshnessOn(stoppedClock), revision.NewFreshnessOn(stoppedClock)
+		s.configFreshness, s.serversFreshness = revision.NewFreshnessWithClock(stoppedClock), revision.NewFreshnessWithClock(stoppedClock)
 		all[m.Name], nets[m.Name] = newPeerSync(s, net, views, joinedAlready()), net
 	}
 	readers, standbys = selectReaders(member.NewView("a1", members))
@@ -72,8 +72,8 @@
 
 // freshnessOfAge returns a freshness whose newest proof has the given age.
 func freshnessOfAge(age time.Duration) *revision.Freshness {
-	f := revision.NewFreshnessOn(stoppedClock)
-	f.Prove(f.Mark() - age)
+	f := revision.NewFreshnessWithClock(stoppedClock)
+	f.Confirm(f.Now() - age)
 	return f
 }
 
@@ -153,7 +153,7 @@
 			b := all[standbys[0]]
 			for _, x := range []*peerSync{a, b} {
 				x.state.configFreshness = freshnessOfAge(1650 * time.Millisecond)
-				x.lastAnswer.Store(int64(x.state.configFreshness.Mark()))
+				x.lastAnswer.Store(int64(x.state.configFreshness.Now()))
 				So(idle(x), ShouldBeTrue)
 				x.state.configFreshness = freshnessOfAge(1750 * time.Millisecond)
 				So(idle(x), ShouldBeFalse)
@@ -164,17 +164,17 @@
 			}
 			So(refresh(a), ShouldBeGreaterThanOrEqualTo, storeRetryMaxDelay/2)
 			So(refresh(b), ShouldBeLessThan, 2*storeRetryDelay) // a standby
-			a.lastAnswer.Store(int64(a.state.configFreshness.Mark() - 3*time.Second))
+			a.lastAnswer.Store(int64(a.state.configFreshness.Now() - 3*time.Second))
 			So(refresh(a), ShouldBeLessThan, 2*storeRetryDelay) // it may be cut off from the readers
 		})
 	})
 	Convey("A daemon whose own reads fail for long counts as cut off from the store until one is answered", t, func() {
 		s := emptyState()
-		s.configFreshness = revision.NewFreshnessOn(stoppedClock)
+		s.configFreshness = revision.NewFreshnessWithClock(stoppedClock)
 		store := &listStore{err: objectstore.ErrUnavailable}
 		r := &reflector{state: s, store: store, stale: &staleStore{}, isReader: func() bool { return false }, readerAnswers: func() bool { return true }}
 		config := r.loops()[0]
-		s.configFreshness.Prove(s.configFreshness.Mark())
+		s.configFreshness.Confirm(s.configFreshness.Now())
 		_, idle := r.idleFor(config)
 		So(idle, ShouldBeTrue)
 		r.refresh(context.Background(), config)
@@ -203,7 +203,7 @@
 	})
 	Convey("A daemon that is not a reader notices the loss and the return of the store", t, func() {
 		s := emptyState()
-		s.configFreshness = revision.NewFreshnessOn(stoppedClock)
+		s.configFreshness = revision.NewFreshnessWithClock(stoppedClock)
 		store := &staleStore{err: objectstore.ErrUnknownOutcome}
 		r := &reflector{state: s, stale: store}
 		r.checkStore(context.Background())
@@ -218,11 +218,11 @@
 	// Guards against daemons that serve nobody for seconds after all daemons were killed.
 	Convey("A daemon without state retries soon, even if a reader answers", t, func() {
 		s := emptyState()
-		s.configFreshness = revision.NewFreshnessOn(stoppedClock)
+		s.configFreshness = revision.NewFreshnessWithClock(stoppedClock)
 		store := &listStore{err: objectstore.ErrUnavailable}
 		r := &reflector{state: s, store: store, stale: &staleStore{}, isReader: func() bool { return false }, readerAnswers: func() bool { return true }}
 		So(r.refresh(context.Background(), r.loops()[0]), ShouldBeLessThan, 2*storeRetryDelay)
-		s.configFreshness.Prove(s.configFreshness.Mark())
+		s.configFreshness.Confirm(s.configFreshness.Now())
 		So(r.refresh(context.Background(), r.loops()[0]), ShouldBeGreaterThanOrEqualTo, storeRetryMaxDelay/2)
 	})
 	Convey("Nine daemons have one reader and two standbys", t, func() {
--- a/internal/gateway/pacer_test.go
+++ b/internal/gateway/pacer_test.go
@@ -42,7 +42,7 @@
 // Guards against changes of servers that are lost when a rebuild is postponed.
 func TestLastOfManyChangesIsApplied(t *testing.T) {
 	Convey("Given many changes of servers in quick succession", t, func() {
-		pools := &workspace.Live{}
+		pools := &workspace.CurrentSnapshot{}
 		routes := &route.Live{}
 		table, findings := route.Compile("test", route.Document{Version: 1, Services: []route.Service{{Name: "app"}}})
 		So(findings, ShouldBeNil)
--- a/internal/gateway/peerpoll.go
+++ b/internal/gateway/peerpoll.go
@@ -23,7 +23,7 @@
 	if err := proto.Unmarshal(payload, &req); err != nil {
 		return nil, err
 	}
-	received := p.state.serversFreshness.Mark()
+	received := p.state.serversFreshness.Now()
 	resp, changed := p.buildAnswer(&req, received)
 	if len(resp.Config) > 0 || resp.ServersTold || resp.RolloutsTold || req.Changes && (isStale(resp) || isFresher(resp, &req)) {
 		return proto.Marshal(resp)
@@ -54,7 +54,7 @@
 // next change. received is when the poll arrived, by the clock of serversFreshness.
 func (p *peerSync) buildAnswer(req *wire.SyncAsk, received time.Duration) (*wire.SyncAnswer, <-chan struct{}) {
 	s := p.state
-	held := s.serversFreshness.Mark() - received // before the ages are read
+	held := s.serversFreshness.Now() - received // before the ages are read
 	resp := &wire.SyncAnswer{HeldMs: float64(held) / float64(time.Millisecond), ConfigAgeMs: ageMs(s.configFreshness.Age()), ServersAgeMs: ageMs(s.serversFreshness.Age())}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/peersync.go
+++ b/internal/gateway/peersync.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	configMark, serversMark := s.configFreshness.Mark(), s.serversFreshness.Mark()
+	configMark, serversMark := s.configFreshness.Now(), s.serversFreshness.Now()
 	ctx, cancel := context.WithTimeout(ctx, pollHold+pollRoundTrip)
 	defer cancel()
 	reply, err := p.transport.Call(ctx, peer.Name(name), peer.TypeSync, payload)
@@ -101,9 +101,9 @@
 	if err := proto.Unmarshal(reply, &resp); err != nil {
 		return err
 	}
-	s.latency.peerPoll.Observe(s.serversFreshness.Mark() - serversMark - milliseconds(resp.HeldMs))
+	s.latency.peerPoll.Observe(s.serversFreshness.Now() - serversMark - milliseconds(resp.HeldMs))
 	p.apply(&resp, configMark, serversMark)
-	p.lastAnswer.Store(int64(s.configFreshness.Mark()))
+	p.lastAnswer.Store(int64(s.configFreshness.Now()))
 	if isStale(&resp) {
 		p.next.Add(1)
 		if resp.HeldMs < float64(pollRetryDelay.Milliseconds()) {
@@ -131,7 +131,7 @@
 		})
 	}
 	if current && resp.ConfigAgeMs >= 0 {
-		s.configFreshness.Prove(earliestAnswer(s.configFreshness, configMark, resp) - milliseconds(resp.ConfigAgeMs))
+		s.configFreshness.Confirm(earliestAnswer(s.configFreshness, configMark, resp) - milliseconds(resp.ConfigAgeMs))
 	}
 	if resp.RolloutsTold { // before the servers: which versions may serve depends on the rollouts
 		s.applyPeerRollouts(rolloutsFromWire(resp.Rollouts), resp.Unfit, objectstore.Version(resp.RolloutsRevision))
@@ -144,7 +144,7 @@
 		s.confirmServers(rev)
 	}
 	if resp.ServersAgeMs >= 0 {
-		s.serversFreshness.Prove(earliestAnswer(s.serversFreshness, serversMark, resp) - milliseconds(resp.ServersAgeMs))
+		s.serversFreshness.Confirm(earliestAnswer(s.serversFreshness, serversMark, resp) - milliseconds(resp.ServersAgeMs))
 	}
 	s.notifyChanged() // wakes the polls that this daemon holds
 }
@@ -153,5 +153,5 @@
 // the poll's time plus the hold time. It is capped at the present, since a proof
 // that lies in the future would never become stale.
 func earliestAnswer(f *revision.Freshness, mark time.Duration, resp *wire.SyncAnswer) time.Duration {
-	return min(mark+milliseconds(resp.HeldMs), f.Mark())
+	return min(mark+milliseconds(resp.HeldMs), f.Now())
 }
--- a/internal/gateway/peersync_test.go
+++ b/internal/gateway/peersync_test.go
@@ -20,8 +20,8 @@
 // pollOnce lets one daemon poll another and returns the answer.
 func pollOnce(from, of *peerSync) *wire.SyncAnswer {
 	q := &wire.SyncAsk{ServersRevision: uint64(from.state.serversRevision), Changes: true}
-	m, _ := of.buildAnswer(q, of.state.serversFreshness.Mark())
-	mark := from.state.serversFreshness.Mark()
+	m, _ := of.buildAnswer(q, of.state.serversFreshness.Now())
+	mark := from.state.serversFreshness.Now()
 	from.apply(m, mark, mark)
 	return m
 }
@@ -79,7 +79,7 @@
 
 func emptyState() *state {
 	ledger := quota.NewLimiter(time.Now, 1, quota.Tolerance{})
-	return newState(Platform{}, "r", &route.Live{}, &workspace.Live{}, ledger, func(map[string]string) {}, metrics.New())
+	return newState(Platform{}, "r", &route.Live{}, &workspace.CurrentSnapshot{}, ledger, func(map[string]string) {}, metrics.New())
 }
 
 // Guards against proofs that count as too old, so that each daemon lists the servers itself every
@@ -87,28 +87,28 @@
 func TestProofAgeCountsFromReadersRead(t *testing.T) {
 	Convey("Given a reader that has just read", t, func() {
 		reader := &peerSync{state: emptyState()}
-		reader.state.serversFreshness.Prove(reader.state.serversFreshness.Mark())
-		reader.state.configFreshness.Prove(reader.state.configFreshness.Mark())
+		reader.state.serversFreshness.Confirm(reader.state.serversFreshness.Now())
+		reader.state.configFreshness.Confirm(reader.state.configFreshness.Now())
 
 		Convey("a poll that it held for a second proves almost as much as its read", func() {
-			received := reader.state.serversFreshness.Mark() - time.Second
+			received := reader.state.serversFreshness.Now() - time.Second
 			m, _ := reader.buildAnswer(&wire.SyncAsk{}, received)
 			So(m.HeldMs, ShouldBeGreaterThanOrEqualTo, 1000)
 
 			follower := &peerSync{state: emptyState()}
-			sent := follower.state.serversFreshness.Mark() - 1100*time.Millisecond
+			sent := follower.state.serversFreshness.Now() - 1100*time.Millisecond
 			follower.apply(m, sent, sent)
 			age, ok := follower.state.serversFreshness.Age()
 			So(ok, ShouldBeTrue)
-			sinceSent := follower.state.serversFreshness.Mark() - sent
+			sinceSent := follower.state.serversFreshness.Now() - sent
 			So(age, ShouldBeLessThanOrEqualTo, sinceSent-time.Second+milliseconds(m.ServersAgeMs))
 			So(age, ShouldBeGreaterThanOrEqualTo, 100*time.Millisecond)
 			age, ok = follower.state.configFreshness.Age()
 			So(ok, ShouldBeTrue)
-			So(age, ShouldBeLessThanOrEqualTo, follower.state.configFreshness.Mark()-sent-time.Second+milliseconds(m.ConfigAgeMs))
+			So(age, ShouldBeLessThanOrEqualTo, follower.state.configFreshness.Now()-sent-time.Second+milliseconds(m.ConfigAgeMs))
 		})
 		Convey("the hold time that it reports is no longer than the real one", func() {
-			start := reader.state.serversFreshness.Mark()
+			start := reader.state.serversFreshness.Now()
 			payload, err := proto.Marshal(&wire.SyncAsk{HoldMs: 1})
 			So(err, ShouldBeNil)
 			answer, err := reader.handlePoll(context.Background(), "b", payload)
@@ -116,11 +116,11 @@
 			var m wire.SyncAnswer
 			So(proto.Unmarshal(answer, &m), ShouldBeNil)
 			So(m.HeldMs, ShouldBeGreaterThanOrEqualTo, 1)
-			So(milliseconds(m.HeldMs), ShouldBeLessThanOrEqualTo, reader.state.serversFreshness.Mark()-start)
+			So(milliseconds(m.HeldMs), ShouldBeLessThanOrEqualTo, reader.state.serversFreshness.Now()-start)
 		})
 		Convey("an answer with too long a hold time gives no proof that lies in the future", func() {
 			follower := &peerSync{state: emptyState()}
-			sent := follower.state.serversFreshness.Mark()
+			sent := follower.state.serversFreshness.Now()
 			follower.apply(&wire.SyncAnswer{ConfigAgeMs: 20, ServersAgeMs: 20, HeldMs: 3_600_000}, sent, sent)
 			for _, f := range []*revision.Freshness{follower.state.serversFreshness, follower.state.configFreshness} {
 				age, ok := f.Age()
@@ -131,7 +131,7 @@
 		Convey("a poll that arrives after the read proves no more than the read", func() {
 			m := &wire.SyncAnswer{ConfigAgeMs: -1, ServersAgeMs: 5000, HeldMs: 300}
 			follower := &peerSync{state: emptyState()}
-			sent := follower.state.serversFreshness.Mark() - 400*time.Millisecond
+			sent := follower.state.serversFreshness.Now() - 400*time.Millisecond
 			follower.apply(m, sent, sent)
 			age, _ := follower.state.serversFreshness.Age()
 			So(age, ShouldBeGreaterThanOrEqualTo, 5100*time.Millisecond)
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -67,7 +67,7 @@
 		return false
 	}
 	lastAnswer := p.lastAnswer.Load()
-	return lastAnswer != 0 && p.state.configFreshness.Mark()-time.Duration(lastAnswer) <= pollHold+pollRoundTrip
+	return lastAnswer != 0 && p.state.configFreshness.Now()-time.Duration(lastAnswer) <= pollHold+pollRoundTrip
 }
 
 // pickReader returns the reader to poll; false: this daemon polls none. Daemons
--- a/internal/gateway/reflector.go
+++ b/internal/gateway/reflector.go
@@ -134,7 +134,7 @@
 // refresh lists the kind, starts its watch if needed, and returns the delay before
 // the next list.
 func (r *reflector) refresh(ctx context.Context, k *kindLoop) time.Duration {
-	mark := k.freshness.Mark()
+	mark := k.freshness.Now()
 	l, err := r.list(ctx, k)
 	if err != nil {
 		k.onFailure()
@@ -147,7 +147,7 @@
 	}
 	r.markRegained(k)
 	if k.applyList(l) {
-		k.freshness.Prove(mark)
+		k.freshness.Confirm(mark)
 		r.state.notifyChanged()
 	}
 	if r.isReader() && k.watching.CompareAndSwap(false, true) {
@@ -168,9 +168,9 @@
 			return objectstore.List{}, err
 		}
 	}
-	mark := k.freshness.Mark()
+	mark := k.freshness.Now()
 	l, err := r.store.List(ctx, k.kind, "")
-	r.state.latency.storeList.Observe(k.freshness.Mark() - mark)
+	r.state.latency.storeList.Observe(k.freshness.Now() - mark)
 	return l, err
 }
 
@@ -189,7 +189,7 @@
 	if k.lostSince.IsZero() {
 		k.lostSince = time.Now()
 		if k.kind == r.state.platform.ConfigurationKind {
-			r.state.storeLostAt.Store(int64(k.freshness.Mark()))
+			r.state.storeLostAt.Store(int64(k.freshness.Now()))
 		}
 		r.state.log.WithField("kind", k.kind).WithError(err).Warn("Store lost.")
 	}
--- a/internal/gateway/reflector_test.go
+++ b/internal/gateway/reflector_test.go
@@ -76,7 +76,7 @@
 			So(store.lists, ShouldEqual, 1)
 		})
 		Convey("a daemon without state lists once", func() {
-			s.serversFreshness = revision.NewFreshnessOn(stoppedClock)
+			s.serversFreshness = revision.NewFreshnessWithClock(stoppedClock)
 			servers = r.loops()[1]
 			r.refresh(context.Background(), servers)
 			So(store.lists, ShouldEqual, 1)
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -28,7 +28,7 @@
 	platform       Platform
 	region         string
 	routes         *route.Live
-	pools          *workspace.Live
+	pools          *workspace.CurrentSnapshot
 	ledger         *quota.Limiter
 	onIncarnations func(map[string]string) // called with the incarnation at each address
 	log            *logrus.Entry
@@ -73,7 +73,7 @@
 	return !u.leaving && (u.arm == rollout.Stable || canary && u.arm == rollout.Canary)
 }
 
-func newState(p Platform, region string, routes *route.Live, pools *workspace.Live, ledger *quota.Limiter, onIncarnations func(map[string]string), m *metrics.Registry) *state {
+func newState(p Platform, region string, routes *route.Live, pools *workspace.CurrentSnapshot, ledger *quota.Limiter, onIncarnations func(map[string]string), m *metrics.Registry) *state {
 	return &state{
 		platform: p, region: region, routes: routes, pools: pools, ledger: ledger, onIncarnations: onIncarnations,
 		configFreshness: revision.NewFreshness(), serversFreshness: revision.NewFreshness(), rolloutsFreshness: revision.NewFreshness(),
@@ -271,7 +271,7 @@
 	if lostAt == 0 {
 		return 0
 	}
-	return s.configFreshness.Mark() - time.Duration(lostAt)
+	return s.configFreshness.Now() - time.Duration(lostAt)
 }
 
 // notifyChanged wakes the polls that wait for a change, after a new proof.
--- a/internal/gateway/storeprobe.go
+++ b/internal/gateway/storeprobe.go
@@ -40,7 +40,7 @@
 
 // checkStore probes once and records the loss or return of the store.
 func (r *reflector) checkStore(ctx context.Context) {
-	mark := r.state.configFreshness.Mark()
+	mark := r.state.configFreshness.Now()
 	if err := r.probe(ctx); err != nil {
 		if r.state.storeLostAt.CompareAndSwap(0, int64(mark)) {
 			r.state.log.WithError(err).Warn("Store does not answer this VM.")
@@ -48,7 +48,7 @@
 		return
 	}
 	if lostAt := r.state.storeLostAt.Swap(0); lostAt != 0 {
-		away := r.state.configFreshness.Mark() - time.Duration(lostAt)
+		away := r.state.configFreshness.Now() - time.Duration(lostAt)
 		r.state.log.WithField("away_ms", away.Milliseconds()).Info("Store answers this VM again.")
 	}
 }
--- a/internal/poolhost/config.go
+++ b/internal/poolhost/config.go
@@ -79,7 +79,7 @@
 	Self   string
 	Region string
 	// Snapshots is the configuration in force.
-	Snapshots *workspace.Live
+	Snapshots *workspace.CurrentSnapshot
 	// View is the membership in force; nil where this daemon is alone and
 	// owns every pool.
 	View *member.CurrentView
--- a/internal/poolhost/host_test.go
+++ b/internal/poolhost/host_test.go
@@ -44,7 +44,7 @@
 type harness struct {
 	host       *Host
 	now        time.Time
-	snapshot   workspace.Live
+	snapshot   workspace.CurrentSnapshot
 	leaving    bool
 	connectErr error // what a plain connect ends with
 	events     map[string][]pool.Event
--- a/placement/controller_test.go
+++ b/placement/controller_test.go
@@ -108,7 +108,7 @@
 type fixture struct {
 	store   *standin.Standin
 	engines map[string]*fakeEngine // by address
-	live    workspace.Live
+	live    workspace.CurrentSnapshot
 	mu      sync.Mutex
 	demand  map[string]placement.Demand
 }
@@ -116,7 +116,7 @@
 func newFixture(servers int, checks bool) *fixture {
 	f := &fixture{store: standin.New(standin.Options{LoadsPerSecond: 0.5, LoadBurst: 1}), engines: map[string]*fakeEngine{}}
 	put := func(k objectstore.Kind, name string, v any) {
-		_, _ = f.store.Create(context.Background(), k, name, workspacetest.Stored(k, name, 1, v).Value)
+		_, _ = f.store.Create(context.Background(), k, name, workspacetest.StoredObject(k, name, 1, v).Value)
 	}
 	put(workspace.KindTemplate, "template", workspacetest.Template("template", 2))
 	put(workspace.KindWorkspace, "w", workspacetest.Workspace("w", "template"))
--- a/revision/exchange.go
+++ b/revision/antientropy.go
@@ -22,8 +22,8 @@
 
 // Digest returns the digest of each kind.
 func (s *Set) Digest() []KindDigest {
-	out := make([]KindDigest, 0, len(s.order))
-	for _, kind := range s.order {
+	out := make([]KindDigest, 0, len(s.kindOrder))
+	for _, kind := range s.kindOrder {
 		out = append(out, s.kinds[kind].digest(kind))
 	}
 	return out
@@ -34,23 +34,23 @@
 	return KindDigest{Kind: kind, Floor: k.floor, Hash: k.hash, Complete: k.complete}
 }
 
-// Compare returns the kinds in which a peer's digest differs. Where a kind is
+// MergeDigest returns the kinds in which a peer's digest differs. Where a kind is
 // equal, what the peer knows to be complete is complete here too, so its
 // floor is taken over. Kinds that this member does not know are passed over.
-func (s *Set) Compare(digest []KindDigest) (differ []objectstore.Kind) {
+func (s *Set) MergeDigest(digest []KindDigest) (differing []objectstore.Kind) {
 	for _, d := range digest {
 		k, ok := s.kinds[d.Kind]
 		if !ok {
 			continue
 		}
 		if k.hash == d.Hash {
-			k.raise(d.Floor)
+			k.raiseFloor(d.Floor)
 			k.complete = k.complete || d.Complete
 			continue
 		}
-		differ = append(differ, d.Kind)
+		differing = append(differing, d.Kind)
 	}
-	return differ
+	return differing
 }
 
 // Buckets returns the bucket hashes of a kind.
@@ -69,8 +69,8 @@
 	KindDigest
 	Buckets []uint32
 	Headers []Header
-	// Whole tells that Headers lists the whole kind instead.
-	Whole bool
+	// Full tells that Headers lists the whole kind instead.
+	Full bool
 }
 
 // ListDiffering lists the buckets whose hash differs from a peer's, or the
@@ -80,16 +80,16 @@
 	if !ok {
 		return BucketList{KindDigest: KindDigest{Kind: kind}}
 	}
-	list := BucketList{KindDigest: k.digest(kind), Whole: len(hashes) != bucketCount}
-	differ := make(map[int]bool)
-	for i := 0; i < len(hashes) && !list.Whole; i++ {
+	list := BucketList{KindDigest: k.digest(kind), Full: len(hashes) != bucketCount}
+	differing := make(map[int]bool)
+	for i := 0; i < len(hashes) && !list.Full; i++ {
 		if k.buckets[i] != hashes[i] {
-			differ[i] = true
+			differing[i] = true
 			list.Buckets = append(list.Buckets, uint32(i))
 		}
 	}
 	for name, r := range k.records {
-		if list.Whole || differ[bucketOf(name)] {
+		if list.Full || differing[bucketOf(name)] {
 			list.Headers = append(list.Headers, r.header())
 		}
 	}
@@ -115,16 +115,16 @@
 		case known == nil && h.Version <= k.floor:
 			// Deleted since; the tombstone is gone, the floor still tells.
 			newer = append(newer, Header{Kind: list.Kind, Name: h.Name, Version: k.floor, Deleted: true})
-		case s.Wants(h) && h.Deleted:
+		case s.IsNewer(h) && h.Deleted:
 			s.Apply(deletion(h))
 			deleted = append(deleted, h)
-		case s.Wants(h):
+		case s.IsNewer(h):
 			wanted = append(wanted, h)
 		}
 	}
-	for _, name := range k.unlisted(listed, list.buckets()) {
+	for _, name := range k.unlisted(listed, list.bucketSet()) {
 		known := k.records[name]
-		if h, ok := s.absent(list.Kind, name, list.Floor); ok {
+		if h, ok := s.applyAbsence(list.Kind, name, list.Floor); ok {
 			deleted = append(deleted, h)
 		} else if known.Version > list.Floor {
 			newer = append(newer, known.header())
@@ -133,9 +133,9 @@
 	return deleted, wanted, newer
 }
 
-// buckets returns the buckets that were listed; nil for all.
-func (l BucketList) buckets() map[uint32]bool {
-	if l.Whole {
+// bucketSet returns the buckets that were listed; nil for all.
+func (l BucketList) bucketSet() map[uint32]bool {
+	if l.Full {
 		return nil
 	}
 	out := make(map[uint32]bool, len(l.Buckets))
@@ -150,8 +150,8 @@
 	return Record{Object: objectstore.Object{Kind: h.Kind, Name: h.Name, Version: h.Version}, Deleted: true}
 }
 
-// Wants tells whether a header names something newer than is known.
-func (s *Set) Wants(h Header) bool {
+// IsNewer tells whether a header names something newer than is known.
+func (s *Set) IsNewer(h Header) bool {
 	k, ok := s.kinds[h.Kind]
 	if !ok {
 		return false
@@ -178,8 +178,8 @@
 		}
 		r := k.records[h.Name]
 		size += len(r.Value)
-		if r.Good != nil {
-			size += len(r.Good.Value)
+		if r.LastGood != nil {
+			size += len(r.LastGood.Value)
 		}
 		if len(out) > 0 && size > maxAnswerBytes {
 			break
--- a/revision/cluster_test.go
+++ b/revision/cluster_test.go
@@ -20,21 +20,21 @@
 	"github.com/lycheekeel/lycheekeel/workspace/workspacetest"
 )
 
-// limit ends a test that does not get there; no test is decided by it.
-const limit = 60 * time.Second
+// testTimeout ends a test that does not get there; no test is decided by it.
+const testTimeout = 60 * time.Second
 
-// quick makes what takes seconds take milliseconds.
-var quick = revision.Timing{
-	Gossip: 50 * time.Millisecond, WatchWait: 200 * time.Millisecond, Stale: 400 * time.Millisecond,
-	Tick: 50 * time.Millisecond, Retry: 20 * time.Millisecond, MaxRetry: 100 * time.Millisecond,
+// fastTiming makes what takes seconds take milliseconds.
+var fastTiming = revision.Timing{
+	GossipInterval: 50 * time.Millisecond, WatchWait: 200 * time.Millisecond, FallbackDelay: 400 * time.Millisecond,
+	RoleCheckInterval: 50 * time.Millisecond, RetryDelay: 20 * time.Millisecond, MaxRetryDelay: 100 * time.Millisecond,
 }
 
-// cluster starts members on a small configuration.
-func cluster(t *testing.T, members int) (context.Context, *revisiontest.Cluster, objectstore.Version) {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
-	c := revisiontest.New(revisiontest.Options{Members: members, Regions: 1, Timing: quick})
+// startCluster starts members on a small configuration.
+func startCluster(t *testing.T, members int) (context.Context, *revisiontest.Cluster, objectstore.Version) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	c := revisiontest.New(revisiontest.Options{Members: members, Regions: 1, Timing: fastTiming})
 	var newest objectstore.Version
-	for _, o := range (workspacetest.Fleet{Workspaces: 3, Servers: 2, Models: 1, Regions: 1, Templates: 1}).Objects() {
+	for _, o := range (workspacetest.Size{Workspaces: 3, Servers: 2, Models: 1, Regions: 1, Templates: 1}).Objects() {
 		newest = create(ctx, c, o)
 	}
 	c.Start()
@@ -42,7 +42,7 @@
 		c.Stop()
 		cancel()
 	})
-	_, err := revisiontest.Await(ctx, newest, c.Members...)
+	_, err := revisiontest.AwaitVersion(ctx, newest, c.Members...)
 	So(err, ShouldBeNil)
 	return ctx, c, newest
 }
@@ -61,13 +61,13 @@
 
 func TestSpread(t *testing.T) {
 	Convey("A change is in force on all members, most of which have no watch", t, func() {
-		ctx, c, _ := cluster(t, 9)
+		ctx, c, _ := startCluster(t, 9)
 		for i := range 5 {
-			_, err := revisiontest.Await(ctx, addWorkspace(ctx, c, fmt.Sprintf("w-%d", i)), c.Members...)
+			_, err := revisiontest.AwaitVersion(ctx, addWorkspace(ctx, c, fmt.Sprintf("w-%d", i)), c.Members...)
 			So(err, ShouldBeNil)
 		}
 		for _, m := range c.Members {
-			_, ok := m.Live.Load().ByKey(workspacetest.Key("w-4"))
+			_, ok := m.Snapshot.Load().ByKey(workspacetest.Key("w-4"))
 			So(ok, ShouldBeTrue)
 			So(m.Syncer.Report().Hash, ShouldEqual, c.Members[0].Syncer.Report().Hash)
 			confirmed := func() bool { return m.Syncer.Report().ConfirmedMs >= 0 }
@@ -80,16 +80,16 @@
 			So(err, ShouldBeNil)
 			v, err := c.Store.Delete(ctx, workspace.KindWorkspace, "w-0", o.Version)
 			So(err, ShouldBeNil)
-			_, err = revisiontest.Await(ctx, v, c.Members...)
+			_, err = revisiontest.AwaitVersion(ctx, v, c.Members...)
 			So(err, ShouldBeNil)
 			for _, m := range c.Members {
-				_, ok := m.Live.Load().ByKey(workspacetest.Key("w-0"))
+				_, ok := m.Snapshot.Load().ByKey(workspacetest.Key("w-0"))
 				So(ok, ShouldBeFalse)
 			}
-			_, err = revisiontest.Await(ctx, addWorkspace(ctx, c, "w-0"), c.Members...)
+			_, err = revisiontest.AwaitVersion(ctx, addWorkspace(ctx, c, "w-0"), c.Members...)
 			So(err, ShouldBeNil)
 			for _, m := range c.Members {
-				_, ok := m.Live.Load().ByKey(workspacetest.Key("w-0"))
+				_, ok := m.Snapshot.Load().ByKey(workspacetest.Key("w-0"))
 				So(ok, ShouldBeTrue)
 				So(m.Reverts(), ShouldEqual, 0)
 			}
@@ -97,32 +97,32 @@
 	})
 }
 
-func TestStartDuringOutage(t *testing.T) {
+func TestMemberStartsDuringStoreOutage(t *testing.T) {
 	// Guards against this: a daemon that was replaced while the platform's store is down refuses every caller, or serves an old configuration.
 	Convey("A member that starts during an outage serves its peers' newest", t, func() {
-		ctx, c, _ := cluster(t, 3)
+		ctx, c, _ := startCluster(t, 3)
 		v := addWorkspace(ctx, c, "late")
-		_, err := revisiontest.Await(ctx, v, c.Members...)
+		_, err := revisiontest.AwaitVersion(ctx, v, c.Members...)
 		So(err, ShouldBeNil)
 		c.Store.SetFaults(standin.Faults{Down: true})
 		watcher := revision.Watchers(c.View(), "region-0")[0]
 		restarted := c.Members[slices.IndexFunc(c.Members, func(m *revisiontest.Member) bool { return m.Name == watcher })]
 		restarted.Stop()
 		restarted.Start()
-		_, err = revisiontest.Await(ctx, v, restarted)
+		_, err = revisiontest.AwaitVersion(ctx, v, restarted)
 		So(err, ShouldBeNil)
-		_, ok := restarted.Live.Load().ByKey(workspacetest.Key("late"))
+		_, ok := restarted.Snapshot.Load().ByKey(workspacetest.Key("late"))
 		So(ok, ShouldBeTrue)
 
 		Convey("and stale reads after it take nothing back", func() {
 			c.Store.SetFaults(standin.Faults{StaleWrites: 1})
-			restarted.Mute.Store(true)
+			restarted.WatchHangs.Store(true)
 			restarted.Stop()
 			restarted.Start()
-			_, err := revisiontest.Await(ctx, v, restarted)
+			_, err := revisiontest.AwaitVersion(ctx, v, restarted)
 			So(err, ShouldBeNil)
-			So(restarted.First(), ShouldBeGreaterThanOrEqualTo, v)
-			_, err = revisiontest.Await(ctx, addWorkspace(ctx, c, "after"), c.Members...)
+			So(restarted.FirstVersion(), ShouldBeGreaterThanOrEqualTo, v)
+			_, err = revisiontest.AwaitVersion(ctx, addWorkspace(ctx, c, "after"), c.Members...)
 			So(err, ShouldBeNil)
 			for _, m := range c.Members {
 				So(m.Reverts(), ShouldEqual, 0)
@@ -131,22 +131,22 @@
 	})
 }
 
-func TestWatchersCutOff(t *testing.T) {
+func TestFallbackWatchers(t *testing.T) {
 	// Guards against this: changes are no longer in force anywhere in a region, though the platform's store works for most of its members.
 	Convey("Others take the watch when the appointed members are cut off", t, func() {
-		ctx, c, _ := cluster(t, 6)
+		ctx, c, _ := startCluster(t, 6)
 		watchers := revision.Watchers(c.View(), "region-0")
 		So(watchers, ShouldHaveLength, revision.WatchersPerRegion)
 		for _, m := range c.Members {
-			m.Cut.Store(slices.Contains(watchers, m.Name))
+			m.StoreUnavailable.Store(slices.Contains(watchers, m.Name))
 		}
-		_, err := revisiontest.Await(ctx, addWorkspace(ctx, c, "new"), c.Members...)
+		_, err := revisiontest.AwaitVersion(ctx, addWorkspace(ctx, c, "new"), c.Members...)
 		So(err, ShouldBeNil)
 	})
 }
 
-// churn does one random thing to a cluster; writes return their version.
-func churn(ctx context.Context, r *rand.Rand, c *revisiontest.Cluster) objectstore.Version {
+// randomStep does one random thing to a cluster; writes return their version.
+func randomStep(ctx context.Context, r *rand.Rand, c *revisiontest.Cluster) objectstore.Version {
 	m := c.Members[r.IntN(len(c.Members))]
 	other := c.Members[r.IntN(len(c.Members))]
 	switch r.IntN(7) {
@@ -158,7 +158,7 @@
 	case 2:
 		c.Store.SetFaults(standin.Faults{StaleWrites: uint64(r.IntN(2))})
 	case 3:
-		m.Cut.Store(r.IntN(2) == 0)
+		m.StoreUnavailable.Store(r.IntN(2) == 0)
 	case 4:
 		c.Network.Drop(peer.Name(m.Name), peer.Name(other.Name))
 	case 5:
@@ -176,27 +176,27 @@
 	return 0
 }
 
-func TestChurn(t *testing.T) {
+func TestMembersConvergeAfterFailures(t *testing.T) {
 	// Guards against this: a member goes back to an older configuration, or stays behind for good, after a time of several failures at once.
 	for seed := range uint64(3) {
 		Convey(fmt.Sprintf("Members neither go back nor stay behind, seed %d", seed), t, func() {
-			ctx, c, newest := cluster(t, 5)
+			ctx, c, newest := startCluster(t, 5)
 			r := rand.New(rand.NewPCG(seed, 0))
 			for range 60 {
-				if v := churn(ctx, r, c); v > 0 {
+				if v := randomStep(ctx, r, c); v > 0 {
 					newest = v
-					some := func(m *revisiontest.Member) bool { return m.InForce() >= v || m.Cut.Load() }
-					So(revisiontest.Until(ctx, func() bool { return slices.ContainsFunc(c.Members, some) }), ShouldBeNil)
+					caughtUp := func(m *revisiontest.Member) bool { return m.ActiveVersion() >= v || m.StoreUnavailable.Load() }
+					So(revisiontest.Until(ctx, func() bool { return slices.ContainsFunc(c.Members, caughtUp) }), ShouldBeNil)
 				}
 			}
 			c.Store.SetFaults(standin.Faults{})
 			for _, m := range c.Members {
-				m.Cut.Store(false)
+				m.StoreUnavailable.Store(false)
 				for _, other := range c.Members {
 					c.Network.Heal(peer.Name(m.Name), peer.Name(other.Name))
 				}
 			}
-			_, err := revisiontest.Await(ctx, newest, c.Members...)
+			_, err := revisiontest.AwaitVersion(ctx, newest, c.Members...)
 			So(err, ShouldBeNil)
 			agree := func(m *revisiontest.Member) bool {
 				return m.Syncer.Report().Hash == c.Members[0].Syncer.Report().Hash
@@ -217,7 +217,7 @@
 func BenchmarkSpread(b *testing.B) {
 	for _, n := range []int{9, 50, 130, 390} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			r, err := revisiontest.MeasureSpread(context.Background(), n, max(1, n/65), 5)
+			r, err := revisiontest.MeasurePropagation(context.Background(), n, max(1, n/65), 5)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/revision/freshness.go
+++ b/revision/freshness.go
@@ -19,25 +19,25 @@
 //
 // It is safe for concurrent use.
 type Freshness struct {
-	proved atomic.Int64 // on the boot clock; zero: never
-	now    func() time.Duration
+	confirmedAt atomic.Int64 // on the boot clock; zero: never
+	clock       func() time.Duration
 }
 
 // NewFreshness returns a freshness without a proof.
-func NewFreshness() *Freshness { return NewFreshnessOn(BootTime) }
+func NewFreshness() *Freshness { return NewFreshnessWithClock(SinceBoot) }
 
-// NewFreshnessOn returns a Freshness that reads another clock, one that stands
+// NewFreshnessWithClock returns a Freshness that reads another clock, one that stands
 // still in tests.
-func NewFreshnessOn(clock func() time.Duration) *Freshness { return &Freshness{now: clock} }
+func NewFreshnessWithClock(clock func() time.Duration) *Freshness { return &Freshness{clock: clock} }
 
-// Mark returns the moment to pass to Prove; take it before the read is sent.
-func (f *Freshness) Mark() time.Duration { return f.now() }
+// Now returns the moment to pass to Prove; take it before the read is sent.
+func (f *Freshness) Now() time.Duration { return f.clock() }
 
-// Prove takes a proof as of mark. An older one than the newest changes nothing.
-func (f *Freshness) Prove(mark time.Duration) {
+// Confirm takes a proof as of mark. An older one than the newest changes nothing.
+func (f *Freshness) Confirm(at time.Duration) {
 	for {
-		old := f.proved.Load()
-		if int64(mark) <= old || f.proved.CompareAndSwap(old, int64(mark)) {
+		old := f.confirmedAt.Load()
+		if int64(at) <= old || f.confirmedAt.CompareAndSwap(old, int64(at)) {
 			return
 		}
 	}
@@ -45,21 +45,21 @@
 
 // Age returns the age of the newest proof; false where there was none.
 func (f *Freshness) Age() (time.Duration, bool) {
-	proved := f.proved.Load()
-	if proved == 0 {
+	confirmedAt := f.confirmedAt.Load()
+	if confirmedAt == 0 {
 		return 0, false
 	}
-	return f.now() - time.Duration(proved), true
+	return f.clock() - time.Duration(confirmedAt), true
 }
 
 // Within tells whether the newest proof is at most so old.
-func (f *Freshness) Within(most time.Duration) bool {
+func (f *Freshness) Within(maxAge time.Duration) bool {
 	age, ok := f.Age()
-	return ok && age <= most
+	return ok && age <= maxAge
 }
 
-// BootTime is the time since the machine started, suspended time included.
-func BootTime() time.Duration {
+// SinceBoot is the time since the machine started, suspended time included.
+func SinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		return 0 // no such clock: nothing is ever fresh, which is noticed at once
--- a/revision/gossip.go
+++ b/revision/gossip.go
@@ -19,20 +19,20 @@
 	// just learnt. With 4 a push alone reaches 98 in 100 members in about
 	// log4(n) hops; the digests reach the rest.
 	fanout = 4
-	// maxRumors bounds the changes in one push; a bulk change goes by digest.
-	maxRumors = 64
-	// maxWanted bounds the records asked for in one pull.
-	maxWanted = 256
-	// maxFetches is how many peers are asked for one record at a time.
-	maxFetches = 2
-	// joinPeers is how many peers a starting member asks.
-	joinPeers = 3
-	// joinPoll is between two looks for peers at the start.
-	joinPoll = 50 * time.Millisecond
+	// maxPushedChanges bounds the changes in one push; a bulk change goes by digest.
+	maxPushedChanges = 64
+	// maxPulledRecords bounds the records asked for in one pull.
+	maxPulledRecords = 256
+	// maxFetchPeers is how many peers are asked for one record at a time.
+	maxFetchPeers = 2
+	// initialSyncPeers is how many peers a starting member asks.
+	initialSyncPeers = 3
+	// initialSyncPollInterval is between two looks for peers at the start.
+	initialSyncPollInterval = 50 * time.Millisecond
 )
 
-// inbound is a digest from a peer.
-type inbound struct {
+// receivedDigest is a digest from a peer.
+type receivedDigest struct {
 	from   peer.Name
 	digest *configwire.Digest
 }
@@ -42,49 +42,49 @@
 	return d*3/4 + time.Duration(rand.Int64N(int64(d/2)+1))
 }
 
-// peers returns up to n random members that are not known to be dead.
-func (s *Syncer) peers(n int) []peer.Name {
-	view := s.o.View()
+// randomPeers returns up to n random members that are not known to be dead.
+func (s *Syncer) randomPeers(n int) []peer.Name {
+	view := s.opts.View()
 	var out []peer.Name
 	for _, i := range rand.Perm(len(view.Members)) {
 		m := view.Members[i]
 		if len(out) == n {
 			break
 		}
-		if m.State != member.Dead && peer.Name(m.Name) != s.o.Transport.Self() {
+		if m.State != member.Dead && peer.Name(m.Name) != s.opts.Transport.Self() {
 			out = append(out, peer.Name(m.Name))
 		}
 	}
 	return out
 }
 
-// join asks peers for what they know before anything is published, so that a
+// initialSync asks peers for what they know before anything is published, so that a
 // member which restarts during an outage, or reads a stale listing, starts
 // with the newest that any of its peers has.
-func (s *Syncer) join(ctx context.Context) {
-	defer close(s.joined)
-	until := s.o.Now().Add(s.o.Timing.PeerWait)
-	asked := make(map[peer.Name]bool)
-	for s.o.Now().Before(until) {
-		peers := s.peers(joinPeers)
+func (s *Syncer) initialSync(ctx context.Context) {
+	defer close(s.initialSyncDone)
+	deadline := s.opts.Now().Add(s.opts.Timing.InitialSyncTimeout)
+	answered := make(map[peer.Name]bool)
+	for s.opts.Now().Before(deadline) {
+		peers := s.randomPeers(initialSyncPeers)
 		for _, p := range peers {
-			if !asked[p] && s.o.Now().Before(until) {
-				asked[p] = s.pullAll(ctx, p)
+			if !answered[p] && s.opts.Now().Before(deadline) {
+				answered[p] = s.pullAll(ctx, p)
 			}
 		}
-		if answered(asked) >= joinPeers || (len(peers) > 0 && answered(asked) == len(peers)) {
+		if countAnswered(answered) >= initialSyncPeers || (len(peers) > 0 && countAnswered(answered) == len(peers)) {
 			return
 		}
-		if !wait.For(ctx, joinPoll) {
+		if !wait.For(ctx, initialSyncPollInterval) {
 			return
 		}
 	}
 }
 
-// answered counts the peers that answered.
-func answered(asked map[peer.Name]bool) int {
+// countAnswered counts the peers that answered.
+func countAnswered(answered map[peer.Name]bool) int {
 	n := 0
-	for _, ok := range asked {
+	for _, ok := range answered {
 		if ok {
 			n++
 		}
@@ -94,7 +94,7 @@
 
 // pullAll brings every kind up to a peer's knowledge.
 func (s *Syncer) pullAll(ctx context.Context, from peer.Name) bool {
-	for _, kind := range s.o.Kinds {
+	for _, kind := range s.opts.Kinds {
 		if !s.pullKind(ctx, from, kind) {
 			return false
 		}
@@ -102,55 +102,55 @@
 	return true
 }
 
-// gossip sends a digest to one random member at each interval.
-func (s *Syncer) gossip(ctx context.Context) {
-	for wait.For(ctx, jitter(s.o.Timing.Gossip)) {
-		for _, to := range s.peers(1) {
-			s.send(to, s.digest())
+// gossipDigests sends a digest to one random member at each interval.
+func (s *Syncer) gossipDigests(ctx context.Context) {
+	for wait.For(ctx, jitter(s.opts.Timing.GossipInterval)) {
+		for _, to := range s.randomPeers(1) {
+			s.sendDigest(to, s.digestMessage())
 			s.counters.digestsSent.Add(1)
 		}
 	}
 }
 
-// digest returns the message that sums up what is held.
-func (s *Syncer) digest() *configwire.Digest {
+// digestMessage returns the message that sums up what is held.
+func (s *Syncer) digestMessage() *configwire.Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m := &configwire.Digest{ConfirmedAgeMs: age(s.o.Now(), s.confirmed)}
+	m := &configwire.Digest{ConfirmedAgeMs: toWireAge(s.opts.Now(), s.confirmedAt)}
 	for _, d := range s.set.Digest() {
 		m.Kinds = append(m.Kinds, toWireDigest(d))
 	}
 	return m
 }
 
-// send queues a digest; what is lost is made good by a later one.
-func (s *Syncer) send(to peer.Name, m *configwire.Digest) {
-	if err := s.o.Transport.Send(to, peer.TypeConfigDigest, marshal(m)); err != nil {
-		s.counters.retry(err)
+// sendDigest queues a digest; what is lost is made good by a later one.
+func (s *Syncer) sendDigest(to peer.Name, m *configwire.Digest) {
+	if err := s.opts.Transport.Send(to, peer.TypeConfigDigest, marshal(m)); err != nil {
+		s.counters.countRetry(err)
 	}
 }
 
-// push tells a few random members of each change as soon as it is known.
-func (s *Syncer) push(ctx context.Context) {
+// pushChanges tells a few random members of each change as soon as it is known.
+func (s *Syncer) pushChanges(ctx context.Context) {
 	for {
 		select {
-		case <-s.toPush:
+		case <-s.pushSignal:
 		case <-ctx.Done():
 			return
 		}
-		if !wait.For(ctx, s.o.Timing.Settle) {
+		if !wait.For(ctx, s.opts.Timing.BatchDelay) {
 			return
 		}
 		s.mu.Lock()
-		rumors := s.rumors
-		s.rumors = nil
+		changes := s.pendingPush
+		s.pendingPush = nil
 		s.mu.Unlock()
-		message := &configwire.Digest{Changes: toWireHeaders(rumors)}
-		if len(rumors) > maxRumors {
-			message = s.digest() // constant in size; the peers pull
+		message := &configwire.Digest{Changes: toWireHeaders(changes)}
+		if len(changes) > maxPushedChanges {
+			message = s.digestMessage() // constant in size; the peers pull
 		}
-		for _, to := range s.peers(fanout) {
-			s.send(to, message)
+		for _, to := range s.randomPeers(fanout) {
+			s.sendDigest(to, message)
 			s.counters.pushes.Add(1)
 		}
 	}
@@ -164,19 +164,19 @@
 		return nil, err
 	}
 	select {
-	case s.inbox <- inbound{from, m}:
+	case s.digestQueue <- receivedDigest{from, m}:
 	default:
 		s.counters.digestsDropped.Add(1)
 	}
 	return nil, nil
 }
 
-// work handles received digests.
-func (s *Syncer) work(ctx context.Context) {
+// handleDigests handles received digests.
+func (s *Syncer) handleDigests(ctx context.Context) {
 	for {
 		select {
-		case in := <-s.inbox:
-			s.handleDigest(ctx, in)
+		case received := <-s.digestQueue:
+			s.handleDigest(ctx, received)
 		case <-ctx.Done():
 			return
 		}
@@ -184,23 +184,23 @@
 }
 
 // handleDigest fetches what a peer knows newer.
-func (s *Syncer) handleDigest(ctx context.Context, in inbound) {
-	if len(in.digest.GetChanges()) > 0 {
-		s.fetch(ctx, in.from, s.news(fromWireHeaders(in.digest.GetChanges())))
+func (s *Syncer) handleDigest(ctx context.Context, received receivedDigest) {
+	if len(received.digest.GetChanges()) > 0 {
+		s.fetch(ctx, received.from, s.applyHeaders(fromWireHeaders(received.digest.GetChanges())))
 	}
-	for _, kind := range s.compare(in.digest) {
-		s.pullKind(ctx, in.from, kind)
+	for _, kind := range s.mergeDigest(received.digest) {
+		s.pullKind(ctx, received.from, kind)
 	}
 }
 
-// news applies the deletions among headers and returns what is to be fetched.
-func (s *Syncer) news(headers []Header) (wanted []Header) {
+// applyHeaders applies the deletions among headers and returns what is to be fetched.
+func (s *Syncer) applyHeaders(headers []Header) (wanted []Header) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var deleted []Header
 	for _, h := range headers {
 		switch {
-		case !s.set.Wants(h):
+		case !s.set.IsNewer(h):
 		case h.Deleted:
 			if s.set.Apply(deletion(h)) {
 				deleted = append(deleted, h)
@@ -211,14 +211,14 @@
 	}
 	if len(deleted) > 0 {
 		s.counters.fromPeers.Add(int64(len(deleted)))
-		s.learned(deleted)
+		s.notifyChanges(deleted)
 	}
 	return wanted
 }
 
-// compare returns the kinds in which a digest differs, and takes over how
+// mergeDigest returns the kinds in which a digest differs, and takes over how
 // fresh the peer's knowledge is where it does not.
-func (s *Syncer) compare(m *configwire.Digest) []objectstore.Kind {
+func (s *Syncer) mergeDigest(m *configwire.Digest) []objectstore.Kind {
 	if len(m.GetKinds()) == 0 {
 		return nil
 	}
@@ -226,16 +226,16 @@
 	for i, d := range m.GetKinds() {
 		digests[i] = fromWireDigest(d)
 	}
-	at := fromAge(s.o.Now(), m.ConfirmedAgeMs)
+	confirmedAt := fromWireAge(s.opts.Now(), m.ConfirmedAgeMs)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watchSeen = later(s.watchSeen, at)
-	differ := s.set.Compare(digests)
-	if len(differ) == 0 {
-		s.confirmed = later(s.confirmed, at)
-		s.learned(nil) // the set may be whole only now
+	s.lastWatchSuccess = later(s.lastWatchSuccess, confirmedAt)
+	differing := s.set.MergeDigest(digests)
+	if len(differing) == 0 {
+		s.confirmedAt = later(s.confirmedAt, confirmedAt)
+		s.notifyChanges(nil) // the set may be whole only now
 	}
-	return differ
+	return differing
 }
 
 // later returns the later of two times.
--- a/revision/pull.go
+++ b/revision/pull.go
@@ -20,7 +20,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(m.GetWanted()) == 0 {
-		return marshal(wireAnswer(s.set.ListDiffering(objectstore.Kind(m.GetKind()), m.GetBuckets()))), nil
+		return marshal(toWireAnswer(s.set.ListDiffering(objectstore.Kind(m.GetKind()), m.GetBuckets()))), nil
 	}
 	answer := &configwire.PullAnswer{}
 	for _, r := range s.set.Records(fromWireHeaders(m.GetWanted())) {
@@ -29,14 +29,14 @@
 	return marshal(answer), nil
 }
 
-// call sends a pull and returns its answer.
-func (s *Syncer) call(ctx context.Context, to peer.Name, m *configwire.Pull) (*configwire.PullAnswer, bool) {
-	ctx, cancel := context.WithTimeout(ctx, s.o.Timing.Call)
+// sendPull sends a pull and returns its answer.
+func (s *Syncer) sendPull(ctx context.Context, to peer.Name, m *configwire.Pull) (*configwire.PullAnswer, bool) {
+	ctx, cancel := context.WithTimeout(ctx, s.opts.Timing.CallTimeout)
 	defer cancel()
 	s.counters.pulls.Add(1)
-	payload, err := s.o.Transport.Call(ctx, to, peer.TypeConfigPull, marshal(m))
+	payload, err := s.opts.Transport.Call(ctx, to, peer.TypeConfigPull, marshal(m))
 	if err != nil {
-		s.counters.retry(err)
+		s.counters.countRetry(err)
 		return nil, false
 	}
 	answer := &configwire.PullAnswer{}
@@ -50,29 +50,29 @@
 // pullKind brings one kind up to a peer's knowledge, and tells the peer what
 // is known newer here. False where the peer did not answer.
 func (s *Syncer) pullKind(ctx context.Context, from peer.Name, kind objectstore.Kind) bool {
-	buckets, free := s.startPull(kind)
-	if !free {
+	buckets, started := s.startPull(kind)
+	if !started {
 		return true
 	}
 	defer s.endPull(kind)
-	answer, ok := s.call(ctx, from, &configwire.Pull{Kind: string(kind), Buckets: buckets})
+	answer, ok := s.sendPull(ctx, from, &configwire.Pull{Kind: string(kind), Buckets: buckets})
 	if !ok {
 		return false
 	}
-	list := bucketList(answer)
+	list := fromWireAnswer(answer)
 	s.mu.Lock()
 	deleted, wanted, newer := s.set.ApplyBuckets(list)
-	s.learned(deleted)
+	s.notifyChanges(deleted)
 	s.mu.Unlock()
 	s.counters.fromPeers.Add(int64(len(deleted)))
 	if len(newer) > 0 {
-		s.send(from, &configwire.Digest{Changes: toWireHeaders(newer[:min(len(newer), maxWanted)])})
+		s.sendDigest(from, &configwire.Digest{Changes: toWireHeaders(newer[:min(len(newer), maxPulledRecords)])})
 	}
 	s.fetch(ctx, from, wanted)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.set.Compare([]KindDigest{list.KindDigest})
-	s.learned(nil)
+	s.set.MergeDigest([]KindDigest{list.KindDigest})
+	s.notifyChanges(nil)
 	return true
 }
 
@@ -97,22 +97,22 @@
 func (s *Syncer) fetch(ctx context.Context, from peer.Name, wanted []Header) {
 	wanted = s.startFetch(wanted)
 	defer s.endFetch(wanted)
-	for left := wanted; len(left) > 0; {
-		batch := left[:min(len(left), maxWanted)]
-		answer, ok := s.call(ctx, from, &configwire.Pull{Wanted: toWireHeaders(batch)})
+	for remaining := wanted; len(remaining) > 0; {
+		batch := remaining[:min(len(remaining), maxPulledRecords)]
+		answer, ok := s.sendPull(ctx, from, &configwire.Pull{Wanted: toWireHeaders(batch)})
 		if !ok || len(answer.GetRecords()) == 0 {
 			return
 		}
 		s.applyRecords(answer.GetRecords())
 		// The peer answers in order and passes over what it holds no more.
 		last := answer.GetRecords()[len(answer.GetRecords())-1]
-		left = left[after(batch, last):]
+		remaining = remaining[nextIndex(batch, last):]
 	}
 }
 
-// after returns the index behind the header that a record answers; the whole
+// nextIndex returns the index behind the header that a record answers; the whole
 // batch where it answers none, so that a fetch always ends.
-func after(batch []Header, r *configwire.Record) int {
+func nextIndex(batch []Header, r *configwire.Record) int {
 	for i, h := range batch {
 		if string(h.Kind) == r.GetKind() && h.Name == r.GetName() {
 			return i + 1
@@ -132,7 +132,7 @@
 		}
 	}
 	s.counters.fromPeers.Add(int64(len(changed)))
-	s.learned(changed)
+	s.notifyChanges(changed)
 }
 
 // startFetch returns the headers that not enough peers are being asked for. A
@@ -142,7 +142,7 @@
 	defer s.mu.Unlock()
 	var out []Header
 	for _, h := range wanted {
-		if s.fetching[h] < maxFetches && s.set.Wants(h) {
+		if s.fetching[h] < maxFetchPeers && s.set.IsNewer(h) {
 			s.fetching[h]++
 			out = append(out, h)
 		}
--- a/revision/record.go
+++ b/revision/record.go
@@ -17,11 +17,11 @@
 	objectstore.Object
 	// Deleted marks a deletion as of Version.
 	Deleted bool
-	// Good is the object's last version that passed the check, where this
+	// LastGood is the object's last version that passed the check, where this
 	// one does not; nil otherwise, or where none is known.
-	Good *objectstore.Object
+	LastGood *objectstore.Object
 
-	bad bool // Object did not pass the check
+	invalid bool // Object did not pass the check
 }
 
 // Header names one version of an object, or its deletion.
--- a/revision/report.go
+++ b/revision/report.go
@@ -9,14 +9,14 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// InForce names the configuration that a member has in force. Members with
+// ActiveConfig names the configuration that a member has in force. Members with
 // equal hashes have the same.
-type InForce struct {
+type ActiveConfig struct {
 	// Version is the newest version applied.
 	Version objectstore.Version
 	Hash    uint64
-	// Through is the floor: every change up to it is in force.
-	Through objectstore.Version
+	// Floor is the floor: every change up to it is in force.
+	Floor objectstore.Version
 
 	changes uint64
 }
@@ -25,7 +25,7 @@
 type Report struct {
 	Member  string              `json:"member"`
 	Version objectstore.Version `json:"version"`
-	// Through is the version up to which every change is in force. It may be
+	// Floor is the version up to which every change is in force. It may be
 	// larger than Version, since the object API counts all its writes, and
 	// follows a moment after a change on members that do not watch.
 	Through objectstore.Version `json:"through"`
@@ -41,21 +41,21 @@
 
 // Report returns what this member has in force.
 func (s *Syncer) Report() Report {
-	r := Report{Member: string(s.o.Transport.Self()), ConfirmedMs: -1, Watching: s.watching.Load()}
-	if f := s.inForce.Load(); f != nil {
-		r.Version, r.Through, r.Hash = f.Version, f.Through, fmt.Sprintf("%016x", f.Hash)
+	r := Report{Member: string(s.opts.Transport.Self()), ConfirmedMs: -1, Watching: s.watching.Load()}
+	if active := s.active.Load(); active != nil {
+		r.Version, r.Through, r.Hash = active.Version, active.Floor, fmt.Sprintf("%016x", active.Hash)
 	}
-	if c := s.confirmedAt(); !c.IsZero() {
-		r.ConfirmedMs = s.o.Now().Sub(c).Milliseconds()
+	if c := s.lastConfirmed(); !c.IsZero() {
+		r.ConfirmedMs = s.opts.Now().Sub(c).Milliseconds()
 	}
 	return r
 }
 
-// confirmedAt is when the object API last confirmed what is held.
-func (s *Syncer) confirmedAt() time.Time {
+// lastConfirmed is when the object API last confirmed what is held.
+func (s *Syncer) lastConfirmed() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.confirmed
+	return s.confirmedAt
 }
 
 // The metric groups.
@@ -66,9 +66,9 @@
 
 // counters are a Syncer's metrics.
 type counters struct {
-	registry                                              *metrics.Registry
-	published, fromStore, fromPeers, pulls, pushes        *expvar.Int
-	digestsSent, digestsDropped, malformed, watchReturned *expvar.Int
+	registry                                                *metrics.Registry
+	published, fromStore, fromPeers, pulls, pushes          *expvar.Int
+	digestsSent, digestsDropped, malformed, watchesReturned *expvar.Int
 }
 
 // newCounters makes the counters; a nil registry gets one of its own.
@@ -77,18 +77,18 @@
 		r = metrics.New()
 	}
 	return counters{
-		registry:       r,
-		published:      r.Counter(groupConfig, "published"),
-		fromStore:      r.Counter(groupConfig, "learned_from_store"),
-		fromPeers:      r.Counter(groupConfig, "learned_from_peers"),
-		pulls:          r.Counter(groupConfig, "pulls"),
-		pushes:         r.Counter(groupConfig, "pushes"),
-		digestsSent:    r.Counter(groupConfig, "digests_sent"),
-		digestsDropped: r.Counter(groupConfig, "digests_dropped"),
-		malformed:      r.Counter(groupConfig, "malformed"),
-		watchReturned:  r.Counter(groupConfig, "watches_returned"),
+		registry:        r,
+		published:       r.Counter(groupConfig, "published"),
+		fromStore:       r.Counter(groupConfig, "learned_from_store"),
+		fromPeers:       r.Counter(groupConfig, "learned_from_peers"),
+		pulls:           r.Counter(groupConfig, "pulls"),
+		pushes:          r.Counter(groupConfig, "pushes"),
+		digestsSent:     r.Counter(groupConfig, "digests_sent"),
+		digestsDropped:  r.Counter(groupConfig, "digests_dropped"),
+		malformed:       r.Counter(groupConfig, "malformed"),
+		watchesReturned: r.Counter(groupConfig, "watches_returned"),
 	}
 }
 
-// retry counts an attempt that will be made again, by its reason.
-func (c counters) retry(err error) { c.registry.Counter(groupRetries, errorReason(err)).Add(1) }
+// countRetry counts an attempt that will be made again, by its reason.
+func (c counters) countRetry(err error) { c.registry.Counter(groupRetries, errorReason(err)).Add(1) }
--- a/revision/revisiontest/cluster.go
+++ b/revision/revisiontest/cluster.go
@@ -41,20 +41,20 @@
 // Member is one member of a Cluster.
 type Member struct {
 	Name string
-	// Live is the workspace snapshot in force at the member.
-	Live   *workspace.Live
-	Syncer *revision.Syncer
-	// Cut refuses the member's calls of the object API.
-	Cut atomic.Bool
-	// Mute lets the member's watches see no change.
-	Mute atomic.Bool
-
-	cluster *Cluster
-	newest  atomic.Uint64
-	first   atomic.Uint64
-	reverts atomic.Int64
-	stop    context.CancelFunc
-	done    sync.WaitGroup
+	// Snapshot is the workspace snapshot in force at the member.
+	Snapshot *workspace.CurrentSnapshot
+	Syncer   *revision.Syncer
+	// StoreUnavailable refuses the member's calls of the object API.
+	StoreUnavailable atomic.Bool
+	// WatchHangs lets the member's watches see no change.
+	WatchHangs atomic.Bool
+
+	cluster      *Cluster
+	newest       atomic.Uint64
+	firstVersion atomic.Uint64
+	reverts      atomic.Int64
+	stop         context.CancelFunc
+	done         sync.WaitGroup
 }
 
 // New returns a cluster none of whose members runs yet.
@@ -77,19 +77,19 @@
 func (m *Member) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	m.stop = cancel
-	m.Live = &workspace.Live{}
+	m.Snapshot = &workspace.CurrentSnapshot{}
 	m.newest.Store(0)
-	m.first.Store(0)
-	configuration := revision.NewConfiguration(m.Live, nil)
-	options := configuration.Attach(revision.Options{
-		API:       &cutAPI{ObjectAPI: m.cluster.Store, cut: &m.Cut, mute: &m.Mute},
+	m.firstVersion.Store(0)
+	publisher := revision.NewPublisher(m.Snapshot, nil)
+	options := publisher.Attach(revision.Options{
+		API:       &faultyAPI{ObjectAPI: m.cluster.Store, unavailable: &m.StoreUnavailable, watchHangs: &m.WatchHangs},
 		Transport: m.cluster.Network.Node(peer.Name(m.Name)),
 		View:      m.cluster.view.Load,
 		Timing:    m.cluster.timing,
 	})
 	options.Publish = func(objects []objectstore.Object, newest objectstore.Version) {
-		configuration.Publish(objects, newest)
-		m.first.CompareAndSwap(0, uint64(newest))
+		publisher.Publish(objects, newest)
+		m.firstVersion.CompareAndSwap(0, uint64(newest))
 		if m.newest.Swap(uint64(newest)) > uint64(newest) {
 			m.reverts.Add(1)
 		}
@@ -105,15 +105,17 @@
 	m.cluster.Network.Crash(peer.Name(m.Name))
 }
 
-// InForce is the version up to which changes are in force at the member, 0
+// ActiveVersion is the version up to which changes are in force at the member, 0
 // for none: the newest published, or that which the member is known to be
 // complete through (a deletion from before its start is in no object).
-func (m *Member) InForce() objectstore.Version {
+func (m *Member) ActiveVersion() objectstore.Version {
 	return max(objectstore.Version(m.newest.Load()), m.Syncer.Report().Through)
 }
 
-// First is the first version that was in force since the member's start.
-func (m *Member) First() objectstore.Version { return objectstore.Version(m.first.Load()) }
+// FirstVersion is the first version that was in force since the member's start.
+func (m *Member) FirstVersion() objectstore.Version {
+	return objectstore.Version(m.firstVersion.Load())
+}
 
 // Reverts counts how often the version in force went down.
 func (m *Member) Reverts() int64 { return m.reverts.Load() }
@@ -139,21 +141,21 @@
 // pollInterval is between two looks at the members.
 const pollInterval = 2 * time.Millisecond
 
-// Await waits until a version is in force at the members and returns how long
+// AwaitVersion waits until a version is in force at the members and returns how long
 // that took.
-func Await(ctx context.Context, version objectstore.Version, members ...*Member) (time.Duration, error) {
+func AwaitVersion(ctx context.Context, version objectstore.Version, members ...*Member) (time.Duration, error) {
 	start := time.Now()
 	err := Until(ctx, func() bool {
-		return !slices.ContainsFunc(members, func(m *Member) bool { return m.InForce() < version })
+		return !slices.ContainsFunc(members, func(m *Member) bool { return m.ActiveVersion() < version })
 	})
 	return time.Since(start), errors.Wrapf(err, "version %d is not in force everywhere", version)
 }
 
 // Until waits until a condition holds, or ctx ends.
-func Until(ctx context.Context, holds func() bool) error {
+func Until(ctx context.Context, condition func() bool) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for !holds() {
+	for !condition() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -176,31 +178,31 @@
 	return sum
 }
 
-// cutAPI is an object API that can be cut off.
-type cutAPI struct {
+// faultyAPI is an object API that can be cut off.
+type faultyAPI struct {
 	objectstore.ObjectAPI
-	cut, mute *atomic.Bool
+	unavailable, watchHangs *atomic.Bool
 }
 
 // List implements objectstore.ObjectAPI.
-func (a *cutAPI) List(ctx context.Context, kind objectstore.Kind, prefix string) (objectstore.List, error) {
-	if a.cut.Load() {
+func (a *faultyAPI) List(ctx context.Context, kind objectstore.Kind, prefix string) (objectstore.List, error) {
+	if a.unavailable.Load() {
 		return objectstore.List{}, errors.Wrap(objectstore.ErrUnavailable, "cut off")
 	}
 	return a.ObjectAPI.List(ctx, kind, prefix)
 }
 
 // Watch implements objectstore.ObjectAPI.
-func (a *cutAPI) Watch(ctx context.Context, kinds []objectstore.Kind, after objectstore.Version, wait time.Duration) ([]objectstore.Event, objectstore.Version, error) {
-	if a.cut.Load() {
+func (a *faultyAPI) Watch(ctx context.Context, kinds []objectstore.Kind, after objectstore.Version, wait time.Duration) ([]objectstore.Event, objectstore.Version, error) {
+	if a.unavailable.Load() {
 		return nil, 0, errors.Wrap(objectstore.ErrUnavailable, "cut off")
 	}
-	if a.mute.Load() {
+	if a.watchHangs.Load() {
 		<-ctx.Done()
 		return nil, 0, errors.Wrap(objectstore.ErrUnknownOutcome, "mute")
 	}
 	events, next, err := a.ObjectAPI.Watch(ctx, kinds, after, wait)
-	if a.cut.Load() {
+	if a.unavailable.Load() {
 		return nil, 0, errors.Wrap(objectstore.ErrUnknownOutcome, "cut off")
 	}
 	return events, next, err
--- a/revision/revisiontest/measure.go
+++ b/revision/revisiontest/measure.go
@@ -14,8 +14,8 @@
 	"github.com/lycheekeel/lycheekeel/workspace/workspacetest"
 )
 
-// Spread is what the spread of changes costs, by the default timing.
-type Spread struct {
+// PropagationCost is what the spread of changes costs, by the default timing.
+type PropagationCost struct {
 	Members, Regions, Changes int
 	// Slowest and Mean are of the times from a write's answer until the
 	// change is in force on the last member.
@@ -31,28 +31,28 @@
 	StoreCallsPerSecond float64
 }
 
-// idleTime is how long a cluster is watched while nothing changes.
-const idleTime = 11 * time.Second
+// idlePeriod is how long a cluster is watched while nothing changes.
+const idlePeriod = 11 * time.Second
 
-// MeasureSpread starts members in one process and measures some changes.
-func MeasureSpread(ctx context.Context, members, regions, changes int) (Spread, error) {
-	r := Spread{Members: members, Regions: regions, Changes: changes}
+// MeasurePropagation starts members in one process and measures some changes.
+func MeasurePropagation(ctx context.Context, members, regions, changes int) (PropagationCost, error) {
+	r := PropagationCost{Members: members, Regions: regions, Changes: changes}
 	c := New(Options{Members: members, Regions: regions})
 	c.Start()
 	defer c.Stop()
-	if err := c.fill(ctx); err != nil {
+	if err := c.writeConfiguration(ctx); err != nil {
 		return r, err
 	}
-	if err := r.idle(ctx, c); err != nil {
+	if err := r.measureIdle(ctx, c); err != nil {
 		return r, err
 	}
-	return r, r.change(ctx, c)
+	return r, r.measureChanges(ctx, c)
 }
 
-// fill writes a small configuration and waits until it is in force.
-func (c *Cluster) fill(ctx context.Context) error {
+// writeConfiguration writes a small configuration and waits until it is in force.
+func (c *Cluster) writeConfiguration(ctx context.Context) error {
 	var newest objectstore.Version
-	fleet := workspacetest.Fleet{Workspaces: 1, Servers: 1, Models: 1, Regions: 1, Templates: 1}
+	fleet := workspacetest.Size{Workspaces: 1, Servers: 1, Models: 1, Regions: 1, Templates: 1}
 	for _, o := range fleet.Objects() {
 		v, err := c.Store.Create(ctx, o.Kind, o.Name, o.Value)
 		if err != nil {
@@ -60,29 +60,29 @@
 		}
 		newest = v
 	}
-	_, err := Await(ctx, newest, c.Members...)
+	_, err := AwaitVersion(ctx, newest, c.Members...)
 	return err
 }
 
-// idle measures the traffic while nothing changes.
-func (r *Spread) idle(ctx context.Context, c *Cluster) error {
-	if !wait.For(ctx, idleTime/5) { // until the last digests agree
+// measureIdle measures the traffic while nothing changes.
+func (r *PropagationCost) measureIdle(ctx context.Context, c *Cluster) error {
+	if !wait.For(ctx, idlePeriod/5) { // until the last digests agree
 		return ctx.Err()
 	}
 	traffic, calls := c.Traffic(), c.storeCalls()
-	if !wait.For(ctx, idleTime) {
+	if !wait.For(ctx, idlePeriod) {
 		return ctx.Err()
 	}
 	after := c.Traffic()
-	perMember := float64(r.Members) * idleTime.Seconds()
+	perMember := float64(r.Members) * idlePeriod.Seconds()
 	r.IdleBytesPerSecond = float64(after.BytesOut-traffic.BytesOut) / perMember
 	r.IdleMessagesPerSecond = float64(after.MessagesOut-traffic.MessagesOut) / perMember
-	r.StoreCallsPerSecond = float64(c.storeCalls()-calls) / idleTime.Seconds()
+	r.StoreCallsPerSecond = float64(c.storeCalls()-calls) / idlePeriod.Seconds()
 	return nil
 }
 
-// change measures changes, one after the other.
-func (r *Spread) change(ctx context.Context, c *Cluster) error {
+// measureChanges measures changes, one after the other.
+func (r *PropagationCost) measureChanges(ctx context.Context, c *Cluster) error {
 	start, traffic := time.Now(), c.Traffic()
 	for i := range r.Changes {
 		w := workspacetest.Workspace(fmt.Sprintf("added-%d", i), "template-0")
@@ -90,21 +90,21 @@
 		if err != nil {
 			return err
 		}
-		took, err := Await(ctx, v, c.Members...)
+		elapsed, err := AwaitVersion(ctx, v, c.Members...)
 		if err != nil {
 			return err
 		}
-		r.Slowest = max(r.Slowest, took)
-		r.Mean += took / time.Duration(r.Changes)
+		r.Slowest = max(r.Slowest, elapsed)
+		r.Mean += elapsed / time.Duration(r.Changes)
 	}
 	if !wait.For(ctx, time.Second) { // the last pushes
 		return ctx.Err()
 	}
 	after, seconds := c.Traffic(), time.Since(start).Seconds()
-	each := float64(r.Members * r.Changes)
-	idle := float64(r.Members) * seconds
-	r.BytesPerChange = (float64(after.BytesOut-traffic.BytesOut) - idle*r.IdleBytesPerSecond) / each
-	r.MessagesPerChange = (float64(after.MessagesOut-traffic.MessagesOut) - idle*r.IdleMessagesPerSecond) / each
+	memberChanges := float64(r.Members * r.Changes)
+	memberSeconds := float64(r.Members) * seconds
+	r.BytesPerChange = (float64(after.BytesOut-traffic.BytesOut) - memberSeconds*r.IdleBytesPerSecond) / memberChanges
+	r.MessagesPerChange = (float64(after.MessagesOut-traffic.MessagesOut) - memberSeconds*r.IdleMessagesPerSecond) / memberChanges
 	return nil
 }
 
--- a/revision/set.go
+++ b/revision/set.go
@@ -15,9 +15,9 @@
 // also the rule for tombstones: one is kept until the floor has passed it,
 // however long that takes, and is not needed after.
 type Set struct {
-	kinds map[objectstore.Kind]*kindSet
-	order []objectstore.Kind
-	check func(objectstore.Object) bool
+	kinds     map[objectstore.Kind]*kindSet
+	kindOrder []objectstore.Kind
+	check     func(objectstore.Object) bool
 	// newest is the largest version applied.
 	newest objectstore.Version
 	// changes counts the records put, so that a reader sees any change.
@@ -41,7 +41,7 @@
 	if check == nil {
 		check = func(objectstore.Object) bool { return true }
 	}
-	s := &Set{kinds: make(map[objectstore.Kind]*kindSet, len(kinds)), order: kinds, check: check}
+	s := &Set{kinds: make(map[objectstore.Kind]*kindSet, len(kinds)), kindOrder: kinds, check: check}
 	for _, k := range kinds {
 		s.kinds[k] = &kindSet{records: map[string]*Record{}, tombstones: map[string]struct{}{}}
 	}
@@ -60,46 +60,46 @@
 		return false // deleted since: see Set
 	}
 	if known != nil && r.Version <= known.Version {
-		return known.Version == r.Version && s.adoptGood(k, known, r.Good)
+		return known.Version == r.Version && s.adoptLastGood(k, known, r.LastGood)
 	}
-	s.judge(&r, known)
+	s.validate(&r, known)
 	k.put(&r)
 	s.changes++
 	s.newest = max(s.newest, r.Version)
 	return true
 }
 
-// judge checks a new record and, where it is bad, finds the version that
+// validate checks a new record and, where it is bad, finds the version that
 // stays in force. A version from before a deletion never does.
-func (s *Set) judge(r, known *Record) {
+func (s *Set) validate(r, known *Record) {
 	if r.Deleted {
-		r.Object.Value, r.Good = nil, nil
+		r.Object.Value, r.LastGood = nil, nil
 		return
 	}
-	r.bad = !s.check(r.Object)
-	if !r.bad {
-		r.Good = nil
+	r.invalid = !s.check(r.Object)
+	if !r.invalid {
+		r.LastGood = nil
 		return
 	}
 	if known == nil || known.Deleted || known.Created != r.Created {
 		return
 	}
-	good := known.Good
-	if !known.bad {
+	good := known.LastGood
+	if !known.invalid {
 		good = &known.Object
 	}
-	if good != nil && (r.Good == nil || good.Version > r.Good.Version) {
-		r.Good = good
+	if good != nil && (r.LastGood == nil || good.Version > r.LastGood.Version) {
+		r.LastGood = good
 	}
 }
 
-// adoptGood takes over a good version that a peer knows of a bad one.
-func (s *Set) adoptGood(k *kindSet, known *Record, good *objectstore.Object) bool {
-	if !known.bad || good == nil || (known.Good != nil && known.Good.Version >= good.Version) {
+// adoptLastGood takes over a good version that a peer knows of a bad one.
+func (s *Set) adoptLastGood(k *kindSet, known *Record, good *objectstore.Object) bool {
+	if !known.invalid || good == nil || (known.LastGood != nil && known.LastGood.Version >= good.Version) {
 		return false
 	}
 	next := *known
-	next.Good = good
+	next.LastGood = good
 	k.put(&next)
 	s.changes++
 	return true
@@ -126,8 +126,8 @@
 	k.hash ^= delta
 }
 
-// raise moves the floor up and drops the tombstones that it passed.
-func (k *kindSet) raise(floor objectstore.Version) {
+// raiseFloor moves the floor up and drops the tombstones that it passed.
+func (k *kindSet) raiseFloor(floor objectstore.Version) {
 	if floor <= k.floor {
 		return
 	}
@@ -140,14 +140,14 @@
 	}
 }
 
-// absent applies that an object did not exist as of a version: it deletes
+// applyAbsence applies that an object did not exist as of a version: it deletes
 // what the set knows of it, unless that is newer. It reports the deletion.
-func (s *Set) absent(kind objectstore.Kind, name string, as objectstore.Version) (Header, bool) {
+func (s *Set) applyAbsence(kind objectstore.Kind, name string, asOf objectstore.Version) (Header, bool) {
 	known := s.kinds[kind].records[name]
-	if known == nil || known.Deleted || known.Version > as {
+	if known == nil || known.Deleted || known.Version > asOf {
 		return Header{}, false
 	}
-	r := Record{Object: objectstore.Object{Kind: kind, Name: name, Version: as}, Deleted: true}
+	r := Record{Object: objectstore.Object{Kind: kind, Name: name, Version: asOf}, Deleted: true}
 	return r.header(), s.Apply(r)
 }
 
@@ -172,11 +172,11 @@
 		}
 	}
 	for _, name := range k.unlisted(listed, nil) {
-		if h, ok := s.absent(kind, name, list.Version); ok {
+		if h, ok := s.applyAbsence(kind, name, list.Version); ok {
 			changed = append(changed, h)
 		}
 	}
-	k.raise(list.Version)
+	k.raiseFloor(list.Version)
 	k.complete = true
 	return changed
 }
@@ -206,7 +206,7 @@
 	}
 	for _, k := range s.kinds {
 		if k.floor >= after {
-			k.raise(next)
+			k.raiseFloor(next)
 		}
 	}
 	return changed
@@ -215,7 +215,7 @@
 // Floor is the version up to which every change of every kind is known: where
 // a watch continues, once Complete.
 func (s *Set) Floor() objectstore.Version {
-	floor := s.kinds[s.order[0]].floor
+	floor := s.kinds[s.kindOrder[0]].floor
 	for _, k := range s.kinds {
 		floor = min(floor, k.floor)
 	}
@@ -242,7 +242,7 @@
 // Hash sums up all live objects: equal on members that hold the same.
 func (s *Set) Hash() uint64 {
 	var h uint64
-	for i, kind := range s.order {
+	for i, kind := range s.kindOrder {
 		h ^= s.kinds[kind].hash * uint64(2*i+1)
 	}
 	return h
@@ -262,18 +262,18 @@
 // version, in the order of the kinds and by name.
 func (s *Set) Objects() []objectstore.Object {
 	var out []objectstore.Object
-	for _, kind := range s.order {
-		first := len(out)
+	for _, kind := range s.kindOrder {
+		start := len(out)
 		for _, r := range s.kinds[kind].records {
 			if r.Deleted {
 				continue
 			}
 			out = append(out, r.Object)
-			if r.Good != nil {
-				out = append(out, *r.Good)
+			if r.LastGood != nil {
+				out = append(out, *r.LastGood)
 			}
 		}
-		slices.SortFunc(out[first:], compareObjects)
+		slices.SortFunc(out[start:], compareObjects)
 	}
 	return out
 }
--- a/revision/set_test.go
+++ b/revision/set_test.go
@@ -12,15 +12,15 @@
 
 var testKinds = []objectstore.Kind{"A", "B"}
 
-// truth is the object API's whole history.
-type truth struct{ log []objectstore.Event }
+// storeHistory is the object API's whole history.
+type storeHistory struct{ events []objectstore.Event }
 
-func (t *truth) version() objectstore.Version { return objectstore.Version(len(t.log)) }
+func (t *storeHistory) version() objectstore.Version { return objectstore.Version(len(t.events)) }
 
-// at returns a kind's live objects as of a version.
-func (t *truth) at(kind objectstore.Kind, v objectstore.Version) objectstore.List {
+// listAt returns a kind's live objects as of a version.
+func (t *storeHistory) listAt(kind objectstore.Kind, v objectstore.Version) objectstore.List {
 	live := map[string]objectstore.Object{}
-	for _, e := range t.log[:v] {
+	for _, e := range t.events[:v] {
 		if e.Object.Kind != kind {
 			continue
 		}
@@ -38,24 +38,24 @@
 }
 
 // write creates, changes or deletes an object, as an operator would.
-func (t *truth) write(kind objectstore.Kind, name string, remove bool) {
+func (t *storeHistory) write(kind objectstore.Kind, name string, deleted bool) {
 	o := objectstore.Object{Kind: kind, Name: name, Version: t.version() + 1, Created: t.version() + 1}
 	exists := false
-	for _, old := range t.at(kind, t.version()).Objects {
+	for _, old := range t.listAt(kind, t.version()).Objects {
 		if old.Name == name {
 			o.Created, exists = old.Created, true
 		}
 	}
-	if remove && !exists {
+	if deleted && !exists {
 		return
 	}
 	o.Value = []byte(fmt.Sprint(o.Version))
-	t.log = append(t.log, objectstore.Event{Object: o, Deleted: remove})
+	t.events = append(t.events, objectstore.Event{Object: o, Deleted: deleted})
 }
 
 // deletedAfter returns the first deletion of an object after a version.
-func (t *truth) deletedAfter(kind objectstore.Kind, name string, v objectstore.Version) (objectstore.Version, bool) {
-	for _, e := range t.log[v:] {
+func (t *storeHistory) deletedAfter(kind objectstore.Kind, name string, v objectstore.Version) (objectstore.Version, bool) {
+	for _, e := range t.events[v:] {
 		if e.Deleted && e.Object.Kind == kind && e.Object.Name == name {
 			return e.Object.Version, true
 		}
@@ -63,53 +63,53 @@
 	return 0, false
 }
 
-// observed is a member with what it has shown of each object so far.
-type observed struct {
+// observedMember is a member with what it has shown of each object so far.
+type observedMember struct {
 	*Set
-	atLeast map[Header]objectstore.Version
-	live    map[Header]bool
+	minVersion map[Header]objectstore.Version
+	live       map[Header]bool
 }
 
-func newObserved() *observed {
-	return &observed{NewSet(testKinds, nil), map[Header]objectstore.Version{}, map[Header]bool{}}
+func newObservedMember() *observedMember {
+	return &observedMember{NewSet(testKinds, nil), map[Header]objectstore.Version{}, map[Header]bool{}}
 }
 
-// check fails where an object went back: to an older version, to one from
+// checkNoRevert fails where an object went back: to an older version, to one from
 // before a deletion that the member has shown, or away without a deletion.
-func (o *observed) check(t *rapid.T, world *truth, names []string) {
+func (o *observedMember) checkNoRevert(t *rapid.T, history *storeHistory, names []string) {
 	for _, kind := range testKinds {
 		for _, name := range names {
 			id := Header{Kind: kind, Name: name}
 			r, ok := o.Get(kind, name)
 			if ok {
-				if r.Version < o.atLeast[id] {
-					t.Fatalf("%s/%s went back to %d, at least %d was known", kind, name, r.Version, o.atLeast[id])
+				if r.Version < o.minVersion[id] {
+					t.Fatalf("%s/%s went back to %d, at least %d was known", kind, name, r.Version, o.minVersion[id])
 				}
-				o.atLeast[id] = r.Version
+				o.minVersion[id] = r.Version
 			} else if o.live[id] {
-				gone, deleted := world.deletedAfter(kind, name, o.atLeast[id])
+				deletedAt, deleted := history.deletedAfter(kind, name, o.minVersion[id])
 				if !deleted {
-					t.Fatalf("%s/%s of version %d vanished, but was not deleted", kind, name, o.atLeast[id])
+					t.Fatalf("%s/%s of version %d vanished, but was not deleted", kind, name, o.minVersion[id])
 				}
-				o.atLeast[id] = gone + 1
+				o.minVersion[id] = deletedAt + 1
 			}
 			o.live[id] = ok
 		}
 	}
 }
 
-// exchange is what one member learnt from another; it may be delivered late,
+// pullResult is what one member learnt from another; it may be delivered late,
 // twice, or never.
-type exchange struct {
+type pullResult struct {
 	digest  []KindDigest
 	lists   []BucketList
 	records []*Record
 }
 
-// ask makes the answers that peer gives to member now; another release may
+// pullFrom makes the answers that peer gives to member now; another release may
 // have another number of buckets.
-func ask(member, peer *observed, otherRelease bool) exchange {
-	x := exchange{digest: peer.Digest()}
+func pullFrom(member, peer *observedMember, otherRelease bool) pullResult {
+	x := pullResult{digest: peer.Digest()}
 	for _, kind := range testKinds {
 		hashes := member.Buckets(kind)
 		if otherRelease {
@@ -125,12 +125,12 @@
 	return x
 }
 
-// deliver hands answers to a member, which tells the peer what is newer.
-func deliver(member, peer *observed, x exchange) {
+// applyPull hands answers to a member, which tells the peer what is newer.
+func applyPull(member, peer *observedMember, x pullResult) {
 	for _, list := range x.lists {
 		_, _, newer := member.ApplyBuckets(list)
 		for _, h := range newer {
-			if h.Deleted && peer.Wants(h) {
+			if h.Deleted && peer.IsNewer(h) {
 				peer.Apply(deletion(h))
 			}
 		}
@@ -138,82 +138,82 @@
 	for _, r := range x.records {
 		member.Apply(*r)
 	}
-	member.Compare(x.digest)
+	member.MergeDigest(x.digest)
 }
 
-func TestNeverGoesBack(t *testing.T) {
+func TestObjectsNeverRevert(t *testing.T) {
 	// Guards against this: a change that an operator saw in force is gone again, or a deleted object is back, on some member.
 	rapid.Check(t, func(t *rapid.T) {
-		world := &truth{}
+		history := &storeHistory{}
 		names := []string{"x", "y", "z"}
-		members := []*observed{newObserved(), newObserved(), newObserved()}
-		type late struct {
+		members := []*observedMember{newObservedMember(), newObservedMember(), newObservedMember()}
+		type delayedPull struct {
 			to, from int
-			exchange
+			pullResult
 		}
-		var inFlight []late
+		var inFlight []delayedPull
 		name := rapid.SampledFrom(names)
 		kind := rapid.SampledFrom(testKinds)
 		member := rapid.IntRange(0, len(members)-1)
 		version := func() objectstore.Version {
-			return objectstore.Version(rapid.IntRange(0, len(world.log)).Draw(t, "version"))
+			return objectstore.Version(rapid.IntRange(0, len(history.events)).Draw(t, "version"))
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"write":  func(t *rapid.T) { world.write(kind.Draw(t, "kind"), name.Draw(t, "name"), false) },
-			"delete": func(t *rapid.T) { world.write(kind.Draw(t, "kind"), name.Draw(t, "name"), true) },
+			"write":  func(t *rapid.T) { history.write(kind.Draw(t, "kind"), name.Draw(t, "name"), false) },
+			"delete": func(t *rapid.T) { history.write(kind.Draw(t, "kind"), name.Draw(t, "name"), true) },
 			"list": func(t *rapid.T) {
 				k := kind.Draw(t, "kind")
-				members[member.Draw(t, "member")].ApplyList(k, world.at(k, version()))
+				members[member.Draw(t, "member")].ApplyList(k, history.listAt(k, version()))
 			},
 			"watch": func(t *rapid.T) {
 				m := members[member.Draw(t, "member")]
 				after, next := m.Floor(), version()
 				if next > after {
-					m.ApplyEvents(world.log[after:next], after, next)
+					m.ApplyEvents(history.events[after:next], after, next)
 				}
 			},
 			"replay": func(t *rapid.T) {
 				after, next := version(), version()
 				if next > after {
-					members[member.Draw(t, "member")].ApplyEvents(world.log[after:next], after, next)
+					members[member.Draw(t, "member")].ApplyEvents(history.events[after:next], after, next)
 				}
 			},
 			"ask": func(t *rapid.T) {
 				to, from := member.Draw(t, "to"), member.Draw(t, "from")
-				inFlight = append(inFlight, late{to, from, ask(members[to], members[from], rapid.Bool().Draw(t, "otherRelease"))})
+				inFlight = append(inFlight, delayedPull{to, from, pullFrom(members[to], members[from], rapid.Bool().Draw(t, "otherRelease"))})
 			},
 			"deliver": func(t *rapid.T) {
 				if len(inFlight) == 0 {
 					t.Skip("nothing under way")
 				}
 				x := rapid.SampledFrom(inFlight).Draw(t, "exchange")
-				deliver(members[x.to], members[x.from], x.exchange)
+				applyPull(members[x.to], members[x.from], x.pullResult)
 			},
-			"restart": func(t *rapid.T) { members[member.Draw(t, "member")] = newObserved() },
+			"restart": func(t *rapid.T) { members[member.Draw(t, "member")] = newObservedMember() },
 			"": func(t *rapid.T) {
 				for _, m := range members {
-					m.check(t, world, names)
+					m.checkNoRevert(t, history, names)
 				}
 			},
 		})
 		for _, k := range testKinds {
-			members[0].ApplyList(k, world.at(k, world.version()))
+			members[0].ApplyList(k, history.listAt(k, history.version()))
 		}
 		for to := range members[1:] {
-			deliver(members[to+1], members[0], ask(members[to+1], members[0], false))
+			applyPull(members[to+1], members[0], pullFrom(members[to+1], members[0], false))
 		}
 		for i, m := range members {
-			m.check(t, world, names)
+			m.checkNoRevert(t, history, names)
 			for _, k := range testKinds {
-				list := world.at(k, world.version())
+				list := history.listAt(k, history.version())
 				for _, o := range list.Objects {
 					if r, ok := m.Get(k, o.Name); !ok || r.Version != o.Version || string(r.Value) != string(o.Value) {
 						t.Fatalf("member %d lacks %s/%s of version %d", i, k, o.Name, o.Version)
 					}
 				}
 			}
-			if m.Hash() != members[0].Hash() || m.Floor() != world.version() {
-				t.Fatalf("member %d did not converge: floor %d of %d", i, m.Floor(), world.version())
+			if m.Hash() != members[0].Hash() || m.Floor() != history.version() {
+				t.Fatalf("member %d did not converge: floor %d of %d", i, m.Floor(), history.version())
 			}
 			for _, k := range m.kinds {
 				if len(k.tombstones) != 0 {
@@ -224,7 +224,7 @@
 	})
 }
 
-func TestLastGood(t *testing.T) {
+func TestLastGoodVersionIsKept(t *testing.T) {
 	object := func(created, version objectstore.Version, value string) Record {
 		return Record{Object: objectstore.Object{Kind: "A", Name: "x", Version: version, Created: created, Value: []byte(value)}}
 	}
--- a/revision/target_test.go
+++ b/revision/size_test.go
@@ -18,11 +18,11 @@
 	return float64(m.HeapAlloc) / (1 << 20)
 }
 
-// byKind returns a fresh copy of the target's objects by kind, as read from
+// targetLists returns a fresh copy of the target's objects by kind, as read from
 // the object API.
-func byKind() map[objectstore.Kind]objectstore.List {
+func targetLists() map[objectstore.Kind]objectstore.List {
 	lists := map[objectstore.Kind]objectstore.List{}
-	for _, o := range workspacetest.Target.Objects() {
+	for _, o := range workspacetest.TargetSize.Objects() {
 		l := lists[o.Kind]
 		l.Objects, l.Version = append(l.Objects, o), max(l.Version, o.Version)
 		lists[o.Kind] = l
@@ -35,18 +35,18 @@
 // that values, records, compiler and snapshot take together.
 func BenchmarkTarget(b *testing.B) {
 	before := heapMB()
-	lists := byKind()
+	lists := targetLists()
 	set := revision.NewSet(workspace.Kinds(), revision.Check)
-	live := &workspace.Live{}
-	configuration := revision.NewConfiguration(live, nil)
+	current := &workspace.CurrentSnapshot{}
+	publisher := revision.NewPublisher(current, nil)
 	b.Run("start", func(b *testing.B) {
 		for b.Loop() {
 			set = revision.NewSet(workspace.Kinds(), revision.Check)
-			configuration = revision.NewConfiguration(live, nil)
+			publisher = revision.NewPublisher(current, nil)
 			for kind, l := range lists {
 				set.ApplyList(kind, l)
 			}
-			configuration.Publish(set.Objects(), set.Newest())
+			publisher.Publish(set.Objects(), set.Newest())
 		}
 	})
 	changed := lists[workspace.KindWorkspace].Objects[0]
@@ -55,9 +55,9 @@
 		for b.Loop() {
 			changed.Version = set.Newest() + 1
 			set.ApplyEvents([]objectstore.Event{{Object: changed}}, set.Floor(), changed.Version)
-			configuration.Publish(set.Objects(), set.Newest())
+			publisher.Publish(set.Objects(), set.Newest())
 		}
 		b.ReportMetric(heapMB()-before, "MB-held")
 	})
-	runtime.KeepAlive(configuration)
+	runtime.KeepAlive(publisher)
 }
--- a/revision/syncer.go
+++ b/revision/syncer.go
@@ -43,27 +43,27 @@
 
 // Timing holds the intervals of a Syncer.
 type Timing struct {
-	// Gossip is between two digests to a random peer.
-	Gossip time.Duration
-	// Settle is how long changes are gathered before they are pushed and
+	// GossipInterval is between two digests to a random peer.
+	GossipInterval time.Duration
+	// BatchDelay is how long changes are gathered before they are pushed and
 	// published together.
-	Settle time.Duration
+	BatchDelay time.Duration
 	// WatchWait is how long one watch call waits for a change.
 	WatchWait time.Duration
-	// Stale is after how long without any member's watch working a member
+	// FallbackDelay is after how long without any member's watch working a member
 	// tries one itself, besides the time that gossip needs to tell of it.
-	Stale time.Duration
-	// Volunteer is how long such a member goes on.
-	Volunteer time.Duration
-	// PeerWait is how long a starting member looks for peers before it
+	FallbackDelay time.Duration
+	// FallbackDuration is how long such a member goes on.
+	FallbackDuration time.Duration
+	// InitialSyncTimeout is how long a starting member looks for peers before it
 	// publishes what the object API alone told it.
-	PeerWait time.Duration
-	// Call bounds a call to a peer, and what the object API may take beyond
+	InitialSyncTimeout time.Duration
+	// CallTimeout bounds a call to a peer, and what the object API may take beyond
 	// WatchWait.
-	Call time.Duration
-	// Retry and MaxRetry are the first and the longest delay between
+	CallTimeout time.Duration
+	// RetryDelay and MaxRetryDelay are the first and the longest delay between
 	// attempts at the object API; Tick is between looks at whether to watch.
-	Retry, MaxRetry, Tick time.Duration
+	RetryDelay, MaxRetryDelay, RoleCheckInterval time.Duration
 }
 
 // DefaultTiming is sized for a change in force within 2 s at 9 members and 9 s
@@ -71,58 +71,58 @@
 // silent: the watch on it then ends after WatchWait and Call, at the cost of
 // one call for each watcher in WatchWait.
 var DefaultTiming = Timing{
-	Gossip: time.Second, Settle: 10 * time.Millisecond,
-	WatchWait: 2 * time.Second, Stale: 4 * time.Second, Volunteer: 2 * time.Minute,
-	PeerWait: time.Second, Call: 1500 * time.Millisecond,
-	Retry: 200 * time.Millisecond, MaxRetry: 5 * time.Second, Tick: time.Second,
+	GossipInterval: time.Second, BatchDelay: 10 * time.Millisecond,
+	WatchWait: 2 * time.Second, FallbackDelay: 4 * time.Second, FallbackDuration: 2 * time.Minute,
+	InitialSyncTimeout: time.Second, CallTimeout: 1500 * time.Millisecond,
+	RetryDelay: 200 * time.Millisecond, MaxRetryDelay: 5 * time.Second, RoleCheckInterval: time.Second,
 }
 
 // Syncer keeps one member's Set up to date and publishes it. Its methods are
 // safe for concurrent use.
 type Syncer struct {
-	o        Options
+	opts     Options
 	log      *logrus.Entry
 	counters counters
 
-	mu       sync.Mutex // guards what follows; never held over a call
-	set      *Set
-	rumors   []Header
-	fetching map[Header]int
-	pulling  map[objectstore.Kind]bool
-	// confirmed is when the object API last confirmed all that is held here;
-	// watchSeen is when any member's watch last worked, as far as is known.
-	confirmed, watchSeen time.Time
-	volunteerUntil       time.Time
+	mu          sync.Mutex // guards what follows; never held over a call
+	set         *Set
+	pendingPush []Header
+	fetching    map[Header]int
+	pulling     map[objectstore.Kind]bool
+	// confirmedAt is when the object API last confirmed all that is held here;
+	// lastWatchSuccess is when any member's watch last worked, as far as is known.
+	confirmedAt, lastWatchSuccess time.Time
+	fallbackUntil                 time.Time
 
-	inbox     chan inbound
-	toPush    chan struct{}
-	toPublish chan struct{}
-	joined    chan struct{}
-	ready     chan struct{}
-	inForce   atomic.Pointer[InForce]
-	watching  atomic.Bool
+	digestQueue     chan receivedDigest
+	pushSignal      chan struct{}
+	publishSignal   chan struct{}
+	initialSyncDone chan struct{}
+	ready           chan struct{}
+	active          atomic.Pointer[ActiveConfig]
+	watching        atomic.Bool
 }
 
-// inboxLength bounds the digests that wait to be handled; more are dropped
+// digestQueueLength bounds the digests that wait to be handled; more are dropped
 // and counted, which the next digest makes good.
-const inboxLength = 256
+const digestQueueLength = 256
 
 // New returns a Syncer and registers its handlers at the transport.
-func New(o Options) *Syncer {
-	if o.Now == nil {
-		o.Now = time.Now
+func New(opts Options) *Syncer {
+	if opts.Now == nil {
+		opts.Now = time.Now
 	}
-	o.Timing = o.Timing.withDefaults()
+	opts.Timing = opts.Timing.withDefaults()
 	s := &Syncer{
-		o: o, log: logs.For("config"), counters: newCounters(o.Metrics),
-		set: NewSet(o.Kinds, o.Check), fetching: map[Header]int{}, pulling: map[objectstore.Kind]bool{},
-		watchSeen: o.Now(),
-		inbox:     make(chan inbound, inboxLength),
-		toPush:    make(chan struct{}, 1), toPublish: make(chan struct{}, 1),
-		joined: make(chan struct{}), ready: make(chan struct{}),
+		opts: opts, log: logs.For("config"), counters: newCounters(opts.Metrics),
+		set: NewSet(opts.Kinds, opts.Check), fetching: map[Header]int{}, pulling: map[objectstore.Kind]bool{},
+		lastWatchSuccess: opts.Now(),
+		digestQueue:      make(chan receivedDigest, digestQueueLength),
+		pushSignal:       make(chan struct{}, 1), publishSignal: make(chan struct{}, 1),
+		initialSyncDone: make(chan struct{}), ready: make(chan struct{}),
 	}
-	o.Transport.Handle(peer.TypeConfigDigest, s.receiveDigest)
-	o.Transport.Handle(peer.TypeConfigPull, s.answerPull)
+	opts.Transport.Handle(peer.TypeConfigDigest, s.receiveDigest)
+	opts.Transport.Handle(peer.TypeConfigPull, s.answerPull)
 	return s
 }
 
@@ -130,9 +130,9 @@
 func (t Timing) withDefaults() Timing {
 	d := DefaultTiming
 	for _, f := range []struct{ v, def *time.Duration }{
-		{&t.Gossip, &d.Gossip}, {&t.Settle, &d.Settle}, {&t.WatchWait, &d.WatchWait}, {&t.Stale, &d.Stale},
-		{&t.Volunteer, &d.Volunteer}, {&t.PeerWait, &d.PeerWait}, {&t.Call, &d.Call},
-		{&t.Retry, &d.Retry}, {&t.MaxRetry, &d.MaxRetry}, {&t.Tick, &d.Tick},
+		{&t.GossipInterval, &d.GossipInterval}, {&t.BatchDelay, &d.BatchDelay}, {&t.WatchWait, &d.WatchWait}, {&t.FallbackDelay, &d.FallbackDelay},
+		{&t.FallbackDuration, &d.FallbackDuration}, {&t.InitialSyncTimeout, &d.InitialSyncTimeout}, {&t.CallTimeout, &d.CallTimeout},
+		{&t.RetryDelay, &d.RetryDelay}, {&t.MaxRetryDelay, &d.MaxRetryDelay}, {&t.RoleCheckInterval, &d.RoleCheckInterval},
 	} {
 		if *f.v == 0 {
 			*f.v = *f.def
@@ -148,13 +148,13 @@
 // Run works until ctx ends.
 func (s *Syncer) Run(ctx context.Context) {
 	var wg conc.WaitGroup
-	wg.Go(func() { s.join(ctx) })
-	wg.Go(func() { s.gossip(ctx) })
-	wg.Go(func() { s.push(ctx) })
+	wg.Go(func() { s.initialSync(ctx) })
+	wg.Go(func() { s.gossipDigests(ctx) })
+	wg.Go(func() { s.pushChanges(ctx) })
 	wg.Go(func() { s.publish(ctx) })
 	wg.Go(func() { s.watch(ctx) })
 	for range digestWorkers {
-		wg.Go(func() { s.work(ctx) })
+		wg.Go(func() { s.handleDigests(ctx) })
 	}
 	wg.Wait()
 }
@@ -162,18 +162,18 @@
 // Ready is closed once a whole configuration has been published.
 func (s *Syncer) Ready() <-chan struct{} { return s.ready }
 
-// learned notes changes that are to be pushed and published. Call it with mu
+// notifyChanges notes changes that are to be pushed and published. Call it with mu
 // held.
-func (s *Syncer) learned(changed []Header) {
+func (s *Syncer) notifyChanges(changed []Header) {
 	if len(changed) > 0 {
-		s.rumors = append(s.rumors, changed...)
-		signal(s.toPush)
+		s.pendingPush = append(s.pendingPush, changed...)
+		wake(s.pushSignal)
 	}
-	signal(s.toPublish)
+	wake(s.publishSignal)
 }
 
-// signal wakes a loop that is not awake already.
-func signal(c chan struct{}) {
+// wake wakes a loop that is not awake already.
+func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -185,56 +185,56 @@
 // their key is wrong.
 func (s *Syncer) publish(ctx context.Context) {
 	select {
-	case <-s.joined:
+	case <-s.initialSyncDone:
 	case <-ctx.Done():
 		return
 	}
 	for {
 		select {
-		case <-s.toPublish:
+		case <-s.publishSignal:
 		case <-ctx.Done():
 			return
 		}
-		if !wait.For(ctx, s.o.Timing.Settle) {
+		if !wait.For(ctx, s.opts.Timing.BatchDelay) {
 			return
 		}
 		start := time.Now()
 		s.publishOnce()
-		if !wait.For(ctx, min(publishRest*time.Since(start), maxPublishRest)) {
+		if !wait.For(ctx, min(publishPauseFactor*time.Since(start), maxPublishPause)) {
 			return
 		}
 	}
 }
 
-// After a publication the next one waits publishRest times as long as it took,
+// After a publication the next one waits publishPauseFactor times as long as it took,
 // so that a bulk change costs at most 1 in 40 of a core.
 const (
-	publishRest    = 39
-	maxPublishRest = time.Second
+	publishPauseFactor = 39
+	maxPublishPause    = time.Second
 )
 
 // publishOnce publishes, unless nothing changed or the set is not whole yet.
 func (s *Syncer) publishOnce() {
 	s.mu.Lock()
-	next := &InForce{
-		Version: s.set.Newest(), Hash: s.set.Hash(), Through: s.set.Floor(), changes: s.set.Changes(),
+	next := &ActiveConfig{
+		Version: s.set.Newest(), Hash: s.set.Hash(), Floor: s.set.Floor(), changes: s.set.Changes(),
 	}
-	before := s.inForce.Load()
+	previous := s.active.Load()
 	if !s.set.Complete() {
 		s.mu.Unlock()
 		return
 	}
-	if before != nil && before.changes == next.changes {
+	if previous != nil && previous.changes == next.changes {
 		s.mu.Unlock()
-		s.inForce.Store(next) // only Through may have risen
+		s.active.Store(next) // only Through may have risen
 		return
 	}
 	objects := s.set.Objects()
 	s.mu.Unlock()
-	s.o.Publish(objects, next.Version)
-	s.inForce.Store(next)
+	s.opts.Publish(objects, next.Version)
+	s.active.Store(next)
 	s.counters.published.Add(1)
-	if before == nil {
+	if previous == nil {
 		s.log.Infof("configuration of version %d in force, %d objects", next.Version, len(objects))
 		close(s.ready)
 	}
--- a/revision/watch.go
+++ b/revision/watch.go
@@ -20,20 +20,20 @@
 // so that one that dies or is cut off from it costs no time.
 const WatchersPerRegion = 2
 
-// watcherKey is what members are ranked by for the watches.
-const watcherKey = "config-watch\x00"
+// watcherHashPrefix is what members are ranked by for the watches.
+const watcherHashPrefix = "config-watch\x00"
 
 // Watchers returns the members that are to watch in a region: those of the
 // highest rendezvous rank among its live members, so that a change of one
 // member moves at most its own watch.
-func Watchers(view *member.View, region string) []string {
+func Watchers(view *member.View, regionMembers string) []string {
 	var names []string
 	for _, m := range view.Members {
-		if m.Region == region && (m.State == member.Alive || m.State == member.Suspect) {
+		if m.Region == regionMembers && (m.State == member.Alive || m.State == member.Suspect) {
 			names = append(names, m.Name)
 		}
 	}
-	rank := func(name string) uint64 { return xxhash.Sum64String(watcherKey + name) }
+	rank := func(name string) uint64 { return xxhash.Sum64String(watcherHashPrefix + name) }
 	slices.SortFunc(names, func(a, b string) int {
 		if ra, rb := rank(a), rank(b); ra != rb {
 			if ra > rb {
@@ -49,93 +49,93 @@
 // watch keeps a watch while it is this member's turn.
 func (s *Syncer) watch(ctx context.Context) {
 	delays := backoff.NewExponentialBackOff()
-	delays.InitialInterval, delays.MaxInterval = s.o.Timing.Retry, s.o.Timing.MaxRetry
+	delays.InitialInterval, delays.MaxInterval = s.opts.Timing.RetryDelay, s.opts.Timing.MaxRetryDelay
 	for ctx.Err() == nil {
-		appointed := s.appointed()
-		if !appointed && !s.volunteers() {
+		selected := s.isSelected()
+		if !selected && !s.isFallback() {
 			s.watching.Store(false)
-			wait.For(ctx, jitter(s.o.Timing.Tick))
+			wait.For(ctx, jitter(s.opts.Timing.RoleCheckInterval))
 			continue
 		}
 		err := s.watchOnce(ctx)
 		s.watching.Store(err == nil)
-		s.volunteered(!appointed && err == nil)
+		s.updateFallback(!selected && err == nil)
 		switch {
 		case err == nil:
 			delays.Reset()
 		case ctx.Err() != nil:
 			return
-		case appointed:
-			s.failed(err)
+		case selected:
+			s.recordFailure(err)
 			wait.For(ctx, delays.NextBackOff())
 		default:
-			s.failed(err)
-			wait.For(ctx, jitter(s.o.Timing.Tick))
+			s.recordFailure(err)
+			wait.For(ctx, jitter(s.opts.Timing.RoleCheckInterval))
 		}
 	}
 }
 
-// failed counts a failed attempt at the object API.
-func (s *Syncer) failed(err error) {
-	s.counters.retry(err)
+// recordFailure counts a failed attempt at the object API.
+func (s *Syncer) recordFailure(err error) {
+	s.counters.countRetry(err)
 	s.log.Debugf("object API: %v", err)
 }
 
-// appointed tells whether this member is one of its region's watchers. One
+// isSelected tells whether this member is one of its region's watchers. One
 // that is not in its own view knows nobody yet and watches.
-func (s *Syncer) appointed() bool {
-	view := s.o.View()
-	self := string(s.o.Transport.Self())
+func (s *Syncer) isSelected() bool {
+	view := s.opts.View()
+	self := string(s.opts.Transport.Self())
 	me, ok := view.Get(self)
 	return !ok || slices.Contains(Watchers(view, me.Region), self)
 }
 
-// volunteers tells whether this member watches although it is not appointed.
+// isFallback tells whether this member watches although it is not appointed.
 //
 // What goes wrong: the appointed watchers of a region may be cut off from the
 // object API while others are not. One sees the age of the configuration grow
 // on every member. Past Timing.Stale each member tries with a chance that
 // makes two attempts a tick and region, so that in an outage of the object API
 // the attempts do not grow with the fleet; one that succeeds goes on a while.
-func (s *Syncer) volunteers() bool {
+func (s *Syncer) isFallback() bool {
 	s.mu.Lock()
-	seen, until := s.watchSeen, s.volunteerUntil
+	lastSuccess, until := s.lastWatchSuccess, s.fallbackUntil
 	s.mu.Unlock()
-	now := s.o.Now()
+	now := s.opts.Now()
 	if now.Before(until) {
 		return true
 	}
-	view := s.o.View()
-	if now.Sub(seen) < s.o.Timing.Stale+gossipTime(s.o.Timing.Gossip, len(view.Members)) {
+	view := s.opts.View()
+	if now.Sub(lastSuccess) < s.opts.Timing.FallbackDelay+gossipConvergenceTime(s.opts.Timing.GossipInterval, len(view.Members)) {
 		return false
 	}
-	me, _ := view.Get(string(s.o.Transport.Self()))
-	region := 0
+	me, _ := view.Get(string(s.opts.Transport.Self()))
+	regionMembers := 0
 	for _, m := range view.Members {
 		if m.Region == me.Region && m.State != member.Dead {
-			region++
+			regionMembers++
 		}
 	}
-	return rand.IntN(max(1, region)) < WatchersPerRegion
+	return rand.IntN(max(1, regionMembers)) < WatchersPerRegion
 }
 
-// gossipTime is how long digests at an interval need to tell nearly every one
+// gossipConvergenceTime is how long digests at an interval need to tell nearly every one
 // of n members: about 1.7 log2(n) rounds when each tells one other (Pittel's
 // bound log2(n)+ln(n)), and some more for jitter.
-func gossipTime(interval time.Duration, n int) time.Duration {
+func gossipConvergenceTime(interval time.Duration, n int) time.Duration {
 	return 2 * interval * time.Duration(bits.Len(uint(n)))
 }
 
-// volunteered starts or ends this member's time as a volunteer.
-func (s *Syncer) volunteered(works bool) {
+// updateFallback starts or ends this member's time as a volunteer.
+func (s *Syncer) updateFallback(succeeded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.o.Now()
+	now := s.opts.Now()
 	switch {
-	case !works:
-		s.volunteerUntil = time.Time{}
-	case now.After(s.volunteerUntil):
-		s.volunteerUntil = now.Add(s.o.Timing.Volunteer)
+	case !succeeded:
+		s.fallbackUntil = time.Time{}
+	case now.After(s.fallbackUntil):
+		s.fallbackUntil = now.Add(s.opts.Timing.FallbackDuration)
 	}
 }
 
@@ -145,14 +145,14 @@
 	complete, after := s.set.Complete(), s.set.Floor()
 	s.mu.Unlock()
 	if !complete {
-		return s.list(ctx)
+		return s.listAll(ctx)
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.o.Timing.WatchWait+s.o.Timing.Call)
+	ctx, cancel := context.WithTimeout(ctx, s.opts.Timing.WatchWait+s.opts.Timing.CallTimeout)
 	defer cancel()
-	events, next, err := s.o.API.Watch(ctx, s.o.Kinds, after, s.o.Timing.WatchWait)
+	events, next, err := s.opts.API.Watch(ctx, s.opts.Kinds, after, s.opts.Timing.WatchWait)
 	if errors.Is(err, objectstore.ErrCompacted) {
-		s.counters.retry(err)
-		return s.list(ctx)
+		s.counters.countRetry(err)
+		return s.listAll(ctx)
 	}
 	if err != nil {
 		return errors.Wrap(err, "watch")
@@ -160,14 +160,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := s.set.ApplyEvents(events, after, next)
-	s.counters.watchReturned.Add(1)
-	s.fromStore(changed)
+	s.counters.watchesReturned.Add(1)
+	s.storeAnswered(changed)
 	return nil
 }
 
-// list reads every kind anew.
-func (s *Syncer) list(ctx context.Context) error {
-	for _, kind := range s.o.Kinds {
+// listAll reads every kind anew.
+func (s *Syncer) listAll(ctx context.Context) error {
+	for _, kind := range s.opts.Kinds {
 		if err := s.listKind(ctx, kind); err != nil {
 			return errors.Wrapf(err, "list %s", kind)
 		}
@@ -182,23 +182,23 @@
 func (s *Syncer) listKind(ctx context.Context, kind objectstore.Kind) error {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	list, err := s.o.API.List(ctx, kind, "")
+	list, err := s.opts.API.List(ctx, kind, "")
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fromStore(s.set.ApplyList(kind, list))
+	s.storeAnswered(s.set.ApplyList(kind, list))
 	return nil
 }
 
-// fromStore notes that the object API answered. Call it with mu held.
-func (s *Syncer) fromStore(changed []Header) {
-	now := s.o.Now()
-	s.watchSeen = now
+// storeAnswered notes that the object API answered. Call it with mu held.
+func (s *Syncer) storeAnswered(changed []Header) {
+	now := s.opts.Now()
+	s.lastWatchSuccess = now
 	if s.set.Complete() {
-		s.confirmed = now
+		s.confirmedAt = now
 	}
 	s.counters.fromStore.Add(int64(len(changed)))
-	s.learned(changed)
+	s.notifyChanges(changed)
 }
--- a/revision/wire.go
+++ b/revision/wire.go
@@ -57,9 +57,9 @@
 		Kind: string(r.Kind), Name: r.Name, Version: uint64(r.Version), Created: uint64(r.Created),
 		Deleted: r.Deleted, Value: r.Value,
 	}
-	if r.Good != nil {
+	if r.LastGood != nil {
 		w.Good = &configwire.Good{
-			Version: uint64(r.Good.Version), Created: uint64(r.Good.Created), Value: r.Good.Value,
+			Version: uint64(r.LastGood.Version), Created: uint64(r.LastGood.Created), Value: r.LastGood.Value,
 		}
 	}
 	return w
@@ -74,7 +74,7 @@
 		Deleted: w.GetDeleted(),
 	}
 	if g := w.GetGood(); g != nil {
-		r.Good = &objectstore.Object{
+		r.LastGood = &objectstore.Object{
 			Kind: r.Kind, Name: r.Name, Value: g.GetValue(),
 			Version: objectstore.Version(g.GetVersion()), Created: objectstore.Version(g.GetCreated()),
 		}
@@ -82,9 +82,9 @@
 	return r
 }
 
-// wireAnswer encodes a bucket list.
-func wireAnswer(list BucketList) *configwire.PullAnswer {
-	answer := &configwire.PullAnswer{Digest: toWireDigest(list.KindDigest), Buckets: list.Buckets, Whole: list.Whole}
+// toWireAnswer encodes a bucket list.
+func toWireAnswer(list BucketList) *configwire.PullAnswer {
+	answer := &configwire.PullAnswer{Digest: toWireDigest(list.KindDigest), Buckets: list.Buckets, Whole: list.Full}
 	for _, h := range list.Headers {
 		h.Kind = "" // the digest names it once for all
 		answer.Headers = append(answer.Headers, toWireHeader(h))
@@ -92,30 +92,30 @@
 	return answer
 }
 
-// bucketList decodes a bucket list.
-func bucketList(answer *configwire.PullAnswer) BucketList {
+// fromWireAnswer decodes a bucket list.
+func fromWireAnswer(answer *configwire.PullAnswer) BucketList {
 	return BucketList{
 		KindDigest: fromWireDigest(answer.GetDigest()),
 		Buckets:    answer.GetBuckets(),
-		Whole:      answer.GetWhole(),
+		Full:       answer.GetWhole(),
 		Headers:    fromWireHeaders(answer.GetHeaders()),
 	}
 }
 
-// age encodes how long ago a time was; nil for never.
-func age(now, t time.Time) *uint64 {
+// toWireAge encodes how long ago a time was; nil for never.
+func toWireAge(now, t time.Time) *uint64 {
 	if t.IsZero() {
 		return nil
 	}
 	return proto.Uint64(uint64(max(0, now.Sub(t).Milliseconds())))
 }
 
-// maxAge bounds an age that a peer tells.
-const maxAge = 1000 * time.Hour
+// maxWireAge bounds an age that a peer tells.
+const maxWireAge = 1000 * time.Hour
 
-// fromAge decodes an age into a time; zero for never.
-func fromAge(now time.Time, ms *uint64) time.Time {
-	if ms == nil || *ms > uint64(maxAge.Milliseconds()) {
+// fromWireAge decodes an age into a time; zero for never.
+func fromWireAge(now time.Time, ms *uint64) time.Time {
+	if ms == nil || *ms > uint64(maxWireAge.Milliseconds()) {
 		return time.Time{}
 	}
 	return now.Add(-time.Duration(*ms) * time.Millisecond)
--- a/workspace/check.go
+++ b/workspace/check.go
@@ -39,8 +39,8 @@
 	c.findings.Add(c.file, path, format, args...)
 }
 
-// name checks a DNS-like name.
-func (c *checker) name(path, v string) {
+// checkName checks a DNS-like name.
+func (c *checker) checkName(path, v string) {
 	switch {
 	case v == "":
 		c.add(path, "missing")
@@ -49,15 +49,15 @@
 	}
 }
 
-// between checks an integer's bounds, both included.
-func (c *checker) between(path string, v, low, high int64) {
+// checkRange checks an integer's bounds, both included.
+func (c *checker) checkRange(path string, v, low, high int64) {
 	if v < low || v > high {
 		c.add(path, "%d is not between %d and %d", v, low, high)
 	}
 }
 
-// unique checks that no name stands twice.
-func (c *checker) unique(names []string, path func(i int) string) {
+// checkUnique checks that no name stands twice.
+func (c *checker) checkUnique(names []string, path func(i int) string) {
 	seen := make(map[string]bool, len(names))
 	for i, n := range names {
 		if n != "" && seen[n] {
@@ -67,15 +67,15 @@
 	}
 }
 
-// objectFile is the File of a stored object's findings.
-func objectFile(kind objectstore.Kind, name string) string {
+// objectLocation is the File of a stored object's findings.
+func objectLocation(kind objectstore.Kind, name string) string {
 	return fmt.Sprintf("%s/%s", kind, name)
 }
 
 // CheckObject checks one stored object by itself, without the objects that it
 // names. A nil result means that it may go in force.
 func CheckObject(o objectstore.Object) Findings {
-	_, findings := decodeObject(objectFile(o.Kind, o.Name), o.Kind, o.Name, o.Value)
+	_, findings := decodeObject(objectLocation(o.Kind, o.Name), o.Kind, o.Name, o.Value)
 	return findings
 }
 
@@ -86,22 +86,22 @@
 	if findings != nil {
 		return nil, findings
 	}
-	return decodeRoot(file, kind, name, root)
+	return decodeParsed(file, kind, name, root)
 }
 
-// decodeRoot is decodeObject for a parsed value.
-func decodeRoot(file string, kind objectstore.Kind, name string, root *node) (any, Findings) {
+// decodeParsed is decodeObject for a parsed value.
+func decodeParsed(file string, kind objectstore.Kind, name string, root *node) (any, Findings) {
 	switch kind {
 	case KindTemplate:
-		return decodeAs(file, name, root, func(t *Template) string { return t.Name }, checkTemplate)
+		return decodeAndCheck(file, name, root, func(t *Template) string { return t.Name }, checkTemplate)
 	case KindWorkspace:
-		return decodeAs(file, name, root, func(w *Workspace) string { return w.Name }, checkWorkspace)
+		return decodeAndCheck(file, name, root, func(w *Workspace) string { return w.Name }, checkWorkspace)
 	case KindPool:
-		return decodeAs(file, name, root, func(p *Pool) string { return p.Name }, checkPool)
+		return decodeAndCheck(file, name, root, func(p *Pool) string { return p.Name }, checkPool)
 	case KindBackendServer:
-		return decodeAs(file, name, root, func(s *BackendServer) string { return s.Name }, checkServer)
+		return decodeAndCheck(file, name, root, func(s *BackendServer) string { return s.Name }, checkServer)
 	case KindAssignment:
-		return decodeAs(file, name, root, func(a *Assignment) string { return a.Server }, checkAssignment)
+		return decodeAndCheck(file, name, root, func(a *Assignment) string { return a.Server }, checkAssignment)
 	default:
 		var f Findings
 		f.Add(file, "kind", "unknown kind %q, want one of %v", kind, Kinds())
@@ -109,8 +109,8 @@
 	}
 }
 
-// decodeAs decodes a value of one type and checks it.
-func decodeAs[T any](file, name string, root *node, nameOf func(*T) string, check func(*checker, *T)) (any, Findings) {
+// decodeAndCheck decodes a value of one type and checks it.
+func decodeAndCheck[T any](file, name string, root *node, nameOf func(*T) string, check func(*checker, *T)) (any, Findings) {
 	out := new(T)
 	findings := decodeNode(file, "", root, out)
 	if findings.Fatal() != nil {
@@ -129,8 +129,8 @@
 
 // checkWorkspace checks a workspace without its template.
 func checkWorkspace(c *checker, w *Workspace) {
-	c.name("name", w.Name)
-	c.name("template", w.Template)
+	c.checkName("name", w.Name)
+	c.checkName("template", w.Template)
 	if len(w.Keys) == 0 {
 		c.add("keys", "missing: without a key no caller can use the workspace")
 	}
@@ -138,13 +138,13 @@
 	hashes := make([]string, len(w.Keys))
 	for i, k := range w.Keys {
 		ids[i], hashes[i] = k.ID, strings.ToLower(k.SHA256)
-		c.name(fmt.Sprintf("keys[%d].id", i), k.ID)
+		c.checkName(fmt.Sprintf("keys[%d].id", i), k.ID)
 		if _, ok := parseKeyHash(k.SHA256); !ok {
 			c.add(fmt.Sprintf("keys[%d].sha256", i), "want the key's SHA-256 as 64 hex digits")
 		}
 	}
-	c.unique(ids, func(i int) string { return fmt.Sprintf("keys[%d].id", i) })
-	c.unique(hashes, func(i int) string { return fmt.Sprintf("keys[%d].sha256", i) })
+	c.checkUnique(ids, func(i int) string { return fmt.Sprintf("keys[%d].id", i) })
+	c.checkUnique(hashes, func(i int) string { return fmt.Sprintf("keys[%d].sha256", i) })
 }
 
 // parseKeyHash reads a key's SHA-256 in hex.
@@ -159,18 +159,18 @@
 
 // checkPool checks a pool without its servers.
 func checkPool(c *checker, p *Pool) {
-	c.name("name", p.Name)
-	c.name("region", p.Region)
+	c.checkName("name", p.Name)
+	c.checkName("region", p.Region)
 	switch {
 	case p.Model == "" && p.Service == "":
 		c.add("model", "missing: a pool serves a model (with its version) or a service")
 	case p.Model != "" && p.Service != "":
 		c.add("service", "a pool serves a model or a service, not both")
 	case p.Model != "":
-		c.name("model", p.Model)
-		c.name("version", p.Version)
+		c.checkName("model", p.Model)
+		c.checkName("version", p.Version)
 	default:
-		c.name("service", p.Service)
+		c.checkName("service", p.Service)
 		if p.Version != "" {
 			c.add("version", "a service has no version")
 		}
@@ -178,32 +178,32 @@
 	if !slices.Contains(policies, p.Policy) {
 		c.add("policy", "%q is not one of %q", p.Policy, policies[1:])
 	}
-	c.between("min_servers", int64(p.MinServers), 0, MaxPoolServers)
-	c.between("max_servers", int64(p.MaxServers), 0, MaxPoolServers)
+	c.checkRange("min_servers", int64(p.MinServers), 0, MaxPoolServers)
+	c.checkRange("max_servers", int64(p.MaxServers), 0, MaxPoolServers)
 	if p.MaxServers != 0 && p.MinServers > p.MaxServers {
 		c.add("min_servers", "%d is over max_servers %d", p.MinServers, p.MaxServers)
 	}
-	c.between("max_waiting", int64(p.MaxWaiting), 0, MaxPoolWaiting)
+	c.checkRange("max_waiting", int64(p.MaxWaiting), 0, MaxPoolWaiting)
 }
 
 // checkServer checks a backend server without its pool.
 func checkServer(c *checker, s *BackendServer) {
-	c.name("name", s.Name)
-	c.name("region", s.Region)
-	c.name("availability_zone", s.AvailabilityZone)
-	c.name("pool", s.Pool)
+	c.checkName("name", s.Name)
+	c.checkName("region", s.Region)
+	c.checkName("availability_zone", s.AvailabilityZone)
+	c.checkName("pool", s.Pool)
 	if s.Generation != "" {
-		c.name("generation", s.Generation)
+		c.checkName("generation", s.Generation)
 	}
 	address, err := netip.ParseAddrPort(s.Address)
 	if err != nil || address.Port() == 0 || address.Addr().IsUnspecified() {
 		c.add("address", "%q is not an IP address with a port, as in 10.0.0.7:8000", s.Address)
 	}
-	c.between("slots", int64(s.Slots), 0, MaxServerSlots)
+	c.checkRange("slots", int64(s.Slots), 0, MaxServerSlots)
 }
 
 // checkAssignment checks an assignment without its server and pool.
 func checkAssignment(c *checker, a *Assignment) {
-	c.name("server", a.Server)
-	c.name("pool", a.Pool)
+	c.checkName("server", a.Server)
+	c.checkName("pool", a.Pool)
 }
--- a/workspace/check_template.go
+++ b/workspace/check_template.go
@@ -24,13 +24,13 @@
 
 // checkTemplate checks a template by itself.
 func checkTemplate(c *checker, t *Template) {
-	c.name("name", t.Name)
+	c.checkName("name", t.Name)
 	for name, p := range t.Parameters {
-		checkParameter(c, join("parameters", name), name, &p)
+		checkParameter(c, joinPath("parameters", name), name, &p)
 	}
 	checkTiers(c, t)
-	c.template(t).number("max_tokens", t.MaxTokens, 1, MaxTokens)
-	c.template(t).number("max_body_bytes", t.MaxBodyBytes, 1, MaxBodyBytes)
+	c.forTemplate(t).checkNumber("max_tokens", t.MaxTokens, 1, MaxTokens)
+	c.forTemplate(t).checkNumber("max_body_bytes", t.MaxBodyBytes, 1, MaxBodyBytes)
 	if len(t.Models)+len(t.Services) == 0 {
 		c.add("models", "missing: a template names a model or a service")
 	}
@@ -60,21 +60,21 @@
 		return
 	}
 	if p.Default != nil {
-		if _, err := parameterValue(p, p.Default); err != nil {
+		if _, err := parseParamValue(p, p.Default); err != nil {
 			c.add(path+".default", "%v", err)
 		}
 	}
 }
 
-// value is a parameter's value: an integer or a string.
-type value struct {
+// paramValue is a parameter's value: an integer or a string.
+type paramValue struct {
 	number int64
 	text   string
 }
 
-// parameterValue reads and bounds a value of a parameter.
-func parameterValue(p *Parameter, raw json.RawMessage) (value, error) {
-	var v value
+// parseParamValue reads and bounds a value of a parameter.
+func parseParamValue(p *Parameter, raw json.RawMessage) (paramValue, error) {
+	var v paramValue
 	if p.Type == typeInt {
 		if err := json.Unmarshal(raw, &v.number); err != nil {
 			return v, fmt.Errorf("want an integer, not %s", raw)
@@ -102,20 +102,20 @@
 	t *Template
 }
 
-// template returns a checker of t's values.
-func (c *checker) template(t *Template) templateChecker { return templateChecker{c, t} }
+// forTemplate returns a checker of t's values.
+func (c *checker) forTemplate(t *Template) templateChecker { return templateChecker{c, t} }
 
-// number checks a literal's bounds, or that the parameter is a declared int.
-func (c templateChecker) number(path string, n Number, low, high int64) {
+// checkNumber checks a literal's bounds, or that the parameter is a declared int.
+func (c templateChecker) checkNumber(path string, n Number, low, high int64) {
 	if n.Parameter == "" {
-		c.between(path, n.Value, low, high)
+		c.checkRange(path, n.Value, low, high)
 		return
 	}
-	c.declared(path, n.Parameter, typeInt)
+	c.checkParameterRef(path, n.Parameter, typeInt)
 }
 
-// declared checks that a parameter of the type is declared.
-func (c templateChecker) declared(path, name, want string) {
+// checkParameterRef checks that a parameter of the type is declared.
+func (c templateChecker) checkParameterRef(path, name, want string) {
 	p, ok := c.t.Parameters[name]
 	switch {
 	case !ok:
@@ -125,8 +125,8 @@
 	}
 }
 
-// tier checks that an optional tier name exists.
-func (c templateChecker) tier(path, name string) {
+// checkTierRef checks that an optional tier name exists.
+func (c templateChecker) checkTierRef(path, name string) {
 	if name == "" {
 		return
 	}
@@ -137,79 +137,79 @@
 
 // checkTiers checks the tiers' names, priorities and targets.
 func checkTiers(c *checker, t *Template) {
-	tc := c.template(t)
+	tc := c.forTemplate(t)
 	if len(t.Tiers) < 1 || len(t.Tiers) > request.MaxTiers {
 		c.add("tiers", "want 1 to %d tiers, not %d", request.MaxTiers, len(t.Tiers))
 	}
 	names := make([]string, len(t.Tiers))
 	priorities := make([]string, len(t.Tiers))
 	for i, s := range t.Tiers {
-		at := fmt.Sprintf("tiers[%d]", i)
+		path := fmt.Sprintf("tiers[%d]", i)
 		names[i], priorities[i] = s.Name, fmt.Sprint(s.Priority)
-		c.name(at+".name", s.Name)
-		c.between(at+".priority", int64(s.Priority), 0, request.MaxTiers-1)
-		tc.number(at+".first_token_ms", s.FirstTokenMs, 1, MaxTargetMs)
-		tc.number(at+".per_token_ms", s.PerTokenMs, 1, MaxTargetMs)
-		tc.number(at+".deadline_ms", s.DeadlineMs, 1, MaxTargetMs)
-		tc.number(at+".max_waiting", s.MaxWaiting, 0, MaxPoolWaiting)
+		c.checkName(path+".name", s.Name)
+		c.checkRange(path+".priority", int64(s.Priority), 0, request.MaxTiers-1)
+		tc.checkNumber(path+".first_token_ms", s.FirstTokenMs, 1, MaxTargetMs)
+		tc.checkNumber(path+".per_token_ms", s.PerTokenMs, 1, MaxTargetMs)
+		tc.checkNumber(path+".deadline_ms", s.DeadlineMs, 1, MaxTargetMs)
+		tc.checkNumber(path+".max_waiting", s.MaxWaiting, 0, MaxPoolWaiting)
 		literal := s.FirstTokenMs.Parameter == "" && s.DeadlineMs.Parameter == ""
 		if literal && s.FirstTokenMs.Value > s.DeadlineMs.Value {
-			c.add(at+".first_token_ms", "%d is over deadline_ms %d", s.FirstTokenMs.Value, s.DeadlineMs.Value)
+			c.add(path+".first_token_ms", "%d is over deadline_ms %d", s.FirstTokenMs.Value, s.DeadlineMs.Value)
 		}
 	}
-	c.unique(names, func(i int) string { return fmt.Sprintf("tiers[%d].name", i) })
-	c.unique(priorities, func(i int) string { return fmt.Sprintf("tiers[%d].priority", i) })
+	c.checkUnique(names, func(i int) string { return fmt.Sprintf("tiers[%d].name", i) })
+	c.checkUnique(priorities, func(i int) string { return fmt.Sprintf("tiers[%d].priority", i) })
 	if t.DefaultTier == "" {
 		c.add("default_tier", "missing")
 	}
-	tc.tier("default_tier", t.DefaultTier)
+	tc.checkTierRef("default_tier", t.DefaultTier)
 }
 
 // checkModels checks the models.
 func checkModels(c *checker, t *Template) {
-	tc := c.template(t)
+	tc := c.forTemplate(t)
 	names := make([]string, len(t.Models))
 	for i, m := range t.Models {
-		at := fmt.Sprintf("models[%d]", i)
+		path := fmt.Sprintf("models[%d]", i)
 		names[i] = m.Name
-		c.name(at+".name", m.Name)
-		tc.tier(at+".tier", m.Tier)
+		c.checkName(path+".name", m.Name)
+		tc.checkTierRef(path+".tier", m.Tier)
 		if parameter, ok := parameterName(m.Version); ok {
-			tc.declared(at+".version", parameter, typeString)
+			tc.checkParameterRef(path+".version", parameter, typeString)
 		} else {
-			c.name(at+".version", m.Version)
+			c.checkName(path+".version", m.Version)
 		}
 	}
-	c.unique(names, func(i int) string { return fmt.Sprintf("models[%d].name", i) })
+	c.checkUnique(names, func(i int) string { return fmt.Sprintf("models[%d].name", i) })
 }
 
 // checkServices checks the plain services and their rules.
 func checkServices(c *checker, t *Template) {
-	tc := c.template(t)
+	tc := c.forTemplate(t)
 	names := make([]string, len(t.Services))
 	for i, s := range t.Services {
-		at := fmt.Sprintf("services[%d]", i)
+		path := fmt.Sprintf("services[%d]", i)
 		names[i] = s.Name
-		c.name(at+".name", s.Name)
-		c.name(at+".pool", s.Pool)
-		tc.tier(at+".tier", s.Tier)
+		c.checkName(path+".name", s.Name)
+		c.checkName(path+".pool", s.Pool)
+		tc.checkTierRef(path+".tier", s.Tier)
 		for j, r := range s.Rules {
-			checkRule(tc, fmt.Sprintf("%s.rules[%d]", at, j), r)
+			checkRule(tc, fmt.Sprintf("%s.rules[%d]", path, j), r)
 		}
 	}
-	c.unique(names, func(i int) string { return fmt.Sprintf("services[%d].name", i) })
+	c.checkUnique(names, func(i int) string { return fmt.Sprintf("services[%d].name", i) })
 }
 
 // checkRule checks one rule of a service.
-func checkRule(c templateChecker, at string, r ServiceRule) {
+func checkRule(c templateChecker, path string, r ServiceRule) {
 	if !slices.Contains(methods, r.Method) {
-		c.add(at+".method", "%q is not one of %q", r.Method, methods)
+		c.add(path+".method", "%q is not one of %q", r.Method, methods)
 	}
 	if !strings.HasPrefix(r.Path, "/") {
-		c.add(at+".path", "%q does not start with '/'", r.Path)
+		c.add(path+".path", "%q does not start with '/'", r.Path)
 	}
 	if i := strings.Index(r.Path, "**"); i >= 0 && i != len(r.Path)-2 {
-		c.add(at+".path", "\"**\" may stand only at the end")
+		c.add(path+".path", "\"**\" may stand only at the end")
 	}
-	c.tier(at+".tier", r.Tier)
+	c.checkTierRef(path+".tier", r.Tier)
 }
--- a/workspace/check_test.go
+++ b/workspace/check_test.go
@@ -55,9 +55,9 @@
 	})
 	for _, c := range cases {
 		Convey(fmt.Sprintf("%s is found", c.new), t, func() {
-			broken := strings.Replace(goodTemplate, c.old, c.new, 1)
-			So(broken, ShouldNotEqual, goodTemplate)
-			_, findings := workspace.ParseFile("f.json", []byte(broken))
+			invalid := strings.Replace(goodTemplate, c.old, c.new, 1)
+			So(invalid, ShouldNotEqual, goodTemplate)
+			_, findings := workspace.ParseFile("f.json", []byte(invalid))
 			So(findings, ShouldNotBeEmpty)
 			paths := map[string]string{}
 			for _, f := range findings {
@@ -76,11 +76,11 @@
 			{"kind":"Pool","name":"p","region":"r","model":"m","version":"v1","service":"s","policy":"best","min_servers":40},
 			{"kind":"BackendServer","name":"s","address":"engine.local:80","region":"r","availability_zone":"z","pool":"p","slots":-1},
 			{"kind":"Lease","name":"l"}, {"name":"x"}, 7]`))
-		var places []string
+		var paths []string
 		for _, f := range findings {
-			places = append(places, f.Path)
+			paths = append(paths, f.Path)
 		}
-		So(places, ShouldResemble, []string{
+		So(paths, ShouldResemble, []string{
 			"[0].name", "[0].keys[0].sha256", "[1].service", "[1].policy", "[1].min_servers",
 			"[2].address", "[2].slots", "[3].kind", "[4].kind", "[5]",
 		})
@@ -104,7 +104,7 @@
 	})
 }
 
-func TestAnyText(t *testing.T) {
+func TestParseFileSurvivesAnyInput(t *testing.T) {
 	// Guards against this: the tool or every daemon crashes on one stored object.
 	rapid.Check(t, func(t *rapid.T) {
 		text := []byte(goodTemplate)
--- a/workspace/compile.go
+++ b/workspace/compile.go
@@ -16,14 +16,14 @@
 // did not change between them, so that one change costs one decode and not
 // one of every object. It is not safe for concurrent use.
 type Compiler struct {
-	// decoded holds each object version's decoding.
-	decoded map[objectVersion]*decoded
-	// inForce is the last good version of each object that still exists.
-	inForce map[objectID]*decoded
-	// resolved is each workspace's resolution in force.
-	resolved map[string]*resolution
-	// keyOwner is which workspace each key belonged to.
-	keyOwner map[KeyHash]string
+	// decodedObject holds each object version's decoding.
+	cache map[objectVersion]*decodedObject
+	// active is the last good version of each object that still exists.
+	active map[objectID]*decodedObject
+	// resolutions is each workspace's resolution in force.
+	resolutions map[string]*resolution
+	// keyOwners is which workspace each key belonged to.
+	keyOwners map[KeyHash]string
 }
 
 // objectID names an object.
@@ -38,38 +38,38 @@
 	version objectstore.Version
 }
 
-// decoded is one checked version of an object.
-type decoded struct {
-	id       objectID
-	version  objectstore.Version
-	created  objectstore.Version
-	value    any // *Template and so on; nil where the version is bad
-	findings Findings
-	older    *decoded // the next older listed version of the same object
+// decodedObject is one checked version of an object.
+type decodedObject struct {
+	id        objectID
+	version   objectstore.Version
+	created   objectstore.Version
+	value     any // *Template and so on; nil where the version is bad
+	findings  Findings
+	nextOlder *decodedObject // the next older listed version of the same object
 }
 
 // resolution is a workspace resolved from one version of it and its template.
 type resolution struct {
-	workspace, template *decoded
-	share               shareKey
-	out                 *Resolved
+	workspace, template *decodedObject
+	key                 resolutionKey
+	resolved            *ResolvedWorkspace
 	findings            Findings // what did not fit, where out is without it
 }
 
-// shareKey names what a resolution is made of, but for the workspace's name:
+// resolutionKey names what a resolution is made of, but for the workspace's name:
 // workspaces of equal keys share their tiers, models and services in memory.
-type shareKey struct {
-	template   *decoded
+type resolutionKey struct {
+	template   *decodedObject
 	parameters string
 }
 
 // NewCompiler returns a Compiler with nothing in force.
 func NewCompiler() *Compiler {
 	return &Compiler{
-		decoded:  map[objectVersion]*decoded{},
-		inForce:  map[objectID]*decoded{},
-		resolved: map[string]*resolution{},
-		keyOwner: map[KeyHash]string{},
+		cache:       map[objectVersion]*decodedObject{},
+		active:      map[objectID]*decodedObject{},
+		resolutions: map[string]*resolution{},
+		keyOwners:   map[KeyHash]string{},
 	}
 }
 
@@ -78,9 +78,9 @@
 	*Compiler
 	findings Findings
 	// byKind holds the versions to put in force, sorted by name.
-	byKind map[objectstore.Kind][]*decoded
-	shared map[shareKey]*Resolved
-	out    *Snapshot
+	byKind      map[objectstore.Kind][]*decodedObject
+	sharedByKey map[resolutionKey]*ResolvedWorkspace
+	snapshot    *Snapshot
 }
 
 // Compile resolves the objects into a snapshot. An object may be listed in
@@ -92,123 +92,123 @@
 // workspace out of force, or take out its own until somebody notices.
 func (c *Compiler) Compile(objects []objectstore.Object) (*Snapshot, Findings) {
 	run := &compilation{
-		Compiler: c,
-		byKind:   map[objectstore.Kind][]*decoded{},
-		shared:   map[shareKey]*Resolved{},
-		out: &Snapshot{
-			Workspaces: map[KeyHash]*Resolved{},
+		Compiler:    c,
+		byKind:      map[objectstore.Kind][]*decodedObject{},
+		sharedByKey: map[resolutionKey]*ResolvedWorkspace{},
+		snapshot: &Snapshot{
+			Workspaces: map[KeyHash]*ResolvedWorkspace{},
 			Pools:      map[string]*ResolvedPool{},
 			ModelPools: map[ModelRegion][]*ResolvedPool{},
 		},
 	}
-	run.decode(objects)
-	run.pools()
-	run.servers()
-	run.workspaces()
-	run.references()
+	run.decodeObjects(objects)
+	run.addPools()
+	run.addServers()
+	run.addWorkspaces()
+	run.checkReferences()
 	slices.SortStableFunc(run.findings, func(a, b Finding) int {
 		return cmp.Or(cmp.Compare(a.File, b.File), cmp.Compare(a.Path, b.Path))
 	})
-	return run.out, run.findings
+	return run.snapshot, run.findings
 }
 
-// decode decodes what is new and picks each object's version in force.
-func (run *compilation) decode(objects []objectstore.Object) {
-	versions := make(map[objectID]*decoded, len(objects))
-	kept := make(map[objectVersion]*decoded, len(objects))
+// decodeObjects decodes what is new and picks each object's version in force.
+func (run *compilation) decodeObjects(objects []objectstore.Object) {
+	versions := make(map[objectID]*decodedObject, len(objects))
+	cache := make(map[objectVersion]*decodedObject, len(objects))
 	for _, o := range objects {
 		key := objectVersion{objectID{o.Kind, o.Name}, o.Version}
-		d, ok := run.decoded[key]
+		d, ok := run.cache[key]
 		if !ok {
-			d = &decoded{id: key.objectID, version: o.Version, created: o.Created}
-			d.value, d.findings = decodeObject(objectFile(o.Kind, o.Name), o.Kind, o.Name, o.Value)
+			d = &decodedObject{id: key.objectID, version: o.Version, created: o.Created}
+			d.value, d.findings = decodeObject(objectLocation(o.Kind, o.Name), o.Kind, o.Name, o.Value)
 		}
-		kept[key] = d
-		versions[key.objectID] = d.before(versions[key.objectID])
-		run.out.Version = max(run.out.Version, o.Version)
+		cache[key] = d
+		versions[key.objectID] = d.insertInto(versions[key.objectID])
+		run.snapshot.Version = max(run.snapshot.Version, o.Version)
 	}
-	run.decoded = kept
-	inForce := make(map[objectID]*decoded, len(versions))
+	run.cache = cache
+	active := make(map[objectID]*decodedObject, len(versions))
 	for id, newest := range versions {
-		if d := run.pick(id, newest); d != nil {
-			inForce[id] = d
+		if d := run.selectVersion(id, newest); d != nil {
+			active[id] = d
 			run.byKind[id.kind] = append(run.byKind[id.kind], d)
 		}
 	}
-	run.inForce = inForce
+	run.active = active
 	for _, list := range run.byKind {
-		slices.SortFunc(list, func(a, b *decoded) int { return cmp.Compare(a.id.name, b.id.name) })
+		slices.SortFunc(list, func(a, b *decodedObject) int { return cmp.Compare(a.id.name, b.id.name) })
 	}
 }
 
-// file is the File of the object's findings.
-func (d *decoded) file() string { return objectFile(d.id.kind, d.id.name) }
+// location is the File of the object's findings.
+func (d *decodedObject) location() string { return objectLocation(d.id.kind, d.id.name) }
 
-// before puts d into a list of one object's versions, newest first.
-func (d *decoded) before(list *decoded) *decoded {
+// insertInto puts d into a list of one object's versions, newest first.
+func (d *decodedObject) insertInto(list *decodedObject) *decodedObject {
 	if list != nil && list.version > d.version {
-		list.older = d.before(list.older)
+		list.nextOlder = d.insertInto(list.nextOlder)
 		return list
 	}
-	d.older = list
+	d.nextOlder = list
 	return d
 }
 
-// pick reports the newest version's findings and returns the newest good
+// selectVersion reports the newest version's findings and returns the newest good
 // version, or nil.
-func (run *compilation) pick(id objectID, newest *decoded) *decoded {
+func (run *compilation) selectVersion(id objectID, newest *decodedObject) *decodedObject {
 	run.findings = append(run.findings, newest.findings...)
-	for d := newest; d != nil; d = d.older {
+	for d := newest; d != nil; d = d.nextOlder {
 		if d.value != nil {
 			return d
 		}
 	}
-	return run.inForce[id]
+	return run.active[id]
 }
 
-// pools puts the pools in force, still without servers.
-func (run *compilation) pools() {
+// addPools puts the pools in force, still without servers.
+func (run *compilation) addPools() {
 	for _, d := range run.byKind[KindPool] {
 		p := d.value.(*Pool)
 		resolved := &ResolvedPool{Pool: *p}
-		run.out.Pools[p.Name] = resolved
+		run.snapshot.Pools[p.Name] = resolved
 		if p.Model != "" {
 			key := ModelRegion{p.Model, p.Version, p.Region}
-			run.out.ModelPools[key] = append(run.out.ModelPools[key], resolved)
+			run.snapshot.ModelPools[key] = append(run.snapshot.ModelPools[key], resolved)
 		}
 	}
 }
 
-// servers puts each server in the pool that it serves now.
-func (run *compilation) servers() {
-	assigned := run.assignments()
+// addServers puts each server in the pool that it serves now.
+func (run *compilation) addServers() {
+	assigned := run.warmAssignments()
 	servers := slices.Clone(run.byKind[KindBackendServer])
 	// The oldest first: a new server never displaces one that serves.
-	slices.SortFunc(servers, func(a, b *decoded) int {
+	slices.SortFunc(servers, func(a, b *decodedObject) int {
 		return cmp.Or(cmp.Compare(a.created, b.created), cmp.Compare(a.id.name, b.id.name))
 	})
 	addresses := make(map[string]string, len(servers))
 	for _, d := range servers {
 		s := *d.value.(*BackendServer)
 		if other, taken := addresses[s.Address]; taken {
-			run.findings.Add(d.file(), "address", "%s is the address of server %q", s.Address, other)
+			run.findings.Add(d.location(), "address", "%s is the address of server %q", s.Address, other)
 			continue
 		}
 		addresses[s.Address] = s.Name
-		run.place(d, s, assigned[s.Name])
+		run.placeServer(d, s, assigned[s.Name])
 	}
-	for _, p := range run.out.Pools {
+	for _, p := range run.snapshot.Pools {
 		slices.SortFunc(p.Servers, func(a, b BackendServer) int { return cmp.Compare(a.Name, b.Name) })
 	}
 }
 
-// assignments returns the pools that warm servers are assigned to.
-func (run *compilation) assignments() map[string]string {
+// warmAssignments returns the pools that warm servers are assigned to.
+func (run *compilation) warmAssignments() map[string]string {
 	out := make(map[string]string)
 	for _, d := range run.byKind[KindAssignment] {
 		a := d.value.(*Assignment)
-		if run.inForce[objectID{KindBackendServer, a.Server}] == nil {
-			run.findings.Warn(d.file(), "server", "no backend server %q", a.Server)
+		if run.active[objectID{KindBackendServer, a.Server}] == nil {
+			run.findings.Warn(d.location(), "server", "no backend server %q", a.Server)
 		}
 		if a.Warm {
 			out[a.Server] = a.Pool
@@ -217,26 +217,26 @@
 	return out
 }
 
-// place adds a server to its pool: the one assigned, else its own.
-func (run *compilation) place(d *decoded, s BackendServer, assigned string) {
+// placeServer adds a server to its pool: the one assigned, else its own.
+func (run *compilation) placeServer(d *decodedObject, s BackendServer, assigned string) {
 	if assigned != "" {
-		if problem := run.unfit(s, assigned); problem == "" {
+		if reason := run.placementError(s, assigned); reason == "" {
 			s.Pool = assigned
 		} else {
-			run.findings.Warn(objectFile(KindAssignment, s.Name), "pool", "%s", problem)
+			run.findings.Warn(objectLocation(KindAssignment, s.Name), "pool", "%s", reason)
 		}
 	}
-	if problem := run.unfit(s, s.Pool); problem != "" {
-		run.findings.Add(d.file(), "pool", "%s", problem)
+	if reason := run.placementError(s, s.Pool); reason != "" {
+		run.findings.Add(d.location(), "pool", "%s", reason)
 		return
 	}
-	p := run.out.Pools[s.Pool]
+	p := run.snapshot.Pools[s.Pool]
 	p.Servers = append(p.Servers, s)
 }
 
-// unfit says why a server can't be in a pool; empty where it can.
-func (run *compilation) unfit(s BackendServer, pool string) string {
-	p, ok := run.out.Pools[pool]
+// placementError says why a server can't be in a pool; empty where it can.
+func (run *compilation) placementError(s BackendServer, pool string) string {
+	p, ok := run.snapshot.Pools[pool]
 	switch {
 	case !ok:
 		return "no pool " + quote(pool)
--- a/workspace/compile_test.go
+++ b/workspace/compile_test.go
@@ -12,10 +12,10 @@
 	"github.com/lycheekeel/lycheekeel/workspace/workspacetest"
 )
 
-var small = workspacetest.Fleet{Workspaces: 3, Servers: 4, Models: 1, Regions: 1, Templates: 1}
+var small = workspacetest.Size{Workspaces: 3, Servers: 4, Models: 1, Regions: 1, Templates: 1}
 
-// change returns the objects with one replaced or added as their newest.
-func change(objects []objectstore.Object, kind objectstore.Kind, name, value string) []objectstore.Object {
+// withObject returns the objects with one replaced or added as their newest.
+func withObject(objects []objectstore.Object, kind objectstore.Kind, name, value string) []objectstore.Object {
 	next := objectstore.Object{Kind: kind, Name: name, Version: 1, Created: 1, Value: []byte(value)}
 	out := []objectstore.Object{}
 	for _, o := range objects {
@@ -32,7 +32,7 @@
 	return append(out, next)
 }
 
-func TestBadObjectStaysAtLastGood(t *testing.T) {
+func TestInvalidObjectKeepsLastGoodVersion(t *testing.T) {
 	// Guards against this: after an operator's mistake callers of one or all workspaces are refused.
 	Convey("A bad object stays at its last good version and the rest goes on", t, func() {
 		objects := small.Objects()
@@ -40,9 +40,9 @@
 		first, findings := c.Compile(objects)
 		So(findings, ShouldBeEmpty)
 
-		bad := change(objects, workspace.KindTemplate, "template-0", `{"name":"template-0","tiers":[]}`)
-		bad = change(bad, workspace.KindWorkspace, "new", `{"name":"new","template":"template-0","keys":[{"id":"a","sha256":"`+workspacetest.Hash("new")+`"}]}`)
-		snapshot, findings := c.Compile(bad)
+		invalid := withObject(objects, workspace.KindTemplate, "template-0", `{"name":"template-0","tiers":[]}`)
+		invalid = withObject(invalid, workspace.KindWorkspace, "new", `{"name":"new","template":"template-0","keys":[{"id":"a","sha256":"`+workspacetest.KeyHash("new")+`"}]}`)
+		snapshot, findings := c.Compile(invalid)
 		So(findings.Fatal(), ShouldNotBeEmpty)
 		So(findings[0].File, ShouldEqual, "Template/template-0")
 		So(snapshot.Version, ShouldBeGreaterThan, first.Version)
@@ -53,8 +53,8 @@
 		}
 
 		Convey("also on a daemon that starts with both versions from a peer", func() {
-			fresh, _ := workspace.Compile(append(bad, objects...))
-			w, ok := fresh.ByKey("new")
+			restarted, _ := workspace.Compile(append(invalid, objects...))
+			w, ok := restarted.ByKey("new")
 			So(ok, ShouldBeTrue)
 			So(w.Tiers, ShouldHaveLength, 4)
 		})
@@ -64,9 +64,9 @@
 		objects := small.Objects()
 		c := workspace.NewCompiler()
 		c.Compile(objects)
-		changed := change(objects, workspace.KindWorkspace, "workspace-1",
+		changed := withObject(objects, workspace.KindWorkspace, "workspace-1",
 			`{"name":"workspace-1","template":"template-0","parameters":{"deadline":0,"gone":1},"keys":[{"id":"main","sha256":"`+
-				workspacetest.Hash(workspacetest.Key("workspace-1"))+`"}]}`)
+				workspacetest.KeyHash(workspacetest.Key("workspace-1"))+`"}]}`)
 		snapshot, findings := c.Compile(changed)
 		So(findings, ShouldHaveLength, 2)
 		So(findings[0].Path, ShouldEqual, "parameters.deadline")
@@ -87,18 +87,18 @@
 	})
 }
 
-func TestKeyOfAnotherWorkspace(t *testing.T) {
+func TestKeyStaysWithItsWorkspace(t *testing.T) {
 	// Guards against this: a customer's requests run under another customer's workspace.
 	Convey("A key stays with the workspace that has it", t, func() {
 		objects := small.Objects()
 		c := workspace.NewCompiler()
 		c.Compile(objects)
-		key := workspacetest.Hash(workspacetest.Key("workspace-0"))
-		stolen := change(objects, workspace.KindWorkspace, "workspace-2",
+		key := workspacetest.KeyHash(workspacetest.Key("workspace-0"))
+		duplicated := withObject(objects, workspace.KindWorkspace, "workspace-2",
 			`{"name":"workspace-2","template":"template-0","keys":[{"id":"main","sha256":"`+key+`"}]}`)
-		again := change(stolen, workspace.KindWorkspace, "workspace-0",
+		repeated := withObject(duplicated, workspace.KindWorkspace, "workspace-0",
 			`{"name":"workspace-0","template":"template-0","keys":[{"id":"main","sha256":"`+key+`"}]}`)
-		for _, step := range [][]objectstore.Object{stolen, again} {
+		for _, step := range [][]objectstore.Object{duplicated, repeated} {
 			snapshot, findings := c.Compile(step)
 			So(findings, ShouldHaveLength, 1)
 			So(findings[0].String(), ShouldEqual, `Workspace/workspace-2: keys[0].sha256: is a key of workspace "workspace-0"`)
@@ -110,8 +110,8 @@
 	})
 }
 
-func TestServers(t *testing.T) {
-	objects := workspacetest.Fleet{Workspaces: 1, Servers: 17, Models: 2, Regions: 1, Templates: 1}.Objects()
+func TestServerPlacement(t *testing.T) {
+	objects := workspacetest.Size{Workspaces: 1, Servers: 17, Models: 2, Regions: 1, Templates: 1}.Objects()
 	servers := func(s *workspace.Snapshot, p string) []string {
 		var names []string
 		for _, x := range s.Pools[p].Servers {
@@ -122,13 +122,13 @@
 	Convey("An assignment moves a warm server; a cold one stays", t, func() {
 		for _, warm := range []bool{true, false} {
 			a := workspace.Assignment{Server: "server-16", Pool: "pool-0", Warm: warm}
-			s, findings := workspace.Compile(append(objects, workspacetest.Stored(workspace.KindAssignment, "server-16", 900, a)))
+			s, findings := workspace.Compile(append(objects, workspacetest.StoredObject(workspace.KindAssignment, "server-16", 900, a)))
 			So(findings, ShouldBeEmpty)
 			So(len(servers(s, "pool-0")), ShouldEqual, map[bool]int{true: 17, false: 16}[warm])
 		}
 	})
 	Convey("A leaving server stays listed, marked", t, func() {
-		s, findings := workspace.Compile(change(objects, workspace.KindBackendServer, "server-16",
+		s, findings := workspace.Compile(withObject(objects, workspace.KindBackendServer, "server-16",
 			`{"name":"server-16","address":"10.9.9.9:1","region":"region-0","availability_zone":"a","pool":"pool-1","leaving":true}`))
 		So(findings, ShouldBeEmpty)
 		So(s.Pools["pool-1"].Servers[0].Leaving, ShouldBeTrue)
@@ -140,7 +140,7 @@
 			"is the address": `{"name":"x","address":"10.1.0.1:8000","region":"region-0","availability_zone":"a","pool":"pool-1"}`,
 		}
 		for reason, value := range cases {
-			s, findings := workspace.Compile(change(objects, workspace.KindBackendServer, "x", value))
+			s, findings := workspace.Compile(withObject(objects, workspace.KindBackendServer, "x", value))
 			So(findings, ShouldHaveLength, 1)
 			So(findings[0].Reason, ShouldContainSubstring, reason)
 			So(servers(s, "pool-1"), ShouldResemble, []string{"server-16"})
@@ -150,7 +150,7 @@
 		full := objects
 		for i := range workspace.MaxPoolServers {
 			s := workspacetest.Server(100+i, workspace.Pool{Name: "pool-1", Region: "region-0"})
-			full = append(full, workspacetest.Stored(workspace.KindBackendServer, s.Name, objectstore.Version(200+i), s))
+			full = append(full, workspacetest.StoredObject(workspace.KindBackendServer, s.Name, objectstore.Version(200+i), s))
 		}
 		s, findings := workspace.Compile(full)
 		So(findings, ShouldHaveLength, 1)
@@ -161,7 +161,7 @@
 	Convey("Every policy of the scheduler is accepted", t, func() {
 		for _, p := range []pool.Policy{pool.PolicyLycheekeel, pool.PolicyRoundRobin, pool.PolicyLeastOutstanding, pool.PolicyFIFO} {
 			v := workspace.Pool{Name: "p", Region: "r", Service: "s", Policy: string(p)}
-			So(workspace.CheckObject(workspacetest.Stored(workspace.KindPool, "p", 1, v)), ShouldBeEmpty)
+			So(workspace.CheckObject(workspacetest.StoredObject(workspace.KindPool, "p", 1, v)), ShouldBeEmpty)
 		}
 	})
 }
@@ -169,7 +169,7 @@
 // BenchmarkCompile measures one workspace's change at the target size, and
 // reports the memory that the compiler with a snapshot keeps.
 func BenchmarkCompile(b *testing.B) {
-	objects := workspacetest.Target.Objects()
+	objects := workspacetest.TargetSize.Objects()
 	c := workspace.NewCompiler()
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/workspace/compile_workspace.go
+++ b/workspace/compile_workspace.go
@@ -11,63 +11,63 @@
 // quote quotes a name in a finding.
 func quote(s string) string { return strconv.Quote(s) }
 
-// indexed returns the JSON path list[i].member.
-func indexed(list string, i int, member string) string {
+// indexedPath returns the JSON path list[i].member.
+func indexedPath(list string, i int, member string) string {
 	return fmt.Sprintf("%s[%d].%s", list, i, member)
 }
 
-// workspaces resolves every workspace and hands out the keys.
-func (run *compilation) workspaces() {
-	previous, owners := run.resolved, run.keyOwner
-	run.resolved = make(map[string]*resolution, len(previous))
-	run.keyOwner = make(map[KeyHash]string, len(owners))
+// addWorkspaces resolves every workspace and hands out the keys.
+func (run *compilation) addWorkspaces() {
+	previous, previousOwners := run.resolutions, run.keyOwners
+	run.resolutions = make(map[string]*resolution, len(previous))
+	run.keyOwners = make(map[KeyHash]string, len(previousOwners))
 	list := slices.Clone(run.byKind[KindWorkspace])
-	slices.SortFunc(list, func(a, b *decoded) int { return cmp.Compare(a.version, b.version) })
-	wanted := wantedKeys(list)
+	slices.SortFunc(list, func(a, b *decodedObject) int { return cmp.Compare(a.version, b.version) })
+	claims := listedKeys(list)
 	for _, d := range list {
-		if r := run.resolve(d, previous[d.id.name]); r != nil && run.takeKeys(r, owners, wanted) {
+		if r := run.resolveWorkspace(d, previous[d.id.name]); r != nil && run.claimKeys(r, previousOwners, claims) {
 			continue
 		}
-		run.fallBack(previous[d.id.name], owners, wanted)
+		run.keepPrevious(previous[d.id.name], previousOwners, claims)
 	}
 }
 
-// resolve returns the workspace's resolution, the one in force where neither
+// resolveWorkspace returns the workspace's resolution, the one in force where neither
 // it nor its template changed; nil where it is bad.
-func (run *compilation) resolve(d *decoded, previous *resolution) *resolution {
+func (run *compilation) resolveWorkspace(d *decodedObject, previous *resolution) *resolution {
 	w := d.value.(*Workspace)
-	t := run.inForce[objectID{KindTemplate, w.Template}]
+	t := run.active[objectID{KindTemplate, w.Template}]
 	if t == nil {
-		run.findings.Add(d.file(), "template", "no template %q", w.Template)
+		run.findings.Add(d.location(), "template", "no template %q", w.Template)
 		return nil
 	}
 	if previous != nil && previous.workspace == d && previous.template == t {
-		run.adopt(previous)
+		run.recordResolution(previous)
 		return previous
 	}
-	next := &resolution{workspace: d, template: t, share: shareKey{t, parametersKey(w)}}
-	if like, ok := run.shared[next.share]; ok {
-		out := *like
+	next := &resolution{workspace: d, template: t, key: resolutionKey{t, parametersKey(w)}}
+	if same, ok := run.sharedByKey[next.key]; ok {
+		out := *same
 		out.Workspace = w.Name
-		next.out = &out
+		next.resolved = &out
 		return next
 	}
-	next.out, next.findings = resolve(d.file(), t.value.(*Template), w)
-	if next.out == nil && previous == nil {
-		next.out = resolveFitting(t.value.(*Template), w)
+	next.resolved, next.findings = resolve(d.location(), t.value.(*Template), w)
+	if next.resolved == nil && previous == nil {
+		next.resolved = resolveLenient(t.value.(*Template), w)
 	}
-	run.adopt(next)
-	if next.out == nil {
+	run.recordResolution(next)
+	if next.resolved == nil {
 		return nil
 	}
 	return next
 }
 
-// adopt reports a resolution's findings, or shares it where it has none.
-func (run *compilation) adopt(r *resolution) {
+// recordResolution reports a resolution's findings, or shares it where it has none.
+func (run *compilation) recordResolution(r *resolution) {
 	run.findings = append(run.findings, r.findings...)
 	if len(r.findings) == 0 {
-		run.shared[r.share] = r.out
+		run.sharedByKey[r.key] = r.resolved
 	}
 }
 
@@ -80,25 +80,25 @@
 	return string(b)
 }
 
-// fallBack keeps a workspace whose newest version is bad at the resolution
+// keepPrevious keeps a workspace whose newest version is bad at the resolution
 // that was in force.
-func (run *compilation) fallBack(previous *resolution, owners map[KeyHash]string, wanted map[KeyHash]map[string]bool) {
+func (run *compilation) keepPrevious(previous *resolution, previousOwners map[KeyHash]string, claims map[KeyHash]map[string]bool) {
 	if previous == nil {
 		return
 	}
 	name := previous.workspace.id.name
 	for _, k := range previous.workspace.value.(*Workspace).Keys {
 		h, _ := parseKeyHash(k.SHA256)
-		if wanted[h] == nil {
-			wanted[h] = map[string]bool{}
+		if claims[h] == nil {
+			claims[h] = map[string]bool{}
 		}
-		wanted[h][name] = true
+		claims[h][name] = true
 	}
-	run.takeKeys(previous, owners, wanted)
+	run.claimKeys(previous, previousOwners, claims)
 }
 
-// wantedKeys returns which workspaces list each key.
-func wantedKeys(list []*decoded) map[KeyHash]map[string]bool {
+// listedKeys returns which workspaces list each key.
+func listedKeys(list []*decodedObject) map[KeyHash]map[string]bool {
 	out := make(map[KeyHash]map[string]bool, len(list))
 	for _, d := range list {
 		for _, k := range d.value.(*Workspace).Keys {
@@ -112,33 +112,33 @@
 	return out
 }
 
-// takeKeys puts a resolution in force under its keys, or reports those that
+// claimKeys puts a resolution in force under its keys, or reports those that
 // another workspace holds. A key stays with the workspace that had it; else
 // it goes to the older version. What goes wrong otherwise: by listing
 // another's key, a workspace would get that customer's requests.
-func (run *compilation) takeKeys(r *resolution, owners map[KeyHash]string, wanted map[KeyHash]map[string]bool) bool {
+func (run *compilation) claimKeys(r *resolution, previousOwners map[KeyHash]string, claims map[KeyHash]map[string]bool) bool {
 	name := r.workspace.id.name
 	keys := r.workspace.value.(*Workspace).Keys
-	free := true
+	allFree := true
 	for i, k := range keys {
 		h, _ := parseKeyHash(k.SHA256)
-		holder, taken := run.keyOwner[h]
-		if owner, ok := owners[h]; !taken && ok && owner != name && wanted[h][owner] {
+		holder, taken := run.keyOwners[h]
+		if owner, ok := previousOwners[h]; !taken && ok && owner != name && claims[h][owner] {
 			holder, taken = owner, true
 		}
 		if taken {
-			run.findings.Add(r.workspace.file(), indexed("keys", i, "sha256"), "is a key of workspace %q", holder)
-			free = false
+			run.findings.Add(r.workspace.location(), indexedPath("keys", i, "sha256"), "is a key of workspace %q", holder)
+			allFree = false
 		}
 	}
-	if !free {
+	if !allFree {
 		return false
 	}
 	for _, k := range keys {
 		h, _ := parseKeyHash(k.SHA256)
-		run.keyOwner[h] = name
-		run.out.Workspaces[h] = r.out
+		run.keyOwners[h] = name
+		run.snapshot.Workspaces[h] = r.resolved
 	}
-	run.resolved[name] = r
+	run.resolutions[name] = r
 	return true
 }
--- a/workspace/decode.go
+++ b/workspace/decode.go
@@ -26,15 +26,15 @@
 
 // decodeNode verifies a parsed value against the type of out and fills out.
 func decodeNode(file, path string, n *node, out any) Findings {
-	v := verifier{file: file}
-	v.verify(path, n, reflect.TypeOf(out).Elem())
-	if v.findings.Fatal() != nil {
-		return v.findings
+	tc := typeChecker{file: file}
+	tc.check(path, n, reflect.TypeOf(out).Elem())
+	if tc.findings.Fatal() != nil {
+		return tc.findings
 	}
 	if err := json.Unmarshal(n.raw, out); err != nil {
-		v.findings.Add(file, path, "%v", err)
+		tc.findings.Add(file, path, "%v", err)
 	}
-	return v.findings
+	return tc.findings
 }
 
 // nodeKind is the kind of a JSON value.
@@ -86,7 +86,7 @@
 	}
 	p := parser{data: data, dec: json.NewDecoder(bytes.NewReader(data))}
 	p.dec.UseNumber()
-	n, err := p.value(0)
+	n, err := p.parseValue(0)
 	if err == nil && p.dec.More() {
 		err = fmt.Errorf("more than one JSON value")
 	}
@@ -104,8 +104,8 @@
 	dec  *json.Decoder
 }
 
-// value parses the next value.
-func (p *parser) value(depth int) (*node, error) {
+// parseValue parses the next value.
+func (p *parser) parseValue(depth int) (*node, error) {
 	if depth > maxDepth {
 		return nil, fmt.Errorf("nested more than %d deep", maxDepth)
 	}
@@ -116,7 +116,7 @@
 	end := p.dec.InputOffset()
 	switch t := token.(type) {
 	case json.Delim:
-		return p.composite(t, int(end)-1, depth)
+		return p.parseContainer(t, int(end)-1, depth)
 	case string:
 		raw, _ := json.Marshal(t)
 		return &node{kind: kindString, raw: raw}, nil
@@ -129,8 +129,8 @@
 	}
 }
 
-// composite parses the rest of an object or a list that starts at start.
-func (p *parser) composite(open json.Delim, start, depth int) (*node, error) {
+// parseContainer parses the rest of an object or a list that starts at start.
+func (p *parser) parseContainer(open json.Delim, start, depth int) (*node, error) {
 	n := &node{kind: kindArray}
 	if open == '{' {
 		n.kind = kindObject
@@ -144,7 +144,7 @@
 			}
 			name, _ = token.(string)
 		}
-		v, err := p.value(depth + 1)
+		v, err := p.parseValue(depth + 1)
 		if err != nil {
 			return nil, err
 		}
@@ -161,100 +161,100 @@
 	return n, nil
 }
 
-// verifier checks a node against a Go type.
-type verifier struct {
+// typeChecker checks a node against a Go type.
+type typeChecker struct {
 	file     string
 	findings Findings
 }
 
 var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 
-// verify adds a finding for each thing in n that t does not hold.
-func (v *verifier) verify(path string, n *node, t reflect.Type) {
+// check adds a finding for each thing in n that t does not hold.
+func (tc *typeChecker) check(path string, n *node, t reflect.Type) {
 	if reflect.PointerTo(t).Implements(unmarshalerType) {
 		target := reflect.New(t).Interface().(json.Unmarshaler)
 		if err := target.UnmarshalJSON(n.raw); err != nil {
-			v.findings.Add(v.file, path, "%v", err)
+			tc.findings.Add(tc.file, path, "%v", err)
 		}
 		return
 	}
 	switch t.Kind() {
 	case reflect.Pointer:
-		v.verify(path, n, t.Elem())
+		tc.check(path, n, t.Elem())
 	case reflect.Struct:
-		v.object(path, n, t)
+		tc.checkStruct(path, n, t)
 	case reflect.Map:
-		v.mapping(path, n, t)
+		tc.checkMap(path, n, t)
 	case reflect.Slice:
-		if v.want(path, n, kindArray) {
+		if tc.expectKind(path, n, kindArray) {
 			for i, item := range n.items {
-				v.verify(fmt.Sprintf("%s[%d]", path, i), item, t.Elem())
+				tc.check(fmt.Sprintf("%s[%d]", path, i), item, t.Elem())
 			}
 		}
 	case reflect.String:
-		v.want(path, n, kindString)
+		tc.expectKind(path, n, kindString)
 	case reflect.Bool:
-		v.want(path, n, kindBool)
+		tc.expectKind(path, n, kindBool)
 	default:
-		v.number(path, n, t)
+		tc.checkInteger(path, n, t)
 	}
 }
 
-// want reports whether the node is of the kind.
-func (v *verifier) want(path string, n *node, k nodeKind) bool {
+// expectKind reports whether the node is of the kind.
+func (tc *typeChecker) expectKind(path string, n *node, k nodeKind) bool {
 	if n.kind != k {
-		v.findings.Add(v.file, path, "want %s, not %s", k, n.kind)
+		tc.findings.Add(tc.file, path, "want %s, not %s", k, n.kind)
 	}
 	return n.kind == k
 }
 
-// number checks an integer and its size.
-func (v *verifier) number(path string, n *node, t reflect.Type) {
-	if !v.want(path, n, kindNumber) {
+// checkInteger checks an integer and its size.
+func (tc *typeChecker) checkInteger(path string, n *node, t reflect.Type) {
+	if !tc.expectKind(path, n, kindNumber) {
 		return
 	}
 	if err := json.Unmarshal(n.raw, reflect.New(t).Interface()); err != nil {
-		v.findings.Add(v.file, path, "want an integer of type %s, not %s", t.Kind(), n.raw)
+		tc.findings.Add(tc.file, path, "want an integer of type %s, not %s", t.Kind(), n.raw)
 	}
 }
 
-// mapping checks a map with string keys.
-func (v *verifier) mapping(path string, n *node, t reflect.Type) {
-	if !v.want(path, n, kindObject) {
+// checkMap checks a map with string keys.
+func (tc *typeChecker) checkMap(path string, n *node, t reflect.Type) {
+	if !tc.expectKind(path, n, kindObject) {
 		return
 	}
-	v.duplicates(path, n)
+	tc.checkDuplicates(path, n)
 	for _, m := range n.members {
-		v.verify(join(path, m.name), m.value, t.Elem())
+		tc.check(joinPath(path, m.name), m.value, t.Elem())
 	}
 }
 
-// object checks a struct's members by their exact JSON names.
-func (v *verifier) object(path string, n *node, t reflect.Type) {
-	if !v.want(path, n, kindObject) {
+// checkStruct checks a struct's members by their exact JSON names.
+func (tc *typeChecker) checkStruct(path string, n *node, t reflect.Type) {
+	if !tc.expectKind(path, n, kindObject) {
 		return
 	}
-	v.duplicates(path, n)
+	tc.checkDuplicates(path, n)
 	for _, m := range n.members {
-		at := join(path, m.name)
+		memberPath := joinPath(path, m.name)
 		field, exact, ok := fieldByName(t, m.name)
 		switch {
 		case exact:
-			v.verify(at, m.value, field)
+			tc.check(memberPath, m.value, field)
 		case ok:
-			v.findings.Add(v.file, at, "unknown field; names are in lower case")
+			tc.findings.Add(tc.file, memberPath, "unknown field; names are in lower case")
 		default:
-			v.findings.Warn(v.file, at, "unknown field")
+			tc.findings.Warn(tc.file, memberPath, "unknown field")
 		}
 	}
 }
 
-// duplicates reports members that stand twice.
-func (v *verifier) duplicates(path string, n *node) {
+// checkDuplicates reports members that stand twice.
+func (tc *typeChecker) checkDuplicates(path string, n *node) {
 	seen := make(map[string]bool, len(n.members))
 	for _, m := range n.members {
 		if seen[m.name] {
-			v.findings.Add(v.file, join(path, m.name), "stands twice")
+			tc.findings.Add(tc.file, joinPath(path, m.name), "stands twice")
 		}
 		seen[m.name] = true
 	}
@@ -275,8 +275,8 @@
 	return field, false, ok
 }
 
-// join returns the JSON path of a member.
-func join(path, name string) string {
+// joinPath returns the JSON path of a member.
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/workspace/document.go
+++ b/workspace/document.go
@@ -15,17 +15,17 @@
 	Path string
 	Kind objectstore.Kind
 	Name string
-	// Expect is the stored version that the file's author saw; zero where
+	// ExpectVersion is the stored version that the file's author saw; zero where
 	// the file does not say.
-	Expect objectstore.Version
+	ExpectVersion objectstore.Version
 	// Object is a *Template, *Workspace, *Pool or *BackendServer.
 	Object any
 }
 
 // The members of a file's object that are not the stored object's own.
 const (
-	memberKind   = "kind"
-	memberExpect = "expect_version"
+	memberKind          = "kind"
+	memberExpectVersion = "expect_version"
 )
 
 // operatorKinds are the kinds that operators write.
@@ -46,19 +46,19 @@
 	}
 	if root.kind != kindArray {
 		d, f := parseDocument(file, "", root)
-		return keep(nil, d, f), f
+		return appendValid(nil, d, f), f
 	}
 	var out []Document
 	for i, n := range root.items {
 		d, f := parseDocument(file, fmt.Sprintf("[%d]", i), n)
-		out = keep(out, d, f)
+		out = appendValid(out, d, f)
 		findings = append(findings, f...)
 	}
 	return out, findings
 }
 
-// keep appends a document that has no findings.
-func keep(list []Document, d Document, f Findings) []Document {
+// appendValid appends a document that has no findings.
+func appendValid(list []Document, d Document, f Findings) []Document {
 	if f != nil {
 		return list
 	}
@@ -75,24 +75,24 @@
 	}
 	kind, ok := n.get(memberKind)
 	if !ok || kind.kind != kindString {
-		findings.Add(file, join(path, memberKind), "missing: want one of Template, Workspace, Pool, BackendServer")
+		findings.Add(file, joinPath(path, memberKind), "missing: want one of Template, Workspace, Pool, BackendServer")
 		return d, findings
 	}
 	_ = json.Unmarshal(kind.raw, &d.Kind)
 	if !operatorKinds[d.Kind] {
-		findings.Add(file, join(path, memberKind), "%q is not one of Template, Workspace, Pool, BackendServer", d.Kind)
+		findings.Add(file, joinPath(path, memberKind), "%q is not one of Template, Workspace, Pool, BackendServer", d.Kind)
 		return d, findings
 	}
-	if expect, ok := n.get(memberExpect); ok {
+	if expect, ok := n.get(memberExpectVersion); ok {
 		v, err := strconv.ParseUint(string(expect.raw), 10, 64)
 		if err != nil {
-			findings.Add(file, join(path, memberExpect), "want a version, as shown by \"lycheekeel get\"")
+			findings.Add(file, joinPath(path, memberExpectVersion), "want a version, as shown by \"lycheekeel get\"")
 		}
-		d.Expect = objectstore.Version(v)
+		d.ExpectVersion = objectstore.Version(v)
 	}
-	object, f := decodeRoot(file, d.Kind, "", withoutHeader(n))
+	object, f := decodeParsed(file, d.Kind, "", withoutFileMembers(n))
 	for _, x := range f {
-		x.Path, x.Warning = nested(path, x.Path), false
+		x.Path, x.Warning = nestedPath(path, x.Path), false
 		findings = append(findings, x)
 	}
 	if findings != nil {
@@ -102,20 +102,20 @@
 	return d, nil
 }
 
-// nested returns a finding's path inside a document's path.
-func nested(path, inner string) string {
+// nestedPath returns a finding's path inside a document's path.
+func nestedPath(path, inner string) string {
 	if inner == "" {
 		return path
 	}
-	return join(path, inner)
+	return joinPath(path, inner)
 }
 
-// withoutHeader returns the object without the members that are the file's.
-func withoutHeader(n *node) *node {
+// withoutFileMembers returns the object without the members that are the file's.
+func withoutFileMembers(n *node) *node {
 	out := *n
 	out.members = nil
 	for _, m := range n.members {
-		if m.name != memberKind && m.name != memberExpect {
+		if m.name != memberKind && m.name != memberExpectVersion {
 			out.members = append(out.members, m)
 		}
 	}
@@ -143,11 +143,11 @@
 // file and path. Findings about stored objects that no document touches are
 // returned too, because the documents may be what breaks them.
 func CheckDocuments(docs []Document, stored []objectstore.Object) Findings {
-	merged, places, findings := merge(docs, stored)
+	merged, docByLocation, findings := merge(docs, stored)
 	_, compiled := Compile(merged)
 	for _, f := range compiled {
-		if d, ok := places[f.File]; ok {
-			f.File, f.Path = d.File, nested(d.Path, f.Path)
+		if d, ok := docByLocation[f.File]; ok {
+			f.File, f.Path = d.File, nestedPath(d.Path, f.Path)
 		}
 		findings = append(findings, f)
 	}
@@ -159,21 +159,21 @@
 func merge(docs []Document, stored []objectstore.Object) ([]objectstore.Object, map[string]Document, Findings) {
 	var findings Findings
 	var newest objectstore.Version
-	at := make(map[objectID]int, len(stored)+len(docs))
+	indexByID := make(map[objectID]int, len(stored)+len(docs))
 	merged := make([]objectstore.Object, 0, len(stored)+len(docs))
 	for _, o := range stored {
-		at[objectID{o.Kind, o.Name}] = len(merged)
+		indexByID[objectID{o.Kind, o.Name}] = len(merged)
 		merged = append(merged, o)
 		newest = max(newest, o.Version)
 	}
-	places := make(map[string]Document, len(docs))
+	docByLocation := make(map[string]Document, len(docs))
 	for _, d := range docs {
-		file := objectFile(d.Kind, d.Name)
-		if other, twice := places[file]; twice {
-			findings.Add(d.File, nested(d.Path, "name"), "%s %q stands in %s too", d.Kind, d.Name, other.File)
+		file := objectLocation(d.Kind, d.Name)
+		if other, duplicate := docByLocation[file]; duplicate {
+			findings.Add(d.File, nestedPath(d.Path, "name"), "%s %q stands in %s too", d.Kind, d.Name, other.File)
 			continue
 		}
-		places[file] = d
+		docByLocation[file] = d
 		value, err := d.Value()
 		if err != nil || len(value) > objectstore.MaxValueBytes {
 			findings.Add(d.File, d.Path, "longer than the object API's %d bytes", objectstore.MaxValueBytes)
@@ -181,12 +181,12 @@
 		}
 		newest++
 		o := objectstore.Object{Kind: d.Kind, Name: d.Name, Version: newest, Created: newest, Value: value}
-		if i, exists := at[objectID{d.Kind, d.Name}]; exists {
+		if i, exists := indexByID[objectID{d.Kind, d.Name}]; exists {
 			o.Created = merged[i].Created
 			merged[i] = o
 			continue
 		}
 		merged = append(merged, o)
 	}
-	return merged, places, findings
+	return merged, docByLocation, findings
 }
--- a/workspace/resolve.go
+++ b/workspace/resolve.go
@@ -13,41 +13,41 @@
 type resolver struct {
 	checker
 	template *Template
-	values   map[string]value
+	values   map[string]paramValue
 }
 
 // resolve returns template × parameters. Findings name the workspace's
 // parameters.
-func resolve(file string, t *Template, w *Workspace) (*Resolved, Findings) {
-	r := &resolver{checker: checker{file: file}, template: t, values: make(map[string]value)}
-	r.bind(w.Parameters)
-	return r.result(w)
+func resolve(file string, t *Template, w *Workspace) (*ResolvedWorkspace, Findings) {
+	r := &resolver{checker: checker{file: file}, template: t, values: make(map[string]paramValue)}
+	r.bindParameters(w.Parameters)
+	return r.finish(w)
 }
 
-// resolveFitting resolves a workspace without those of its parameters that do
+// resolveLenient resolves a workspace without those of its parameters that do
 // not fit the template; nil where that does not help either.
 //
 // What goes wrong: two operators change a template and one of its workspaces
 // at once, and the two no longer fit. Members that had an earlier resolution
 // keep it, but one that starts later has none: callers would be told by some
 // entries that their key is wrong. With the defaults they are served.
-func resolveFitting(t *Template, w *Workspace) *Resolved {
-	fitting := make(map[string]json.RawMessage, len(w.Parameters))
+func resolveLenient(t *Template, w *Workspace) *ResolvedWorkspace {
+	valid := make(map[string]json.RawMessage, len(w.Parameters))
 	for name, raw := range w.Parameters {
 		if p, ok := t.Parameters[name]; ok {
-			if _, err := parameterValue(&p, raw); err == nil {
-				fitting[name] = raw
+			if _, err := parseParamValue(&p, raw); err == nil {
+				valid[name] = raw
 			}
 		}
 	}
-	r := &resolver{template: t, values: make(map[string]value)}
-	r.bind(fitting)
-	out, _ := r.result(w)
+	r := &resolver{template: t, values: make(map[string]paramValue)}
+	r.bindParameters(valid)
+	out, _ := r.finish(w)
 	return out
 }
 
-// result returns the resolution, or the findings.
-func (r *resolver) result(w *Workspace) (*Resolved, Findings) {
+// finish returns the resolution, or the findings.
+func (r *resolver) finish(w *Workspace) (*ResolvedWorkspace, Findings) {
 	if r.findings != nil {
 		return nil, r.findings
 	}
@@ -58,11 +58,11 @@
 	return out, nil
 }
 
-// bind sets each parameter from the workspace's or its default.
-func (r *resolver) bind(parameters map[string]json.RawMessage) {
+// bindParameters sets each parameter from the workspace's or its default.
+func (r *resolver) bindParameters(parameters map[string]json.RawMessage) {
 	for name := range parameters {
 		if _, ok := r.template.Parameters[name]; !ok {
-			r.add(join("parameters", name), "template %q has no such parameter", r.template.Name)
+			r.add(joinPath("parameters", name), "template %q has no such parameter", r.template.Name)
 		}
 	}
 	for name, p := range r.template.Parameters {
@@ -71,45 +71,45 @@
 			raw = p.Default
 		}
 		if raw == nil {
-			r.add(join("parameters", name), "missing: template %q has no default for it", r.template.Name)
+			r.add(joinPath("parameters", name), "missing: template %q has no default for it", r.template.Name)
 			continue
 		}
-		v, err := parameterValue(&p, raw)
+		v, err := parseParamValue(&p, raw)
 		if err != nil {
-			r.add(join("parameters", name), "%v", err)
+			r.add(joinPath("parameters", name), "%v", err)
 		}
 		r.values[name] = v
 	}
 }
 
-// number returns a template's number and checks its bounds again, because a
+// resolveNumber returns a template's number and checks its bounds again, because a
 // parameter's own bounds may be wider.
-func (r *resolver) number(path string, n Number, low, high int64) int64 {
+func (r *resolver) resolveNumber(path string, n Number, low, high int64) int64 {
 	if n.Parameter == "" {
 		return n.Value
 	}
 	v := r.values[n.Parameter].number
 	if v < low || v > high {
-		r.add(join("parameters", n.Parameter), "%d as %s of template %q is not between %d and %d",
+		r.add(joinPath("parameters", n.Parameter), "%d as %s of template %q is not between %d and %d",
 			v, path, r.template.Name, low, high)
 	}
 	return v
 }
 
 // build resolves everything; findings are added to r.
-func (r *resolver) build(name string) *Resolved {
+func (r *resolver) build(name string) *ResolvedWorkspace {
 	t := r.template
-	out := &Resolved{
+	out := &ResolvedWorkspace{
 		Workspace: name, Template: t.Name,
 		AllowTierHeader: t.AllowTierHeader, AllowDeadlineHeader: t.AllowDeadlineHeader,
-		MaxTokens:    int(r.number("max_tokens", t.MaxTokens, 1, MaxTokens)),
-		MaxBodyBytes: int(r.number("max_body_bytes", t.MaxBodyBytes, 1, MaxBodyBytes)),
+		MaxTokens:    int(r.resolveNumber("max_tokens", t.MaxTokens, 1, MaxTokens)),
+		MaxBodyBytes: int(r.resolveNumber("max_body_bytes", t.MaxBodyBytes, 1, MaxBodyBytes)),
 		TierByName:   make(map[string]*ResolvedTier, len(t.Tiers)),
 		Models:       make(map[string]*ResolvedModel, len(t.Models)),
 		Services:     make(map[string]*ResolvedService, len(t.Services)),
 	}
 	for i := range t.Tiers {
-		out.Tiers = append(out.Tiers, r.tier(i))
+		out.Tiers = append(out.Tiers, r.resolveTier(i))
 	}
 	slices.SortFunc(out.Tiers, func(a, b ResolvedTier) int { return cmp.Compare(a.Tier, b.Tier) })
 	for i := range out.Tiers {
@@ -117,7 +117,7 @@
 	}
 	out.DefaultTier = out.TierByName[t.DefaultTier]
 	for _, m := range t.Models {
-		out.Models[m.Name] = r.model(out, m)
+		out.Models[m.Name] = r.resolveModel(out, m)
 	}
 	for _, s := range t.Services {
 		out.Services[s.Name] = resolveService(out, s)
@@ -125,50 +125,50 @@
 	return out
 }
 
-// tier resolves one tier.
-func (r *resolver) tier(i int) ResolvedTier {
+// resolveTier resolves one tier.
+func (r *resolver) resolveTier(i int) ResolvedTier {
 	s := &r.template.Tiers[i]
-	at := fmt.Sprintf("tiers[%d].", i)
-	first := r.number(at+"first_token_ms", s.FirstTokenMs, 1, MaxTargetMs)
-	perToken := r.number(at+"per_token_ms", s.PerTokenMs, 1, MaxTargetMs)
-	deadline := r.number(at+"deadline_ms", s.DeadlineMs, 1, MaxTargetMs)
-	if first > deadline {
-		r.add("parameters", "make first_token_ms %d of tier %q longer than its deadline_ms %d", first, s.Name, deadline)
+	path := fmt.Sprintf("tiers[%d].", i)
+	firstToken := r.resolveNumber(path+"first_token_ms", s.FirstTokenMs, 1, MaxTargetMs)
+	perToken := r.resolveNumber(path+"per_token_ms", s.PerTokenMs, 1, MaxTargetMs)
+	deadline := r.resolveNumber(path+"deadline_ms", s.DeadlineMs, 1, MaxTargetMs)
+	if firstToken > deadline {
+		r.add("parameters", "make first_token_ms %d of tier %q longer than its deadline_ms %d", firstToken, s.Name, deadline)
 	}
 	return ResolvedTier{
 		Name: s.Name, Tier: request.Tier(s.Priority),
 		Targets: request.Targets{
-			FirstToken: Milliseconds(first), PerToken: Milliseconds(perToken), Deadline: Milliseconds(deadline),
+			FirstToken: Milliseconds(firstToken), PerToken: Milliseconds(perToken), Deadline: Milliseconds(deadline),
 		},
-		MaxWaiting: int(r.number(at+"max_waiting", s.MaxWaiting, 0, MaxPoolWaiting)),
+		MaxWaiting: int(r.resolveNumber(path+"max_waiting", s.MaxWaiting, 0, MaxPoolWaiting)),
 	}
 }
 
-// tierOr returns a named tier, or the default one.
-func (r *Resolved) tierOr(name string) *ResolvedTier {
+// tierOrDefault returns a named tier, or the default one.
+func (r *ResolvedWorkspace) tierOrDefault(name string) *ResolvedTier {
 	if t, ok := r.TierByName[name]; ok {
 		return t
 	}
 	return r.DefaultTier
 }
 
-// model resolves one model.
-func (r *resolver) model(out *Resolved, m ModelSpec) *ResolvedModel {
+// resolveModel resolves one model.
+func (r *resolver) resolveModel(out *ResolvedWorkspace, m ModelSpec) *ResolvedModel {
 	version := m.Version
 	if parameter, ok := parameterName(version); ok {
 		version = r.values[parameter].text
 		if !namePattern.MatchString(version) {
-			r.add(join("parameters", parameter), "%q is not a version's name", version)
+			r.add(joinPath("parameters", parameter), "%q is not a version's name", version)
 		}
 	}
 	return &ResolvedModel{
-		Name: m.Name, Version: version, Tier: out.tierOr(m.Tier), NonIdempotent: m.NonIdempotent,
+		Name: m.Name, Version: version, Tier: out.tierOrDefault(m.Tier), NonIdempotent: m.NonIdempotent,
 	}
 }
 
 // resolveService resolves one plain service.
-func resolveService(out *Resolved, s ServiceSpec) *ResolvedService {
-	service := &ResolvedService{Name: s.Name, Pool: s.Pool, Tier: out.tierOr(s.Tier)}
+func resolveService(out *ResolvedWorkspace, s ServiceSpec) *ResolvedService {
+	service := &ResolvedService{Name: s.Name, Pool: s.Pool, Tier: out.tierOrDefault(s.Tier)}
 	for _, rule := range s.Rules {
 		service.Rules = append(service.Rules, ResolvedRule{
 			Method: rule.Method, Path: rule.Path, Idempotent: rule.Idempotent, Tier: out.TierByName[rule.Tier],
--- a/workspace/snapshot.go
+++ b/workspace/snapshot.go
@@ -18,7 +18,7 @@
 	// Version is the largest object version in the snapshot.
 	Version objectstore.Version
 	// Workspaces by the hash of each of their keys.
-	Workspaces map[KeyHash]*Resolved
+	Workspaces map[KeyHash]*ResolvedWorkspace
 	// Pools by name; ModelPools by model, version and region; ServicePools
 	// are looked up by name.
 	Pools      map[string]*ResolvedPool
@@ -34,8 +34,8 @@
 	Servers []BackendServer // sorted by name
 }
 
-// Resolved is a workspace: its template with its parameters put in.
-type Resolved struct {
+// ResolvedWorkspace is a workspace: its template with its parameters put in.
+type ResolvedWorkspace struct {
 	Workspace           string
 	Template            string
 	Tiers               []ResolvedTier // by priority
@@ -79,7 +79,7 @@
 }
 
 // ByKey returns the workspace of a bearer key.
-func (s *Snapshot) ByKey(bearer string) (*Resolved, bool) {
+func (s *Snapshot) ByKey(bearer string) (*ResolvedWorkspace, bool) {
 	w, ok := s.Workspaces[sha256.Sum256([]byte(bearer))]
 	return w, ok
 }
@@ -87,11 +87,11 @@
 // Milliseconds converts a checked configuration value.
 func Milliseconds(v int64) time.Duration { return time.Duration(v) * time.Millisecond }
 
-// Live holds the snapshot in force. Load is one atomic read.
-type Live struct{ p atomic.Pointer[Snapshot] }
+// CurrentSnapshot holds the snapshot in force. Load is one atomic read.
+type CurrentSnapshot struct{ p atomic.Pointer[Snapshot] }
 
 // Load returns the snapshot in force, or nil before the first one.
-func (l *Live) Load() *Snapshot { return l.p.Load() }
+func (c *CurrentSnapshot) Load() *Snapshot { return c.p.Load() }
 
 // Store puts a snapshot in force for every request that comes after.
-func (l *Live) Store(s *Snapshot) { l.p.Store(s) }
+func (c *CurrentSnapshot) Store(s *Snapshot) { c.p.Store(s) }
