--- a/workspace/workspacetest/fleet.go
+++ b/workspace/workspacetest/size.go
@@ -12,13 +12,13 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Fleet says how large a configuration is.
-type Fleet struct {
+// Size says how large a configuration is.
+type Size struct {
 	Workspaces, Servers, Models, Regions, Templates int
 }
 
-// Target is the size that the system is designed for.
-var Target = Fleet{Workspaces: 2400, Servers: 1300, Models: 22, Regions: 6, Templates: 40}
+// TargetSize is the size that the system is designed for.
+var TargetSize = Size{Workspaces: 2400, Servers: 1300, Models: 22, Regions: 6, Templates: 40}
 
 // serversPerPool leaves room under workspace.MaxPoolServers.
 const serversPerPool = 16
@@ -26,40 +26,40 @@
 // Key returns the bearer key of a workspace.
 func Key(name string) string { return "key-of-" + name }
 
-// Hash returns a key's SHA-256 in hex, as configuration holds it.
-func Hash(key string) string {
+// KeyHash returns a key's SHA-256 in hex, as configuration holds it.
+func KeyHash(key string) string {
 	h := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(h[:])
 }
 
 // Objects returns the fleet's objects with versions from 1 on.
-func (f Fleet) Objects() []objectstore.Object {
+func (size Size) Objects() []objectstore.Object {
 	var out []objectstore.Object
 	add := func(kind objectstore.Kind, name string, v any) {
-		out = append(out, Stored(kind, name, objectstore.Version(len(out)+1), v))
+		out = append(out, StoredObject(kind, name, objectstore.Version(len(out)+1), v))
 	}
-	for i := range f.Templates {
-		t := Template(fmt.Sprintf("template-%d", i), f.Models)
+	for i := range size.Templates {
+		t := Template(fmt.Sprintf("template-%d", i), size.Models)
 		add(workspace.KindTemplate, t.Name, t)
 	}
-	f.pools(add)
-	for i := range f.Workspaces {
-		w := Workspace(fmt.Sprintf("workspace-%d", i), fmt.Sprintf("template-%d", i%f.Templates))
+	size.addPools(add)
+	for i := range size.Workspaces {
+		w := Workspace(fmt.Sprintf("workspace-%d", i), fmt.Sprintf("template-%d", i%size.Templates))
 		add(workspace.KindWorkspace, w.Name, w)
 	}
 	return out
 }
 
-// pools adds the pools, one or more a model and region, and their servers.
-func (f Fleet) pools(add func(objectstore.Kind, string, any)) {
-	for first := 0; first < f.Servers; first += serversPerPool {
+// addPools adds the pools, one or more a model and region, and their servers.
+func (size Size) addPools(add func(objectstore.Kind, string, any)) {
+	for first := 0; first < size.Servers; first += serversPerPool {
 		i := first / serversPerPool
 		p := workspace.Pool{
-			Name: fmt.Sprintf("pool-%d", i), Region: fmt.Sprintf("region-%d", i/f.Models%f.Regions),
-			Model: fmt.Sprintf("model-%d", i%f.Models), Version: "v1",
+			Name: fmt.Sprintf("pool-%d", i), Region: fmt.Sprintf("region-%d", i/size.Models%size.Regions),
+			Model: fmt.Sprintf("model-%d", i%size.Models), Version: "v1",
 		}
 		add(workspace.KindPool, p.Name, p)
-		for j := first; j < min(first+serversPerPool, f.Servers); j++ {
+		for j := first; j < min(first+serversPerPool, size.Servers); j++ {
 			s := Server(j, p)
 			add(workspace.KindBackendServer, s.Name, s)
 		}
@@ -102,13 +102,13 @@
 func Workspace(name, template string) workspace.Workspace {
 	return workspace.Workspace{
 		Name: name, Template: template,
-		Keys: []workspace.Key{{ID: "main", SHA256: Hash(Key(name))}},
+		Keys: []workspace.Key{{ID: "main", SHA256: KeyHash(Key(name))}},
 	}
 }
 
-// Stored returns a value as a stored object. It panics where the value has no
+// StoredObject returns a value as a stored object. It panics where the value has no
 // JSON, which the configuration's types always have.
-func Stored(kind objectstore.Kind, name string, version objectstore.Version, v any) objectstore.Object {
+func StoredObject(kind objectstore.Kind, name string, version objectstore.Version, v any) objectstore.Object {
 	value, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
