--- a/cmd/lycheekeeld/gateway.go
+++ b/cmd/lycheekeeld/gateway.go
@@ -13,13 +13,13 @@
 	"github.com/lycheekeel/lycheekeel/platform"
 )
 
-// logPatience is how long the end of the process waits for the log's reader.
-const logPatience = 200 * time.Millisecond
+// logCloseTimeout is how long the end of the process waits for the log's reader.
+const logCloseTimeout = 200 * time.Millisecond
 
 // runGateway runs the daemon in front of the platform's backend servers.
 func runGateway(ctx context.Context, s gateway.Settings) error {
 	out := logs.NewAsync(os.Stdout)
-	defer out.Close(logPatience)
+	defer out.Close(logCloseTimeout)
 	if err := logs.Configure(out, s.LogLevel, true); err != nil {
 		return err
 	}
--- a/cmd/lycheekeeld/main.go
+++ b/cmd/lycheekeeld/main.go
@@ -29,13 +29,13 @@
 	file := app.Flag("settings", "Settings file (JSON).").Required().PlaceHolder("FILE").ExistingFile()
 	checkOnly := app.Flag("check-settings", "Only check the settings file.").Bool()
 	app.Command("serve", "Serve model engines by the system's own interface.").Default()
-	forward := app.Command("gateway", "Forward requests to the backend servers of the platform's store.")
+	gatewayCmd := app.Command("gateway", "Forward requests to the backend servers of the platform's store.")
 
-	run := prepareServe
-	if kingpin.MustParse(app.Parse(os.Args[1:])) == forward.FullCommand() {
-		run = prepareGateway
+	prepare := prepareServe
+	if kingpin.MustParse(app.Parse(os.Args[1:])) == gatewayCmd.FullCommand() {
+		prepare = prepareGateway
 	}
-	start, err := run(*file)
+	start, err := prepare(*file)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(exitSettings)
@@ -52,15 +52,15 @@
 	}
 }
 
-// starter runs a daemon whose settings are good.
-type starter func(ctx context.Context) error
+// startFunc runs a daemon whose settings are good.
+type startFunc func(ctx context.Context) error
 
-func prepareServe(file string) (starter, error) {
+func prepareServe(file string) (startFunc, error) {
 	s, err := daemon.LoadSettings(file)
 	return func(ctx context.Context) error { return runServe(ctx, s) }, err
 }
 
-func prepareGateway(file string) (starter, error) {
+func prepareGateway(file string) (startFunc, error) {
 	s, err := gateway.LoadSettings(file)
 	return func(ctx context.Context) error { return runGateway(ctx, s) }, err
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -36,7 +36,7 @@
 const (
 	timeout        = 10 * time.Second
 	maxConnections = 256
-	maxBody        = 4 << 10
+	maxBodyBytes   = 4 << 10
 )
 
 // Daemon is what the admin port shows and steers.
@@ -59,7 +59,7 @@
 func New(d Daemon, m *metrics.Registry) *Server {
 	app := fiber.New(fiber.Config{
 		ReadTimeout: timeout, WriteTimeout: timeout, IdleTimeout: timeout,
-		Concurrency: maxConnections, BodyLimit: maxBody, ReduceMemoryUsage: true,
+		Concurrency: maxConnections, BodyLimit: maxBodyBytes, ReduceMemoryUsage: true,
 	})
 	app.Get(PathHealth, func(c fiber.Ctx) error { return c.SendString("ok\n") })
 	app.Get(PathReady, func(c fiber.Ctx) error {
@@ -70,7 +70,7 @@
 	})
 	app.Get(PathVars, func(c fiber.Ctx) error {
 		c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
-		return c.SendString(vars(m))
+		return c.SendString(varsJSON(m))
 	})
 	app.Get(PathStatus, func(c fiber.Ctx) error {
 		return c.JSON(d.Status(c.Context(), c.Query(QueryCluster) == "true"))
@@ -92,9 +92,9 @@
 	return errors.Wrap(s.app.ShutdownWithContext(ctx), "shut down admin")
 }
 
-// vars returns the process's expvar variables with the daemon's own metrics,
+// varsJSON returns the process's expvar variables with the daemon's own metrics,
 // which need not be published: a process may run several daemons.
-func vars(m *metrics.Registry) string {
+func varsJSON(m *metrics.Registry) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "{\n%q: %s", MetricsName, m.JSON())
 	expvar.Do(func(kv expvar.KeyValue) {
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -351,7 +351,7 @@
 		{Name: "leases", Mechanism: "renewals by the holder", Writes: leases * c.slope(seriesLeaseCalls)},
 		{Name: "waiting candidates", Mechanism: "each candidate looks once a lease's duration",
 			Reads: s.Nodes * leases / s.Regions / daemon.LeaseDuration.Seconds()},
-		{Name: "VM lists", Mechanism: "members that own pools look every 1.5 s", Reads: s.Nodes * c.owning() / daemon.VMEvery.Seconds()},
+		{Name: "VM lists", Mechanism: "members that own pools look every 1.5 s", Reads: s.Nodes * c.owning() / daemon.VMListInterval.Seconds()},
 		{Name: "watches", Mechanism: "two watchers a region", Reads: c.at(seriesConfigStoreCalls, s.Nodes)},
 		{Name: "configuration changes", Mechanism: "conditional writes by operators", Writes: s.ChangesPerSec(), Reads: s.ChangesPerSec() * c.at(seriesChangeCalls, 1)},
 	}
--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -24,11 +24,11 @@
 
 // applyFlags are the flags of apply and diff.
 type applyFlags struct {
-	platform *string
-	paths    []string
-	deletes  []string
-	expect   uint64
-	dryRun   bool
+	platform      *string
+	paths         []string
+	deletes       []string
+	expectVersion uint64
+	dryRun        bool
 }
 
 // addApply adds the command apply.
@@ -37,7 +37,7 @@
 	cmd := app.Command("apply", "Check configuration files, show the difference and write it.")
 	f.register(cmd)
 	cmd.Flag("dry-run", "Only check and show the difference.").BoolVar(&f.dryRun)
-	cmd.Action(run(func() error { return g.apply(f) }))
+	cmd.Action(action(func() error { return g.apply(f) }))
 }
 
 // addDiff adds the command diff.
@@ -45,7 +45,7 @@
 	f := &applyFlags{dryRun: true}
 	cmd := app.Command("diff", "Check configuration files and show the difference to what is stored.")
 	f.register(cmd)
-	cmd.Action(run(func() error { return g.apply(f) }))
+	cmd.Action(action(func() error { return g.apply(f) }))
 }
 
 // register adds the flags to a command.
@@ -53,18 +53,18 @@
 	f.platform = platformFlag(cmd)
 	cmd.Flag("file", "A configuration file or a directory of them; may be repeated.").Short('f').StringsVar(&f.paths)
 	cmd.Flag("delete", "Delete KIND/NAME; may be repeated.").PlaceHolder("KIND/NAME").StringsVar(&f.deletes)
-	cmd.Flag("expect-version", "The stored version that you saw, for a single object.").Uint64Var(&f.expect)
+	cmd.Flag("expect-version", "The stored version that you saw, for a single object.").Uint64Var(&f.expectVersion)
 }
 
-// applied is what apply prints as JSON.
-type applied struct {
+// applyResult is what apply prints as JSON.
+type applyResult struct {
 	Findings workspace.Findings `json:"findings,omitempty"`
 	Changes  []apply.Change     `json:"changes,omitempty"`
-	Written  []written          `json:"written,omitempty"`
+	Written  []writtenObject    `json:"written,omitempty"`
 }
 
-// written is one object that was written.
-type written struct {
+// writtenObject is one object that was written.
+type writtenObject struct {
 	Kind    objectstore.Kind    `json:"kind"`
 	Name    string              `json:"name"`
 	Version objectstore.Version `json:"version,omitempty"` // none for a deletion
@@ -74,7 +74,7 @@
 func (g *globals) apply(f *applyFlags) error {
 	ctx, cancel := context.WithTimeout(g.ctx, configTimeout)
 	defer cancel()
-	deletions, err := f.refs()
+	deletions, err := f.parseDeletes()
 	if err != nil {
 		return err
 	}
@@ -82,35 +82,35 @@
 	if err != nil {
 		return withExit(ExitUsage, err)
 	}
-	if f.expect != 0 && len(docs) != 1 {
+	if f.expectVersion != 0 && len(docs) != 1 {
 		return withExit(ExitUsage, errors.Errorf("--expect-version is for a single object, the files hold %d", len(docs)))
 	}
 	for i := range docs {
-		docs[i].ExpectVersion = max(docs[i].ExpectVersion, objectstore.Version(f.expect))
+		docs[i].ExpectVersion = max(docs[i].ExpectVersion, objectstore.Version(f.expectVersion))
 	}
 	api, err := openPlatform(*f.platform)
 	if err != nil {
-		return g.unchecked(findings, err)
+		return g.failUnchecked(findings, err)
 	}
 	stored, err := apply.Read(ctx, api)
 	if err != nil {
-		return g.unchecked(findings, platformExit(err))
+		return g.failUnchecked(findings, withPlatformExit(err))
 	}
-	out := applied{Findings: append(findings, apply.Check(docs, deletions, stored)...)}
+	out := applyResult{Findings: append(findings, apply.Check(docs, deletions, stored)...)}
 	if out.Findings.Fatal() == nil {
 		out.Changes, err = apply.Plan(docs, deletions, stored)
 	}
-	return g.finish(ctx, api, f, stored, out, err)
+	return g.writeAndReport(ctx, api, f, stored, out, err)
 }
 
-// unchecked shows the findings of the files where the rest can't be checked.
-func (g *globals) unchecked(findings workspace.Findings, err error) error {
+// failUnchecked shows the findings of the files where the rest can't be checked.
+func (g *globals) failUnchecked(findings workspace.Findings, err error) error {
 	g.printFindings(findings)
 	return err
 }
 
-// finish shows what was found and writes the changes.
-func (g *globals) finish(ctx context.Context, api objectstore.ObjectAPI, f *applyFlags, stored []objectstore.Object, out applied, err error) error {
+// writeAndReport shows what was found and writes the changes.
+func (g *globals) writeAndReport(ctx context.Context, api objectstore.ObjectAPI, f *applyFlags, stored []objectstore.Object, out applyResult, err error) error {
 	g.printFindings(out.Findings)
 	if n := len(out.Findings.Fatal()); n > 0 {
 		err = withExit(ExitFindings, errors.Errorf("%d findings, nothing was written", n))
@@ -127,35 +127,35 @@
 			return e
 		}
 	}
-	return g.explain(err)
+	return g.applyError(err)
 }
 
 // write writes the changes in their order and stops at the first that fails.
-func (g *globals) write(ctx context.Context, api objectstore.ObjectAPI, changes []apply.Change) ([]written, error) {
-	var done []written
+func (g *globals) write(ctx context.Context, api objectstore.ObjectAPI, changes []apply.Change) ([]writtenObject, error) {
+	var written []writtenObject
 	for i, c := range changes {
 		if c.Action == apply.Unchanged {
 			continue
 		}
 		v, err := apply.Write(ctx, api, c)
 		if err != nil {
-			if left := len(changes) - i - 1; left > 0 {
-				fmt.Fprintf(g.stderr, "lycheekeel: stopped at %s/%s, %d objects after it were not written\n", c.Kind, c.Name, left)
+			if remaining := len(changes) - i - 1; remaining > 0 {
+				fmt.Fprintf(g.stderr, "lycheekeel: stopped at %s/%s, %d objects after it were not written\n", c.Kind, c.Name, remaining)
 			}
-			return done, err
+			return written, err
 		}
-		done = append(done, written{c.Kind, c.Name, v})
-		g.say("%s %s/%s: done, version %d", c.Action, c.Kind, c.Name, v)
+		written = append(written, writtenObject{c.Kind, c.Name, v})
+		g.printText("%s %s/%s: done, version %d", c.Action, c.Kind, c.Name, v)
 	}
-	return done, nil
+	return written, nil
 }
 
 // recheck tells of another operator's change that came in between and does not
 // fit with what was written.
-func (g *globals) recheck(ctx context.Context, api objectstore.ObjectAPI, stored []objectstore.Object, out *applied) error {
+func (g *globals) recheck(ctx context.Context, api objectstore.ObjectAPI, stored []objectstore.Object, out *applyResult) error {
 	findings, err := apply.Recheck(ctx, api, stored)
 	if err != nil {
-		g.say("written, but not checked again: %v", err)
+		g.printText("written, but not checked again: %v", err)
 		return nil
 	}
 	if len(findings) == 0 {
@@ -166,8 +166,8 @@
 	return withExit(ExitConflict, errors.New("written, but it does not fit with a change that somebody else made at the same time; see the findings"))
 }
 
-// explain shows a conflict and gives an error its exit code.
-func (g *globals) explain(err error) error {
+// applyError shows a conflict and gives an error its exit code.
+func (g *globals) applyError(err error) error {
 	var conflict *apply.ConflictError
 	if errors.As(err, &conflict) {
 		fmt.Fprintln(g.stderr, "lycheekeel: the other's change:")
@@ -179,11 +179,11 @@
 	if errors.Is(err, objectstore.ErrConflict) {
 		return withExit(ExitConflict, err)
 	}
-	return platformExit(err)
+	return withPlatformExit(err)
 }
 
-// refs reads the flags --delete.
-func (f *applyFlags) refs() ([]apply.Ref, error) {
+// parseDeletes reads the flags --delete.
+func (f *applyFlags) parseDeletes() ([]apply.Ref, error) {
 	if len(f.paths) == 0 && len(f.deletes) == 0 {
 		return nil, withExit(ExitUsage, errors.New("say what to apply, by -f FILE or --delete KIND/NAME"))
 	}
@@ -214,26 +214,26 @@
 
 // printChanges prints the difference of each object.
 func (g *globals) printChanges(changes []apply.Change) {
-	same := 0
+	unchanged := 0
 	for _, c := range changes {
 		if c.Action == apply.Unchanged {
-			same++
+			unchanged++
 			continue
 		}
-		g.say("%s %s/%s (version %d)", c.Action, c.Kind, c.Name, c.Version)
+		g.printText("%s %s/%s (version %d)", c.Action, c.Kind, c.Name, c.Version)
 		if c.Action == apply.Update {
 			for _, f := range c.Fields {
-				g.say("  %s", f)
+				g.printText("  %s", f)
 			}
 		}
 	}
-	if same > 0 {
-		g.say("%d objects unchanged", same)
+	if unchanged > 0 {
+		g.printText("%d objects unchanged", unchanged)
 	}
 }
 
-// say prints a line, unless the output is JSON.
-func (g *globals) say(format string, args ...any) {
+// printText prints a line, unless the output is JSON.
+func (g *globals) printText(format string, args ...any) {
 	if g.output != outputJSON {
 		fmt.Fprintf(g.stdout, format+"\n", args...)
 	}
--- a/internal/cli/apply_test.go
+++ b/internal/cli/apply_test.go
@@ -31,8 +31,8 @@
 	return store, ln.Addr().String()
 }
 
-// tool runs the command-line tool.
-func tool(args ...string) (code ExitCode, stdout, stderr string) {
+// runTool runs the command-line tool.
+func runTool(args ...string) (code ExitCode, stdout, stderr string) {
 	var out, errs bytes.Buffer
 	code = ExitCode(Main(args, &out, &errs))
 	return code, out.String(), errs.String()
@@ -45,50 +45,50 @@
 
 		Convey("apply without files, platform or with a bad one is wrong usage", func() {
 			for _, args := range [][]string{{"apply"}, {"apply", "-f", examples}, {"apply", "-f", examples, "--platform", "store:1"}, {"get", "Thing", "--platform", address}} {
-				code, _, stderr := tool(args...)
+				code, _, stderr := runTool(args...)
 				So(code, ShouldEqual, ExitUsage)
 				So(stderr, ShouldNotBeEmpty)
 			}
 		})
 		Convey("a platform that can't be reached has its own exit code", func() {
-			code, _, _ := tool("apply", "-f", examples, "--platform", "127.0.0.1:1")
+			code, _, _ := runTool("apply", "-f", examples, "--platform", "127.0.0.1:1")
 			So(code, ShouldEqual, ExitUnreachable)
 		})
 		Convey("an example is shown, applied, and then unchanged", func() {
-			code, stdout, stderr := tool("apply", "-f", examples, "--dry-run", "--platform", address)
+			code, stdout, stderr := runTool("apply", "-f", examples, "--dry-run", "--platform", address)
 			So([]any{code, stderr}, ShouldResemble, []any{ExitOK, ""})
 			So(stdout, ShouldContainSubstring, "create Template/handover")
 			So(store.Calls()["create"], ShouldEqual, 0)
-			code, _, stderr = tool("apply", "-f", examples, "--platform", "http://"+address)
+			code, _, stderr = runTool("apply", "-f", examples, "--platform", "http://"+address)
 			So([]any{code, stderr}, ShouldResemble, []any{ExitOK, ""})
-			_, stdout, _ = tool("diff", "-f", examples, "--platform", address)
+			_, stdout, _ = runTool("diff", "-f", examples, "--platform", address)
 			So(stdout, ShouldEqual, "34 objects unchanged\n")
 
 			Convey("what get prints can be edited and applied, once", func() {
-				code, stdout, _ := tool("get", "templates", "handover", "-o", "json", "--platform", address)
+				code, stdout, _ := runTool("get", "templates", "handover", "-o", "json", "--platform", address)
 				So(code, ShouldEqual, ExitOK)
 				file := filepath.Join(t.TempDir(), "t.json")
 				edited := strings.Replace(stdout, `"per_token_ms": 62`, `"per_token_ms": 55`, 1)
 				So(os.WriteFile(file, []byte(edited), 0o600), ShouldBeNil)
-				code, stdout, stderr = tool("apply", "-f", file, "--platform", address)
+				code, stdout, stderr = runTool("apply", "-f", file, "--platform", address)
 				So([]any{code, stderr}, ShouldResemble, []any{ExitOK, ""})
 				So(stdout, ShouldContainSubstring, "~ tiers[urgent].per_token_ms: 62 -> 55")
-				code, _, stderr = tool("apply", "-f", file, "--platform", address)
+				code, _, stderr = runTool("apply", "-f", file, "--platform", address)
 				So(code, ShouldEqual, ExitConflict)
 				So(stderr, ShouldContainSubstring, "was changed by somebody else")
 			})
 			Convey("what others need is not deleted", func() {
-				code, _, stderr := tool("apply", "--delete", "template/handover", "--platform", address)
+				code, _, stderr := runTool("apply", "--delete", "template/handover", "--platform", address)
 				So(code, ShouldEqual, ExitFindings)
 				So(strings.Count(stderr, `no template "handover"`), ShouldEqual, 5)
-				code, _, _ = tool("apply", "--delete", "workspace/nugegoda-buyers", "--platform", address)
+				code, _, _ = runTool("apply", "--delete", "workspace/nugegoda-buyers", "--platform", address)
 				So(code, ShouldEqual, ExitOK)
-				code, _, stderr = tool("get", "workspace", "nugegoda-buyers", "--platform", address)
+				code, _, stderr = runTool("get", "workspace", "nugegoda-buyers", "--platform", address)
 				So(code, ShouldEqual, ExitFailure)
 				So(stderr, ShouldContainSubstring, "lists all")
 			})
 			Convey("a list is printed as a table", func() {
-				code, stdout, _ := tool("get", "workspace", "--platform", address)
+				code, stdout, _ := runTool("get", "workspace", "--platform", address)
 				So(code, ShouldEqual, ExitOK)
 				So(strings.Count(stdout, string(workspace.KindWorkspace)), ShouldEqual, 5)
 			})
@@ -101,7 +101,7 @@
 			} {
 				So(os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600), ShouldBeNil)
 			}
-			code, _, stderr := tool("apply", "-f", dir, "--platform", address)
+			code, _, stderr := runTool("apply", "-f", dir, "--platform", address)
 			So(code, ShouldEqual, ExitFindings)
 			So(stderr, ShouldContainSubstring, "a.json: model: missing")
 			So(stderr, ShouldContainSubstring, `b.json: template: no template "none"`)
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -9,10 +9,10 @@
 	"github.com/lycheekeel/lycheekeel/internal/capacity"
 )
 
-func init() { register(registerCapacity) }
+func init() { register(addCapacity) }
 
-// registerCapacity adds "capacity measure" and "capacity page".
-func registerCapacity(app *kingpin.Application, g *globals) {
+// addCapacity adds "capacity measure" and "capacity page".
+func addCapacity(app *kingpin.Application, g *globals) {
 	cmd := app.Command("capacity", "Measure what the parts cost, and work out a deployment from it.")
 	addCapacityPage(cmd)
 	var out string
@@ -21,7 +21,7 @@
 	measure.Flag("out", "File to write, in JSON.").Required().StringVar(&out)
 	measure.Flag("only", "Measure this group again and keep the rest of the file; may be repeated.").
 		EnumsVar(&only, capacity.Groups()...)
-	measure.Action(run(func() error {
+	measure.Action(action(func() error {
 		m := &capacity.Measured{}
 		if len(only) > 0 {
 			var err error
@@ -42,7 +42,7 @@
 	cmd := parent.Command("page", "Put the tables of a measured file into a page between its marks.")
 	measured := cmd.Flag("measured", "File that \"capacity measure\" wrote.").Required().String()
 	page := cmd.Flag("page", "Page to rewrite.").Required().String()
-	cmd.Action(run(func() error {
+	cmd.Action(action(func() error {
 		m, err := capacity.ReadFile(*measured)
 		if err != nil {
 			return err
--- a/internal/cli/configstatus.go
+++ b/internal/cli/configstatus.go
@@ -19,7 +19,7 @@
 		if err := g.printJSON(s.Members); err != nil {
 			return err
 		}
-		return configAgreement(s.Members)
+		return checkSameConfiguration(s.Members)
 	}
 	rows := make([][]string, 0, len(s.Members))
 	for _, m := range s.Members {
@@ -31,7 +31,7 @@
 	for _, f := range s.Findings {
 		fmt.Fprintf(g.stderr, "lycheekeel: not in force as written: %s\n", f)
 	}
-	return configAgreement(s.Members)
+	return checkSameConfiguration(s.Members)
 }
 
 // configRow is one member's line.
@@ -41,36 +41,36 @@
 	case r == nil:
 		return []string{m.Name, m.Region, "-", "-", m.Error, "-", "-"}
 	case r.Hash == "":
-		return []string{m.Name, m.Region, "none", "-", "-", confirmed(r), strconv.FormatBool(r.Watching)}
+		return []string{m.Name, m.Region, "none", "-", "-", confirmedAge(r), strconv.FormatBool(r.Watching)}
 	default:
 		version := strconv.FormatUint(uint64(r.Version), 10)
 		through := strconv.FormatUint(uint64(r.Through), 10)
-		return []string{m.Name, m.Region, version, through, r.Hash, confirmed(r), strconv.FormatBool(r.Watching)}
+		return []string{m.Name, m.Region, version, through, r.Hash, confirmedAge(r), strconv.FormatBool(r.Watching)}
 	}
 }
 
-// confirmed tells how long ago the object API confirmed the configuration.
-func confirmed(r *revision.Report) string {
+// confirmedAge tells how long ago the object API confirmed the configuration.
+func confirmedAge(r *revision.Report) string {
 	if r.ConfirmedMs < 0 {
 		return "never"
 	}
 	return (time.Duration(r.ConfirmedMs) * time.Millisecond).Round(100*time.Millisecond).String() + " ago"
 }
 
-// configAgreement returns an error where the members' configurations differ.
-func configAgreement(members []daemon.MemberStatus) error {
+// checkSameConfiguration returns an error where the members' configurations differ.
+func checkSameConfiguration(members []daemon.MemberStatus) error {
 	hashes := make(map[string]int)
-	silent := 0
+	unanswered := 0
 	for _, m := range members {
 		if m.Configuration == nil {
-			silent++
+			unanswered++
 			continue
 		}
 		hashes[m.Configuration.Hash]++
 	}
 	switch {
-	case silent > 0:
-		return errors.Errorf("%d of %d members did not answer", silent, len(members))
+	case unanswered > 0:
+		return errors.Errorf("%d of %d members did not answer", unanswered, len(members))
 	case len(hashes) > 1:
 		return errors.Errorf("the %d members have %d configurations in force; ask again in some seconds", len(members), len(hashes))
 	default:
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -19,7 +19,7 @@
 	cmd.Flag("listen", "Where callers connect (IP:port).").Default("127.0.0.1:8080").StringVar(&o.Listen)
 	cmd.Flag("admin", "Where the admin port is (IP:port).").Default("127.0.0.1:8081").StringVar(&o.Admin)
 	asJSON := cmd.Flag("json", "When ready, print addresses and keys as one line of JSON.").Bool()
-	cmd.Action(run(func() error {
+	cmd.Action(action(func() error {
 		return demo.Run(g.ctx, o, func(info demo.Info) { g.printDemo(info, *asJSON) })
 	}))
 }
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -13,15 +13,15 @@
 
 func init() { register(addDrain) }
 
-// drainPoll is how often the draining daemon is looked at.
-const drainPoll = 250 * time.Millisecond
+// drainPollInterval is how often the draining daemon is looked at.
+const drainPollInterval = 250 * time.Millisecond
 
 // addDrain adds the command drain.
 func addDrain(app *kingpin.Application, g *globals) {
 	cmd := app.Command("drain", "Stop a daemon without cutting off a request, as SIGTERM does.")
 	address := adminFlag(cmd)
 	wait := cmd.Flag("wait", "Wait until it has stopped, for so long.").Default("0s").Duration()
-	cmd.Action(run(func() error {
+	cmd.Action(action(func() error {
 		if _, err := adminCall(g.ctx, fasthttp.MethodPost, *address, admin.PathDrain); err != nil {
 			return err
 		}
@@ -34,18 +34,18 @@
 }
 
 // awaitStopped waits until a draining daemon's admin port is gone.
-func (g *globals) awaitStopped(address string, limit time.Duration) error {
-	end := time.Now().Add(limit)
-	for time.Now().Before(end) {
-		if _, err := fetchStatus(g.ctx, address, false); codeOf(err) == ExitUnreachable {
+func (g *globals) awaitStopped(address string, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
+	for time.Now().Before(deadline) {
+		if _, err := fetchStatus(g.ctx, address, false); exitCode(err) == ExitUnreachable {
 			fmt.Fprintf(g.stdout, "%s has stopped\n", address)
 			return nil
 		}
 		select {
-		case <-time.After(drainPoll):
+		case <-time.After(drainPollInterval):
 		case <-g.ctx.Done():
 			return g.ctx.Err()
 		}
 	}
-	return errors.Errorf("%s still had requests after %v; it goes on draining", address, limit)
+	return errors.Errorf("%s still had requests after %v; it goes on draining", address, timeout)
 }
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -43,9 +43,9 @@
 	return &exitError{code: code, err: err}
 }
 
-// failed gives an error of a command's own run the code ExitFailure, unless
+// withDefaultExit gives an error of a command's own run the code ExitFailure, unless
 // it has a code already.
-func failed(err error) error {
+func withDefaultExit(err error) error {
 	var e *exitError
 	if err == nil || errors.As(err, &e) {
 		return err
@@ -53,14 +53,14 @@
 	return withExit(ExitFailure, err)
 }
 
-// run wraps a command's work for kingpin. It gives the work's errors an exit
+// action wraps a command's work for kingpin. It gives the work's errors an exit
 // code, so that only errors of the command line itself have none.
-func run(f func() error) kingpin.Action {
-	return func(*kingpin.ParseContext) error { return failed(f()) }
+func action(f func() error) kingpin.Action {
+	return func(*kingpin.ParseContext) error { return withDefaultExit(f()) }
 }
 
-// codeOf returns an error's exit code.
-func codeOf(err error) ExitCode {
+// exitCode returns an error's exit code.
+func exitCode(err error) ExitCode {
 	var e *exitError
 	if errors.As(err, &e) {
 		return e.code
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -28,13 +28,13 @@
 
 // experimentFlags are the flags of the command experiment.
 type experimentFlags struct {
-	scenario string
-	policies string
-	seed     uint64
-	out      string
-	json     bool
-	long     bool
-	sound    bool
+	scenario      string
+	policies      string
+	seed          uint64
+	out           string
+	json          bool
+	long          bool
+	withoutFaults bool
 }
 
 func init() { register(addExperiment) }
@@ -49,8 +49,8 @@
 	cmd.Flag("out", "Directory for the table, "+experimentReportFile+" and "+experimentPlotFile+"; without it none is written.").StringVar(&f.out)
 	cmd.Flag("json", "Print the outcome as JSON, as -o json does.").BoolVar(&f.json)
 	cmd.Flag("long", "Run for the scenario's long duration, where it has one.").BoolVar(&f.long)
-	cmd.Flag("without-faults", "Leave the scenario's timed faults out, for a run to compare with.").BoolVar(&f.sound)
-	cmd.Action(run(func() error { return f.do(g) }))
+	cmd.Flag("without-faults", "Leave the scenario's timed faults out, for a run to compare with.").BoolVar(&f.withoutFaults)
+	cmd.Action(action(func() error { return f.run(g) }))
 }
 
 func joinPolicies() string {
@@ -61,18 +61,18 @@
 	return strings.Join(names, ",")
 }
 
-func (f *experimentFlags) do(g *globals) error {
+func (f *experimentFlags) run(g *globals) error {
 	o, err := f.options()
 	if err != nil {
 		return err
 	}
-	var line atomic.Pointer[string]
-	o.Progress = func(p pool.Policy, x load.Progress) {
-		s := fmt.Sprintf("%-18s %s", p, x.Line())
-		line.Store(&s)
+	var progressLine atomic.Pointer[string]
+	o.Progress = func(p pool.Policy, progress load.Progress) {
+		s := fmt.Sprintf("%-18s %s", p, progress.Line())
+		progressLine.Store(&s)
 	}
 	stop := showProgress(g.stderr, func() string {
-		if s := line.Load(); s != nil {
+		if s := progressLine.Load(); s != nil {
 			return *s
 		}
 		return "starting"
@@ -87,8 +87,8 @@
 
 // options checks the flags.
 func (f *experimentFlags) options() (experiment.Options, error) {
-	o := experiment.Options{Seed: f.seed, Long: f.long, Sound: f.sound}
-	file, data, err := readNamed(f.scenario, scenarios.Scenario)
+	o := experiment.Options{Seed: f.seed, Long: f.long, Sound: f.withoutFaults}
+	file, data, err := readFileOrShipped(f.scenario, scenarios.Scenario)
 	if err != nil {
 		return o, withExit(ExitUsage, err)
 	}
@@ -96,7 +96,7 @@
 		return o, withExit(ExitFindings, err)
 	}
 	for _, name := range strings.Split(f.policies, ",") {
-		p, err := policyOf(strings.TrimSpace(name))
+		p, err := parsePolicy(strings.TrimSpace(name))
 		if err != nil {
 			return o, withExit(ExitUsage, err)
 		}
@@ -105,7 +105,7 @@
 	return o, nil
 }
 
-func policyOf(name string) (pool.Policy, error) {
+func parsePolicy(name string) (pool.Policy, error) {
 	for _, p := range policies {
 		if string(p) == name {
 			return p, nil
@@ -116,7 +116,7 @@
 
 func (f *experimentFlags) write(g *globals, out *experiment.Outcome) error {
 	if f.out != "" {
-		if err := f.files(out); err != nil {
+		if err := f.writeFiles(out); err != nil {
 			return err
 		}
 	}
@@ -126,7 +126,7 @@
 	return out.Print(g.stdout)
 }
 
-func (f *experimentFlags) files(out *experiment.Outcome) error {
+func (f *experimentFlags) writeFiles(out *experiment.Outcome) error {
 	if err := os.MkdirAll(f.out, 0o755); err != nil {
 		return errors.Wrap(err, "--out")
 	}
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -26,13 +26,13 @@
 	cmd := app.Command("explain", "Tell one request's story from the logs of many VMs.")
 	id := cmd.Arg("id", "The request's id, as its caller sent it.").Required().String()
 	files := cmd.Arg("file", "Logs; - or none reads standard input.").Strings()
-	cmd.Action(run(func() error {
+	cmd.Action(action(func() error {
 		c := explain.NewCollector(*id)
 		c.Progress = func(lines int) { fmt.Fprintf(g.stderr, "lycheekeel: %d lines read\n", lines) }
 		if err := readLogs(c.Read, *files); err != nil {
 			return err
 		}
-		return g.printStory(c.Story())
+		return g.printTimeline(c.Timeline())
 	}))
 }
 
@@ -61,7 +61,7 @@
 	return read(file, f)
 }
 
-func (g *globals) printStory(s explain.Story) error {
+func (g *globals) printTimeline(s explain.Timeline) error {
 	if g.output == outputJSON {
 		return g.printJSON(s)
 	}
--- a/internal/cli/get.go
+++ b/internal/cli/get.go
@@ -20,7 +20,7 @@
 	address := platformFlag(cmd)
 	kind := cmd.Arg("kind", "Template, Workspace, Pool, BackendServer or Assignment.").Required().String()
 	name := cmd.Arg("name", "One object's name; all of the kind without.").String()
-	cmd.Action(run(func() error {
+	cmd.Action(action(func() error {
 		k, err := parseKind(*kind)
 		if err != nil {
 			return err
@@ -31,9 +31,9 @@
 		}
 		ctx, cancel := context.WithTimeout(g.ctx, configTimeout)
 		defer cancel()
-		objects, err := stored(ctx, api, k, *name)
+		objects, err := fetchObjects(ctx, api, k, *name)
 		if err != nil {
-			return platformExit(err)
+			return withPlatformExit(err)
 		}
 		if g.output == outputJSON {
 			return g.printObjects(objects, *name != "")
@@ -42,8 +42,8 @@
 	}))
 }
 
-// stored reads one object, or all of a kind.
-func stored(ctx context.Context, api objectstore.ObjectAPI, kind objectstore.Kind, name string) ([]objectstore.Object, error) {
+// fetchObjects reads one object, or all of a kind.
+func fetchObjects(ctx context.Context, api objectstore.ObjectAPI, kind objectstore.Kind, name string) ([]objectstore.Object, error) {
 	if name == "" {
 		list, err := api.List(ctx, kind, "")
 		return list.Objects, err
@@ -61,7 +61,7 @@
 func (g *globals) printObjects(objects []objectstore.Object, single bool) error {
 	documents := make([]json.RawMessage, 0, len(objects))
 	for _, o := range objects {
-		d, err := document(o)
+		d, err := objectDocument(o)
 		if err != nil {
 			return err
 		}
@@ -73,8 +73,8 @@
 	return g.printJSON(documents)
 }
 
-// document returns a stored object as a file's object.
-func document(o objectstore.Object) (json.RawMessage, error) {
+// objectDocument returns a stored object as a file's object.
+func objectDocument(o objectstore.Object) (json.RawMessage, error) {
 	header, err := json.Marshal(struct {
 		Kind   objectstore.Kind    `json:"kind"`
 		Expect objectstore.Version `json:"expect_version"`
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -24,8 +24,8 @@
 	loadPlotFile   = "load.png"
 )
 
-// progressEvery is how often the progress line is drawn.
-const progressEvery = 250 * time.Millisecond
+// progressInterval is how often the progress line is drawn.
+const progressInterval = 250 * time.Millisecond
 
 // loadFlags are the flags of the command load.
 type loadFlags struct {
@@ -51,10 +51,10 @@
 	cmd.Flag("duration", "How long to send.").Default("10s").DurationVar(&f.duration)
 	cmd.Flag("seed", "The same seed gives the same arrivals.").Default("1").Uint64Var(&f.seed)
 	cmd.Flag("out", "Directory for "+loadReportFile+" and "+loadPlotFile+"; without it none is written.").StringVar(&f.out)
-	cmd.Action(run(func() error { return f.do(g) }))
+	cmd.Action(action(func() error { return f.run(g) }))
 }
 
-func (f *loadFlags) do(g *globals) error {
+func (f *loadFlags) run(g *globals) error {
 	r, err := f.prepare()
 	if err != nil {
 		return err
@@ -62,14 +62,14 @@
 	stop := showProgress(g.stderr, func() string { return r.Progress(time.Now()).Line() })
 	results := r.Do(g.ctx)
 	stop()
-	rep := load.Summarize(r.Mix, f.seed, f.duration, results)
-	if err := f.write(g, r.Mix, rep, results); err != nil {
+	report := load.Summarize(r.Mix, f.seed, f.duration, results)
+	if err := f.write(g, r.Mix, report, results); err != nil {
 		return err
 	}
-	if n := rep.Endings[load.NotSent]; n > 0 && n == rep.Sent {
+	if n := report.Endings[load.NotSent]; n > 0 && n == report.Sent {
 		return withExit(ExitUnreachable, errors.Errorf("no connection to %s", f.targets))
 	}
-	if n := rep.Faults(); n > 0 {
+	if n := report.Faults(); n > 0 {
 		return errors.Errorf("%d callers got a lost, cut, doubled, crossed or wrong answer", n)
 	}
 	return nil
@@ -80,7 +80,7 @@
 	if f.duration <= 0 || f.rate < 0 {
 		return nil, withExit(ExitUsage, errors.New("--duration must be above 0 and --rate not negative"))
 	}
-	file, data, err := readNamed(f.mix, scenarios.Mix)
+	file, data, err := readFileOrShipped(f.mix, scenarios.Mix)
 	if err != nil {
 		return nil, withExit(ExitUsage, err)
 	}
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, withExit(ExitUsage, err)
 	}
-	targets, err := hosts(f.targets)
+	targets, err := parseTargets(f.targets)
 	if err != nil {
 		return nil, withExit(ExitUsage, err)
 	}
@@ -103,12 +103,12 @@
 	return r, withExit(ExitUsage, r.Check())
 }
 
-func (f *loadFlags) write(g *globals, mix *load.Mix, rep *load.Report, results []load.Result) error {
+func (f *loadFlags) write(g *globals, mix *load.Mix, report *load.Report, results []load.Result) error {
 	if f.out != "" {
 		if err := os.MkdirAll(f.out, 0o755); err != nil {
 			return errors.Wrap(err, "--out")
 		}
-		if err := writeJSON(filepath.Join(f.out, loadReportFile), rep); err != nil {
+		if err := writeJSON(filepath.Join(f.out, loadReportFile), report); err != nil {
 			return err
 		}
 		if err := load.WritePlot(filepath.Join(f.out, loadPlotFile), mix, f.duration, results); err != nil {
@@ -116,13 +116,13 @@
 		}
 	}
 	if g.output == outputJSON {
-		return g.printJSON(rep)
+		return g.printJSON(report)
 	}
-	return rep.Print(g.stdout)
+	return report.Print(g.stdout)
 }
 
-// readNamed reads a file, or what is shipped under the name.
-func readNamed(name string, shipped func(string) ([]byte, bool)) (file string, data []byte, err error) {
+// readFileOrShipped reads a file, or what is shipped under the name.
+func readFileOrShipped(name string, shipped func(string) ([]byte, bool)) (file string, data []byte, err error) {
 	if data, ok := shipped(name); ok {
 		return name, data, nil
 	}
@@ -140,11 +140,11 @@
 			return nil, errors.Wrap(err, "--keys")
 		}
 	}
-	var ready struct {
+	var demoOutput struct {
 		Keys map[string]string `json:"keys"`
 	}
-	if err := json.Unmarshal(data, &ready); err == nil && ready.Keys != nil {
-		return ready.Keys, nil
+	if err := json.Unmarshal(data, &demoOutput); err == nil && demoOutput.Keys != nil {
+		return demoOutput.Keys, nil
 	}
 	var keys map[string]string
 	if err := json.Unmarshal(data, &keys); err != nil {
@@ -153,8 +153,8 @@
 	return keys, nil
 }
 
-// hosts returns the host:port of each URL.
-func hosts(urls string) ([]string, error) {
+// parseTargets returns the host:port of each URL.
+func parseTargets(urls string) ([]string, error) {
 	var out []string
 	for _, u := range strings.Split(urls, ",") {
 		host := strings.TrimSuffix(strings.TrimPrefix(strings.TrimSpace(u), "http://"), "/")
@@ -184,7 +184,7 @@
 	done := make(chan struct{})
 	var wg conc.WaitGroup
 	wg.Go(func() {
-		t := time.NewTicker(progressEvery)
+		t := time.NewTicker(progressInterval)
 		defer t.Stop()
 		for {
 			select {
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -32,16 +32,16 @@
 	return httpobjectstore.New(httpobjectstore.Options{Addr: address}), nil
 }
 
-// platformExit gives an error of the object API its exit code and says what
+// withPlatformExit gives an error of the object API its exit code and says what
 // to do about it.
-func platformExit(err error) error {
+func withPlatformExit(err error) error {
 	switch {
 	case errors.Is(err, objectstore.ErrUnknownOutcome):
 		return withExit(ExitUnknown, errors.WithMessage(err, "the object API did not answer; look with \"lycheekeel get\" before you try again"))
 	case errors.Is(err, objectstore.ErrUnavailable):
 		return withExit(ExitUnreachable, errors.WithMessage(err, "the object API can't be reached, nothing was written by this call; check --platform and try again"))
 	default:
-		return failed(err)
+		return withDefaultExit(err)
 	}
 }
 
--- a/internal/cli/rollouts.go
+++ b/internal/cli/rollouts.go
@@ -14,11 +14,11 @@
 
 // rolloutFlags are the flags of the command rollouts.
 type rolloutFlags struct {
-	setting  experiment.RolloutSetting
-	duration time.Duration
-	rates    []int
-	played   int
-	seed     uint64
+	setting     experiment.RolloutSetting
+	duration    time.Duration
+	rates       []int
+	runsPerCase int
+	seed        uint64
 }
 
 func init() { register(addRollouts) }
@@ -33,15 +33,15 @@
 	cmd.Flag("slack", "How many requests more it may get.").Default("50").Float64Var(&f.setting.Bounds.Slack)
 	cmd.Flag("stable-fails", "The part of the stable version's answers that fail.").Default("0.01").Float64Var(&f.setting.StableFails)
 	cmd.Flag("servers", "How many servers each version has.").Default("20").IntVar(&f.setting.Servers)
-	cmd.Flag("played", "How many rollouts are played of each case.").Default("500").IntVar(&f.played)
+	cmd.Flag("played", "How many rollouts are played of each case.").Default("500").IntVar(&f.runsPerCase)
 	cmd.Flag("seed", "The same seed gives the same rollouts.").Default("1").Uint64Var(&f.seed)
-	cmd.Action(run(func() error { return f.do(g) }))
+	cmd.Action(action(func() error { return f.run(g) }))
 }
 
 // check returns what is wrong with the flags, all together.
 func (f *rolloutFlags) check() error {
 	b := f.setting.Bounds
-	var findings []string
+	var problems []string
 	for _, x := range []struct {
 		wrong  bool
 		reason string
@@ -52,19 +52,19 @@
 		{!(b.Slack >= 0), "--slack is below 0"},
 		{!(f.setting.StableFails >= 0 && f.setting.StableFails < 1), "--stable-fails is no part of 1"},
 		{f.setting.Servers < 1, "--servers is below 1"},
-		{f.played < 1, "--played is below 1"},
+		{f.runsPerCase < 1, "--played is below 1"},
 	} {
 		if x.wrong {
-			findings = append(findings, x.reason)
+			problems = append(problems, x.reason)
 		}
 	}
-	if findings == nil {
+	if problems == nil {
 		return nil
 	}
-	return withExit(ExitUsage, errors.New(strings.Join(findings, "; ")))
+	return withExit(ExitUsage, errors.New(strings.Join(problems, "; ")))
 }
 
-func (f *rolloutFlags) do(g *globals) error {
+func (f *rolloutFlags) run(g *globals) error {
 	if err := f.check(); err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 			if err := g.ctx.Err(); err != nil {
 				return err
 			}
-			fmt.Fprintln(g.stdout, experiment.PlayRollouts(f.setting, c, f.played, f.seed).Line())
+			fmt.Fprintln(g.stdout, experiment.PlayRollouts(f.setting, c, f.runsPerCase, f.seed).Line())
 		}
 	}
 	return nil
--- a/internal/cli/rollouts_test.go
+++ b/internal/cli/rollouts_test.go
@@ -12,13 +12,13 @@
 
 func TestRolloutFlagsAreChecked(t *testing.T) {
 	Convey("What is wrong with the flags is told all together", t, func() {
-		sound := rolloutFlags{
-			duration: time.Second, rates: []int{10}, played: 1,
+		valid := rolloutFlags{
+			duration: time.Second, rates: []int{10}, runsPerCase: 1,
 			setting: experiment.RolloutSetting{Bounds: rollout.Bounds{Share: 0.1}, Servers: 1},
 		}
-		So(sound.check(), ShouldBeNil)
-		wrong := rolloutFlags{rates: []int{5, 0}}
-		err := wrong.check()
+		So(valid.check(), ShouldBeNil)
+		invalid := rolloutFlags{rates: []int{5, 0}}
+		err := invalid.check()
 		So(err, ShouldNotBeNil)
 		for _, flag := range []string{"--rate", "--within", "--share", "--servers", "--played"} {
 			So(err.Error(), ShouldContainSubstring, flag)
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -57,7 +57,7 @@
 	if err == nil {
 		return int(ExitOK)
 	}
-	code := codeOf(err)
+	code := exitCode(err)
 	fmt.Fprintf(stderr, "lycheekeel: %v\n", err)
 	if code == ExitUsage {
 		fmt.Fprintln(stderr, "lycheekeel: try --help")
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -37,7 +37,7 @@
 	var o platform.Options
 	cmd.Flag("loads-per-second", "Rate of the weight store; 0 for the default.").Float64Var(&o.LoadsPerSecond)
 	cmd.Flag("history", "How many changes a watch can look back; 0 for the default.").IntVar(&o.History)
-	cmd.Action(run(func() error {
+	cmd.Action(action(func() error {
 		ln, err := listen(*address)
 		if err != nil {
 			return err
@@ -62,7 +62,7 @@
 	cmd.Flag("drop-events", "Lose every nth cache event.").IntVar(&f.DropEvents)
 	cmd.Flag("ignore-fencing", "Obey orders with old fencing tokens.").BoolVar(&f.IgnoreFencing)
 	silent := cmd.Flag("silent", "Connections that are silent from the start: existing or all.").Enum("existing", "all")
-	cmd.Action(run(func() error {
+	cmd.Action(action(func() error {
 		if err := json.Unmarshal([]byte(*options), &o); err != nil {
 			return withExit(ExitUsage, errors.Wrap(err, "--options"))
 		}
@@ -82,7 +82,7 @@
 	address := listenFlag(cmd)
 	var o service.Options
 	cmd.Flag("delay-ms", "Delay of each answer in milliseconds.").Float64Var(&o.Faults.DelayMs)
-	cmd.Action(run(func() error {
+	cmd.Action(action(func() error {
 		ln, err := listen(*address)
 		if err != nil {
 			return err
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -25,7 +25,7 @@
 	cmd := app.Command("status", "Show a daemon, its pools and the members that it knows.")
 	address := adminFlag(cmd)
 	config := cmd.Flag("config", "Ask every member which configuration it has in force.").Bool()
-	cmd.Action(run(func() error {
+	cmd.Action(action(func() error {
 		s, err := fetchStatus(g.ctx, *address, *config)
 		if err != nil {
 			return err
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -13,7 +13,7 @@
 // addVersion adds the command version.
 func addVersion(app *kingpin.Application, g *globals) {
 	cmd := app.Command("version", "Print the version.")
-	cmd.Action(run(func() error {
+	cmd.Action(action(func() error {
 		if g.output == outputJSON {
 			return g.printJSON(version.Get())
 		}
--- a/internal/daemon/ledger.go
+++ b/internal/daemon/claims.go
@@ -12,22 +12,22 @@
 // rate may be off, and how much longer a new holder waits.
 const (
 	LeaseDuration = 15 * time.Second
-	leaseDrift    = 0.01
+	leaseMaxDrift = 0.01
 	leaseMargin   = 2 * time.Second
 )
 
-// collectEvery is the time between two passes over the old claims.
-const collectEvery = 10 * time.Minute
+// collectInterval is the time between two passes over the old claims.
+const collectInterval = 10 * time.Minute
 
-// collectorLease is the lease whose holder collects old claims.
-const collectorLease = "claim-collector"
+// collectorLeaseName is the lease whose holder collects old claims.
+const collectorLeaseName = "claim-collector"
 
-// ledgerStop bounds how long a stopping daemon records claims' outcomes.
-const ledgerStop = 10 * time.Second
+// ledgerCloseTimeout bounds how long a stopping daemon records claims' outcomes.
+const ledgerCloseTimeout = 10 * time.Second
 
 // collectClaims deletes old claims while this daemon holds the lease for it.
 func (d *Daemon) collectClaims(ctx context.Context) {
-	elector, err := d.newElector(collectorLease)
+	elector, err := d.newElector(collectorLeaseName)
 	if err != nil {
 		d.log.WithError(err).Error("old claims are not collected")
 		return
@@ -38,25 +38,25 @@
 		if err != nil {
 			return // ctx ended
 		}
-		d.collectWhile(ctx, held, collector)
+		d.collectUnderLease(ctx, held, collector)
 	}
 }
 
-// collectWhile collects until the lease is lost or ctx ends.
-func (d *Daemon) collectWhile(ctx context.Context, held *lease.Lease, c *claim.Collector) {
+// collectUnderLease collects until the lease is lost or ctx ends.
+func (d *Daemon) collectUnderLease(ctx context.Context, held *lease.Lease, c *claim.Collector) {
 	defer func() {
-		release, cancel := context.WithTimeout(context.Background(), time.Second)
+		releaseCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_ = held.Release(release)
+		_ = held.Release(releaseCtx)
 	}()
-	tick := time.NewTicker(collectEvery)
+	tick := time.NewTicker(collectInterval)
 	defer tick.Stop()
-	check := func() error {
+	checkLease := func() error {
 		_, err := held.Check()
 		return err
 	}
 	for {
-		n, err := c.Pass(ctx, check)
+		n, err := c.Pass(ctx, checkLease)
 		if n > 0 || err != nil {
 			d.log.WithError(err).WithField("deleted", n).Info("collected old claims")
 		}
@@ -72,7 +72,7 @@
 
 // closeLedger records the outcomes that still wait for the store.
 func (d *Daemon) closeLedger() {
-	ctx, cancel := context.WithTimeout(context.Background(), ledgerStop)
+	ctx, cancel := context.WithTimeout(context.Background(), ledgerCloseTimeout)
 	defer cancel()
 	if err := d.ledger.Close(ctx); err != nil {
 		d.log.WithError(err).Warn("some claims' outcomes were not recorded and read unknown")
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -40,7 +40,7 @@
 	listener, adminListener net.Listener
 
 	config    *workspace.CurrentSnapshot
-	views     *member.CurrentView
+	view      *member.CurrentView
 	platform  objectstore.Platform
 	transport *peer.TCP
 	members   *member.Runner
@@ -54,9 +54,9 @@
 	entry     *entry.Entry
 	admin     *admin.Server
 
-	state     atomic.Uint32 // of type state
-	drain     chan struct{} // closed by Drain
-	drainOnce sync.Once
+	state          atomic.Uint32 // of type state
+	drainRequested chan struct{} // closed by Drain
+	drainOnce      sync.Once
 }
 
 // state is a daemon's place in its life.
@@ -78,12 +78,12 @@
 // told before anything runs.
 func New(s Settings) (*Daemon, error) {
 	d := &Daemon{
-		settings: s,
-		log:      logs.For("daemon"),
-		metrics:  metrics.New(),
-		config:   &workspace.CurrentSnapshot{},
-		views:    &member.CurrentView{},
-		drain:    make(chan struct{}),
+		settings:       s,
+		log:            logs.For("daemon"),
+		metrics:        metrics.New(),
+		config:         &workspace.CurrentSnapshot{},
+		view:           &member.CurrentView{},
+		drainRequested: make(chan struct{}),
 	}
 	if err := d.listen(); err != nil {
 		d.closeListeners()
@@ -135,13 +135,13 @@
 	configuration := revision.NewPublisher(d.config, d.metrics)
 	d.findings = configuration.Findings
 	d.syncer = revision.New(configuration.Attach(revision.Options{
-		API: d.platform, Transport: d.transport, View: d.views.Load, Metrics: d.metrics,
+		API: d.platform, Transport: d.transport, View: d.view.Load, Metrics: d.metrics,
 	}))
 	engines := httpengine.NewDialer(s.engineSettings())
 	d.vms = newLeavingVMs(d.platform, func() bool { return len(d.host.Summaries()) > 0 })
 	d.host = poolhost.New(poolhost.Config{
-		Self: s.Name, Region: s.Region, Snapshots: d.config, View: d.views, Transport: d.transport,
-		Engines: engines, IsLeaving: d.vms.leaving, Metrics: d.metrics,
+		Self: s.Name, Region: s.Region, Snapshots: d.config, View: d.view, Transport: d.transport,
+		Engines: engines, IsLeaving: d.vms.isLeaving, Metrics: d.metrics,
 	})
 	d.broker = broker.New(d.host)
 	d.ledger = claim.NewLedger(d.platform, claim.Options{Metrics: d.metrics})
@@ -155,18 +155,18 @@
 			return err
 		}
 	}
-	d.transport.Handle(peer.TypeStatus, d.answerStatus)
+	d.transport.Handle(peer.TypeStatus, d.handleStatus)
 	d.admin = admin.New(d, d.metrics)
 	return nil
 }
 
-// parts returns what runs beside the servers, until its context ends.
-func (d *Daemon) parts() []func(context.Context) {
-	parts := []func(context.Context){d.syncer.Run, d.host.Run, d.broker.Run, d.vms.Run, d.collectClaims}
+// components returns what runs beside the servers, until its context ends.
+func (d *Daemon) components() []func(context.Context) {
+	components := []func(context.Context){d.syncer.Run, d.host.Run, d.broker.Run, d.vms.Run, d.collectClaims}
 	if d.placement != nil {
-		parts = append(parts, d.runPlacement)
+		components = append(components, d.runPlacement)
 	}
-	return parts
+	return components
 }
 
 // Address and AdminAddress are where the daemon listens.
@@ -179,32 +179,32 @@
 func (d *Daemon) Configured() <-chan struct{} { return d.syncer.Ready() }
 
 // Drain begins to stop, as the end of Run's context does. It returns at once.
-func (d *Daemon) Drain() { d.drainOnce.Do(func() { close(d.drain) }) }
+func (d *Daemon) Drain() { d.drainOnce.Do(func() { close(d.drainRequested) }) }
 
 // Run serves until ctx ends or Drain is called, and then until no request is
 // left. It returns an error where a part failed, or where requests were cut
 // off because they took longer than the settings allow.
 func (d *Daemon) Run(ctx context.Context) error {
-	work, stopWork := context.WithCancel(context.Background())
-	defer stopWork()
-	failed := make(chan error, 2) // one from each server
-	var parts conc.WaitGroup
+	componentsCtx, stopComponents := context.WithCancel(context.Background())
+	defer stopComponents()
+	serverErrs := make(chan error, 2) // one from each server
+	var components conc.WaitGroup
 	d.transport.Start()
 	d.members.Start()
-	for _, run := range d.parts() {
-		parts.Go(func() { run(work) })
+	for _, run := range d.components() {
+		components.Go(func() { run(componentsCtx) })
 	}
-	parts.Go(func() { failed <- d.admin.Serve(d.adminListener) })
-	parts.Go(func() { failed <- d.entry.Serve(d.listener) })
+	components.Go(func() { serverErrs <- d.admin.Serve(d.adminListener) })
+	components.Go(func() { serverErrs <- d.entry.Serve(d.listener) })
 	d.log.WithField("listen", d.Address()).WithField("admin", d.AdminAddress()).Info("started")
-	err := d.serve(ctx, failed)
+	err := d.awaitStop(ctx, serverErrs)
 	if err == nil {
-		err = d.stop()
+		err = d.gracefulStop()
 	}
 	d.closeLedger()
-	stopWork()
+	stopComponents()
 	d.closeAdmin()
-	parts.Wait()
+	components.Wait()
 	d.members.Close()
 	d.transport.Close()
 	d.state.Store(uint32(stateStopped))
@@ -212,8 +212,8 @@
 	return err
 }
 
-// serve waits until the daemon is to stop.
-func (d *Daemon) serve(ctx context.Context, failed <-chan error) error {
+// awaitStop waits until the daemon is to stop.
+func (d *Daemon) awaitStop(ctx context.Context, serverErrs <-chan error) error {
 	configured, joined := d.Configured(), d.members.Joined()
 	for {
 		if configured == nil && joined == nil && d.state.CompareAndSwap(uint32(stateStarting), uint32(stateServing)) {
@@ -225,13 +225,13 @@
 			d.log.Info("configuration in force")
 		case <-joined:
 			joined = nil
-			d.log.WithField("members", len(d.views.Load().Members)).Info("members met")
-		case err := <-failed:
+			d.log.WithField("members", len(d.view.Load().Members)).Info("members met")
+		case err := <-serverErrs:
 			d.closeListeners()
 			return errors.WithMessage(err, "server ended")
 		case <-ctx.Done():
 			return nil
-		case <-d.drain:
+		case <-d.drainRequested:
 			return nil
 		}
 	}
--- a/internal/daemon/measure_test.go
+++ b/internal/daemon/entry_bench_test.go
@@ -35,18 +35,18 @@
 //
 //	go test -run '^$' -bench Entry -benchtime 3000x ./internal/daemon
 const (
-	daemonProcs   = "4"
-	measureKey    = "measure-key"
-	measureWait   = 30 * time.Second
-	engineCount   = 4
-	engineSlots   = 400
-	fastEngine    = `{"slots":400,"step_ms":0.05,"sequence_ms":0.0001,"prefill_per_second":1e8,"prefill_chunk":100000}`
-	slowEngine    = `{"slots":4000,"kv_tokens":100000000,"step_ms":400,"sequence_ms":0.0001,"prefill_per_second":1e8,"prefill_chunk":100000}`
-	measuredModel = "writer"
+	daemonProcs  = "4"
+	benchKey     = "measure-key"
+	benchTimeout = 30 * time.Second
+	engineCount  = 4
+	engineSlots  = 400
+	fastEngine   = `{"slots":400,"step_ms":0.05,"sequence_ms":0.0001,"prefill_per_second":1e8,"prefill_chunk":100000}`
+	slowEngine   = `{"slots":4000,"kv_tokens":100000000,"step_ms":400,"sequence_ms":0.0001,"prefill_per_second":1e8,"prefill_chunk":100000}`
+	benchModel   = "writer"
 )
 
-// bench is a running system.
-type bench struct {
+// benchCluster is a running system.
+type benchCluster struct {
 	b       *testing.B
 	dir     string
 	engines []string
@@ -55,61 +55,61 @@
 	pid     int
 }
 
-// newBench builds the programs, and starts a platform, engines and a daemon.
-func newBench(b *testing.B, engineOptions string, slots int, policy pool.Policy) *bench {
-	x := &bench{b: b, dir: b.TempDir()}
-	build := exec.Command("go", "build", "-o", x.dir+string(filepath.Separator), "../../cmd/lycheekeeld", "../../cmd/lycheekeel")
+// newBenchCluster builds the programs, and starts a platform, engines and a daemon.
+func newBenchCluster(b *testing.B, engineOptions string, slots int, policy pool.Policy) *benchCluster {
+	bc := &benchCluster{b: b, dir: b.TempDir()}
+	build := exec.Command("go", "build", "-o", bc.dir+string(filepath.Separator), "../../cmd/lycheekeeld", "../../cmd/lycheekeel")
 	if out, err := build.CombinedOutput(); err != nil {
 		b.Fatalf("build: %v\n%s", err, out)
 	}
-	store := address(b)
-	x.start("", "lycheekeel", "standin", "platform", "--listen", store)
-	x.await("http://" + store + "/standin/calls")
+	store := freeAddress(b)
+	bc.start("", "lycheekeel", "standin", "platform", "--listen", store)
+	bc.awaitOK("http://" + store + "/standin/calls")
 	for range engineCount {
-		a := address(b)
-		x.engines = append(x.engines, a)
-		x.start("", "lycheekeel", "--log-level", "error", "standin", "engine", "--listen", a, "--options", engineOptions)
-		x.await("http://" + a + "/healthz")
+		a := freeAddress(b)
+		bc.engines = append(bc.engines, a)
+		bc.start("", "lycheekeel", "--log-level", "error", "standin", "engine", "--listen", a, "--options", engineOptions)
+		bc.awaitOK("http://" + a + "/healthz")
 	}
-	x.configure(store, slots, policy)
-	x.entry, x.admin = address(b), address(b)
+	bc.configure(store, slots, policy)
+	bc.entry, bc.admin = freeAddress(b), freeAddress(b)
 	s := daemon.Settings{
-		Name: "entry-1", Region: "here", AvailabilityZone: "hall", Listen: x.entry, Admin: x.admin,
-		Peer:     daemon.PeerSettings{Listen: address(b), Seeds: []string{}, ClusterKeys: []string{"0123456789abcdef"}},
+		Name: "entry-1", Region: "here", AvailabilityZone: "hall", Listen: bc.entry, Admin: bc.admin,
+		Peer:     daemon.PeerSettings{Listen: freeAddress(b), Seeds: []string{}, ClusterKeys: []string{"0123456789abcdef"}},
 		Platform: daemon.PlatformSettings{Address: store}, Log: daemon.LogSettings{Level: "warning"},
 	}
-	file := filepath.Join(x.dir, "settings.json")
+	file := filepath.Join(bc.dir, "settings.json")
 	if err := os.WriteFile(file, marshal(b, s), 0o600); err != nil {
 		b.Fatal(err)
 	}
-	x.pid = x.start("GOMAXPROCS="+daemonProcs, "lycheekeeld", "--settings", file)
-	x.await("http://" + x.admin + "/readyz")
-	x.warm()
-	return x
+	bc.pid = bc.start("GOMAXPROCS="+daemonProcs, "lycheekeeld", "--settings", file)
+	bc.awaitOK("http://" + bc.admin + "/readyz")
+	bc.warmUp()
+	return bc
 }
 
 // start runs a program until the benchmark's end.
-func (x *bench) start(env, program string, args ...string) int {
-	cmd := exec.Command(filepath.Join(x.dir, program), args...)
+func (bc *benchCluster) start(env, program string, args ...string) int {
+	cmd := exec.Command(filepath.Join(bc.dir, program), args...)
 	cmd.Env = append(os.Environ(), env)
 	cmd.Stderr = os.Stderr
 	if err := cmd.Start(); err != nil {
-		x.b.Fatal(err)
+		bc.b.Fatal(err)
 	}
-	x.b.Cleanup(func() {
+	bc.b.Cleanup(func() {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 	})
 	return cmd.Process.Pid
 }
 
-func (x *bench) configure(store string, slots int, policy pool.Policy) {
+func (bc *benchCluster) configure(store string, slots int, policy pool.Policy) {
 	number := func(v int64) workspace.Number { return workspace.Number{Value: v} }
-	sum := sha256.Sum256([]byte(measureKey))
+	sum := sha256.Sum256([]byte(benchKey))
 	api := httpobjectstore.New(httpobjectstore.Options{Addr: store})
 	put := func(kind objectstore.Kind, name string, v any) {
-		if _, err := api.Create(context.Background(), kind, name, marshal(x.b, v)); err != nil {
-			x.b.Fatal(err)
+		if _, err := api.Create(context.Background(), kind, name, marshal(bc.b, v)); err != nil {
+			bc.b.Fatal(err)
 		}
 	}
 	put(workspace.KindTemplate, "desk", workspace.Template{
@@ -117,22 +117,22 @@
 		Tiers: []workspace.TierSpec{{
 			Name: "all", FirstTokenMs: number(60_000), PerTokenMs: number(10_000), DeadlineMs: number(600_000), MaxWaiting: number(20_000),
 		}},
-		Models: []workspace.ModelSpec{{Name: measuredModel, Version: "v1"}},
+		Models: []workspace.ModelSpec{{Name: benchModel, Version: "v1"}},
 	})
 	put(workspace.KindWorkspace, "acme", workspace.Workspace{
 		Name: "acme", Template: "desk", Keys: []workspace.Key{{ID: "main", SHA256: hex.EncodeToString(sum[:])}},
 	})
 	put(workspace.KindPool, "writers", workspace.Pool{
-		Name: "writers", Region: "here", Model: measuredModel, Version: "v1", MaxWaiting: 20_000, Policy: string(policy),
+		Name: "writers", Region: "here", Model: benchModel, Version: "v1", MaxWaiting: 20_000, Policy: string(policy),
 	})
-	for i, e := range x.engines {
+	for i, e := range bc.engines {
 		put(workspace.KindBackendServer, fmt.Sprintf("engine-%d", i), workspace.BackendServer{
 			Name: fmt.Sprintf("engine-%d", i), Address: e, Region: "here", AvailabilityZone: "hall", Pool: "writers", Slots: slots,
 		})
 	}
 }
 
-func address(b *testing.B) string {
+func freeAddress(b *testing.B) string {
 	free, err := testport.Process.Address()
 	if err != nil {
 		b.Fatal(err)
@@ -148,8 +148,8 @@
 	return data
 }
 
-func (x *bench) await(url string) {
-	x.until(url, func() bool {
+func (bc *benchCluster) awaitOK(url string) {
+	bc.waitUntil(url, func() bool {
 		resp, err := http.Get(url)
 		if err != nil {
 			return false
@@ -159,88 +159,88 @@
 	})
 }
 
-func (x *bench) until(what string, holds func() bool) {
+func (bc *benchCluster) waitUntil(what string, cond func() bool) {
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
-	end := time.After(measureWait)
-	for !holds() {
+	timeout := time.After(benchTimeout)
+	for !cond() {
 		select {
 		case <-tick.C:
-		case <-end:
-			x.b.Fatalf("not within %v: %s", measureWait, what)
+		case <-timeout:
+			bc.b.Fatalf("not within %v: %s", benchTimeout, what)
 		}
 	}
 }
 
-// warm sends requests until one is answered.
-func (x *bench) warm() {
-	x.until("the first answer", func() bool {
-		c := x.dial(x.entry)
+// warmUp sends requests until one is answered.
+func (bc *benchCluster) warmUp() {
+	bc.waitUntil("the first answer", func() bool {
+		c := bc.dial(bc.entry)
 		defer c.close()
-		return strings.Contains(c.exchange(x.chat("echo:warm", false)), `"content":"warm"`)
+		return strings.Contains(c.roundTrip(bc.chatRequest("echo:warm", false)), `"content":"warm"`)
 	})
 }
 
-// wire is one kept-alive connection.
-type wire struct {
+// client is one kept-alive connection.
+type client struct {
 	b    *testing.B
 	conn net.Conn
 	r    *bufio.Reader
 }
 
-func (x *bench) dial(addr string) *wire {
+func (bc *benchCluster) dial(addr string) *client {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
-		x.b.Fatal(err)
+		bc.b.Fatal(err)
 	}
-	return &wire{b: x.b, conn: conn, r: bufio.NewReader(conn)}
+	return &client{b: bc.b, conn: conn, r: bufio.NewReader(conn)}
 }
 
-func (w *wire) close() { _ = w.conn.Close() }
+func (c *client) close() { _ = c.conn.Close() }
 
-func (w *wire) send(request []byte) {
-	if _, err := w.conn.Write(request); err != nil {
-		w.b.Fatal(err)
+func (c *client) send(request []byte) {
+	if _, err := c.conn.Write(request); err != nil {
+		c.b.Fatal(err)
 	}
 }
 
-// exchange sends a request and returns the answer's body.
-func (w *wire) exchange(request []byte) string {
-	w.send(request)
-	resp, err := http.ReadResponse(w.r, nil)
+// roundTrip sends a request and returns the answer's body.
+func (c *client) roundTrip(request []byte) string {
+	c.send(request)
+	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
-		w.b.Fatal(err)
+		c.b.Fatal(err)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		w.b.Fatal(err)
+		c.b.Fatal(err)
 	}
 	return string(body)
 }
 
 // firstByte sends a request for a stream and returns the time to the first
 // line with the mark; it reads the stream to its end.
-func (w *wire) firstByte(request []byte, mark string) time.Duration {
+func (c *client) firstByte(request []byte, marker string) time.Duration {
 	sent := time.Now()
-	w.send(request)
-	resp, err := http.ReadResponse(w.r, nil)
+	c.send(request)
+	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
-		w.b.Fatal(err)
+		c.b.Fatal(err)
 	}
 	defer resp.Body.Close()
 	lines := bufio.NewReader(resp.Body)
 	var first time.Duration
 	for {
 		line, err := lines.ReadString('\n')
-		if first == 0 && strings.Contains(line, mark) {
+		if first == 0 && strings.Contains(line, marker) {
 			first = time.Since(sent)
 		}
 		if err == io.EOF && first > 0 {
 			return first
 		}
 		if err != nil {
-			w.b.Fatalf("stream: %v", err)
+			c.b.Fatalf("stream: %v", err)
 		}
 	}
 }
@@ -255,15 +255,15 @@
 	return b.Bytes()
 }
 
-func (x *bench) chat(text string, stream bool) []byte {
+func (bc *benchCluster) chatRequest(text string, stream bool) []byte {
 	return post("/v1/chat/completions", fmt.Sprintf(`{"model":%q,"stream":%v,"messages":[{"role":"user","content":%q}]}`,
-		measuredModel, stream, text), "Authorization: Bearer "+measureKey)
+		benchModel, stream, text), "Authorization: Bearer "+benchKey)
 }
 
-// direct is the same request as an engine takes it.
-func (x *bench) direct(id int, text string) []byte {
+// engineRequest is the same request as an engine takes it.
+func (bc *benchCluster) engineRequest(id int, text string) []byte {
 	return post("/engine/run", fmt.Sprintf(`{"request_id":"direct-%d","model":%q,"version":"v1","prompt":%q,"last":%q,"prompt_tokens":8,"max_tokens":64}`,
-		id, measuredModel, text, text))
+		id, benchModel, text, text))
 }
 
 func median(d []time.Duration) float64 {
@@ -273,17 +273,17 @@
 
 // BenchmarkEntryFirstByte alternates between the entry and a direct call.
 func BenchmarkEntryFirstByte(b *testing.B) {
-	x := newBench(b, fastEngine, engineSlots, pool.PolicyLycheekeel)
-	through, straight := x.dial(x.entry), x.dial(x.engines[0])
-	defer through.close()
-	defer straight.close()
+	bc := newBenchCluster(b, fastEngine, engineSlots, pool.PolicyLycheekeel)
+	entryConn, directConn := bc.dial(bc.entry), bc.dial(bc.engines[0])
+	defer entryConn.close()
+	defer directConn.close()
 	const text = "echo:tile"
 	var entry, direct []time.Duration
-	request := x.chat(text, true)
+	request := bc.chatRequest(text, true)
 	b.ResetTimer()
 	for i := range b.N {
-		entry = append(entry, through.firstByte(request, `"content":"tile"`))
-		direct = append(direct, straight.firstByte(x.direct(i, text), `"text":"tile"`))
+		entry = append(entry, entryConn.firstByte(request, `"content":"tile"`))
+		direct = append(direct, directConn.firstByte(bc.engineRequest(i, text), `"text":"tile"`))
 	}
 	b.ReportMetric(median(entry), "entry_p50_ms")
 	b.ReportMetric(median(direct), "direct_p50_ms")
@@ -293,36 +293,36 @@
 // BenchmarkEntryRequests sends small plain requests over kept-alive
 // connections, each as soon as the last was answered.
 func BenchmarkEntryRequests(b *testing.B) {
-	const lanes = 128
-	x := newBench(b, fastEngine, engineSlots, pool.PolicyLycheekeel)
-	request := x.chat("echo:tile", false)
-	var left atomic.Int64
-	left.Store(int64(b.N))
-	var all sync.WaitGroup
-	before := cpuSeconds(b, x.pid)
+	const connections = 128
+	bc := newBenchCluster(b, fastEngine, engineSlots, pool.PolicyLycheekeel)
+	request := bc.chatRequest("echo:tile", false)
+	var remaining atomic.Int64
+	remaining.Store(int64(b.N))
+	var wg sync.WaitGroup
+	before := cpuSeconds(b, bc.pid)
 	b.ResetTimer()
-	for range lanes {
-		all.Go(func() {
-			c := x.dial(x.entry)
+	for range connections {
+		wg.Go(func() {
+			c := bc.dial(bc.entry)
 			defer c.close()
-			for left.Add(-1) >= 0 {
-				if got := c.exchange(request); !strings.Contains(got, `"content":"tile"`) {
+			for remaining.Add(-1) >= 0 {
+				if got := c.roundTrip(request); !strings.Contains(got, `"content":"tile"`) {
 					b.Errorf("wrong answer: %s", got)
 				}
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	b.StopTimer()
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
-	b.ReportMetric((cpuSeconds(b, x.pid)-before)/b.Elapsed().Seconds(), "daemon_cores")
+	b.ReportMetric((cpuSeconds(b, bc.pid)-before)/b.Elapsed().Seconds(), "daemon_cores")
 }
 
 // BenchmarkEntryMemory measures what an idle connection, an open stream and a
 // waiting request cost the daemon in resident memory.
 func BenchmarkEntryMemory(b *testing.B) {
 	const idle, streams, waiting = 10_000, 2_000, 4_000
-	long := "echo:" + strings.Repeat("cracked tile; ", 400)
+	longText := "echo:" + strings.Repeat("cracked tile; ", 400)
 	for _, c := range []struct {
 		gauge  string
 		n      int
@@ -338,44 +338,44 @@
 		{"waiting", waiting, 1, true, false, pool.PolicyLycheekeel},
 	} {
 		b.Run(c.gauge, func(b *testing.B) {
-			x := newBench(b, slowEngine, c.slots, c.policy)
-			request := x.chat(long, c.stream)
+			bc := newBenchCluster(b, slowEngine, c.slots, c.policy)
+			request := bc.chatRequest(longText, c.stream)
 			if c.full {
 				for range engineCount {
-					x.hold(request)
+					bc.openAndHold(request)
 				}
 			}
-			before := residentKB(b, x.pid)
+			before := residentKB(b, bc.pid)
 			for range c.n {
 				if c.gauge == "connections" {
 					request = nil
 				}
-				x.hold(request)
+				bc.openAndHold(request)
 			}
-			x.until(fmt.Sprintf("%d %s", c.n, c.gauge), func() bool { return x.gauge(c.gauge) >= c.n })
-			b.ReportMetric((residentKB(b, x.pid)-before)/float64(c.n), "KB/each")
+			bc.waitUntil(fmt.Sprintf("%d %s", c.n, c.gauge), func() bool { return bc.gauge(c.gauge) >= c.n })
+			b.ReportMetric((residentKB(b, bc.pid)-before)/float64(c.n), "KB/each")
 			if !c.full && !c.stream {
-				x.warm() // with so many idle connections, a request is answered
+				bc.warmUp() // with so many idle connections, a request is answered
 			}
 			b.ReportMetric(float64(len(request))/1024, "KB/request")
 		})
 	}
 }
 
-// hold opens a connection until the benchmark's end and sends a request on it.
-func (x *bench) hold(request []byte) {
-	c := x.dial(x.entry)
-	x.b.Cleanup(c.close)
+// openAndHold opens a connection until the benchmark's end and sends a request on it.
+func (bc *benchCluster) openAndHold(request []byte) {
+	c := bc.dial(bc.entry)
+	bc.b.Cleanup(c.close)
 	if request != nil {
 		c.send(request)
 	}
 }
 
 // gauge reads one of the entry's gauges.
-func (x *bench) gauge(name string) int {
-	resp, err := http.Get("http://" + x.admin + "/debug/vars")
+func (bc *benchCluster) gauge(name string) int {
+	resp, err := http.Get("http://" + bc.admin + "/debug/vars")
 	if err != nil {
-		x.b.Fatal(err)
+		bc.b.Fatal(err)
 	}
 	defer resp.Body.Close()
 	var vars struct {
@@ -384,7 +384,7 @@
 		} `json:"lycheekeel"`
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&vars); err != nil {
-		x.b.Fatal(err)
+		bc.b.Fatal(err)
 	}
 	return vars.Lycheekeel.Entry[name]
 }
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -26,7 +26,7 @@
 		},
 		Seeds: d.settings.Peer.Seeds,
 	}, member.RunnerOptions{
-		Transport: d.transport, View: d.views, Registry: d.metrics, VMAddresses: d.peerHints,
+		Transport: d.transport, View: d.view, Registry: d.metrics, VMAddresses: d.peerCandidates,
 	})
 	return errors.Wrap(err, "membership")
 }
@@ -40,9 +40,9 @@
 	return a
 }
 
-// peerHints returns where daemons may listen by the platform's VM list: on
+// peerCandidates returns where daemons may listen by the platform's VM list: on
 // the VMs of their role, at the port that this daemon uses.
-func (d *Daemon) peerHints(ctx context.Context) ([]string, error) {
+func (d *Daemon) peerCandidates(ctx context.Context) ([]string, error) {
 	self, err := netip.ParseAddrPort(d.peerAddress())
 	if err != nil {
 		return nil, errors.Wrap(err, "own peer address")
--- a/internal/daemon/placement.go
+++ b/internal/daemon/placement.go
@@ -11,20 +11,20 @@
 	"github.com/lycheekeel/lycheekeel/placement"
 )
 
-// placementLease with a region's name is the lease of its placement
+// placementLeasePrefix with a region's name is the lease of its placement
 // controller.
-const placementLease = "placement-"
+const placementLeasePrefix = "placement-"
 
 // newPlacement returns the controller that places models in this daemon's
 // region while it holds the region's lease.
 func (d *Daemon) newPlacement(engines engine.Dialer) (*placement.Controller, error) {
-	elector, err := d.newElector(placementLease + d.settings.Region)
+	elector, err := d.newElector(placementLeasePrefix + d.settings.Region)
 	if err != nil {
 		return nil, errors.Wrap(err, "placement")
 	}
 	return placement.NewController(placement.Options{
 		Region: d.settings.Region, Elector: elector, API: d.platform, Weights: d.platform, Engines: engines,
-		Config: d.config.Load, Demand: d.demand, Metrics: d.metrics,
+		Config: d.config.Load, Demand: d.regionDemand, Metrics: d.metrics,
 	}), nil
 }
 
@@ -32,21 +32,21 @@
 func (d *Daemon) newElector(name string) (*lease.Elector, error) {
 	return lease.NewElector(d.platform, lease.Options{
 		Name: name, Holder: d.settings.Name, Duration: LeaseDuration, PollEvery: LeaseDuration,
-		MaxDrift: leaseDrift, Margin: leaseMargin, Metrics: d.metrics,
+		MaxDrift: leaseMaxDrift, Margin: leaseMargin, Metrics: d.metrics,
 	})
 }
 
-// demand asks the region's members what waits and runs at the pools that
+// regionDemand asks the region's members what waits and runs at the pools that
 // they own.
-func (d *Daemon) demand(ctx context.Context) map[string]placement.Demand {
+func (d *Daemon) regionDemand(ctx context.Context) map[string]placement.Demand {
 	var names []string
-	for _, m := range d.views.Load().Members {
+	for _, m := range d.view.Load().Members {
 		if m.Region == d.settings.Region && m.State != member.Dead {
 			names = append(names, m.Name)
 		}
 	}
 	out := map[string]placement.Demand{}
-	for _, r := range d.askMembers(ctx, names) {
+	for _, r := range d.fetchReports(ctx, names) {
 		for _, s := range r.report.Owned {
 			out[s.Pool] = placement.DemandOf(s.Waiting, s.Running)
 		}
--- a/internal/daemon/report.go
+++ b/internal/daemon/report.go
@@ -13,8 +13,8 @@
 	"github.com/lycheekeel/lycheekeel/revision"
 )
 
-// askLimit bounds asking the members for their reports.
-const askLimit = time.Second
+// reportTimeout bounds asking the members for their reports.
+const reportTimeout = time.Second
 
 // memberReport is what a daemon tells another one of itself, for operators
 // and for the placement controller. It travels as JSON: it is asked for
@@ -24,8 +24,8 @@
 	Owned         []pool.Summary  `json:"owned"`
 }
 
-// reported is a member's report, or why there is none.
-type reported struct {
+// reportResult is a member's report, or why there is none.
+type reportResult struct {
 	report memberReport
 	err    error
 }
@@ -34,26 +34,26 @@
 	return memberReport{Configuration: d.syncer.Report(), Owned: d.host.Summaries()}
 }
 
-// answerStatus answers a peer with this daemon's report.
-func (d *Daemon) answerStatus(context.Context, peer.Name, []byte) ([]byte, error) {
+// handleStatus answers a peer with this daemon's report.
+func (d *Daemon) handleStatus(context.Context, peer.Name, []byte) ([]byte, error) {
 	return json.Marshal(d.ownReport())
 }
 
-// askMembers asks members for their reports, all at once; the answers are in
+// fetchReports asks members for their reports, all at once; the answers are in
 // the order of the names.
-func (d *Daemon) askMembers(ctx context.Context, names []string) []reported {
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+func (d *Daemon) fetchReports(ctx context.Context, names []string) []reportResult {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	out := make([]reported, len(names))
-	var asked conc.WaitGroup
+	out := make([]reportResult, len(names))
+	var wg conc.WaitGroup
 	for i, name := range names {
-		asked.Go(func() { out[i].report, out[i].err = d.askMember(ctx, name) })
+		wg.Go(func() { out[i].report, out[i].err = d.fetchReport(ctx, name) })
 	}
-	asked.Wait()
+	wg.Wait()
 	return out
 }
 
-func (d *Daemon) askMember(ctx context.Context, name string) (memberReport, error) {
+func (d *Daemon) fetchReport(ctx context.Context, name string) (memberReport, error) {
 	if name == d.settings.Name {
 		return d.ownReport(), nil
 	}
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -85,9 +85,9 @@
 
 // The defaults of the settings that the daemon itself uses.
 const (
-	DefaultDrain    = 5 * time.Second
-	DefaultStop     = 15 * time.Minute
-	DefaultLogLevel = "info"
+	DefaultDrainDelay  = 5 * time.Second
+	DefaultStopTimeout = 15 * time.Minute
+	DefaultLogLevel    = "info"
 )
 
 // LoadSettings reads and checks a settings file. Findings come back together.
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -30,8 +30,8 @@
 		So(err, ShouldBeNil)
 		So(s.Peer.Address, ShouldEqual, "127.0.0.1:7946")
 		So(s.Log.Level, ShouldEqual, DefaultLogLevel)
-		So(orDefault(s.Timeouts.DrainMs, DefaultDrain), ShouldEqual, 1500*time.Millisecond)
-		So(orDefault(s.Timeouts.StopMs, DefaultStop), ShouldEqual, DefaultStop)
+		So(orDefault(s.Timeouts.DrainMs, DefaultDrainDelay), ShouldEqual, 1500*time.Millisecond)
+		So(orDefault(s.Timeouts.StopMs, DefaultStopTimeout), ShouldEqual, DefaultStopTimeout)
 	})
 	Convey("Every finding comes back at once, with its place", t, func() {
 		_, err := settings.Parse[Settings]("bad.json", []byte(`{
@@ -41,19 +41,19 @@
 		}`))
 		findings, ok := err.(workspace.Findings)
 		So(ok, ShouldBeTrue)
-		places := map[string]bool{}
+		reportedPaths := map[string]bool{}
 		for _, f := range findings {
 			So(f.File, ShouldEqual, "bad.json")
 			So(f.Reason, ShouldNotBeEmpty)
-			places[f.Path] = true
+			reportedPaths[f.Path] = true
 		}
 		for _, path := range []string{
 			"name", "region", "availability_zone", "listen", "colour", "peer.seeds[1]", "peer.cluster_keys[0]", "log.JSON",
 			"platform.address", "platform.timeout_ms", "log.level", "limits.body_bytes",
 		} {
-			So(places, ShouldContainKey, path)
+			So(reportedPaths, ShouldContainKey, path)
 		}
-		So(len(places), ShouldEqual, 12)
+		So(len(reportedPaths), ShouldEqual, 12)
 	})
 	Convey("An unknown field alone is enough to refuse a file", t, func() {
 		_, err := settings.Parse[Settings]("odd.json", []byte(strings.Replace(goodSettings, `"region"`, `"colour": 1, "region"`, 1)))
@@ -71,7 +71,7 @@
 	})
 }
 
-func TestEachSettingHasItsLineForOperators(t *testing.T) {
+func TestSettingsPageListsEverySetting(t *testing.T) {
 	Convey("The page names each setting", t, func() {
 		page, err := os.ReadFile("../../docs/operators/settings.md")
 		So(err, ShouldBeNil)
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -85,14 +85,14 @@
 		Configuration: d.syncer.Report(), Findings: d.findings(),
 		Pools: d.poolStatus(), Owned: ownedPools(d.host.Summaries()),
 	}
-	for _, m := range d.views.Load().Members {
+	for _, m := range d.view.Load().Members {
 		s.Members = append(s.Members, MemberStatus{
 			Name: m.Name, Address: m.Address, Region: m.Region, AvailabilityZone: m.AvailabilityZone,
 			State: m.State.String(), Incarnation: m.Incarnation,
 		})
 	}
 	if cluster {
-		d.fillIn(ctx, s.Members)
+		d.fetchConfigurations(ctx, s.Members)
 	}
 	return s
 }
@@ -111,13 +111,13 @@
 	return out
 }
 
-// fillIn asks the members which configuration they have in force.
-func (d *Daemon) fillIn(ctx context.Context, members []MemberStatus) {
+// fetchConfigurations asks the members which configuration they have in force.
+func (d *Daemon) fetchConfigurations(ctx context.Context, members []MemberStatus) {
 	names := make([]string, len(members))
 	for i, m := range members {
 		names[i] = m.Name
 	}
-	for i, r := range d.askMembers(ctx, names) {
+	for i, r := range d.fetchReports(ctx, names) {
 		if r.err != nil {
 			members[i].Error = r.err.Error()
 			continue
--- a/internal/daemon/vms.go
+++ b/internal/daemon/vms.go
@@ -13,30 +13,30 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// VMEvery is how often a daemon that owns pools asks for the VM list. A
+// VMListInterval is how often a daemon that owns pools asks for the VM list. A
 // leaving backend server must get no new work within seconds.
-const VMEvery = 1500 * time.Millisecond
+const VMListInterval = 1500 * time.Millisecond
 
 // leavingVMs knows which VMs the platform's list shows as leaving. Daemons
 // that own no pool don't ask: each call counts against the platform's rates.
 type leavingVMs struct {
-	list objectstore.VMList
-	owns func() bool
-	ips  atomic.Pointer[map[string]bool]
-	log  *logrus.Entry
+	list      objectstore.VMList
+	ownsPools func() bool
+	ips       atomic.Pointer[map[string]bool]
+	log       *logrus.Entry
 }
 
-func newLeavingVMs(list objectstore.VMList, owns func() bool) *leavingVMs {
-	return &leavingVMs{list: list, owns: owns, log: logs.For("vms")}
+func newLeavingVMs(list objectstore.VMList, ownsPools func() bool) *leavingVMs {
+	return &leavingVMs{list: list, ownsPools: ownsPools, log: logs.For("vms")}
 }
 
 // Run asks until ctx ends.
 func (l *leavingVMs) Run(ctx context.Context) {
-	tick := time.NewTicker(VMEvery)
+	tick := time.NewTicker(VMListInterval)
 	defer tick.Stop()
 	for {
-		if l.owns() {
-			l.ask(ctx)
+		if l.ownsPools() {
+			l.refresh(ctx)
 		}
 		select {
 		case <-tick.C:
@@ -46,10 +46,10 @@
 	}
 }
 
-// ask keeps the last list where the platform does not answer: a VM that was
+// refresh keeps the last list where the platform does not answer: a VM that was
 // leaving does not come back.
-func (l *leavingVMs) ask(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, VMEvery)
+func (l *leavingVMs) refresh(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, VMListInterval)
 	defer cancel()
 	vms, err := l.list.VMs(ctx)
 	if err != nil {
@@ -65,8 +65,8 @@
 	l.ips.Store(&ips)
 }
 
-// leaving tells whether a backend server's VM is leaving.
-func (l *leavingVMs) leaving(s workspace.BackendServer) bool {
+// isLeaving tells whether a backend server's VM is leaving.
+func (l *leavingVMs) isLeaving(s workspace.BackendServer) bool {
 	ips := l.ips.Load()
 	if ips == nil || len(*ips) == 0 {
 		return false
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// reasons say what a refusal's reason means and where to look next.
-var reasons = map[string]string{
+// reasonHelp say what a refusal's reason means and where to look next.
+var reasonHelp = map[string]string{
 	"shed":               "no slot came free within the request's patience; look at the owner's load, and at servers that went in the lines around",
 	"workspace_limit":    "the workspace's quota was used up; look at share: below 1 other daemons were silent and kept theirs",
 	"expired":            "its time was up; waited_ms tells how much of it was spent waiting for a slot",
@@ -27,11 +27,11 @@
 }
 
 // Cause says in a sentence how the request ended and why.
-func (s Story) Cause() string {
-	if len(s.Lines) == 0 {
+func (t Timeline) Cause() string {
+	if len(t.Lines) == 0 {
 		return "no log has this request"
 	}
-	last := s.Lines[len(s.Lines)-1]
+	last := t.Lines[len(t.Lines)-1]
 	switch last.Message {
 	case "Answered.":
 		return fmt.Sprintf("answered with status %v after %v ms", last.Fields["status"], last.Fields["total_ms"])
@@ -39,7 +39,7 @@
 		return fmt.Sprintf("its stream was cut after %v events: %v", last.Fields["events"], last.Fields["error"])
 	case "Refused.":
 		reason, _ := last.Fields["reason"].(string)
-		return fmt.Sprintf("refused with status %v, %s (not run: %v): %s", last.Fields["status"], reason, last.Fields["not_run"], reasons[reason])
+		return fmt.Sprintf("refused with status %v, %s (not run: %v): %s", last.Fields["status"], reason, last.Fields["not_run"], reasonHelp[reason])
 	case "Still running.":
 		return fmt.Sprintf("it ran on after %v ms, at server %v; its end is not in these logs: its VM was killed or cut off from the log, and the server may have run it", last.Fields["total_ms"], last.Fields["server"])
 	default:
--- a/internal/explain/classes.go
+++ b/internal/explain/classes.go
@@ -30,51 +30,51 @@
 	tier  int
 }
 
-func (c *LossCollector) class(l Line) *Class {
-	k := classKey{text(l, "route"), -1}
+func (c *LossCollector) classOf(l Line) *Class {
+	k := classKey{stringField(l, "route"), -1}
 	if _, ok := l.Fields["tier"]; ok {
-		k.tier = number(l, "tier")
+		k.tier = intField(l, "tier")
 	}
-	x := c.classes[k]
-	if x == nil && len(c.classes) >= maxRows {
-		k = classKey{others, -1}
-		x = c.classes[k]
+	row := c.classes[k]
+	if row == nil && len(c.classes) >= maxRows {
+		k = classKey{othersRow, -1}
+		row = c.classes[k]
 	}
-	if x == nil {
-		x = &Class{Route: k.route, Tier: k.tier}
-		c.classes[k] = x
+	if row == nil {
+		row = &Class{Route: k.route, Tier: k.tier}
+		c.classes[k] = row
 	}
-	return x
+	return row
 }
 
-func (c *LossCollector) poolSecond(l Line) {
+func (c *LossCollector) addPoolSecond(l Line) {
 	at := l.Time.Truncate(time.Second)
-	x := c.pools[at]
-	if x == nil {
-		if len(c.pools) >= maxRows {
+	row := c.poolSeconds[at]
+	if row == nil {
+		if len(c.poolSeconds) >= maxRows {
 			return // days of seconds
 		}
-		x = &PoolSecond{At: at}
-		c.pools[at] = x
+		row = &PoolSecond{At: at}
+		c.poolSeconds[at] = row
 	}
-	addTiers(&x.Granted, l, "tier_granted")
-	addTiers(&x.GrantedLate, l, "tier_granted_late")
-	addTiers(&x.Shed, l, "tier_shed")
-	addTiers(&x.Expired, l, "tier_expired")
-	addTiers(&x.SlotMs, l, "tier_slot_ms")
+	addTiers(&row.Granted, l, "tier_granted")
+	addTiers(&row.GrantedLate, l, "tier_granted_late")
+	addTiers(&row.Shed, l, "tier_shed")
+	addTiers(&row.Expired, l, "tier_expired")
+	addTiers(&row.SlotMs, l, "tier_slot_ms")
 }
 
-func addTiers(to *[request.MaxTiers]int, l Line, field string) {
+func addTiers(totals *[request.MaxTiers]int, l Line, field string) {
 	list, _ := l.Fields[field].([]any)
-	for t, v := range list[:min(len(list), len(to))] {
+	for t, v := range list[:min(len(list), len(totals))] {
 		n, _ := v.(float64)
-		to[t] += int(n)
+		totals[t] += int(n)
 	}
 }
 
 func (c *LossCollector) sortedClasses() (out []Class) {
-	for _, x := range c.classes {
-		out = append(out, *x)
+	for _, row := range c.classes {
+		out = append(out, *row)
 	}
 	slices.SortFunc(out, func(a, b Class) int {
 		return cmp.Or(cmp.Compare(a.Served(), b.Served()), cmp.Compare(a.Route, b.Route), a.Tier-b.Tier)
@@ -83,8 +83,8 @@
 }
 
 func (c *LossCollector) sortedPoolSeconds() (out []PoolSecond) {
-	for _, x := range c.pools {
-		out = append(out, *x)
+	for _, row := range c.poolSeconds {
+		out = append(out, *row)
 	}
 	slices.SortFunc(out, func(a, b PoolSecond) int { return a.At.Compare(b.At) })
 	return out
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -17,12 +17,12 @@
 
 // The window around a request in which other lines are told.
 const (
-	before = 5 * time.Second
-	after  = time.Second
+	windowBefore = 5 * time.Second
+	windowAfter  = time.Second
 )
 
-// maxLine bounds a line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds a line of a log, in bytes.
+const maxLineBytes = 1 << 20
 
 // Line is one line of a daemon's log.
 type Line struct {
@@ -34,8 +34,8 @@
 	Fields map[string]any
 }
 
-// Story is what the logs say of a request.
-type Story struct {
+// Timeline is what the logs say of a request.
+type Timeline struct {
 	ID string
 	// Lines are the request's own, in order; around are lines of the VMs that
 	// took part which say what they learned, in order.
@@ -47,53 +47,53 @@
 
 // Collector reads logs. It is not safe for concurrent use.
 type Collector struct {
-	story    Story
-	learned  []Line
-	Progress func(lines int) // called now and then; may be nil
+	timeline     Timeline
+	generalLines []Line
+	Progress     func(lines int) // called now and then; may be nil
 }
 
-// progressEvery is how many lines lie between two calls of Progress.
-const progressEvery = 1_000_000
+// linesPerProgress is how many lines lie between two calls of Progress.
+const linesPerProgress = 1_000_000
 
 // NewCollector returns a collector for the request with the id.
-func NewCollector(id string) *Collector { return &Collector{story: Story{ID: id}} }
+func NewCollector(id string) *Collector { return &Collector{timeline: Timeline{ID: id}} }
 
 // Read reads one log. Lines may have a prefix that ends with the VM's name;
 // otherwise the file's name stands for it.
 func (c *Collector) Read(file string, r io.Reader) error {
 	return scan(file, r, func(l Line, ok bool) {
-		c.story.Read++
-		if c.Progress != nil && c.story.Read%progressEvery == 0 {
-			c.Progress(c.story.Read)
+		c.timeline.Read++
+		if c.Progress != nil && c.timeline.Read%linesPerProgress == 0 {
+			c.Progress(c.timeline.Read)
 		}
-		c.take(l, ok)
+		c.add(l, ok)
 	})
 }
 
 // scan reads a log line by line; take is told false where one is none of a log.
-func scan(file string, r io.Reader, take func(l Line, ok bool)) error {
+func scan(file string, r io.Reader, handle func(l Line, ok bool)) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
 	vm := strings.TrimSuffix(filepath.Base(file), filepath.Ext(file))
 	for scanner.Scan() {
-		take(parse(vm, scanner.Text()))
+		handle(parseLine(vm, scanner.Text()))
 	}
 	return errors.Wrapf(scanner.Err(), "read %s", file)
 }
 
-func (c *Collector) take(l Line, ok bool) {
+func (c *Collector) add(l Line, ok bool) {
 	switch {
 	case !ok:
-		c.story.Skipped++
-	case l.Fields["request"] == c.story.ID:
-		c.story.Lines = append(c.story.Lines, l)
+		c.timeline.Skipped++
+	case l.Fields["request"] == c.timeline.ID:
+		c.timeline.Lines = append(c.timeline.Lines, l)
 	case l.Fields["request"] == nil:
-		c.learned = append(c.learned, l)
+		c.generalLines = append(c.generalLines, l)
 	}
 }
 
-// parse reads a line; false where it is none of a log.
-func parse(vm, text string) (Line, bool) {
+// parseLine reads a line; false where it is none of a log.
+func parseLine(vm, text string) (Line, bool) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
 		return Line{}, false
@@ -105,8 +105,8 @@
 	if err := json.Unmarshal([]byte(text[start:]), &fields); err != nil {
 		return Line{}, false
 	}
-	l := Line{VM: vm, Part: take(fields, "part"), Message: take(fields, "msg")}
-	at, err := time.Parse(time.RFC3339Nano, take(fields, "time"))
+	l := Line{VM: vm, Part: popString(fields, "part"), Message: popString(fields, "msg")}
+	at, err := time.Parse(time.RFC3339Nano, popString(fields, "time"))
 	if err != nil || l.Part == "" {
 		return Line{}, false
 	}
@@ -116,43 +116,43 @@
 	return l, true
 }
 
-// take takes a text out of the fields; empty where there is none.
-func take(fields map[string]any, name string) string {
+// popString takes a text out of the fields; empty where there is none.
+func popString(fields map[string]any, name string) string {
 	s, _ := fields[name].(string)
 	delete(fields, name)
 	return s
 }
 
-// Story returns the request's story; its Lines are empty where no log has it.
-func (c *Collector) Story() Story {
-	s := c.story
+// Timeline returns the request's story; its Lines are empty where no log has it.
+func (c *Collector) Timeline() Timeline {
+	t := c.timeline
 	byTime := func(a, b Line) int { return a.Time.Compare(b.Time) }
-	slices.SortStableFunc(s.Lines, byTime)
-	if len(s.Lines) == 0 {
-		return s
+	slices.SortStableFunc(t.Lines, byTime)
+	if len(t.Lines) == 0 {
+		return t
 	}
-	from, to := began(s.Lines[0]).Add(-before), s.Lines[len(s.Lines)-1].Time.Add(after)
-	parts := participants(s.Lines)
-	for _, l := range c.learned {
-		if l.Time.After(from) && l.Time.Before(to) && parts.concern(l) {
-			s.Around = append(s.Around, l)
+	from, to := startTime(t.Lines[0]).Add(-windowBefore), t.Lines[len(t.Lines)-1].Time.Add(windowAfter)
+	involved := participantsOf(t.Lines)
+	for _, l := range c.generalLines {
+		if l.Time.After(from) && l.Time.Before(to) && involved.concernedBy(l) {
+			t.Around = append(t.Around, l)
 		}
 	}
-	slices.SortStableFunc(s.Around, byTime)
-	return s
+	slices.SortStableFunc(t.Around, byTime)
+	return t
 }
 
-// began is when the request came, by its line.
-func began(l Line) time.Time {
+// startTime is when the request came, by its line.
+func startTime(l Line) time.Time {
 	ms, _ := l.Fields["total_ms"].(float64)
 	return l.Time.Add(-time.Duration(ms) * time.Millisecond)
 }
 
-// cast is who took part in a request.
-type cast struct{ vms, owners, servers map[string]bool }
+// participants is who took part in a request.
+type participants struct{ vms, owners, servers map[string]bool }
 
-func participants(lines []Line) cast {
-	c := cast{map[string]bool{}, map[string]bool{}, map[string]bool{}}
+func participantsOf(lines []Line) participants {
+	c := participants{map[string]bool{}, map[string]bool{}, map[string]bool{}}
 	for _, l := range lines {
 		c.vms[l.VM] = true
 		if owner, ok := l.Fields["owner"].(string); ok {
@@ -172,14 +172,14 @@
 	return c
 }
 
-// concern tells whether a line may matter: what the request's own VM learned,
+// concernedBy tells whether a line may matter: what the request's own VM learned,
 // but for other servers, and what its owner learned of its pools and peers.
-func (c cast) concern(l Line) bool {
+func (c participants) concernedBy(l Line) bool {
 	if server, ok := l.Fields["server"].(string); ok {
 		return c.servers[server] && (c.vms[l.VM] || c.owners[l.VM])
 	}
-	if of, ok := l.Fields["of"].(string); ok {
-		return c.vms[l.VM] && c.owners[of] || c.owners[l.VM] && c.vms[of]
+	if about, ok := l.Fields["of"].(string); ok {
+		return c.vms[l.VM] && c.owners[about] || c.owners[l.VM] && c.vms[about]
 	}
 	return c.vms[l.VM] || c.owners[l.VM] && l.Part != "sync"
 }
--- a/internal/explain/losses_test.go
+++ b/internal/explain/losses_test.go
@@ -9,8 +9,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// refusal is a line of a log.
-func refusal(second int, reason, workspace string, tier, retryAfterMs int) string {
+// refusalLine is a line of a log.
+func refusalLine(second int, reason, workspace string, tier, retryAfterMs int) string {
 	return fmt.Sprintf(`vm-1 {"msg":"Refused.","part":"forward","time":"2026-01-01T00:00:%02d.5Z","reason":%q,"route":"r","workspace":%q,"tier":%d,"total_ms":20,"retry_after_ms":%d}`+"\n",
 		second, reason, workspace, tier, retryAfterMs)
 }
@@ -22,34 +22,34 @@
 		defer f.Close()
 		c := NewLossCollector()
 		So(c.Read("day.log", f), ShouldBeNil)
-		x := c.Losses()
-		So([]int{x.Answered, x.Cut, x.Skipped}, ShouldResemble, []int{1, 1, 2})
-		So(x.Refusals, ShouldHaveLength, 1)
-		So(x.Refusals[0].Reason, ShouldEqual, "engine_lost")
-		So(x.Refusals[0].Tier, ShouldEqual, -1)
-		So(x.Servers[1], ShouldResemble, ServerFailures{"i-1", "lost", 1})
-		So(x.Starts, ShouldHaveLength, 1)
-		So(x.Starts[0].FirstMs, ShouldEqual, 10_000)
+		losses := c.Losses()
+		So([]int{losses.Answered, losses.Cut, losses.Skipped}, ShouldResemble, []int{1, 1, 2})
+		So(losses.Refusals, ShouldHaveLength, 1)
+		So(losses.Refusals[0].Reason, ShouldEqual, "engine_lost")
+		So(losses.Refusals[0].Tier, ShouldEqual, -1)
+		So(losses.Servers[1], ShouldResemble, ServerFailures{"i-1", "lost", 1})
+		So(losses.Starts, ShouldHaveLength, 1)
+		So(losses.Starts[0].FirstMs, ShouldEqual, 10_000)
 	})
 	Convey("Refusals are told by kind and by second, with what the callers were told", t, func() {
 		c := NewLossCollector()
-		log := refusal(1, "shed", "a", 2, 500) + refusal(1, "shed", "a", 2, 700) + refusal(3, "workspace_limit", "b", 1, 50)
+		log := refusalLine(1, "shed", "a", 2, 500) + refusalLine(1, "shed", "a", 2, 700) + refusalLine(3, "workspace_limit", "b", 1, 50)
 		So(c.Read("x.log", strings.NewReader(log)), ShouldBeNil)
-		x := c.Losses()
-		So(x.Refusals[0].Count, ShouldEqual, 2)
-		So(x.Refusals[0].HeldMs, ShouldEqual, 20)
-		So(x.Refusals[0].RetryAfterMs[0], ShouldAlmostEqual, 500, 5)
-		So(x.Refusals[0].RetryAfterMs[2], ShouldAlmostEqual, 700, 7)
-		So(x.Seconds, ShouldHaveLength, 2)
-		So(x.Seconds[0].Reasons, ShouldResemble, map[string]int{"shed": 2})
+		losses := c.Losses()
+		So(losses.Refusals[0].Count, ShouldEqual, 2)
+		So(losses.Refusals[0].HeldMs, ShouldEqual, 20)
+		So(losses.Refusals[0].RetryAfterMs[0], ShouldAlmostEqual, 500, 5)
+		So(losses.Refusals[0].RetryAfterMs[2], ShouldAlmostEqual, 700, 7)
+		So(losses.Seconds, ShouldHaveLength, 2)
+		So(losses.Seconds[0].Reasons, ShouldResemble, map[string]int{"shed": 2})
 	})
 	Convey("Classes are told by how much of them was answered, least first", t, func() {
 		answer := `vm-1 {"msg":"Answered.","part":"forward","time":"2026-01-01T00:00:01Z","route":"r","tier":1}` + "\n"
 		c := NewLossCollector()
-		So(c.Read("x.log", strings.NewReader(refusal(1, "shed", "a", 2, 500)+answer+answer+refusal(1, "shed", "a", 1, 500))), ShouldBeNil)
-		x := c.Losses()
-		So(x.Classes, ShouldResemble, []Class{{Route: "r", Tier: 2, Refused: 1}, {Route: "r", Tier: 1, Answered: 2, Refused: 1}})
-		So(x.Classes[1].Served(), ShouldAlmostEqual, 2.0/3)
+		So(c.Read("x.log", strings.NewReader(refusalLine(1, "shed", "a", 2, 500)+answer+answer+refusalLine(1, "shed", "a", 1, 500))), ShouldBeNil)
+		losses := c.Losses()
+		So(losses.Classes, ShouldResemble, []Class{{Route: "r", Tier: 2, Refused: 1}, {Route: "r", Tier: 1, Answered: 2, Refused: 1}})
+		So(losses.Classes[1].Served(), ShouldAlmostEqual, 2.0/3)
 	})
 	Convey("What pools granted and refused in a second is added up by tier", t, func() {
 		line := func(pool string, second int) string {
@@ -57,13 +57,13 @@
 		}
 		c := NewLossCollector()
 		So(c.Read("x.log", strings.NewReader(line("a", 7)+line("b", 7)+line("a", 8))), ShouldBeNil)
-		x := c.Losses()
-		So(x.PoolSeconds, ShouldHaveLength, 2)
-		So(x.PoolSeconds[0].Granted[:2], ShouldResemble, []int{6, 2})
-		So(x.PoolSeconds[0].GrantedLate[:2], ShouldResemble, []int{2, 0})
-		So(x.PoolSeconds[0].Shed[:2], ShouldResemble, []int{0, 10})
-		So(x.PoolSeconds[0].Expired[:2], ShouldResemble, []int{0, 2})
-		So(x.PoolSeconds[1].SlotMs[:2], ShouldResemble, []int{900, 40})
+		losses := c.Losses()
+		So(losses.PoolSeconds, ShouldHaveLength, 2)
+		So(losses.PoolSeconds[0].Granted[:2], ShouldResemble, []int{6, 2})
+		So(losses.PoolSeconds[0].GrantedLate[:2], ShouldResemble, []int{2, 0})
+		So(losses.PoolSeconds[0].Shed[:2], ShouldResemble, []int{0, 10})
+		So(losses.PoolSeconds[0].Expired[:2], ShouldResemble, []int{0, 2})
+		So(losses.PoolSeconds[1].SlotMs[:2], ShouldResemble, []int{900, 40})
 	})
 	Convey("Requests that ran on and have no end are told, by VM", t, func() {
 		line := func(vm, message, id string) string {
@@ -73,18 +73,18 @@
 		So(c.Read("x.log", strings.NewReader(
 			line("vm-1", "Still running.", "a")+line("vm-1", "Still running.", "b")+line("vm-2", "Still running.", "a")+
 				line("vm-1", "Answered.", "b")+line("vm-2", "Stream cut.", "a"))), ShouldBeNil)
-		x := c.Losses()
-		So(x.Unended, ShouldHaveLength, 1)
-		So([]string{x.Unended[0].VM, x.Unended[0].Request, x.Unended[0].Server}, ShouldResemble, []string{"vm-1", "a", "i-1"})
+		losses := c.Losses()
+		So(losses.Unended, ShouldHaveLength, 1)
+		So([]string{losses.Unended[0].VM, losses.Unended[0].Request, losses.Unended[0].Server}, ShouldResemble, []string{"vm-1", "a", "i-1"})
 	})
 	Convey("Any number of kinds takes a bounded number of rows", t, func() {
 		c := NewLossCollector()
 		for i := range maxRows + 10 {
-			So(c.Read("x.log", strings.NewReader(refusal(1, "shed", fmt.Sprint(i), 2, 500))), ShouldBeNil)
+			So(c.Read("x.log", strings.NewReader(refusalLine(1, "shed", fmt.Sprint(i), 2, 500))), ShouldBeNil)
 		}
-		x := c.Losses()
-		So(len(x.Refusals), ShouldEqual, maxRows+1)
-		So(x.Refusals[0].Reason, ShouldEqual, others)
-		So(x.Refusals[0].Count, ShouldEqual, 10)
+		losses := c.Losses()
+		So(len(losses.Refusals), ShouldEqual, maxRows+1)
+		So(losses.Refusals[0].Reason, ShouldEqual, othersRow)
+		So(losses.Refusals[0].Count, ShouldEqual, 10)
 	})
 }
--- a/internal/forward/runninglog.go
+++ b/internal/forward/runninglog.go
@@ -71,7 +71,7 @@
 	if r.ended {
 		return
 	}
-	omitted, ok := r.exchange.server.runningLogLimiter.Take(time.Now())
+	omitted, ok := r.exchange.server.runningLogLimiter.Allow(time.Now())
 	if !ok {
 		r.exchange.server.counters.runningOmitted.Add(1)
 		return
--- a/internal/logs/async.go
+++ b/internal/logs/async.go
@@ -9,14 +9,14 @@
 
 // The bounds of an Async writer.
 const (
-	// asyncBuffer is how many bytes may wait to be written.
-	asyncBuffer = 256 << 10
-	// asyncPerSecond bounds the bytes of a second: a daemon's busiest second
+	// maxPendingBytes is how many bytes may wait to be written.
+	maxPendingBytes = 256 << 10
+	// maxBytesPerSecond bounds the bytes of a second: a daemon's busiest second
 	// in bursts to twice the capacity had 46 and 54 KB, the median 7 and 8.
-	asyncPerSecond = 96 << 10
-	// asyncEvery is how long lines are gathered before they are written: a
+	maxBytesPerSecond = 96 << 10
+	// flushInterval is how long lines are gathered before they are written: a
 	// write and a wake-up for each line would cost more than the line.
-	asyncEvery = 100 * time.Millisecond
+	flushInterval = 100 * time.Millisecond
 )
 
 // Async is a writer that never blocks its callers. What can't be kept is
@@ -29,14 +29,14 @@
 	out io.Writer
 	now func() time.Time
 
-	mu      sync.Mutex
-	pending []byte
-	dropped int
-	second  time.Time // for which written counts
-	written int
-	wake    chan struct{}
-	done    chan struct{}
-	closed  bool
+	mu          sync.Mutex
+	pending     []byte
+	dropped     int
+	windowStart time.Time // for which written counts
+	windowBytes int
+	wake        chan struct{}
+	done        chan struct{}
+	closed      bool
 }
 
 // NewAsync returns a writer to out and starts its goroutine; Close ends it.
@@ -50,14 +50,14 @@
 func (a *Async) Write(line []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if now := a.now(); now.Sub(a.second) >= time.Second {
-		a.second, a.written = now, 0
+	if now := a.now(); now.Sub(a.windowStart) >= time.Second {
+		a.windowStart, a.windowBytes = now, 0
 	}
-	if a.closed || len(a.pending)+len(line) > asyncBuffer || a.written+len(line) > asyncPerSecond {
+	if a.closed || len(a.pending)+len(line) > maxPendingBytes || a.windowBytes+len(line) > maxBytesPerSecond {
 		a.dropped++
 		return len(line), nil
 	}
-	a.written += len(line)
+	a.windowBytes += len(line)
 	a.pending = append(a.pending, line...)
 	select {
 	case a.wake <- struct{}{}:
@@ -67,7 +67,7 @@
 }
 
 // Close writes what is left, unless the reader takes none, and ends the writer.
-func (a *Async) Close(patience time.Duration) {
+func (a *Async) Close(timeout time.Duration) {
 	a.mu.Lock()
 	a.closed = true
 	a.mu.Unlock()
@@ -77,7 +77,7 @@
 	}
 	select {
 	case <-a.done:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 	}
 }
 
@@ -91,19 +91,19 @@
 func (a *Async) run() {
 	defer close(a.done)
 	for range a.wake {
-		batch, closed := a.take()
+		batch, closed := a.takeBatch()
 		if len(batch) > 0 {
 			_, _ = a.out.Write(batch) // there is nowhere to tell it
 		}
 		if closed {
 			return
 		}
-		time.Sleep(asyncEvery)
+		time.Sleep(flushInterval)
 	}
 }
 
-// take returns what waits, with a line about what was dropped.
-func (a *Async) take() ([]byte, bool) {
+// takeBatch returns what waits, with a line about what was dropped.
+func (a *Async) takeBatch() ([]byte, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	batch := a.pending
--- a/internal/logs/async_test.go
+++ b/internal/logs/async_test.go
@@ -10,21 +10,21 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// stuck is a reader that takes nothing until it is let go.
-type stuck struct {
-	let chan struct{}
-	mu  sync.Mutex
-	buf bytes.Buffer
+// blockedWriter is a reader that takes nothing until it is let go.
+type blockedWriter struct {
+	release chan struct{}
+	mu      sync.Mutex
+	buf     bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.let
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(p)
 }
 
-func (s *stuck) String() string {
+func (s *blockedWriter) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.String()
@@ -33,7 +33,7 @@
 // Guards against this: requests stand still.
 func TestAsyncNeverBlocks(t *testing.T) {
 	Convey("Lines beyond the bound are dropped, and told when the reader goes on", t, func() {
-		out := &stuck{let: make(chan struct{})}
+		out := &blockedWriter{release: make(chan struct{})}
 		a := NewAsync(out)
 		line := []byte(strings.Repeat("x", 1023) + "\n")
 		for range 1000 {
@@ -42,7 +42,7 @@
 			So(n, ShouldEqual, len(line))
 		}
 		So(a.Dropped(), ShouldBeGreaterThan, 500)
-		close(out.let)
+		close(out.release)
 		a.Close(time.Minute)
 		So(out.String(), ShouldContainSubstring, `"msg":"Log lines dropped."`)
 		So(out.String(), ShouldContainSubstring, string(line))
@@ -50,19 +50,19 @@
 	Convey("What waits for a reader that stopped is bounded, however long it has stopped", t, func() {
 		now := time.Unix(1000, 0)
 		a := &Async{out: &bytes.Buffer{}, now: func() time.Time { return now }, wake: make(chan struct{}, 1), done: make(chan struct{})}
-		line := []byte(strings.Repeat("z", asyncPerSecond))
+		line := []byte(strings.Repeat("z", maxBytesPerSecond))
 		for range 10 {
 			_, _ = a.Write(line)
 			now = now.Add(time.Second)
 		}
-		So(len(a.pending), ShouldBeLessThanOrEqualTo, asyncBuffer)
-		So(a.Dropped(), ShouldEqual, 10-asyncBuffer/asyncPerSecond)
+		So(len(a.pending), ShouldBeLessThanOrEqualTo, maxPendingBytes)
+		So(a.Dropped(), ShouldEqual, 10-maxPendingBytes/maxBytesPerSecond)
 	})
 	Convey("The bytes of a second are bounded, and the next second has its own", t, func() {
 		var out bytes.Buffer
 		now := time.Unix(1000, 0)
 		a := &Async{out: &out, now: func() time.Time { return now }, wake: make(chan struct{}, 1), done: make(chan struct{})}
-		line := []byte(strings.Repeat("y", asyncPerSecond/4))
+		line := []byte(strings.Repeat("y", maxBytesPerSecond/4))
 		for range 6 {
 			_, _ = a.Write(line)
 		}
--- a/internal/logs/formatter.go
+++ b/internal/logs/formatter.go
@@ -8,8 +8,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// timeLayout is RFC 3339 with milliseconds.
-const timeLayout = "2006-01-02T15:04:05.000Z07:00"
+// textTimeLayout is RFC 3339 with milliseconds.
+const textTimeLayout = "2006-01-02T15:04:05.000Z07:00"
 
 // prefixFormatter writes "time level [part] message key=value ...".
 type prefixFormatter struct{}
@@ -17,7 +17,7 @@
 // Format implements logrus.Formatter.
 func (prefixFormatter) Format(e *logrus.Entry) ([]byte, error) {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %-5.5s [%v] %s", e.Time.Format(timeLayout), e.Level, e.Data[fieldPart], e.Message)
+	fmt.Fprintf(&b, "%s %-5.5s [%v] %s", e.Time.Format(textTimeLayout), e.Level, e.Data[fieldPart], e.Message)
 	keys := make([]string, 0, len(e.Data))
 	for k := range e.Data {
 		if k != fieldPart {
--- a/internal/logs/limiter.go
+++ b/internal/logs/limiter.go
@@ -10,28 +10,28 @@
 type Limiter struct {
 	perSecond int
 
-	mu      sync.Mutex
-	second  time.Time // for which taken counts
-	taken   int
-	omitted int
+	mu          sync.Mutex
+	windowStart time.Time // for which taken counts
+	allowed     int
+	omitted     int
 }
 
 // NewLimiter returns a limiter to so many lines a second.
 func NewLimiter(perSecond int) *Limiter { return &Limiter{perSecond: perSecond} }
 
-// Take reports whether a line may be written at a time, and how many were not since
+// Allow reports whether a line may be written at a time, and how many were not since
 // the last one that was.
-func (l *Limiter) Take(now time.Time) (omitted int, ok bool) {
+func (l *Limiter) Allow(now time.Time) (omitted int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.second) >= time.Second {
-		l.second, l.taken = now, 0
+	if now.Sub(l.windowStart) >= time.Second {
+		l.windowStart, l.allowed = now, 0
 	}
-	if l.taken >= l.perSecond {
+	if l.allowed >= l.perSecond {
 		l.omitted++
 		return 0, false
 	}
-	l.taken++
+	l.allowed++
 	omitted, l.omitted = l.omitted, 0
 	return omitted, true
 }
--- a/internal/logs/limiter_test.go
+++ b/internal/logs/limiter_test.go
@@ -10,20 +10,20 @@
 func TestLimiter(t *testing.T) {
 	Convey("A second has so many lines; the next one tells how many were omitted", t, func() {
 		l, now := NewLimiter(2), time.Unix(1000, 0)
-		take := func(at time.Duration) (int, bool) { return l.Take(now.Add(at)) }
+		allow := func(at time.Duration) (int, bool) { return l.Allow(now.Add(at)) }
 		for range 2 {
-			omitted, ok := take(0)
+			omitted, ok := allow(0)
 			So(ok, ShouldBeTrue)
 			So(omitted, ShouldEqual, 0)
 		}
 		for range 3 {
-			_, ok := take(999 * time.Millisecond)
+			_, ok := allow(999 * time.Millisecond)
 			So(ok, ShouldBeFalse)
 		}
-		omitted, ok := take(time.Second)
+		omitted, ok := allow(time.Second)
 		So(ok, ShouldBeTrue)
 		So(omitted, ShouldEqual, 3)
-		omitted, _ = take(time.Second)
+		omitted, _ = allow(time.Second)
 		So(omitted, ShouldEqual, 0)
 	})
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -18,8 +18,8 @@
 	fieldRequest = "request"
 )
 
-// jsonTime has the microseconds by which lines of many VMs are put in order.
-const jsonTime = "2006-01-02T15:04:05.000000Z07:00"
+// jsonTimeLayout has the microseconds by which lines of many VMs are put in order.
+const jsonTimeLayout = "2006-01-02T15:04:05.000000Z07:00"
 
 // For returns the logger of a part. It is safe for concurrent use.
 func For(part string) *logrus.Entry { return base.WithField(fieldPart, part) }
@@ -39,7 +39,7 @@
 	base.SetOutput(out)
 	base.SetLevel(lv)
 	if json {
-		base.SetFormatter(&logrus.JSONFormatter{TimestampFormat: jsonTime})
+		base.SetFormatter(&logrus.JSONFormatter{TimestampFormat: jsonTimeLayout})
 	} else {
 		base.SetFormatter(&prefixFormatter{})
 	}
--- a/internal/metrics/histogram.go
+++ b/internal/metrics/histogram.go
@@ -15,7 +15,7 @@
 // The range of a Histogram: from a tenth of a millisecond to five minutes.
 const (
 	histogramUnit   = 100 * time.Microsecond
-	histogramMost   = 5 * time.Minute
+	histogramMax    = 5 * time.Minute
 	histogramDigits = 2
 )
 
@@ -25,30 +25,30 @@
 	h  *hdrhistogram.Histogram
 }
 
-// quantiles are shown of each histogram.
-var quantiles = []float64{50, 90, 99, 99.9}
+// percentiles are shown of each histogram.
+var percentiles = []float64{50, 90, 99, 99.9}
 
 // Observe counts one duration; one beyond the range counts as its end.
 func (h *Histogram) Observe(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	// A value within the range can't fail.
-	_ = h.h.RecordValue(min(max(int64(d/histogramUnit), 1), int64(histogramMost/histogramUnit)))
+	_ = h.h.RecordValue(min(max(int64(d/histogramUnit), 1), int64(histogramMax/histogramUnit)))
 }
 
-// figures are a histogram's, in milliseconds.
-type figures struct {
+// summary are a histogram's, in milliseconds.
+type histogramSummary struct {
 	Count     int64              `json:"count"`
 	MeanMs    float64            `json:"mean_ms"`
 	Quantiles map[string]float64 `json:"quantiles_ms"`
 }
 
-func (h *Histogram) figures() figures {
+func (h *Histogram) summary() histogramSummary {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	unit := float64(histogramUnit) / float64(time.Millisecond)
-	f := figures{Count: h.h.TotalCount(), MeanMs: h.h.Mean() * unit, Quantiles: map[string]float64{}}
-	for _, q := range quantiles {
+	f := histogramSummary{Count: h.h.TotalCount(), MeanMs: h.h.Mean() * unit, Quantiles: map[string]float64{}}
+	for _, q := range percentiles {
 		f.Quantiles[fmt.Sprint(q)] = float64(h.h.ValueAtQuantile(q)) * unit
 	}
 	return f
@@ -56,7 +56,7 @@
 
 // String implements expvar.Var.
 func (h *Histogram) String() string {
-	b, err := json.Marshal(h.figures())
+	b, err := json.Marshal(h.summary())
 	if err != nil {
 		return "null" // numbers that are finite can't fail
 	}
@@ -71,7 +71,7 @@
 	if v, ok := g.Get(name).(*Histogram); ok {
 		return v
 	}
-	v := &Histogram{h: hdrhistogram.New(1, int64(histogramMost/histogramUnit), histogramDigits)}
+	v := &Histogram{h: hdrhistogram.New(1, int64(histogramMax/histogramUnit), histogramDigits)}
 	g.Set(name, v)
 	return v
 }
@@ -97,9 +97,9 @@
 		fmt.Fprintf(w, "%s{name=%q} %s\n", group, kv.Key, kv.Value)
 		return
 	}
-	f := h.figures()
+	f := h.summary()
 	fmt.Fprintf(w, "%s_count{name=%q} %d\n%s_mean_ms{name=%q} %.3f\n", group, kv.Key, f.Count, group, kv.Key, f.MeanMs)
-	for _, q := range quantiles {
+	for _, q := range percentiles {
 		fmt.Fprintf(w, "%s_ms{name=%q,quantile=\"%v\"} %.1f\n", group, kv.Key, q, f.Quantiles[fmt.Sprint(q)])
 	}
 }
--- a/internal/metrics/histogram_test.go
+++ b/internal/metrics/histogram_test.go
@@ -23,7 +23,7 @@
 		r.WriteText(&sb)
 		So(sb.String(), ShouldContainSubstring, "refusals{name=\"shed\"} 3\n")
 		So(sb.String(), ShouldContainSubstring, "latency_count{name=\"first_event\"} 102\n")
-		So(h.figures().Quantiles["50"], ShouldBeBetween, 48, 53)
+		So(h.summary().Quantiles["50"], ShouldBeBetween, 48, 53)
 		So(r.JSON(), ShouldContainSubstring, `"quantiles_ms"`)
 	})
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -11,12 +11,12 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// namePattern is what a DNS name's label may look like.
-var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
+// dnsLabel is what a DNS name's label may look like.
+var dnsLabel = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
 
-// checker checks values by their fields' tags. Beside the library's there are
+// validate checks values by their fields' tags. Beside the library's there are
 // ipport (an IP number with a port) and dnsname (a label of a DNS name).
-var checker = newValidator()
+var validate = newValidator()
 
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
@@ -29,7 +29,7 @@
 		return err == nil
 	})
 	mustRegister(v, "dnsname", func(f validator.FieldLevel) bool {
-		return namePattern.MatchString(f.Field().String())
+		return dnsLabel.MatchString(f.Field().String())
 	})
 	return v
 }
@@ -43,29 +43,29 @@
 // check returns what is wrong with the values, but for the places that have a
 // finding already: those values were not read.
 func check(file string, s any, known workspace.Findings) workspace.Findings {
-	seen := map[string]bool{}
+	reported := map[string]bool{}
 	for _, f := range known {
 		if f.Path == "" {
 			return nil // not JSON: nothing was read
 		}
-		seen[f.Path] = true
+		reported[f.Path] = true
 	}
 	var out workspace.Findings
-	errs, ok := checker.Struct(s).(validator.ValidationErrors)
+	errs, ok := validate.Struct(s).(validator.ValidationErrors)
 	if !ok {
 		return nil
 	}
 	for _, e := range errs {
 		_, path, _ := strings.Cut(e.Namespace(), ".")
-		if !seen[path] {
-			out.Add(file, path, "%s", reason(e))
+		if !reported[path] {
+			out.Add(file, path, "%s", requirement(e))
 		}
 	}
 	return out
 }
 
-// reason says what a value must be.
-func reason(e validator.FieldError) string {
+// requirement says what a value must be.
+func requirement(e validator.FieldError) string {
 	switch e.Tag() {
 	case "required":
 		return "must be set"
@@ -80,15 +80,15 @@
 	case "oneof":
 		return "must be one of: " + e.Param()
 	case "min", "gte":
-		return "must be at least " + e.Param() + unit(e)
+		return "must be at least " + e.Param() + lengthUnit(e)
 	case "max", "lte":
-		return "must be at most " + e.Param() + unit(e)
+		return "must be at most " + e.Param() + lengthUnit(e)
 	default:
 		return "is not valid (" + e.Tag() + ")"
 	}
 }
 
-func unit(e validator.FieldError) string {
+func lengthUnit(e validator.FieldError) string {
 	if e.Kind() == reflect.String {
 		return " characters long"
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,8 +16,8 @@
 func Load[T any](file string) (T, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		var none T
-		return none, errors.Wrap(err, "read settings")
+		var zero T
+		return zero, errors.Wrap(err, "read settings")
 	}
 	return Parse[T](file, data)
 }
