--- a/engine/engine.go
+++ b/engine/engine.go
@@ -18,16 +18,16 @@
 	// ErrRefusedNotRun: the engine answered that it did not and will not run
 	// the request.
 	ErrRefusedNotRun = errors.New("engine refused, request not run")
-	// ErrBroken: the connection broke or went silent; the run may go on.
+	// ErrConnectionLost: the connection broke or went silent; the run may go on.
 	// Resume may bring the rest.
-	ErrBroken = errors.New("connection to engine broken")
+	ErrConnectionLost = errors.New("connection to engine broken")
 	// ErrUnknownRun: the engine does not know the run that was to be resumed
 	// (it restarted, or never got the request).
 	ErrUnknownRun = errors.New("engine does not know the run")
-	// ErrFailed: the engine ran the request and reports a failure.
-	ErrFailed = errors.New("engine failed the request")
-	// ErrCrossed: the answer carries another request's id and was discarded.
-	ErrCrossed = errors.New("answer of another request")
+	// ErrRunFailed: the engine ran the request and reports a failure.
+	ErrRunFailed = errors.New("engine failed the request")
+	// ErrRequestMismatch: the answer carries another request's id and was discarded.
+	ErrRequestMismatch = errors.New("answer of another request")
 	// ErrStaleToken: the engine refused an order with an old fencing token.
 	ErrStaleToken = errors.New("stale fencing token")
 )
@@ -39,21 +39,21 @@
 	Version   string
 	// Prompt is the canonical text: for a chat, its messages joined; Last is
 	// the last user message.
-	Prompt string
-	Last   string
+	Prompt      string
+	LastMessage string
 	// PromptTokens is the entry's estimate; MaxTokens caps the answer.
 	PromptTokens int
 	MaxTokens    int
 	// Blocks are chained hashes of the prompt's blocks, for prefix reuse.
 	Blocks []uint64
-	// Sending, where set, is called at most once, when the connection is up
+	// BeforeSend, where set, is called at most once, when the connection is up
 	// and directly before the first byte is written. If it returns an error,
 	// nothing is written and Run returns an error that wraps ErrNotSent.
 	//
 	// What goes wrong without it: a dispatch right taken before the connect
 	// would have to be given back when the connect fails, and then no single
 	// place proves that a request left only once.
-	Sending func() error
+	BeforeSend func() error
 }
 
 // Chunk is one piece of an answer's text.
@@ -77,8 +77,8 @@
 // Stream yields the chunks of one run. It is used by one goroutine at a time.
 type Stream interface {
 	// Next returns the next chunk. After the End chunk it returns io.EOF. It
-	// returns ErrBroken where the connection broke or no byte (chunk or
-	// keepalive) arrived for the adapter's silence limit, ErrCrossed where
+	// returns ErrConnectionLost where the connection broke or no byte (chunk or
+	// keepalive) arrived for the adapter's silence limit, ErrRequestMismatch where
 	// the chunk names another request.
 	Next(ctx context.Context) (Chunk, error)
 	// Close gives the connection up. It does not cancel the run.
@@ -143,10 +143,10 @@
 // No method ever sends a request twice by itself.
 type Engine interface {
 	// Run sends the request and returns its stream. Errors: ErrNotSent,
-	// ErrRefusedNotRun, ErrBroken (bytes may have left), ErrFailed.
+	// ErrRefusedNotRun, ErrConnectionLost (bytes may have left), ErrRunFailed.
 	Run(ctx context.Context, r Run) (Stream, error)
 	// Resume continues the run's stream at offset on a new connection. It
-	// never starts a run. Errors: ErrNotSent, ErrUnknownRun, ErrBroken.
+	// never starts a run. Errors: ErrNotSent, ErrUnknownRun, ErrConnectionLost.
 	Resume(ctx context.Context, requestID string, offset int) (Stream, error)
 	// Cancel stops the run and frees its slot.
 	Cancel(ctx context.Context, requestID string) error
@@ -157,7 +157,7 @@
 	// ExportKV and ImportKV move a prefix's KV cache between engines.
 	ExportKV(ctx context.Context, blocks []uint64) ([]byte, error)
 	ImportKV(ctx context.Context, data []byte) error
-	// Order gives an order. Errors: ErrStaleToken, ErrBroken.
+	// Order gives an order. Errors: ErrStaleToken, ErrConnectionLost.
 	Order(ctx context.Context, o Order) error
 }
 
--- a/engine/httpengine/bench_test.go
+++ b/engine/httpengine/bench_test.go
@@ -19,12 +19,12 @@
 	standin "github.com/lycheekeel/lycheekeel/internal/standin/engine"
 )
 
-// instant is a stand-in that computes as fast as the machine allows.
-var instant = standin.Options{StepMs: 0.001, SequenceMs: 1e-6, PrefillPerSecond: 1e9, PrefillChunk: 1 << 20, Slots: 256}
+// instantEngine is a stand-in that computes as fast as the machine allows.
+var instantEngine = standin.Options{StepMs: 0.001, SequenceMs: 1e-6, PrefillPerSecond: 1e9, PrefillChunk: 1 << 20, Slots: 256}
 
 // BenchmarkSmallRequests runs requests of one token from many callers.
 func BenchmarkSmallRequests(b *testing.B) {
-	core, adapter := serve(b, instant, httpconn.Settings{})
+	core, adapter := serve(b, instantEngine, httpconn.Settings{})
 	for name, e := range map[string]engine.Engine{"direct": core, "http": adapter} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
@@ -43,7 +43,7 @@
 func benchRun(b *testing.B, e engine.Engine, id string, tokens int) (chunks int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s, err := e.Run(ctx, engine.Run{RequestID: id, Model: "m", Prompt: "p", Last: fmt.Sprintf("gen:%d", tokens), MaxTokens: tokens})
+	s, err := e.Run(ctx, engine.Run{RequestID: id, Model: "m", Prompt: "p", LastMessage: fmt.Sprintf("gen:%d", tokens), MaxTokens: tokens})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -60,8 +60,8 @@
 	}
 }
 
-// rendered is a whole answer, one HTTP chunk for each token.
-func rendered(tokens int) []byte {
+// renderAnswer is a whole answer, one HTTP chunk for each token.
+func renderAnswer(tokens int) []byte {
 	var answer bytes.Buffer
 	answer.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for i := range tokens {
@@ -72,7 +72,7 @@
 	return answer.Bytes()
 }
 
-func sends(answer []byte) func(net.Conn, int64) bool {
+func respondWith(answer []byte) func(net.Conn, int64) bool {
 	return func(c net.Conn, _ int64) bool {
 		_, err := c.Write(answer)
 		return err == nil
@@ -83,7 +83,7 @@
 // sends an answer that was rendered before.
 func BenchmarkAdapterToken(b *testing.B) {
 	const tokens = 1000
-	e := httpengine.New(newPeer(b, sends(rendered(tokens))).address, httpconn.Settings{})
+	e := httpengine.New(newFakeServer(b, respondWith(renderAnswer(tokens))).address, httpconn.Settings{})
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := 0; i < b.N; i += tokens {
@@ -96,29 +96,29 @@
 // BenchmarkOneCaller is the time of a request of one token, one at a time,
 // through the adapter and through fasthttp's client.
 func BenchmarkOneCaller(b *testing.B) {
-	p := newPeer(b, sends(rendered(1)))
+	server := newFakeServer(b, respondWith(renderAnswer(1)))
 	b.Run("adapter", func(b *testing.B) {
-		e := httpengine.New(p.address, httpconn.Settings{})
+		e := httpengine.New(server.address, httpconn.Settings{})
 		b.ReportAllocs()
 		for b.Loop() {
 			benchRun(b, e, "r", 1)
 		}
 	})
 	b.Run("adapter-new-connection", func(b *testing.B) {
-		e := httpengine.New(p.address, httpconn.Settings{IdleTimeout: 1})
+		e := httpengine.New(server.address, httpconn.Settings{IdleTimeout: 1})
 		b.ReportAllocs()
 		for b.Loop() {
 			benchRun(b, e, "r", 1)
 		}
 	})
 	b.Run("fasthttp", func(b *testing.B) {
-		c := &fasthttp.HostClient{Addr: p.address, MaxIdemponentCallAttempts: 1}
-		body, _ := json.Marshal(wire.Run{RequestID: "r", Model: "m", Prompt: "p", Last: "gen:1", MaxTokens: 1})
+		c := &fasthttp.HostClient{Addr: server.address, MaxIdemponentCallAttempts: 1}
+		body, _ := json.Marshal(wire.Run{RequestID: "r", Model: "m", Prompt: "p", LastMessage: "gen:1", MaxTokens: 1})
 		b.ReportAllocs()
 		for b.Loop() {
 			req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 			req.Header.SetMethod("POST")
-			req.SetRequestURI("http://" + p.address + wire.PathRun)
+			req.SetRequestURI("http://" + server.address + wire.PathRun)
 			req.SetBodyRaw(body)
 			if err := c.Do(req, resp); err != nil {
 				b.Fatal(err)
@@ -137,12 +137,12 @@
 // (one goroutine and a connection) included.
 func BenchmarkOpenStream(b *testing.B) {
 	const streams = 1000
-	whole := rendered(2)
-	p := newPeer(b, func(c net.Conn, _ int64) bool {
+	whole := renderAnswer(2)
+	server := newFakeServer(b, func(c net.Conn, _ int64) bool {
 		_, err := c.Write(whole[:bytes.Index(whole, []byte("}"))+4])
 		return err == nil
 	})
-	e := httpengine.New(p.address, httpconn.Settings{})
+	e := httpengine.New(server.address, httpconn.Settings{})
 	var open [streams]engine.Stream
 	memory := func() uint64 {
 		runtime.GC()
--- a/engine/httpengine/engine.go
+++ b/engine/httpengine/engine.go
@@ -20,8 +20,8 @@
 	"github.com/lycheekeel/lycheekeel/internal/httpconn"
 )
 
-// maxAnswerBytes bounds an answer that is read as a whole (not a stream).
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes bounds an answer that is read as a whole (not a stream).
+const maxResponseBytes = 64 << 20
 
 // Dialer keeps one Engine per address. It is safe for concurrent use.
 type Dialer struct {
@@ -73,28 +73,28 @@
 // unknown; one would see engine_lost refusals after every silence. A connect
 // that has just succeeded proves the path, for one round trip more.
 func (e *Engine) Run(ctx context.Context, r engine.Run) (engine.Stream, error) {
-	return e.stream(ctx, r.Sending, httpconn.MustDial, r.RequestID, 0, wire.PathRun, wire.Run{
-		RequestID: r.RequestID, Model: r.Model, Version: r.Version, Prompt: r.Prompt, Last: r.Last,
+	return e.startStream(ctx, r.BeforeSend, httpconn.MustDial, r.RequestID, 0, wire.PathRun, wire.Run{
+		RequestID: r.RequestID, Model: r.Model, Version: r.Version, Prompt: r.Prompt, LastMessage: r.LastMessage,
 		PromptTokens: r.PromptTokens, MaxTokens: r.MaxTokens, Blocks: r.Blocks,
 	})
 }
 
 // Resume implements engine.Engine. It always uses a new connection.
 func (e *Engine) Resume(ctx context.Context, requestID string, offset int) (engine.Stream, error) {
-	return e.stream(ctx, nil, httpconn.MustDial, requestID, offset, wire.PathResume,
+	return e.startStream(ctx, nil, httpconn.MustDial, requestID, offset, wire.PathResume,
 		wire.Resume{RequestID: requestID, Offset: offset})
 }
 
 // Cancel implements engine.Engine.
 func (e *Engine) Cancel(ctx context.Context, requestID string) error {
-	_, err := e.call(ctx, wire.PathCancel, wire.Resume{RequestID: requestID})
+	_, err := e.postJSON(ctx, wire.PathCancel, wire.Resume{RequestID: requestID})
 	return err
 }
 
 // Load implements engine.Engine.
 func (e *Engine) Load(ctx context.Context) (engine.LoadReport, error) {
 	var l wire.Load
-	if err := e.get(ctx, wire.PathLoad, &l); err != nil {
+	if err := e.getJSON(ctx, wire.PathLoad, &l); err != nil {
 		return engine.LoadReport{}, err
 	}
 	report := engine.LoadReport{
@@ -111,7 +111,7 @@
 // CacheEvents implements engine.Engine.
 func (e *Engine) CacheEvents(ctx context.Context, after uint64) ([]engine.CacheEvent, error) {
 	var got wire.CacheEvents
-	if err := e.get(ctx, wire.PathCacheEvents+"?after="+strconv.FormatUint(after, 10), &got); err != nil {
+	if err := e.getJSON(ctx, wire.PathCacheEvents+"?after="+strconv.FormatUint(after, 10), &got); err != nil {
 		return nil, err
 	}
 	events := make([]engine.CacheEvent, len(got.Events))
@@ -123,81 +123,81 @@
 
 // ExportKV implements engine.Engine.
 func (e *Engine) ExportKV(ctx context.Context, blocks []uint64) ([]byte, error) {
-	return e.call(ctx, wire.PathExportKV, wire.Blocks{Blocks: blocks})
+	return e.postJSON(ctx, wire.PathExportKV, wire.Blocks{Blocks: blocks})
 }
 
 // ImportKV implements engine.Engine.
 func (e *Engine) ImportKV(ctx context.Context, data []byte) error {
-	_, err := e.exchange(ctx, fasthttp.MethodPost, wire.PathImportKV, data)
+	_, err := e.roundTrip(ctx, fasthttp.MethodPost, wire.PathImportKV, data)
 	return err
 }
 
 // Order implements engine.Engine.
 func (e *Engine) Order(ctx context.Context, o engine.Order) error {
-	_, err := e.call(ctx, wire.PathOrder, wire.Order(o))
+	_, err := e.postJSON(ctx, wire.PathOrder, wire.Order(o))
 	return err
 }
 
-func (e *Engine) get(ctx context.Context, path string, into any) error {
-	body, err := e.exchange(ctx, fasthttp.MethodGet, path, nil)
+func (e *Engine) getJSON(ctx context.Context, path string, into any) error {
+	body, err := e.roundTrip(ctx, fasthttp.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
 	if err := json.Unmarshal(body, into); err != nil {
-		return errors.Wrapf(engine.ErrBroken, "%s: answer of %s: %v", e.pool.Address(), path, err)
+		return errors.Wrapf(engine.ErrConnectionLost, "%s: answer of %s: %v", e.pool.Address(), path, err)
 	}
 	return nil
 }
 
-func (e *Engine) call(ctx context.Context, path string, message any) ([]byte, error) {
+func (e *Engine) postJSON(ctx context.Context, path string, message any) ([]byte, error) {
 	body, err := json.Marshal(message)
 	if err != nil {
 		return nil, errors.Wrapf(engine.ErrNotSent, "marshal: %v", err)
 	}
-	return e.exchange(ctx, fasthttp.MethodPost, path, body)
+	return e.roundTrip(ctx, fasthttp.MethodPost, path, body)
 }
 
-// exchange sends one request and reads its whole answer.
-func (e *Engine) exchange(ctx context.Context, method, path string, body []byte) ([]byte, error) {
+// roundTrip sends one request and reads its whole answer.
+func (e *Engine) roundTrip(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	conn, err := e.send(ctx, nil, httpconn.MayReuse, method, path, body)
 	if err != nil {
 		return nil, err
 	}
 	if err := conn.Bind(ctx); err != nil {
 		conn.Discard()
-		return nil, errors.Wrapf(engine.ErrBroken, "%s: %v", e.pool.Address(), err)
+		return nil, errors.Wrapf(engine.ErrConnectionLost, "%s: %v", e.pool.Address(), err)
 	}
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	if err := resp.ReadLimitBody(conn.Reader, maxAnswerBytes); err != nil {
+	if err := resp.ReadLimitBody(conn.Reader, maxResponseBytes); err != nil {
 		err = conn.WrapError(err)
 		conn.Discard()
 		return nil, err
 	}
-	finish(conn, resp)
+	releaseConn(conn, resp)
 	if err := statusError(e.pool.Address(), resp.StatusCode(), resp.Body()); err != nil {
 		return nil, err
 	}
 	return append([]byte(nil), resp.Body()...), nil
 }
 
-// stream sends one request and returns its answer's stream.
-func (e *Engine) stream(
-	ctx context.Context, sending func() error, fresh httpconn.ReusePolicy, id string, offset int, path string, message any,
+// startStream sends one request and returns its answer's stream.
+func (e *Engine) startStream(
+	ctx context.Context, beforeSend func() error, fresh httpconn.ReusePolicy, id string, offset int, path string, message any,
 ) (engine.Stream, error) {
 	body, err := json.Marshal(message)
 	if err != nil {
 		return nil, errors.Wrapf(engine.ErrNotSent, "marshal: %v", err)
 	}
-	conn, err := e.send(ctx, sending, fresh, fasthttp.MethodPost, path, body)
+	conn, err := e.send(ctx, beforeSend, fresh, fasthttp.MethodPost, path, body)
 	if err != nil {
 		return nil, err
 	}
-	return openStream(ctx, conn, e.pool.Address(), id, offset)
+	return readStreamHeader(ctx, conn, e.pool.Address(), id, offset)
 }
 
 func (e *Engine) send(
-	ctx context.Context, sending func() error, fresh httpconn.ReusePolicy, method, path string, body []byte,
+	ctx context.Context, beforeSend func() error, fresh httpconn.ReusePolicy, method, path string, body []byte,
 ) (*httpconn.Conn, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -208,11 +208,11 @@
 		req.Header.SetContentType("application/json")
 		req.SetBodyRaw(body)
 	}
-	return e.pool.Send(ctx, req, fresh, sending)
+	return e.pool.Send(ctx, req, fresh, beforeSend)
 }
 
-// finish keeps or closes the connection of an answer that was read wholly.
-func finish(conn *httpconn.Conn, resp *fasthttp.Response) {
+// releaseConn keeps or closes the connection of an answer that was read wholly.
+func releaseConn(conn *httpconn.Conn, resp *fasthttp.Response) {
 	if resp.ConnectionClose() {
 		conn.Discard()
 		return
@@ -229,13 +229,13 @@
 	if json.Unmarshal(body, &e) != nil {
 		e = wire.Error{}
 	}
-	return errors.Wrapf(kindOf(status, e.NotRun), "%s: status %d: %s", address, status, e.Message)
+	return errors.Wrapf(errorForStatus(status, e.NotRun), "%s: status %d: %s", address, status, e.Message)
 }
 
-// kindOf maps a status to an error. Only the engine's own word (not_run)
+// errorForStatus maps a status to an error. Only the engine's own word (not_run)
 // proves that a request did not run; a bare 503 may come from something
 // between us and an engine that is running it.
-func kindOf(status int, notRun bool) error {
+func errorForStatus(status int, notRun bool) error {
 	switch {
 	case status == fasthttp.StatusNotFound && !notRun:
 		return engine.ErrUnknownRun
@@ -244,6 +244,6 @@
 	case notRun:
 		return engine.ErrRefusedNotRun
 	default:
-		return engine.ErrFailed
+		return engine.ErrRunFailed
 	}
 }
--- a/engine/httpengine/engine_test.go
+++ b/engine/httpengine/engine_test.go
@@ -21,11 +21,11 @@
 	standin "github.com/lycheekeel/lycheekeel/internal/standin/engine"
 )
 
-// generous bounds waits that end far earlier unless something is broken.
-const generous = 20 * time.Second
+// testTimeout bounds waits that end far earlier unless something is broken.
+const testTimeout = 20 * time.Second
 
-// fast is a stand-in whose steps take next to no time.
-var fast = standin.Options{StepMs: 0.2, SequenceMs: 0.001, PrefillPerSecond: 1e7, Slots: 64}
+// fastEngine is a stand-in whose steps take next to no time.
+var fastEngine = standin.Options{StepMs: 0.2, SequenceMs: 0.001, PrefillPerSecond: 1e7, Slots: 64}
 
 func listen(t testing.TB) net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,14 +53,14 @@
 	return core, httpengine.New(ln.Addr().String(), s)
 }
 
-func deadline(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), generous)
+func testContext(t testing.TB) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// drain reads a stream to its end and returns its text and last chunk.
-func drain(ctx context.Context, s engine.Stream) (string, engine.Chunk, error) {
+// readToEnd reads a stream to its end and returns its text and last chunk.
+func readToEnd(ctx context.Context, s engine.Stream) (string, engine.Chunk, error) {
 	var text strings.Builder
 	for {
 		c, err := s.Next(ctx)
@@ -74,15 +74,15 @@
 	}
 }
 
-func echo(id, text string) engine.Run {
+func echoRun(id, text string) engine.Run {
 	last := "echo:" + text
-	return engine.Run{RequestID: id, Model: "m", Prompt: last, Last: last, MaxTokens: 4}
+	return engine.Run{RequestID: id, Model: "m", Prompt: last, LastMessage: last, MaxTokens: 4}
 }
 
-func TestManyCallersEachGetTheirOwnAnswer(t *testing.T) {
+func TestConcurrentRunsGetTheirOwnAnswers(t *testing.T) {
 	Convey("many concurrent runs through one adapter", t, func() {
-		core, e := serve(t, fast, longIdle)
-		ctx := deadline(t)
+		core, e := serve(t, fastEngine, longIdle)
+		ctx := testContext(t)
 		const callers, each = 64, 10
 		var wrong atomic.Int64
 		var wg conc.WaitGroup
@@ -91,12 +91,12 @@
 				for j := range each {
 					id := fmt.Sprintf("r-%d-%d", i, j)
 					want := id + " Bảng Xanh \"quoted\"\n" + strings.Repeat(id, i)
-					s, err := e.Run(ctx, echo(id, want))
+					s, err := e.Run(ctx, echoRun(id, want))
 					if err != nil {
 						wrong.Add(1)
 						return
 					}
-					if got, _, err := drain(ctx, s); err != nil || got != want {
+					if got, _, err := readToEnd(ctx, s); err != nil || got != want {
 						wrong.Add(1)
 					}
 				}
@@ -111,10 +111,10 @@
 
 func TestUnaryCalls(t *testing.T) {
 	Convey("load, orders, cache events and KV blocks cross the wire", t, func() {
-		o := fast
+		o := fastEngine
 		o.LoadMs = 0.001
 		_, e := serve(t, o, httpconn.Settings{})
-		ctx := deadline(t)
+		ctx := testContext(t)
 		So(e.Order(ctx, engine.Order{Kind: engine.OrderLoadModel, Model: "m", Version: "2", Token: 7}), ShouldBeNil)
 		So(errors.Is(e.Order(ctx, engine.Order{Kind: engine.OrderDrain, Token: 6}), engine.ErrStaleToken), ShouldBeTrue)
 
@@ -122,16 +122,16 @@
 		for i := range 3 {
 			blocks = append(blocks, 1<<63+uint64(i))
 		}
-		r := engine.Run{RequestID: "r", Model: "m", Prompt: "p", Last: "gen:2", PromptTokens: 200, MaxTokens: 9, Blocks: blocks}
+		r := engine.Run{RequestID: "r", Model: "m", Prompt: "p", LastMessage: "gen:2", PromptTokens: 200, MaxTokens: 9, Blocks: blocks}
 		s, err := e.Run(ctx, r)
 		So(err, ShouldBeNil)
-		_, last, err := drain(ctx, s)
+		_, last, err := readToEnd(ctx, s)
 		So(err, ShouldBeNil)
 		So(last.PrefillComputed, ShouldEqual, 200)
 		r.RequestID = "again"
 		s, err = e.Run(ctx, r)
 		So(err, ShouldBeNil)
-		_, last, err = drain(ctx, s)
+		_, last, err = readToEnd(ctx, s)
 		So(err, ShouldBeNil)
 		So(last.PrefillComputed, ShouldEqual, 200-3*engine.BlockTokens)
 
@@ -144,34 +144,34 @@
 		So(err, ShouldBeNil)
 		So(events, ShouldResemble, []engine.CacheEvent{{Seq: 2, Block: blocks[1], Stored: true}, {Seq: 3, Block: blocks[0], Stored: true}})
 
-		_, other := serve(t, fast, httpconn.Settings{})
+		_, other := serve(t, fastEngine, httpconn.Settings{})
 		data, err := e.ExportKV(ctx, blocks[:2])
 		So(err, ShouldBeNil)
 		So(other.ImportKV(ctx, data), ShouldBeNil)
 		s, err = other.Run(ctx, r)
 		So(err, ShouldBeNil)
-		_, last, err = drain(ctx, s)
+		_, last, err = readToEnd(ctx, s)
 		So(err, ShouldBeNil)
 		So(last.PrefillComputed, ShouldEqual, 200-2*engine.BlockTokens)
 	})
 }
 
-func TestStandinsOwnInterface(t *testing.T) {
+func TestStandinControlInterface(t *testing.T) {
 	Convey("an engine on two listeners crashes on both and keeps its run log", t, func() {
-		o := fast
+		o := fastEngine
 		o.RestartMs = 500
 		core, e := serve(t, o, httpconn.Settings{})
 		ln := listen(t)
-		ctx, cancel := context.WithCancel(deadline(t))
+		ctx, cancel := context.WithCancel(testContext(t))
 		var wg conc.WaitGroup
 		wg.Go(func() { _ = standin.ServeEngine(ctx, ln, core) })
 		defer wg.Wait()
 		defer cancel()
 		second := httpengine.New(ln.Addr().String(), httpconn.Settings{})
 		for _, e := range []*httpengine.Engine{e, second} {
-			s, err := e.Run(ctx, echo("same", "x"))
+			s, err := e.Run(ctx, echoRun("same", "x"))
 			So(err, ShouldBeNil)
-			_, _, err = drain(ctx, s)
+			_, _, err = readToEnd(ctx, s)
 			So(err, ShouldBeNil)
 		}
 		before, err := second.Load(ctx)
--- a/engine/httpengine/fault_test.go
+++ b/engine/httpengine/fault_test.go
@@ -22,18 +22,18 @@
 	standin "github.com/lycheekeel/lycheekeel/internal/standin/engine"
 )
 
-// peer is a server that hands each request it has read to answer, which
+// fakeServer is a server that hands each request it has read to answer, which
 // returns false to close the connection.
-type peer struct {
+type fakeServer struct {
 	address  string
 	requests atomic.Int64
 	conns    atomic.Int64
 	closed   chan struct{} // one for each connection that it closed
 }
 
-func newPeer(t testing.TB, answer func(c net.Conn, request int64) bool) *peer {
+func newFakeServer(t testing.TB, answer func(c net.Conn, request int64) bool) *fakeServer {
 	ln := listen(t)
-	p := &peer{address: ln.Addr().String(), closed: make(chan struct{}, 100)}
+	server := &fakeServer{address: ln.Addr().String(), closed: make(chan struct{}, 100)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	wg.Go(func() {
@@ -42,9 +42,9 @@
 			if err != nil {
 				return
 			}
-			p.conns.Add(1)
+			server.conns.Add(1)
 			context.AfterFunc(ctx, func() { _ = c.Close() })
-			wg.Go(func() { p.serve(c, answer) })
+			wg.Go(func() { server.serve(c, answer) })
 		}
 	})
 	t.Cleanup(func() {
@@ -52,23 +52,23 @@
 		cancel()
 		wg.Wait()
 	})
-	return p
+	return server
 }
 
-func (p *peer) serve(c net.Conn, answer func(net.Conn, int64) bool) {
+func (server *fakeServer) serve(c net.Conn, answer func(net.Conn, int64) bool) {
 	r := bufio.NewReader(c)
 	var req fasthttp.Request
-	for req.Read(r) == nil && answer(c, p.requests.Add(1)) {
+	for req.Read(r) == nil && answer(c, server.requests.Add(1)) {
 	}
 	_ = c.Close()
 	select {
-	case p.closed <- struct{}{}:
+	case server.closed <- struct{}{}:
 	default: // more than any test waits for
 	}
 }
 
-// answerWith sends lines as a whole streamed answer.
-func answerWith(c net.Conn, lines ...string) bool {
+// writeAnswer sends lines as a whole streamed answer.
+func writeAnswer(c net.Conn, lines ...string) bool {
 	var resp fasthttp.Response
 	resp.SetBodyStream(strings.NewReader(strings.Join(lines, "\n")+"\n"), -1)
 	w := bufio.NewWriter(c)
@@ -80,44 +80,44 @@
 
 const endLine = `{"request_id":"r","offset":0,"tokens":1,"text":"word","end":true,"finish_reason":"stop"}`
 
-func runAndDrain(ctx context.Context, e engine.Engine) (string, error) {
-	s, err := e.Run(ctx, echo("r", "x"))
+func runToEnd(ctx context.Context, e engine.Engine) (string, error) {
+	s, err := e.Run(ctx, echoRun("r", "x"))
 	if err != nil {
 		return "", err
 	}
-	text, _, err := drain(ctx, s)
+	text, _, err := readToEnd(ctx, s)
 	_ = s.Close()
 	return text, err
 }
 
 // Guards against this: one request runs on an engine twice.
-func TestReadAndClosedIsSentOnce(t *testing.T) {
+func TestClosedAfterReadIsNotRetried(t *testing.T) {
 	Convey("with an idle connection at hand and without one", t, func() {
-		p := newPeer(t, func(c net.Conn, n int64) bool { return n == 1 && answerWith(c, endLine) })
-		e := httpengine.New(p.address, longIdle)
-		_, err := runAndDrain(deadline(t), e)
+		server := newFakeServer(t, func(c net.Conn, n int64) bool { return n == 1 && writeAnswer(c, endLine) })
+		e := httpengine.New(server.address, longIdle)
+		_, err := runToEnd(testContext(t), e)
 		So(err, ShouldBeNil)
 		for sent := int64(2); sent <= 4; sent++ {
-			_, err := runAndDrain(deadline(t), e)
-			So(errors.Is(err, engine.ErrBroken), ShouldBeTrue)
-			So(p.requests.Load(), ShouldEqual, sent)
+			_, err := runToEnd(testContext(t), e)
+			So(errors.Is(err, engine.ErrConnectionLost), ShouldBeTrue)
+			So(server.requests.Load(), ShouldEqual, sent)
 		}
-		So(p.conns.Load(), ShouldEqual, 4) // one each: none was reused
+		So(server.conns.Load(), ShouldEqual, 4) // one each: none was reused
 	})
 }
 
 // Guards against this: the outcome of requests is unknown although all engines are well.
-func TestIdleConnectionIsNotTrustedWithARun(t *testing.T) {
+func TestRunAlwaysUsesANewConnection(t *testing.T) {
 	Convey("the next run gets a new connection and is sent once", t, func() {
-		core, err := standin.New(fast)
+		core, err := standin.New(fastEngine)
 		So(err, ShouldBeNil)
 		defer core.Close()
 		proxy := proxyTo(t, core)
 		e := httpengine.New(proxy.Addr(), longIdle)
 		for i := range 3 {
-			s, err := e.Run(deadline(t), echo(fmt.Sprint("r-", i), "text"))
+			s, err := e.Run(testContext(t), echoRun(fmt.Sprint("r-", i), "text"))
 			So(err, ShouldBeNil)
-			text, _, err := drain(deadline(t), s)
+			text, _, err := readToEnd(testContext(t), s)
 			So(err, ShouldBeNil)
 			So(text, ShouldEqual, "text")
 			proxy.Silence(faultproxy.Both)
@@ -145,15 +145,15 @@
 }
 
 // Guards against this: load reports of a healthy engine fail now and then.
-func TestIdleConnectionThatWasClosedIsNotUsed(t *testing.T) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	Convey("the next question gets a new connection and is sent once", t, func() {
-		p := newPeer(t, func(c net.Conn, n int64) bool { return answerWith(c, endLine) && n > 1 })
-		e := httpengine.New(p.address, longIdle)
-		_, err := runAndDrain(deadline(t), e)
+		server := newFakeServer(t, func(c net.Conn, n int64) bool { return writeAnswer(c, endLine) && n > 1 })
+		e := httpengine.New(server.address, longIdle)
+		_, err := runToEnd(testContext(t), e)
 		So(err, ShouldBeNil)
-		<-p.closed
-		_ = e.Cancel(deadline(t), "r")
-		So(p.requests.Load(), ShouldEqual, 2)
+		<-server.closed
+		_ = e.Cancel(testContext(t), "r")
+		So(server.requests.Load(), ShouldEqual, 2)
 		So(e.Counts(), ShouldResemble, httpconn.Counts{Dialed: 2, Dead: 1})
 	})
 }
@@ -164,54 +164,54 @@
 		ln := listen(t)
 		_ = ln.Close()
 		sending := 0
-		r := echo("r", "x")
-		r.Sending = func() error { sending++; return nil }
-		_, err := httpengine.New(ln.Addr().String(), httpconn.Settings{}).Run(deadline(t), r)
+		r := echoRun("r", "x")
+		r.BeforeSend = func() error { sending++; return nil }
+		_, err := httpengine.New(ln.Addr().String(), httpconn.Settings{}).Run(testContext(t), r)
 		So(errors.Is(err, engine.ErrNotSent), ShouldBeTrue)
 		So(sending, ShouldEqual, 0)
 	})
 	Convey("Sending says no", t, func() {
-		p := newPeer(t, func(c net.Conn, _ int64) bool { return answerWith(c, endLine) })
-		e := httpengine.New(p.address, longIdle)
-		r := echo("r", "x")
-		r.Sending = func() error { return errors.New("no") }
-		_, err := e.Run(deadline(t), r)
+		server := newFakeServer(t, func(c net.Conn, _ int64) bool { return writeAnswer(c, endLine) })
+		e := httpengine.New(server.address, longIdle)
+		r := echoRun("r", "x")
+		r.BeforeSend = func() error { return errors.New("no") }
+		_, err := e.Run(testContext(t), r)
 		So(errors.Is(err, engine.ErrNotSent), ShouldBeTrue)
-		So(p.requests.Load(), ShouldEqual, 0)
-		_ = e.Cancel(deadline(t), "r") // on the same connection, which is unharmed
-		So(p.requests.Load(), ShouldEqual, 1)
-		So(p.conns.Load(), ShouldEqual, 1)
+		So(server.requests.Load(), ShouldEqual, 0)
+		_ = e.Cancel(testContext(t), "r") // on the same connection, which is unharmed
+		So(server.requests.Load(), ShouldEqual, 1)
+		So(server.conns.Load(), ShouldEqual, 1)
 	})
 }
 
 // Guards against this: a caller gets another's text, a torn text, or a cut one as whole.
-func TestWrongAnswersAreNoticed(t *testing.T) {
+func TestInvalidAnswersAreRejected(t *testing.T) {
 	first := `{"request_id":"r","offset":0,"tokens":2,"text":"wordword"}`
 	cases := []struct {
 		name  string
 		lines []string
 		want  error
 	}{
-		{"another id", []string{`{"request_id":"other","offset":0,"tokens":1,"text":"word","end":true}`}, engine.ErrCrossed},
-		{"another id's keepalive", []string{`{"request_id":"other","keepalive":true}`}, engine.ErrCrossed},
-		{"a gap", []string{first, `{"request_id":"r","offset":3,"tokens":1,"text":"word","end":true}`}, engine.ErrBroken},
-		{"a repeat", []string{first, first}, engine.ErrBroken},
-		{"no end", []string{first}, engine.ErrBroken},
-		{"no JSON", []string{first, `{"request_id":"r",`}, engine.ErrBroken},
-		{"a failure", []string{first, `{"request_id":"r","error":"out of memory"}`}, engine.ErrFailed},
+		{"another id", []string{`{"request_id":"other","offset":0,"tokens":1,"text":"word","end":true}`}, engine.ErrRequestMismatch},
+		{"another id's keepalive", []string{`{"request_id":"other","keepalive":true}`}, engine.ErrRequestMismatch},
+		{"a gap", []string{first, `{"request_id":"r","offset":3,"tokens":1,"text":"word","end":true}`}, engine.ErrConnectionLost},
+		{"a repeat", []string{first, first}, engine.ErrConnectionLost},
+		{"no end", []string{first}, engine.ErrConnectionLost},
+		{"no JSON", []string{first, `{"request_id":"r",`}, engine.ErrConnectionLost},
+		{"a failure", []string{first, `{"request_id":"r","error":"out of memory"}`}, engine.ErrRunFailed},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
-			p := newPeer(t, func(conn net.Conn, _ int64) bool { return answerWith(conn, c.lines...) })
-			_, err := runAndDrain(deadline(t), httpengine.New(p.address, httpconn.Settings{}))
+			server := newFakeServer(t, func(conn net.Conn, _ int64) bool { return writeAnswer(conn, c.lines...) })
+			_, err := runToEnd(testContext(t), httpengine.New(server.address, httpconn.Settings{}))
 			So(errors.Is(err, c.want), ShouldBeTrue)
-			So(p.requests.Load(), ShouldEqual, 1)
+			So(server.requests.Load(), ShouldEqual, 1)
 		})
 	}
 }
 
 // Guards against this: a request is reported as not run and runs all the same.
-func TestOnlyTheEnginesWordIsNotRun(t *testing.T) {
+func TestOnlyTheEngineReportsNotRun(t *testing.T) {
 	answer := func(body string) func(net.Conn, int64) bool {
 		return func(c net.Conn, _ int64) bool {
 			var resp fasthttp.Response
@@ -222,53 +222,53 @@
 		}
 	}
 	Convey("a bare 503 proves nothing, not_run does", t, func() {
-		_, err := runAndDrain(deadline(t), httpengine.New(newPeer(t, answer("busy")).address, httpconn.Settings{}))
-		So(errors.Is(err, engine.ErrFailed), ShouldBeTrue)
-		_, err = runAndDrain(deadline(t), httpengine.New(newPeer(t, answer(`{"not_run":true}`)).address, httpconn.Settings{}))
+		_, err := runToEnd(testContext(t), httpengine.New(newFakeServer(t, answer("busy")).address, httpconn.Settings{}))
+		So(errors.Is(err, engine.ErrRunFailed), ShouldBeTrue)
+		_, err = runToEnd(testContext(t), httpengine.New(newFakeServer(t, answer(`{"not_run":true}`)).address, httpconn.Settings{}))
 		So(errors.Is(err, engine.ErrRefusedNotRun), ShouldBeTrue)
 	})
 }
 
 // Guards against this: callers who left hold connections and slots.
-func TestContextEndsTheWait(t *testing.T) {
+func TestContextCancelsRunAndNext(t *testing.T) {
 	Convey("in Run and in Next, and only the context of the waiting call counts", t, func() {
-		quiet := httpconn.Settings{SilenceTimeout: time.Hour}
+		noTimeout := httpconn.Settings{SilenceTimeout: time.Hour}
 		got := make(chan struct{}, 1)
-		p := newPeer(t, func(net.Conn, int64) bool { got <- struct{}{}; return true })
-		ctx, cancel := context.WithCancel(deadline(t))
+		server := newFakeServer(t, func(net.Conn, int64) bool { got <- struct{}{}; return true })
+		ctx, cancel := context.WithCancel(testContext(t))
 		go func() { <-got; cancel() }()
-		_, err := runAndDrain(ctx, httpengine.New(p.address, quiet))
-		So(errors.Is(err, engine.ErrBroken), ShouldBeTrue)
+		_, err := runToEnd(ctx, httpengine.New(server.address, noTimeout))
+		So(errors.Is(err, engine.ErrConnectionLost), ShouldBeTrue)
 
-		_, e := serve(t, fast, quiet)
-		ctx, cancel = context.WithCancel(deadline(t))
-		s, err := e.Run(ctx, echo("r", "x"))
+		_, e := serve(t, fastEngine, noTimeout)
+		ctx, cancel = context.WithCancel(testContext(t))
+		s, err := e.Run(ctx, echoRun("r", "x"))
 		So(err, ShouldBeNil)
 		cancel()
-		text, _, err := drain(deadline(t), s)
+		text, _, err := readToEnd(testContext(t), s)
 		So(err, ShouldBeNil)
 		So(text, ShouldEqual, "x")
 
 		So(postFaults(e, `{"answer_delay_ms":3600000}`), ShouldBeNil)
-		s, err = e.Run(deadline(t), echo("r2", "x"))
+		s, err = e.Run(testContext(t), echoRun("r2", "x"))
 		So(err, ShouldBeNil)
-		ctx, cancel = context.WithCancel(deadline(t))
+		ctx, cancel = context.WithCancel(testContext(t))
 		defer cancel()
 		go cancel()
 		_, err = s.Next(ctx)
-		So(errors.Is(err, engine.ErrBroken), ShouldBeTrue)
+		So(errors.Is(err, engine.ErrConnectionLost), ShouldBeTrue)
 	})
 }
 
 // Guards against this: streams hang for good, or their prefill is thrown away.
-func TestSilentConnectionIsNoticedAndResumed(t *testing.T) {
+func TestSilentConnectionIsDetectedAndResumed(t *testing.T) {
 	Convey("the stream breaks, goes on over a new connection, and ran once", t, func() {
-		o := fast
+		o := fastEngine
 		o.Faults.Speed = 0.002
 		core, e := serve(t, o, httpconn.Settings{})
-		ctx := deadline(t)
+		ctx := testContext(t)
 		want := strings.Repeat("0123456789", 40)
-		s, err := e.Run(ctx, echo("r", want))
+		s, err := e.Run(ctx, echoRun("r", want))
 		So(err, ShouldBeNil)
 		c, err := s.Next(ctx)
 		So(err, ShouldBeNil)
@@ -279,11 +279,11 @@
 				text += c.Text
 			}
 		}
-		So(errors.Is(err, engine.ErrBroken), ShouldBeTrue)
+		So(errors.Is(err, engine.ErrConnectionLost), ShouldBeTrue)
 		_ = s.Close()
 		s, err = e.Resume(ctx, "r", (len(text)+3)/4)
 		So(err, ShouldBeNil)
-		rest, _, err := drain(ctx, s)
+		rest, _, err := readToEnd(ctx, s)
 		So(err, ShouldBeNil)
 		So(text+rest, ShouldEqual, want)
 		So(core.Runs(), ShouldHaveLength, 1)
@@ -291,33 +291,33 @@
 }
 
 // Guards against this: requests that wait inside a busy engine are taken for lost.
-func TestKeepaliveHoldsAStreamThatWaits(t *testing.T) {
+func TestKeepalivePreventsSilenceTimeout(t *testing.T) {
 	Convey("an answer later than the silence limit arrives", t, func() {
-		o := fast
+		o := fastEngine
 		o.KeepaliveMs, o.Faults.AnswerDelayMs = 20, 2_500
 		_, e := serve(t, o, httpconn.Settings{SilenceTimeout: 2 * time.Second})
-		text, err := runAndDrain(deadline(t), e)
+		text, err := runToEnd(testContext(t), e)
 		So(err, ShouldBeNil)
 		So(text, ShouldEqual, "x")
 	})
 }
 
 // Guards against this: after an engine's crash its requests hang, or run again by themselves.
-func TestCrash(t *testing.T) {
+func TestEngineCrash(t *testing.T) {
 	Convey("broken, then not sent while it is away, then unknown to the new incarnation", t, func() {
-		o := fast
+		o := fastEngine
 		o.RestartMs, o.Faults.CrashText = 2_000, "poison"
 		core, e := serve(t, o, httpconn.Settings{})
-		ctx := deadline(t)
+		ctx := testContext(t)
 		before, err := e.Load(ctx)
 		So(err, ShouldBeNil)
-		s, err := e.Run(ctx, echo("r", "some poison"))
+		s, err := e.Run(ctx, echoRun("r", "some poison"))
 		if err == nil {
-			_, _, err = drain(ctx, s)
+			_, _, err = readToEnd(ctx, s)
 		}
-		So(errors.Is(err, engine.ErrBroken), ShouldBeTrue)
+		So(errors.Is(err, engine.ErrConnectionLost), ShouldBeTrue)
 		So(core.Runs()[0].Outcome, ShouldEqual, standin.OutcomeCrashed)
-		_, err = e.Run(ctx, echo("r2", "x"))
+		_, err = e.Run(ctx, echoRun("r2", "x"))
 		So(errors.Is(err, engine.ErrNotSent), ShouldBeTrue)
 		after, err := e.Load(ctx)
 		for errors.Is(err, engine.ErrNotSent) && ctx.Err() == nil {
@@ -332,12 +332,12 @@
 }
 
 // Guards against this: a request too large for the peer's buffers is reported as not sent.
-func TestHalfWrittenIsBroken(t *testing.T) {
+func TestPartialWriteHasUnknownOutcome(t *testing.T) {
 	Convey("the outcome is unknown", t, func() {
 		ln := listen(t)
 		defer ln.Close()
 		e := httpengine.New(ln.Addr().String(), httpconn.Settings{SilenceTimeout: 100 * time.Millisecond})
-		_, err := e.Run(deadline(t), echo("r", strings.Repeat("x", 8<<20)))
-		So(errors.Is(err, engine.ErrBroken), ShouldBeTrue)
+		_, err := e.Run(testContext(t), echoRun("r", strings.Repeat("x", 8<<20)))
+		So(errors.Is(err, engine.ErrConnectionLost), ShouldBeTrue)
 	})
 }
--- a/engine/httpengine/stream.go
+++ b/engine/httpengine/stream.go
@@ -20,36 +20,36 @@
 	lineBufferBytes = 2 << 10
 	// maxLineBytes bounds one line of an answer.
 	maxLineBytes = 1 << 20
-	// tailWait is how long Close waits for the end of a whole answer's HTTP body
+	// bodyEndTimeout is how long Close waits for the end of a whole answer's HTTP body
 	// before it closes the connection instead of keeping it.
-	tailWait = 20 * time.Millisecond
+	bodyEndTimeout = 20 * time.Millisecond
 )
 
 var lineReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, lineBufferBytes) }}
 
 // stream is one answer on one connection. No goroutine belongs to it.
 type stream struct {
-	address string
-	id      string
-	conn    *httpconn.Conn
-	resp    *fasthttp.Response
-	lines   *bufio.Reader
-	long    []byte // a line longer than the buffer
-	line    wire.Line
-	offset  int // of the next chunk
-	err     error
+	address  string
+	id       string
+	conn     *httpconn.Conn
+	resp     *fasthttp.Response
+	lines    *bufio.Reader
+	longLine []byte // a line longer than the buffer
+	line     wire.Line
+	offset   int // of the next chunk
+	err      error
 }
 
-// openStream reads the answer's header.
-func openStream(ctx context.Context, conn *httpconn.Conn, address, id string, offset int) (engine.Stream, error) {
+// readStreamHeader reads the answer's header.
+func readStreamHeader(ctx context.Context, conn *httpconn.Conn, address, id string, offset int) (engine.Stream, error) {
 	if err := conn.Bind(ctx); err != nil {
 		conn.Discard()
-		return nil, errors.Wrapf(engine.ErrBroken, "%s: %v", address, err)
+		return nil, errors.Wrapf(engine.ErrConnectionLost, "%s: %v", address, err)
 	}
 	defer conn.Unbind()
 	resp := fasthttp.AcquireResponse()
 	resp.StreamBody = true
-	err := resp.ReadLimitBody(conn.Reader, maxAnswerBytes)
+	err := resp.ReadLimitBody(conn.Reader, maxResponseBytes)
 	if err == nil && resp.StatusCode() == fasthttp.StatusOK {
 		lines := lineReaders.Get().(*bufio.Reader)
 		lines.Reset(resp.BodyStream())
@@ -61,11 +61,11 @@
 		conn.Discard()
 		return nil, err
 	}
-	return nil, refused(conn, resp, address)
+	return nil, readErrorResponse(conn, resp, address)
 }
 
-// refused reads the answer of a request that got no stream.
-func refused(conn *httpconn.Conn, resp *fasthttp.Response, address string) error {
+// readErrorResponse reads the answer of a request that got no stream.
+func readErrorResponse(conn *httpconn.Conn, resp *fasthttp.Response, address string) error {
 	body, err := io.ReadAll(io.LimitReader(resp.BodyStream(), maxLineBytes))
 	status := resp.StatusCode()
 	switch {
@@ -76,7 +76,7 @@
 	case len(body) == maxLineBytes: // there may be more to come
 		conn.Discard()
 	default:
-		finish(conn, resp)
+		releaseConn(conn, resp)
 	}
 	return statusError(address, status, body)
 }
@@ -87,46 +87,46 @@
 		return engine.Chunk{}, s.err
 	}
 	if err := s.conn.Bind(ctx); err != nil {
-		return engine.Chunk{}, s.fail(errors.Wrapf(engine.ErrBroken, "%s: %v", s.address, err))
+		return engine.Chunk{}, s.setErr(errors.Wrapf(engine.ErrConnectionLost, "%s: %v", s.address, err))
 	}
 	defer s.conn.Unbind()
 	for {
 		data, err := s.readLine()
 		if err != nil {
-			return engine.Chunk{}, s.fail(s.conn.WrapError(err))
+			return engine.Chunk{}, s.setErr(s.conn.WrapError(err))
 		}
 		if err := wire.ParseLine(data, &s.line); err != nil {
-			return engine.Chunk{}, s.fail(s.conn.WrapError(err))
+			return engine.Chunk{}, s.setErr(s.conn.WrapError(err))
 		}
-		if err := s.check(); err != nil {
-			return engine.Chunk{}, s.fail(err)
+		if err := s.checkLine(); err != nil {
+			return engine.Chunk{}, s.setErr(err)
 		}
 		if !s.line.Keepalive {
-			return s.chunk(), nil
+			return s.takeChunk(), nil
 		}
 	}
 }
 
-// check refuses a line that is not the next one of this run's answer.
+// checkLine refuses a line that is not the next one of this run's answer.
 //
 // What goes wrong without it: an engine that mixes up two answers, or repeats
 // or loses a piece after a resume, gives a caller another's or a torn text.
-func (s *stream) check() error {
+func (s *stream) checkLine() error {
 	l := &s.line
 	switch {
 	case string(l.RequestID) != s.id:
-		return errors.Wrapf(engine.ErrCrossed, "%s: answer of %q for %q", s.address, l.RequestID, s.id)
+		return errors.Wrapf(engine.ErrRequestMismatch, "%s: answer of %q for %q", s.address, l.RequestID, s.id)
 	case l.Keepalive:
 		return nil
 	case l.Error != "":
-		return errors.Wrapf(engine.ErrFailed, "%s: %s", s.address, l.Error)
+		return errors.Wrapf(engine.ErrRunFailed, "%s: %s", s.address, l.Error)
 	case l.Offset != s.offset:
-		return errors.Wrapf(engine.ErrBroken, "%s: chunk at %d, expected %d", s.address, l.Offset, s.offset)
+		return errors.Wrapf(engine.ErrConnectionLost, "%s: chunk at %d, expected %d", s.address, l.Offset, s.offset)
 	}
 	return nil
 }
 
-func (s *stream) chunk() engine.Chunk {
+func (s *stream) takeChunk() engine.Chunk {
 	l := &s.line
 	s.offset += l.Tokens
 	if l.End {
@@ -138,7 +138,7 @@
 	}
 }
 
-func (s *stream) fail(err error) error {
+func (s *stream) setErr(err error) error {
 	s.err = err
 	return err
 }
@@ -148,32 +148,32 @@
 func (s *stream) readLine() ([]byte, error) {
 	data, err := s.lines.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
-		return s.readLong(data)
+		return s.readLongLine(data)
 	}
 	if err != nil {
-		return nil, truncated(err)
+		return nil, truncatedError(err)
 	}
 	return data[:len(data)-1], nil
 }
 
-func (s *stream) readLong(first []byte) ([]byte, error) {
-	s.long = append(s.long[:0], first...)
+func (s *stream) readLongLine(first []byte) ([]byte, error) {
+	s.longLine = append(s.longLine[:0], first...)
 	for {
 		data, err := s.lines.ReadSlice('\n')
-		s.long = append(s.long, data...)
+		s.longLine = append(s.longLine, data...)
 		switch {
 		case err == nil:
-			return s.long[:len(s.long)-1], nil
+			return s.longLine[:len(s.longLine)-1], nil
 		case err != bufio.ErrBufferFull:
-			return nil, truncated(err)
-		case len(s.long) > maxLineBytes:
+			return nil, truncatedError(err)
+		case len(s.longLine) > maxLineBytes:
 			return nil, errors.Errorf("line over %d bytes", maxLineBytes)
 		}
 	}
 }
 
-// truncated names the end of a body that came before the End chunk.
-func truncated(err error) error {
+// truncatedError names the end of a body that came before the End chunk.
+func truncatedError(err error) error {
 	if err == io.EOF {
 		return errors.New("answer ended without its end mark")
 	}
@@ -186,8 +186,8 @@
 	if s.conn == nil {
 		return nil
 	}
-	if s.err == io.EOF && s.atEnd() {
-		finish(s.conn, s.resp)
+	if s.err == io.EOF && s.bodyEnded() {
+		releaseConn(s.conn, s.resp)
 	} else {
 		s.conn.Discard()
 	}
@@ -196,14 +196,14 @@
 	fasthttp.ReleaseResponse(s.resp)
 	s.conn, s.lines, s.resp = nil, nil, nil
 	if s.err == nil {
-		s.err = errors.Wrap(engine.ErrBroken, "stream closed")
+		s.err = errors.Wrap(engine.ErrConnectionLost, "stream closed")
 	}
 	return nil
 }
 
-// atEnd reads the end of the HTTP body, which follows the End chunk at once.
-func (s *stream) atEnd() bool {
-	s.conn.SetSilenceTimeout(tailWait)
+// bodyEnded reads the end of the HTTP body, which follows the End chunk at once.
+func (s *stream) bodyEnded() bool {
+	s.conn.SetSilenceTimeout(bodyEndTimeout)
 	_, err := s.lines.ReadByte()
 	return err == io.EOF
 }
--- a/engine/httpengine/wire/line.go
+++ b/engine/httpengine/wire/line.go
@@ -24,8 +24,8 @@
 	Error string
 }
 
-// errSyntax sends a line that the short parser does not know to encoding/json.
-var errSyntax = errors.New("line not understood")
+// errUnsupported sends a line that the short parser does not know to encoding/json.
+var errUnsupported = errors.New("line not understood")
 
 // lineJSON is Line as encoding/json sees it.
 type lineJSON struct {
@@ -87,8 +87,8 @@
 // (its text) in the usual case; anything unusual goes through encoding/json.
 func ParseLine(data []byte, l *Line) error {
 	*l = Line{}
-	p := lineParser{data: data}
-	if p.line(l) == nil {
+	p := fastParser{data: data}
+	if p.parse(l) == nil {
 		return nil
 	}
 	var j lineJSON
@@ -103,67 +103,67 @@
 	return nil
 }
 
-// lineParser reads a flat JSON object without white space, the form that
-// AppendLine writes. It gives up (errSyntax) on anything else.
-type lineParser struct {
+// fastParser reads a flat JSON object without white space, the form that
+// AppendLine writes. It gives up (errUnsupported) on anything else.
+type fastParser struct {
 	data []byte
 	pos  int
 }
 
-func (p *lineParser) line(l *Line) error {
-	if !p.take('{') {
-		return errSyntax
+func (p *fastParser) parse(l *Line) error {
+	if !p.consume('{') {
+		return errUnsupported
 	}
 	for {
-		key, err := p.str()
+		key, err := p.rawString()
 		if err != nil {
 			return err
 		}
-		if !p.take(':') {
-			return errSyntax
+		if !p.consume(':') {
+			return errUnsupported
 		}
-		if err := p.member(string(key), l); err != nil {
+		if err := p.parseMember(string(key), l); err != nil {
 			return err
 		}
-		if p.take(',') {
+		if p.consume(',') {
 			continue
 		}
-		if p.take('}') && p.atEnd() {
+		if p.consume('}') && p.atEnd() {
 			return nil
 		}
-		return errSyntax
+		return errUnsupported
 	}
 }
 
-func (p *lineParser) member(key string, l *Line) (err error) {
+func (p *fastParser) parseMember(key string, l *Line) (err error) {
 	switch key {
 	case "request_id":
-		l.RequestID, err = p.str()
+		l.RequestID, err = p.rawString()
 	case "text":
-		l.Text, err = p.text()
+		l.Text, err = p.utf8String()
 	case "finish_reason":
-		l.FinishReason, err = p.text()
+		l.FinishReason, err = p.utf8String()
 	case "error":
-		l.Error, err = p.text()
+		l.Error, err = p.utf8String()
 	case "offset":
-		l.Offset, err = p.number()
+		l.Offset, err = p.integer()
 	case "tokens":
-		l.Tokens, err = p.number()
+		l.Tokens, err = p.integer()
 	case "prompt_tokens":
-		l.PromptTokens, err = p.number()
+		l.PromptTokens, err = p.integer()
 	case "prefill_computed":
-		l.PrefillComputed, err = p.number()
+		l.PrefillComputed, err = p.integer()
 	case "end":
 		l.End, err = p.boolean()
 	case "keepalive":
 		l.Keepalive, err = p.boolean()
 	default:
-		err = errSyntax
+		err = errUnsupported
 	}
 	return err
 }
 
-func (p *lineParser) take(c byte) bool {
+func (p *fastParser) consume(c byte) bool {
 	if p.pos < len(p.data) && p.data[p.pos] == c {
 		p.pos++
 		return true
@@ -171,12 +171,12 @@
 	return false
 }
 
-func (p *lineParser) atEnd() bool { return p.pos == len(p.data) }
+func (p *fastParser) atEnd() bool { return p.pos == len(p.data) }
 
-// str returns a string without escapes, aliasing the data.
-func (p *lineParser) str() ([]byte, error) {
-	if !p.take('"') {
-		return nil, errSyntax
+// rawString returns a string without escapes, aliasing the data.
+func (p *fastParser) rawString() ([]byte, error) {
+	if !p.consume('"') {
+		return nil, errUnsupported
 	}
 	start := p.pos
 	for ; p.pos < len(p.data); p.pos++ {
@@ -186,16 +186,16 @@
 			p.pos++
 			return s, nil
 		case c == '\\' || c < ' ':
-			return nil, errSyntax
+			return nil, errUnsupported
 		}
 	}
-	return nil, errSyntax
+	return nil, errUnsupported
 }
 
-func (p *lineParser) text() (string, error) {
-	s, err := p.str()
+func (p *fastParser) utf8String() (string, error) {
+	s, err := p.rawString()
 	if err != nil || !utf8.Valid(s) {
-		return "", errSyntax
+		return "", errUnsupported
 	}
 	return string(s), nil
 }
@@ -203,7 +203,7 @@
 // maxDigits keeps a number within an int.
 const maxDigits = 18
 
-func (p *lineParser) number() (int, error) {
+func (p *fastParser) integer() (int, error) {
 	start, n := p.pos, 0
 	for p.pos < len(p.data) && p.data[p.pos] >= '0' && p.data[p.pos] <= '9' {
 		n = n*10 + int(p.data[p.pos]-'0')
@@ -211,16 +211,16 @@
 	}
 	leadingZero := p.pos-start > 1 && p.data[start] == '0'
 	if p.pos == start || p.pos-start > maxDigits || leadingZero {
-		return 0, errSyntax
+		return 0, errUnsupported
 	}
 	return n, nil
 }
 
-func (p *lineParser) boolean() (bool, error) {
+func (p *fastParser) boolean() (bool, error) {
 	rest := p.data[p.pos:]
 	if len(rest) >= 4 && string(rest[:4]) == "true" {
 		p.pos += 4
 		return true, nil
 	}
-	return false, errSyntax
+	return false, errUnsupported
 }
--- a/engine/httpengine/wire/line_test.go
+++ b/engine/httpengine/wire/line_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestAppendedLineParsesToItself(t *testing.T) {
+func TestLineRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := Line{
 			RequestID: []byte(rapid.String().Draw(t, "id")), Offset: rapid.IntRange(0, 1<<40).Draw(t, "offset"),
--- a/engine/httpengine/wire/wire.go
+++ b/engine/httpengine/wire/wire.go
@@ -27,7 +27,7 @@
 	Model        string   `json:"model"`
 	Version      string   `json:"version,omitempty"`
 	Prompt       string   `json:"prompt"`
-	Last         string   `json:"last"`
+	LastMessage  string   `json:"last"`
 	PromptTokens int      `json:"prompt_tokens"`
 	MaxTokens    int      `json:"max_tokens"`
 	Blocks       []uint64 `json:"blocks,omitempty"`
--- a/internal/capacity/measure_stream.go
+++ b/internal/capacity/measure_stream.go
@@ -154,7 +154,7 @@
 		n := <-next
 		next <- n + 1
 		text := standin.PrefixEcho + echoText(tokens)
-		return drain(ctx, e, engine.Run{RequestID: fmt.Sprint("direct-", n), Prompt: text, Last: text, PromptTokens: tokens, MaxTokens: 2 * tokens})
+		return drain(ctx, e, engine.Run{RequestID: fmt.Sprint("direct-", n), Prompt: text, LastMessage: text, PromptTokens: tokens, MaxTokens: 2 * tokens})
 	})
 	cancel()
 	<-ended
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -121,16 +121,16 @@
 func (s *Settings) entryLimits() entry.Limits {
 	t := s.Timeouts
 	return entry.Limits{
-		ReadTimeout:     milliseconds(t.ReadMs),
-		IdleTimeout:     milliseconds(t.IdleMs),
-		WriteTimeout:    milliseconds(t.WriteMs),
-		MaxConnections:  s.Limits.MaxConnections,
-		BodyBytes:       s.Limits.BodyBytes,
-		MaxRequestBytes: s.Limits.MaxRequestBytes,
-		ClaimPatience:   milliseconds(t.ClaimPatienceMs),
-		ResumeWindow:    milliseconds(t.ResumeMs),
-		MaxRun:          milliseconds(t.RunMs),
-		Keepalive:       milliseconds(t.KeepaliveMs),
+		ReadTimeout:       milliseconds(t.ReadMs),
+		IdleTimeout:       milliseconds(t.IdleMs),
+		WriteTimeout:      milliseconds(t.WriteMs),
+		MaxConnections:    s.Limits.MaxConnections,
+		BodyBytes:         s.Limits.BodyBytes,
+		MaxRequestBytes:   s.Limits.MaxRequestBytes,
+		ClaimSlotTimeout:  milliseconds(t.ClaimPatienceMs),
+		ResumeWindow:      milliseconds(t.ResumeMs),
+		MaxRunTime:        milliseconds(t.RunMs),
+		KeepaliveInterval: milliseconds(t.KeepaliveMs),
 	}
 }
 
@@ -145,5 +145,5 @@
 }
 
 func (s *Settings) serviceSettings() httpservice.Settings {
-	return httpservice.Settings{Settings: s.engineSettings(), Answer: milliseconds(s.Timeouts.ServiceAnswerMs)}
+	return httpservice.Settings{Settings: s.engineSettings(), ResponseTimeout: milliseconds(s.Timeouts.ServiceAnswerMs)}
 }
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -22,29 +22,29 @@
 	grant  broker.Grant
 	engine engine.Engine
 	stream engine.Stream // nil: to be resumed
-	figures
+	measurements
 
-	next   int  // offset of the next chunk
-	ended  bool // the End chunk was seen
-	opened bool // the engine is known to have got the run
-	// broken is when the stream broke without a chunk since; resumed is when
+	nextOffset int  // offset of the next chunk
+	ended      bool // the End chunk was seen
+	accepted   bool // the engine is known to have got the run
+	// brokenAt is when the stream broke without a chunk since; resumed is when
 	// it was last continued.
-	broken, resumed time.Time
+	brokenAt, resumedAt time.Time
 
-	reported   time.Time
-	reportedAt int // tokens at the last report
-	reports    int
+	lastReport       time.Time
+	lastReportTokens int // tokens at the last report
+	reportCount      int
 }
 
-// errNotWhole: the stream is not what the run's next chunk must be.
-var errNotWhole = errors.New("chunk out of order")
+// errOutOfOrder: the stream is not what the run's next chunk must be.
+var errOutOfOrder = errors.New("chunk out of order")
 
-// errNothingLeft: the dispatch right was taken, but no byte was written.
-var errNothingLeft = errors.New("connection lost before the first byte")
+// errNothingSent: the dispatch right was taken, but no byte was written.
+var errNothingSent = errors.New("connection lost before the first byte")
 
-// run dispatches a model request and returns its answer, to be read with Next
+// startRun dispatches a model request and returns its answer, to be read with Next
 // until its end or an error, and then ended with finish where it is whole.
-func (x *exchange) run(r engine.Run) (*answer, error) {
+func (x *exchange) startRun(r engine.Run) (*answer, error) {
 	a := &answer{x: x}
 	grant, err := x.dispatch(a.send(r))
 	if grant == nil {
@@ -55,26 +55,26 @@
 	a.promptTokens = r.PromptTokens
 	switch {
 	case err == nil:
-		a.opened = true
+		a.accepted = true
 		return a, nil
-	case errors.Is(err, engine.ErrBroken), errors.Is(err, engine.ErrCrossed):
-		a.noteBreak()
-		a.breakOff(err)
-		return a, nil // resumed by the first Next
+	case errors.Is(err, engine.ErrConnectionLost), errors.Is(err, engine.ErrRequestMismatch):
+		a.startResumeWindow()
+		a.abandonStream(err)
+		return a, nil // resumedAt by the first Next
 	case errors.Is(err, engine.ErrNotSent):
-		return nil, a.fail(errNothingLeft)
+		return nil, a.failRun(errNothingSent)
 	default:
-		return nil, a.fail(err)
+		return nil, a.failRun(err)
 	}
 }
 
 // send returns the sender of a run.
-func (a *answer) send(r engine.Run) sender {
-	return func(s workspace.BackendServer, sending func() error) error {
+func (a *answer) send(r engine.Run) sendFunc {
+	return func(s workspace.BackendServer, beforeSend func() error) error {
 		a.engine = a.x.entry.deps.Engines.Engine(s.Address)
-		r.Sending = func() error {
+		r.BeforeSend = func() error {
 			a.sent = time.Now()
-			return sending()
+			return beforeSend()
 		}
 		var err error
 		a.stream, err = a.engine.Run(a.x.ctx, r)
@@ -90,33 +90,33 @@
 	}
 	for {
 		if err := a.ensureStream(ctx); err != nil {
-			return engine.Chunk{}, a.fail(err)
+			return engine.Chunk{}, a.failRun(err)
 		}
 		c, err := a.stream.Next(ctx)
 		if err == nil {
-			err = a.take(c)
+			err = a.acceptChunk(c)
 		}
 		if err == nil {
 			return c, nil
 		}
-		a.noteBreak()
-		if !a.resumable(ctx, err) {
-			return engine.Chunk{}, a.fail(err)
+		a.startResumeWindow()
+		if !a.canResume(ctx, err) {
+			return engine.Chunk{}, a.failRun(err)
 		}
-		a.breakOff(err)
+		a.abandonStream(err)
 	}
 }
 
-// take checks that a chunk is the next one and counts it.
-func (a *answer) take(c engine.Chunk) error {
-	if c.Offset != a.next {
-		return errors.Wrapf(errNotWhole, "offset %d, want %d", c.Offset, a.next)
+// acceptChunk checks that a chunk is the next one and counts it.
+func (a *answer) acceptChunk(c engine.Chunk) error {
+	if c.Offset != a.nextOffset {
+		return errors.Wrapf(errOutOfOrder, "offset %d, want %d", c.Offset, a.nextOffset)
 	}
 	now := time.Now()
-	a.opened = true
-	a.broken = time.Time{}
-	a.next += c.Tokens
-	a.tokens = a.next
+	a.accepted = true
+	a.brokenAt = time.Time{}
+	a.nextOffset += c.Tokens
+	a.tokens = a.nextOffset
 	if a.first.IsZero() && (c.Tokens > 0 || c.End) {
 		a.first = now
 	}
@@ -126,112 +126,112 @@
 		a.prefillComputed = c.PrefillComputed
 		return nil
 	}
-	a.progress(now)
+	a.reportProgress(now)
 	return nil
 }
 
 // maxProgressDoublings bounds how far the time between reports grows.
 const maxProgressDoublings = 3
 
-// progressWait returns how long after so many reports the next one is due.
-func progressWait(every time.Duration, reports int) time.Duration {
-	return every << min(max(reports-1, 0), maxProgressDoublings)
+// progressInterval returns how long after so many reports the next one is due.
+func progressInterval(base time.Duration, reports int) time.Duration {
+	return base << min(max(reports-1, 0), maxProgressDoublings)
 }
 
 // ProgressReports returns how many reports an answer has that streams for so
 // long, at the default interval. The capacity page goes by it.
-func ProgressReports(streams time.Duration) int {
+func ProgressReports(duration time.Duration) int {
 	n := 1
-	for at := progressWait(DefaultProgressEvery, n); at <= streams; at += progressWait(DefaultProgressEvery, n) {
+	for at := progressInterval(DefaultProgressInterval, n); at <= duration; at += progressInterval(DefaultProgressInterval, n) {
 		n++
 	}
 	return n
 }
 
-// progress reports at the first token and then at intervals that double: what
+// reportProgress reports at the first token and then at intervals that double: what
 // the first seconds tell decides whether a server is a straggler, and a long
 // answer's many reports would be most of the messages between daemons.
-func (a *answer) progress(now time.Time) {
-	if a.first.IsZero() || now.Sub(a.reported) < progressWait(a.x.entry.limits.ProgressEvery, a.reports) {
+func (a *answer) reportProgress(now time.Time) {
+	if a.first.IsZero() || now.Sub(a.lastReport) < progressInterval(a.x.entry.limits.ProgressInterval, a.reportCount) {
 		return
 	}
 	var perToken time.Duration
-	if n := a.tokens - a.reportedAt; !a.reported.IsZero() && n > 0 {
-		perToken = now.Sub(a.reported) / time.Duration(n)
+	if n := a.tokens - a.lastReportTokens; !a.lastReport.IsZero() && n > 0 {
+		perToken = now.Sub(a.lastReport) / time.Duration(n)
 	}
 	a.grant.Progress(a.firstToken(), a.tokens, perToken)
-	a.reported, a.reportedAt = now, a.tokens
-	a.reports++
+	a.lastReport, a.lastReportTokens = now, a.tokens
+	a.reportCount++
 }
 
-// noteBreak begins the window for resuming, unless it runs already. A stream
+// startResumeWindow begins the window for resuming, unless it runs already. A stream
 // that had gone on for a while since its last break begins a new one.
-func (a *answer) noteBreak() {
+func (a *answer) startResumeWindow() {
 	now := time.Now()
-	if a.broken.IsZero() || now.Sub(a.resumed) > a.x.entry.limits.ResumeWindow {
-		a.broken = now
+	if a.brokenAt.IsZero() || now.Sub(a.resumedAt) > a.x.entry.limits.ResumeWindow {
+		a.brokenAt = now
 	}
 }
 
-// breakOff gives up a broken stream, which ensureStream then resumes.
-func (a *answer) breakOff(err error) {
-	a.dropStream()
-	a.x.entry.counters.resumes[causeOf(err)].Add(1)
-	a.x.log.WithError(err).WithField("offset", a.next).Info("stream broke, resuming")
+// abandonStream gives up a broken stream, which ensureStream then resumes.
+func (a *answer) abandonStream(err error) {
+	a.closeStream()
+	a.x.entry.counters.resumes[resumeCauseOf(err)].Add(1)
+	a.x.log.WithError(err).WithField("offset", a.nextOffset).Info("stream broke, resuming")
 }
 
-// resumable tells whether the rest of the answer may still come.
-func (a *answer) resumable(ctx context.Context, err error) bool {
-	if ctx.Err() != nil || a.givenUp() {
+// canResume tells whether the rest of the answer may still come.
+func (a *answer) canResume(ctx context.Context, err error) bool {
+	if ctx.Err() != nil || a.resumeWindowExpired() {
 		return false
 	}
-	return errors.Is(err, engine.ErrBroken) || errors.Is(err, engine.ErrCrossed) ||
-		errors.Is(err, errNotWhole) || errors.Is(err, io.EOF)
+	return errors.Is(err, engine.ErrConnectionLost) || errors.Is(err, engine.ErrRequestMismatch) ||
+		errors.Is(err, errOutOfOrder) || errors.Is(err, io.EOF)
 }
 
-// givenUp tells whether the stream has been broken for too long. The time
+// resumeWindowExpired tells whether the stream has been broken for too long. The time
 // before the break does not count: a long prefill brings no chunk either.
-func (a *answer) givenUp() bool {
-	return !a.broken.IsZero() && time.Since(a.broken) > a.x.entry.limits.ResumeWindow
+func (a *answer) resumeWindowExpired() bool {
+	return !a.brokenAt.IsZero() && time.Since(a.brokenAt) > a.x.entry.limits.ResumeWindow
 }
 
-func causeOf(err error) resumeCause {
+func resumeCauseOf(err error) resumeCause {
 	switch {
-	case errors.Is(err, engine.ErrCrossed):
-		return resumeCrossed
-	case errors.Is(err, errNotWhole):
+	case errors.Is(err, engine.ErrRequestMismatch):
+		return resumeMismatch
+	case errors.Is(err, errOutOfOrder):
 		return resumeGap
 	default:
-		return resumeBroken
+		return resumeConnectionLost
 	}
 }
 
-func (a *answer) dropStream() {
+func (a *answer) closeStream() {
 	if a.stream != nil {
 		_ = a.stream.Close()
 		a.stream = nil
 	}
 }
 
-// finish ends a whole answer that was handed to the caller.
-func (a *answer) finish() {
+// completeRun ends a whole answer that was handed to the caller.
+func (a *answer) completeRun() {
 	now := time.Now()
-	a.dropStream()
-	a.x.entry.counters.prefill.Add(int64(a.prefillComputed))
-	a.x.entry.counters.ended(a.x.spec, a.figures, now)
-	a.grant.Release(a.end(pool.OutcomeDone, now))
+	a.closeStream()
+	a.x.entry.counters.prefillComputed.Add(int64(a.prefillComputed))
+	a.x.entry.counters.countAnswer(a.x.spec, a.measurements, now)
+	a.grant.Release(a.completion(pool.OutcomeDone, now))
 }
 
-// fail ends the run without a whole answer and returns the refusal.
-func (a *answer) fail(err error) error {
-	a.dropStream()
-	r, outcome := a.refusal(err)
-	end := a.end(outcome, time.Now())
+// failRun ends the run without a whole answer and returns the refusal.
+func (a *answer) failRun(err error) error {
+	a.closeStream()
+	r, outcome := a.runRefusal(err)
+	end := a.completion(outcome, time.Now())
 	if outcome == pool.OutcomeCanceled || outcome == pool.OutcomeStreamLost {
 		a.cancelRun()
 	}
 	if r.NotRun != request.NotRunTrue {
-		a.x.entry.counters.prefillWaste.Add(int64(a.wastedPrefill()))
+		a.x.entry.counters.prefillWasted.Add(int64(a.wastedPrefill()))
 	}
 	a.grant.Release(end)
 	a.x.settleClaim(r.NotRun, nil)
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -10,10 +10,10 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// firstBodyBytes is the first size of a body's buffer. It grows as bytes
+// initialBodyBytes is the first size of a body's buffer. It grows as bytes
 // arrive, so that a caller that announces a long body and sends nothing holds
 // little memory.
-const firstBodyBytes = 4 << 10
+const initialBodyBytes = 4 << 10
 
 // maxDiscard bounds what is read of a refused request's body.
 const maxDiscard = 16 << 20
@@ -31,31 +31,31 @@
 // readBody reads the request's body into a buffer of its own, within limit
 // and the budget. The HTTP server reuses its buffers, so none of them is kept.
 func readBody(ctx *fasthttp.RequestCtx, limit int, res *reservation) ([]byte, error) {
-	announced := ctx.Request.Header.ContentLength()
-	if announced > limit {
-		return nil, tooLarge(limit)
+	contentLength := ctx.Request.Header.ContentLength()
+	if contentLength > limit {
+		return nil, bodyTooLarge(limit)
 	}
 	stream := ctx.RequestBodyStream()
-	if stream == nil || announced == 0 {
+	if stream == nil || contentLength == 0 {
 		return nil, nil
 	}
-	body, err := readAll(stream, announced, limit, res)
+	body, err := readBodyStream(stream, contentLength, limit, res)
 	if err != nil {
 		return nil, err
 	}
-	if announced >= 0 && len(body) != announced {
-		return nil, request.Refuse(request.ReasonBadRequest, "the body ended after %d of %d bytes", len(body), announced)
+	if contentLength >= 0 && len(body) != contentLength {
+		return nil, request.Refuse(request.ReasonBadRequest, "the body ended after %d of %d bytes", len(body), contentLength)
 	}
 	return body, nil
 }
 
-func readAll(stream io.Reader, announced, limit int, res *reservation) ([]byte, error) {
-	size := firstBodyBytes
-	if announced > 0 {
-		size = min(size, announced)
+func readBodyStream(stream io.Reader, contentLength, limit int, res *reservation) ([]byte, error) {
+	size := initialBodyBytes
+	if contentLength > 0 {
+		size = min(size, contentLength)
 	}
 	if !res.resize(int64(size)) {
-		return nil, noMemory()
+		return nil, memoryRefusal()
 	}
 	body := make([]byte, 0, size)
 	for {
@@ -68,38 +68,38 @@
 			return nil, readRefusal(err, res)
 		}
 		if len(body) > limit {
-			return nil, tooLarge(limit)
+			return nil, bodyTooLarge(limit)
 		}
 		if len(body) == cap(body) {
-			if body, err = grow(body, announced, limit, res); err != nil {
+			if body, err = growBuffer(body, contentLength, limit, res); err != nil {
 				return nil, err
 			}
 		}
 	}
 }
 
-// grow doubles the buffer, up to what was announced or one byte over limit.
-func grow(body []byte, announced, limit int, res *reservation) ([]byte, error) {
-	most := limit + 1
-	if announced > 0 {
-		most = announced + 1 // room for the read that finds the end
+// growBuffer doubles the buffer, up to what was announced or one byte over limit.
+func growBuffer(body []byte, contentLength, limit int, res *reservation) ([]byte, error) {
+	maxSize := limit + 1
+	if contentLength > 0 {
+		maxSize = contentLength + 1 // room for the read that finds the end
 	}
-	size := min(2*cap(body), most)
+	size := min(2*cap(body), maxSize)
 	if size <= cap(body) {
 		size = cap(body) + 1
 	}
 	if !res.resize(int64(size)) {
-		return nil, noMemory()
+		return nil, memoryRefusal()
 	}
-	bigger := make([]byte, len(body), size)
-	copy(bigger, body)
-	return bigger, nil
+	grown := make([]byte, len(body), size)
+	copy(grown, body)
+	return grown, nil
 }
 
 func readRefusal(err error, res *reservation) error {
 	switch {
 	case res.wasEvicted():
-		return noMemory()
+		return memoryRefusal()
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return request.Refuse(request.ReasonReadTimeout, "the body was not read in time; send it faster")
 	case errors.Is(err, io.ErrUnexpectedEOF):
@@ -109,10 +109,10 @@
 	}
 }
 
-func tooLarge(limit int) error {
+func bodyTooLarge(limit int) error {
 	return request.Refuse(request.ReasonBodyTooLarge, "the body is over %d bytes", limit)
 }
 
-func noMemory() *request.Refusal {
+func memoryRefusal() *request.Refusal {
 	return request.Refuse(request.ReasonEntryMemory, "no memory for more waiting requests of this tier")
 }
--- a/internal/entry/budget.go
+++ b/internal/entry/budget.go
@@ -26,14 +26,14 @@
 // reservation is one request's share of the budget. Its methods but evict are
 // used by the request's own goroutine.
 type reservation struct {
-	budget *bodyBudget
-	tier   request.Tier
-	bytes  int64
-	place  *list.Element // nil: cannot be evicted (any more)
-	gone   bool          // evicted or released
-	// evicted tells the request's owner; it is called with the budget's lock
+	budget  *bodyBudget
+	tier    request.Tier
+	bytes   int64
+	element *list.Element // nil: cannot be evicted (any more)
+	ended   bool          // onEvict or released
+	// onEvict tells the request's owner; it is called with the budget's lock
 	// held and must not block.
-	evicted func()
+	onEvict func()
 }
 
 // requestOverhead is what a waiting request holds beside its body: stacks,
@@ -51,12 +51,12 @@
 	return b.used
 }
 
-// join returns an empty reservation in a tier.
-func (b *bodyBudget) join(tier request.Tier, evicted func()) *reservation {
-	r := &reservation{budget: b, tier: clampTier(tier), evicted: evicted}
+// newReservation returns an empty reservation in a tier.
+func (b *bodyBudget) newReservation(tier request.Tier, onEvict func()) *reservation {
+	r := &reservation{budget: b, tier: clampTier(tier), onEvict: onEvict}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r.place = b.tiers[r.tier].PushBack(r)
+	r.element = b.tiers[r.tier].PushBack(r)
 	return r
 }
 
@@ -66,12 +66,12 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	tier = clampTier(tier)
-	if r.place == nil || tier == r.tier {
+	if r.element == nil || tier == r.tier {
 		return
 	}
-	b.tiers[r.tier].Remove(r.place)
+	b.tiers[r.tier].Remove(r.element)
 	r.tier = tier
-	r.place = b.tiers[tier].PushBack(r)
+	r.element = b.tiers[tier].PushBack(r)
 }
 
 // resize sets the reservation to a body of so many bytes, evicting lower tiers
@@ -81,15 +81,15 @@
 	b := r.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if r.gone {
+	if r.ended {
 		return false
 	}
 	bytes += b.overhead
-	more := bytes - r.bytes
-	if more > 0 && b.used+more > b.limit && !b.makeRoom(more, r.tier) {
+	delta := bytes - r.bytes
+	if delta > 0 && b.used+delta > b.limit && !b.makeRoom(delta, r.tier) {
 		return false
 	}
-	b.used += more
+	b.used += delta
 	r.bytes = bytes
 	return true
 }
@@ -100,10 +100,10 @@
 	b := r.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if r.gone {
+	if r.ended {
 		return false
 	}
-	b.forget(r)
+	b.removeFromTier(r)
 	return true
 }
 
@@ -112,8 +112,8 @@
 	b := r.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !r.gone && r.place == nil {
-		r.place = b.tiers[r.tier].PushBack(r)
+	if !r.ended && r.element == nil {
+		r.element = b.tiers[r.tier].PushBack(r)
 	}
 }
 
@@ -122,8 +122,8 @@
 	b := r.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !r.gone {
-		b.drop(r)
+	if !r.ended {
+		b.end(r)
 	}
 }
 
@@ -143,24 +143,24 @@
 		return false
 	}
 	for _, v := range victims {
-		b.drop(v)
-		v.evicted()
+		b.end(v)
+		v.onEvict()
 	}
 	return true
 }
 
-// drop takes a reservation out of the budget.
-func (b *bodyBudget) drop(r *reservation) {
+// end takes a reservation out of the budget.
+func (b *bodyBudget) end(r *reservation) {
 	b.used -= r.bytes
 	r.bytes = 0
-	r.gone = true
-	b.forget(r)
+	r.ended = true
+	b.removeFromTier(r)
 }
 
-func (b *bodyBudget) forget(r *reservation) {
-	if r.place != nil {
-		b.tiers[r.tier].Remove(r.place)
-		r.place = nil
+func (b *bodyBudget) removeFromTier(r *reservation) {
+	if r.element != nil {
+		b.tiers[r.tier].Remove(r.element)
+		r.element = nil
 	}
 }
 
@@ -172,5 +172,5 @@
 func (r *reservation) wasEvicted() bool {
 	r.budget.mu.Lock()
 	defer r.budget.mu.Unlock()
-	return r.gone
+	return r.ended
 }
--- a/internal/entry/budget_test.go
+++ b/internal/entry/budget_test.go
@@ -21,15 +21,15 @@
 // budgetModel drives a bodyBudget with requests of four tiers.
 type budgetModel struct {
 	budget *bodyBudget
-	all    []*bodyHolder
+	all    []*modelRequest
 }
 
-type bodyHolder struct {
-	res          *reservation
-	gone, pinned bool
+type modelRequest struct {
+	res           *reservation
+	ended, pinned bool
 }
 
-func (m *budgetModel) any(t *rapid.T) *bodyHolder {
+func (m *budgetModel) pick(t *rapid.T) *modelRequest {
 	if len(m.all) == 0 {
 		t.Skip("nobody")
 	}
@@ -37,23 +37,23 @@
 }
 
 func (m *budgetModel) pin(t *rapid.T) {
-	h := m.any(t)
-	if h.res.pin() == h.gone {
-		t.Fatalf("pin of a request that is gone (%v)", h.gone)
+	h := m.pick(t)
+	if h.res.pin() == h.ended {
+		t.Fatalf("pin of a request that is gone (%v)", h.ended)
 	}
 	h.pinned = true
 }
 
 func (m *budgetModel) release(t *rapid.T) {
-	h := m.any(t)
+	h := m.pick(t)
 	h.res.release()
-	h.gone = true
+	h.ended = true
 }
 
 // evictable returns how many requests, and bytes, of each tier may be evicted.
 func (m *budgetModel) evictable() (count [4]int, bytes [4]int64) {
 	for _, h := range m.all {
-		if !h.gone && !h.pinned {
+		if !h.ended && !h.pinned {
 			count[h.res.tier]++
 			bytes[h.res.tier] += h.res.bytes
 		}
@@ -69,25 +69,25 @@
 	for lower := tier + 1; lower < len(held); lower++ {
 		room += held[lower]
 	}
-	h := &bodyHolder{}
-	h.res = m.budget.join(request.Tier(tier), func() { h.gone = true })
+	h := &modelRequest{}
+	h.res = m.budget.newReservation(request.Tier(tier), func() { h.ended = true })
 	if granted := h.res.resize(bytes); granted != (bytes <= room) {
 		t.Fatalf("tier %d, %d bytes: granted %v with room for %d", tier, bytes, granted, room)
 	} else if !granted {
 		h.res.release()
-		h.gone = true
+		h.ended = true
 	}
 	after, _ := m.evictable()
-	for up := range before {
-		if before[up] == after[up] {
+	for evicted := range before {
+		if before[evicted] == after[evicted] {
 			continue
 		}
-		if up <= tier {
-			t.Fatalf("tier %d evicted tier %d", tier, up)
+		if evicted <= tier {
+			t.Fatalf("tier %d evicted tier %d", tier, evicted)
 		}
-		for lower := up + 1; lower < len(after); lower++ {
+		for lower := evicted + 1; lower < len(after); lower++ {
 			if after[lower] > 0 {
-				t.Fatalf("tier %d was evicted while tier %d still waits", up, lower)
+				t.Fatalf("tier %d was evicted while tier %d still waits", evicted, lower)
 			}
 		}
 	}
@@ -100,9 +100,9 @@
 	}
 }
 
-func TestUrgentRequestTakesTheMemoryOfALateOne(t *testing.T) {
+func TestHigherTierEvictsLowerTier(t *testing.T) {
 	Convey("When memory is full, the lowest tier that waits is refused", t, func() {
-		r := newRig(t, standin.Options{}, Limits{BodyBytes: 2*requestOverhead + requestOverhead/2}, patient)
+		r := newRig(t, standin.Options{}, Limits{BodyBytes: 2*requestOverhead + requestOverhead/2}, longSilence)
 		r.broker.hold.Store(true)
 		refused := make(chan [2]any, 4)
 		send := func(tier string) {
--- a/internal/entry/claim_test.go
+++ b/internal/entry/claim_test.go
@@ -11,9 +11,9 @@
 )
 
 // Guards against this: two teachers are booked for one lesson.
-func TestCallThatMayNotBeRepeatedRunsOnce(t *testing.T) {
+func TestNonIdempotentCallRunsOnce(t *testing.T) {
 	Convey("A call that may not be repeated", t, func() {
-		r := newRig(t, standin.Options{}, Limits{}, patient)
+		r := newRig(t, standin.Options{}, Limits{}, longSilence)
 		const path = "/services/booking/confirm"
 		Convey("runs once, and a resend gets the first answer", func() {
 			first, body := r.post(path, []byte("lesson 7"), headerIdempotencyKey, "k1")
@@ -22,13 +22,13 @@
 			So(again.StatusCode, ShouldEqual, http.StatusOK)
 			So(string(same), ShouldEqual, string(body))
 			So(again.Header.Get(headerReplayed), ShouldEqual, "true")
-			So(r.calls(), ShouldEqual, 1)
+			So(r.serviceCalls(), ShouldEqual, 1)
 			Convey("with other content it is a conflict", func() {
 				_, answer := r.post(path, []byte("lesson 8"), headerIdempotencyKey, "k1")
 				code, notRun := refusalOf(answer)
 				So(code, ShouldEqual, string(request.ReasonClaimConflict))
 				So(notRun, ShouldEqual, true)
-				So(r.calls(), ShouldEqual, 1)
+				So(r.serviceCalls(), ShouldEqual, 1)
 			})
 		})
 		Convey("of a model keeps its stream for the resend", func() {
@@ -38,12 +38,12 @@
 			So(len(r.engine.Runs()), ShouldEqual, 1)
 		})
 		Convey("gives its claim back where the engine did not run it", func() {
-			r.faults(`{"refuse":true}`)
+			r.setFaults(`{"refuse":true}`)
 			_, body := r.post(pathChat, chatBody("once", "echo:x", false), headerIdempotencyKey, "k3")
 			code, notRun := refusalOf(body)
 			So(code, ShouldEqual, string(request.ReasonEngineRefused))
 			So(notRun, ShouldEqual, true)
-			r.faults(`{"refuse":false}`)
+			r.setFaults(`{"refuse":false}`)
 			again, _ := r.post(pathChat, chatBody("once", "echo:x", false), headerIdempotencyKey, "k3")
 			So(again.StatusCode, ShouldEqual, http.StatusOK)
 			So(len(r.engine.Runs()), ShouldEqual, 1)
@@ -60,7 +60,7 @@
 			code, notRun = refusalOf(body)
 			So(code, ShouldEqual, string(request.ReasonClaimUnknown))
 			So(notRun, ShouldEqual, "unknown")
-			So(r.calls(), ShouldEqual, 1)
+			So(r.serviceCalls(), ShouldEqual, 1)
 		})
 		Convey("that its template calls repeatable needs no key", func() {
 			resp, _ := r.post("/services/booking/search/lessons", nil)
@@ -70,11 +70,11 @@
 }
 
 // Guards against this: while the store is slow, nothing runs although engines are idle.
-func TestSlotIsReturnedWhileTheStoreIsDown(t *testing.T) {
+func TestSlotIsReturnedWhileClaimStoreIsUnavailable(t *testing.T) {
 	Convey("While the store does not answer", t, func() {
-		r := newRig(t, standin.Options{}, Limits{}, patient)
+		r := newRig(t, standin.Options{}, Limits{}, longSilence)
 		down := make(chan struct{})
-		r.ledger.down.Store(&down)
+		r.ledger.unavailable.Store(&down)
 		body := chatBody("once", "echo:x", false)
 		Convey("the slot is returned, and the call runs once the store is back", func() {
 			answered := make(chan int, 1)
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -14,12 +14,12 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// replay ends a request with the stored answer of its first run. It is an
+// replayError ends a request with the stored answer of its first run. It is an
 // error so that it takes the way of everything that ends a request early.
-type replay struct{ outcome claim.Outcome }
+type replayError struct{ outcome claim.Outcome }
 
 // Error implements error.
-func (r *replay) Error() string { return "answered by the stored answer of the first run" }
+func (r *replayError) Error() string { return "answered by the stored answer of the first run" }
 
 // claimHash identifies a call's content: its parts with their lengths, so
 // that no two different calls have one hash.
@@ -46,43 +46,43 @@
 // What goes wrong without the return: while the store is slow, every slot of
 // every server is held by requests that wait for claims, and nothing else
 // runs. One would notice idle engines with full queues.
-func (x *exchange) claim(ctx context.Context, grant broker.Grant) (kept bool, err error) {
-	if x.held != nil {
+func (x *exchange) claim(ctx context.Context, grant broker.Grant) (slotKept bool, err error) {
+	if x.heldClaim != nil {
 		return true, nil
 	}
 	results := make(chan claimResult, 1)
 	go func() {
 		key := claim.Key{Workspace: x.spec.Workspace, IdempotencyKey: x.spec.IdempotencyKey}
-		c, err := x.entry.deps.Ledger.Claim(ctx, key, x.claimSum, x.id)
+		c, err := x.entry.deps.Ledger.Claim(ctx, key, x.contentHash, x.id)
 		results <- claimResult{c, err}
 	}()
-	patience := time.NewTimer(x.entry.limits.ClaimPatience)
-	defer patience.Stop()
+	timeout := time.NewTimer(x.entry.limits.ClaimSlotTimeout)
+	defer timeout.Stop()
 	select {
 	case r := <-results:
-		return true, x.claimed(ctx, r)
-	case <-patience.C:
+		return true, x.acceptClaim(ctx, r)
+	case <-timeout.C:
 	}
-	if err := x.life.Advance(request.Granted, request.Queued); err != nil {
+	if err := x.lifecycle.Advance(request.Granted, request.Queued); err != nil {
 		return false, err
 	}
 	grant.ReturnUnused()
-	return false, x.claimed(ctx, <-results)
+	return false, x.acceptClaim(ctx, <-results)
 }
 
-// claimed takes over a claim, or returns why there is none.
-func (x *exchange) claimed(ctx context.Context, r claimResult) error {
+// acceptClaim takes over a claim, or returns why there is none.
+func (x *exchange) acceptClaim(ctx context.Context, r claimResult) error {
 	var existing *claim.ExistingError
 	switch {
 	case r.err == nil:
-		x.held = r.claim
+		x.heldClaim = r.claim
 		return nil
 	case errors.As(r.err, &existing):
-		return existingRefusal(existing.Outcome)
+		return resendRefusal(existing.Outcome)
 	case errors.Is(r.err, claim.ErrConflict):
 		return request.Refuse(request.ReasonClaimConflict, "this %s was used with other content", headerIdempotencyKey)
 	case errors.Is(context.Cause(ctx), callerwatch.ErrDisconnected):
-		return cause(ctx)
+		return contextRefusal(ctx)
 	case errors.Is(r.err, claim.ErrStoreUnavailable), ctx.Err() != nil:
 		return request.Refuse(request.ReasonStoreUnavailable, "the claim could not be recorded in time")
 	default:
@@ -90,11 +90,11 @@
 	}
 }
 
-// existingRefusal ends a resend by what is known of the first run.
-func existingRefusal(o claim.Outcome) error {
+// resendRefusal ends a resend by what is known of the first run.
+func resendRefusal(o claim.Outcome) error {
 	switch {
 	case o.State == claim.Ran && o.Answer != nil:
-		return &replay{o}
+		return &replayError{o}
 	case o.State == claim.Ran:
 		return &request.Refusal{Reason: request.ReasonClaimRan, NotRun: request.NotRunFalse,
 			Message: "this request ran before; its answer is not kept"}
@@ -110,17 +110,17 @@
 // settleClaim records how a claimed request ended. notRun must be NotRunTrue
 // only where that is certain.
 func (x *exchange) settleClaim(notRun request.NotRun, answer *claim.Outcome) {
-	if x.held == nil {
+	if x.heldClaim == nil {
 		return
 	}
-	held := x.held
-	x.held = nil
+	c := x.heldClaim
+	x.heldClaim = nil
 	switch {
 	case answer != nil:
-		held.Finish(*answer)
+		c.Finish(*answer)
 	case notRun == request.NotRunTrue:
-		held.Release()
+		c.Release()
 	default:
-		held.Finish(claim.Outcome{State: claim.Unknown})
+		c.Finish(claim.Outcome{State: claim.Unknown})
 	}
 }
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -15,23 +15,23 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// maxConnects bounds how many servers a request tries to connect to. More
+// maxConnectAttempts bounds how many servers a request tries to connect to. More
 // failures than that are no single server's fault.
-const maxConnects = 8
+const maxConnectAttempts = 8
 
 // Pauses between two connects of one request.
 const (
-	firstConnectPause = 10 * time.Millisecond
-	maxConnectPause   = 500 * time.Millisecond
+	initialConnectBackoff = 10 * time.Millisecond
+	maxConnectBackoff     = 500 * time.Millisecond
 )
 
-// sender sends the request to a backend server. It calls sending when the
+// sendFunc sends the request to a backend server. It calls sending when the
 // connection is up, directly before the first byte.
-type sender func(s workspace.BackendServer, sending func() error) error
+type sendFunc func(s workspace.BackendServer, beforeSend func() error) error
 
-// errNoLongerWanted: the request expired or was evicted before its first byte
+// errWithdrawn: the request expired or was evicted before its first byte
 // was to leave.
-var errNoLongerWanted = errors.New("request no longer wanted")
+var errWithdrawn = errors.New("request no longer wanted")
 
 // dispatch brings the request to a backend server: it waits for a slot, makes
 // the claim where one is needed, and sends. It returns the grant wherever
@@ -41,29 +41,29 @@
 // The dispatch right is taken by the sending callback, when the connection is
 // up. So a failed connect leaves the right untaken, and the request goes back
 // to the queue, to another server.
-func (x *exchange) dispatch(send sender) (broker.Grant, error) {
+func (x *exchange) dispatch(send sendFunc) (broker.Grant, error) {
 	ctx, stop := x.waitContext()
 	defer stop()
-	if err := x.life.Advance(request.Received, request.Queued); err != nil {
+	if err := x.lifecycle.Advance(request.Received, request.Queued); err != nil {
 		return nil, err
 	}
 	x.entry.counters.waiting.Add(1)
 	defer x.entry.counters.waiting.Add(-1)
-	pause := newBackOff(firstConnectPause, maxConnectPause)
-	for range maxConnects {
+	delay := newBackoff(initialConnectBackoff, maxConnectBackoff)
+	for range maxConnectAttempts {
 		grant, err := x.acquire(ctx)
 		if err != nil {
 			return nil, err
 		}
 		err = send(grant.Server(), func() error { return x.takeDispatchRight(ctx) })
-		if x.life.State() == request.Dispatched {
+		if x.lifecycle.State() == request.Dispatched {
 			x.body.release()
 			return grant, err
 		}
 		if err := x.requeue(ctx, grant, err); err != nil {
 			return nil, err
 		}
-		wait.For(ctx, pause.NextBackOff())
+		wait.For(ctx, delay.NextBackOff())
 	}
 	return nil, request.Refuse(request.ReasonEngineUnreachable, "no server could be connected to")
 }
@@ -72,30 +72,30 @@
 // its caller left, or it was evicted meanwhile.
 func (x *exchange) takeDispatchRight(ctx context.Context) error {
 	if ctx.Err() != nil || !x.body.pin() {
-		return errNoLongerWanted
+		return errWithdrawn
 	}
-	if err := x.life.TakeDispatchRight(); err != nil {
+	if err := x.lifecycle.TakeDispatchRight(); err != nil {
 		return err
 	}
-	x.limit = time.AfterFunc(x.entry.limits.MaxRun, func() { x.cancel(errRunTooLong) })
+	x.runTimer = time.AfterFunc(x.entry.limits.MaxRunTime, func() { x.cancel(errRunTooLong) })
 	return nil
 }
 
 // requeue gives back the slot of a request that was not sent.
 func (x *exchange) requeue(ctx context.Context, grant broker.Grant, err error) error {
-	if ctx.Err() != nil || errors.Is(err, errNoLongerWanted) {
+	if ctx.Err() != nil || errors.Is(err, errWithdrawn) {
 		grant.ReturnUnused()
-		return cause(ctx)
+		return contextRefusal(ctx)
 	}
 	x.entry.counters.connectFailed.Add(1)
 	x.log.WithError(err).WithField("server", grant.Server().Name).Info("connect failed, waiting for another server")
 	grant.Release(broker.Completion{Outcome: pool.OutcomeNotSent})
 	x.body.unpin()
-	state := x.life.State()
+	state := x.lifecycle.State()
 	if !errors.Is(err, engine.ErrNotSent) {
 		return errors.Wrapf(err, "send in state %s", state)
 	}
-	return x.life.Advance(state, request.Queued)
+	return x.lifecycle.Advance(state, request.Queued)
 }
 
 // acquire waits for a slot and, where the request needs one, for its claim.
@@ -105,20 +105,20 @@
 		if err != nil {
 			return nil, x.waitError(ctx, err)
 		}
-		if err := x.life.Advance(request.Queued, request.Granted); err != nil {
+		if err := x.lifecycle.Advance(request.Queued, request.Granted); err != nil {
 			grant.ReturnUnused()
 			return nil, err
 		}
 		if x.spec.Idempotent {
 			return grant, nil
 		}
-		kept, err := x.claim(ctx, grant)
+		slotKept, err := x.claim(ctx, grant)
 		if err != nil {
 			grant.ReturnUnused()
 			return nil, err
 		}
-		if kept {
-			return grant, x.life.Advance(request.Granted, request.Claimed)
+		if slotKept {
+			return grant, x.lifecycle.Advance(request.Granted, request.Claimed)
 		}
 	}
 }
@@ -130,16 +130,16 @@
 		return r
 	}
 	if ctx.Err() != nil {
-		return cause(ctx)
+		return contextRefusal(ctx)
 	}
 	return errors.Wrap(err, "acquire a slot")
 }
 
-// newBackOff returns exponential pauses with jitter.
-func newBackOff(first, longest time.Duration) *backoff.ExponentialBackOff {
+// newBackoff returns exponential pauses with jitter.
+func newBackoff(initial, limit time.Duration) *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = first
-	b.MaxInterval = longest
+	b.InitialInterval = initial
+	b.MaxInterval = limit
 	b.Reset()
 	return b
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -41,32 +41,32 @@
 	BodyBytes int64
 	// MaxRequestBytes bounds one body, whatever a template says.
 	MaxRequestBytes int
-	// ClaimPatience is how long a granted slot is kept while the claim store
+	// ClaimSlotTimeout is how long a granted slot is kept while the claim store
 	// does not answer.
-	ClaimPatience time.Duration
+	ClaimSlotTimeout time.Duration
 	// ResumeWindow is how long a broken stream may stay without a new chunk.
 	ResumeWindow time.Duration
-	// MaxRun bounds a dispatched request, whatever its deadline.
-	MaxRun time.Duration
-	// Keepalive is how often a silent stream gets a comment.
-	Keepalive time.Duration
-	// ProgressEvery is how often a running request's progress is reported.
-	ProgressEvery time.Duration
+	// MaxRunTime bounds a dispatched request, whatever its deadline.
+	MaxRunTime time.Duration
+	// KeepaliveInterval is how often a silent stream gets a comment.
+	KeepaliveInterval time.Duration
+	// ProgressInterval is how often a running request's progress is reported.
+	ProgressInterval time.Duration
 }
 
 // The defaults of Limits.
 const (
-	DefaultReadTimeout     = 10 * time.Second
-	DefaultIdleTimeout     = 60 * time.Second
-	DefaultWriteTimeout    = 30 * time.Second
-	DefaultMaxConnections  = 50_000
-	DefaultBodyBytes       = 256 << 20
-	DefaultMaxRequestBytes = 8 << 20
-	DefaultClaimPatience   = 250 * time.Millisecond
-	DefaultResumeWindow    = 5 * time.Second
-	DefaultMaxRun          = 10 * time.Minute
-	DefaultKeepalive       = 5 * time.Second
-	DefaultProgressEvery   = 500 * time.Millisecond
+	DefaultReadTimeout       = 10 * time.Second
+	DefaultIdleTimeout       = 60 * time.Second
+	DefaultWriteTimeout      = 30 * time.Second
+	DefaultMaxConnections    = 50_000
+	DefaultBodyBytes         = 256 << 20
+	DefaultMaxRequestBytes   = 8 << 20
+	DefaultClaimSlotTimeout  = 250 * time.Millisecond
+	DefaultResumeWindow      = 5 * time.Second
+	DefaultMaxRunTime        = 10 * time.Minute
+	DefaultKeepaliveInterval = 5 * time.Second
+	DefaultProgressInterval  = 500 * time.Millisecond
 )
 
 // withDefaults returns l with its zero fields set.
@@ -74,11 +74,11 @@
 	setDuration(&l.ReadTimeout, DefaultReadTimeout)
 	setDuration(&l.IdleTimeout, DefaultIdleTimeout)
 	setDuration(&l.WriteTimeout, DefaultWriteTimeout)
-	setDuration(&l.ClaimPatience, DefaultClaimPatience)
+	setDuration(&l.ClaimSlotTimeout, DefaultClaimSlotTimeout)
 	setDuration(&l.ResumeWindow, DefaultResumeWindow)
-	setDuration(&l.MaxRun, DefaultMaxRun)
-	setDuration(&l.Keepalive, DefaultKeepalive)
-	setDuration(&l.ProgressEvery, DefaultProgressEvery)
+	setDuration(&l.MaxRunTime, DefaultMaxRunTime)
+	setDuration(&l.KeepaliveInterval, DefaultKeepaliveInterval)
+	setDuration(&l.ProgressInterval, DefaultProgressInterval)
 	if l.MaxConnections <= 0 {
 		l.MaxConnections = DefaultMaxConnections
 	}
@@ -121,29 +121,29 @@
 	draining drainFlag
 }
 
-// headerBytes bounds a request's header; it is also the size of the read
+// maxHeaderBytes bounds a request's header; it is also the size of the read
 // buffer that each active connection has.
-const headerBytes = 4 << 10
+const maxHeaderBytes = 4 << 10
 
-// spareConnections keeps the HTTP server's own bound out of reach.
-const spareConnections = 1024
+// connectionMargin keeps the HTTP server's own bound out of reach.
+const connectionMargin = 1024
 
 // New returns an entry that does not listen yet.
 func New(d Deps, l Limits) *Entry {
 	e := &Entry{deps: d, limits: l.withDefaults(), log: logs.For("entry")}
 	e.counters = newCounters(d.Metrics)
 	e.bodies = newBodyBudget(e.limits.BodyBytes, requestOverhead)
-	e.counters.gauges(d.Metrics, e)
+	e.counters.registerGauges(d.Metrics, e)
 	e.app = fiber.New(fiber.Config{
 		AppName: "lycheekeel",
 		// The body is read by the entry itself: after the caller's key was
 		// checked, and against the memory budget.
 		StreamRequestBody: true,
 		BodyLimit:         e.limits.MaxRequestBytes,
-		ReadBufferSize:    headerBytes,
+		ReadBufferSize:    maxHeaderBytes,
 		ReadTimeout:       e.limits.ReadTimeout,
 		IdleTimeout:       e.limits.IdleTimeout,
-		Concurrency:       e.limits.MaxConnections + spareConnections,
+		Concurrency:       e.limits.MaxConnections + connectionMargin,
 		ReduceMemoryUsage: true,
 		ErrorHandler:      e.httpError,
 	})
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -63,7 +63,7 @@
 
 func TestOpenAIClient(t *testing.T) {
 	Convey("The official client gets what it expects", t, func() {
-		r := newRig(t, standin.Options{}, Limits{}, patient)
+		r := newRig(t, standin.Options{}, Limits{}, longSilence)
 		c := r.client()
 		ctx := context.Background()
 
@@ -117,7 +117,7 @@
 func TestEachCallerGetsItsOwnAnswer(t *testing.T) {
 	const callers = 2000
 	Convey("2,000 concurrent callers each get their own whole answer", t, func() {
-		r := newRig(t, standin.Options{Slots: callers, PrefillPerSecond: 1e9, PrefillChunk: 1 << 20, SequenceMs: 0.001}, Limits{}, patient)
+		r := newRig(t, standin.Options{Slots: callers, PrefillPerSecond: 1e9, PrefillChunk: 1 << 20, SequenceMs: 0.001}, Limits{}, longSilence)
 		wrong := make(chan string, callers)
 		var all sync.WaitGroup
 		start := make(chan struct{})
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -19,26 +19,26 @@
 // exchange is one caller's request from its first byte to the last of its
 // answer. One goroutine at a time works on it.
 type exchange struct {
-	entry    *Entry
-	id       request.ID
-	received time.Time
-	header   callerHeader
-	snapshot *workspace.Snapshot
-	space    *workspace.ResolvedWorkspace
-	spec     *request.Spec
-	life     request.Lifecycle
-	body     *reservation
-	held     claim.Claim // nil: none
-	claimSum claim.Hash
-	demand   broker.Demand
-	log      *logrus.Entry
+	entry       *Entry
+	id          request.ID
+	received    time.Time
+	header      callerHeader
+	snapshot    *workspace.Snapshot
+	workspace   *workspace.ResolvedWorkspace
+	spec        *request.Spec
+	lifecycle   request.Lifecycle
+	body        *reservation
+	heldClaim   claim.Claim // nil: none
+	contentHash claim.Hash
+	demand      broker.Demand
+	log         *logrus.Entry
 
 	// ctx ends when the caller leaves, or the request is evicted.
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	watch  *callerwatch.Watch
-	// limit ends the run; it starts with the dispatch.
-	limit *time.Timer
+	ctx         context.Context
+	cancel      context.CancelCauseFunc
+	callerWatch *callerwatch.Watch
+	// runTimer ends the run; it starts with the dispatch.
+	runTimer *time.Timer
 }
 
 // errRunTooLong is the cause of a context that ended because a dispatched
@@ -55,11 +55,11 @@
 	if x.snapshot == nil {
 		return x, request.Refuse(request.ReasonNoConfiguration, "no configuration is in force yet")
 	}
-	space, ok := x.snapshot.ByKey(x.header.bearer)
+	ws, ok := x.snapshot.ByKey(x.header.bearer)
 	if !ok {
 		return x, request.Refuse(request.ReasonUnauthorized, "unknown key; send Authorization: Bearer KEY")
 	}
-	x.space = space
+	x.workspace = ws
 	x.ctx, x.cancel = context.WithCancelCause(context.Background())
 	return x, nil
 }
@@ -67,17 +67,17 @@
 // readBody reads the body within the memory budget. The tier is that of the
 // header, else the template's default: the body itself may name another.
 func (x *exchange) readBody(ctx *fasthttp.RequestCtx) ([]byte, error) {
-	tier, err := x.header.pickTier(x.space, x.space.DefaultTier)
+	tier, err := x.header.pickTier(x.workspace, x.workspace.DefaultTier)
 	if err != nil {
 		return nil, err
 	}
 	conn := ctx.Conn()
-	x.body = x.entry.bodies.join(tier.Tier, func() {
-		x.cancel(noMemory())
+	x.body = x.entry.bodies.newReservation(tier.Tier, func() {
+		x.cancel(memoryRefusal())
 		_ = conn.SetReadDeadline(time.Unix(1, 0)) // ends a read under way
 	})
-	limit := min(x.space.MaxBodyBytes, x.entry.limits.MaxRequestBytes)
-	if x.space.MaxBodyBytes <= 0 {
+	limit := min(x.workspace.MaxBodyBytes, x.entry.limits.MaxRequestBytes)
+	if x.workspace.MaxBodyBytes <= 0 {
 		limit = x.entry.limits.MaxRequestBytes
 	}
 	return readBody(ctx, limit, x.body)
@@ -85,21 +85,21 @@
 
 // classify fills the parts of the spec that do not depend on the kind of call.
 func (x *exchange) classify(tier *workspace.ResolvedTier, idempotent bool) error {
-	t, err := x.header.pickTier(x.space, tier)
+	t, err := x.header.pickTier(x.workspace, tier)
 	if err != nil {
 		return err
 	}
-	targets, err := x.header.targets(x.space, t)
+	targets, err := x.header.targets(x.workspace, t)
 	if err != nil {
 		return err
 	}
-	if err := x.header.checkKey(idempotent); err != nil {
+	if err := x.header.checkIdempotencyKey(idempotent); err != nil {
 		return err
 	}
 	x.spec = &request.Spec{
 		ID:             x.id,
-		Workspace:      x.space.Workspace,
-		Template:       x.space.Template,
+		Workspace:      x.workspace.Workspace,
+		Template:       x.workspace.Template,
 		Tier:           t.Tier,
 		Targets:        targets,
 		Idempotent:     idempotent,
@@ -113,18 +113,18 @@
 
 // watchCaller begins to watch for the caller's leaving.
 func (x *exchange) watchCaller(ctx *fasthttp.RequestCtx) {
-	x.watch = callerwatch.Start(ctx.Conn(), x.cancel)
+	x.callerWatch = callerwatch.Start(ctx.Conn(), x.cancel)
 }
 
 // end frees what the exchange holds; the answer has been written or given up.
 func (x *exchange) end() {
-	x.life.End()
-	if x.limit != nil {
-		x.limit.Stop()
+	x.lifecycle.End()
+	if x.runTimer != nil {
+		x.runTimer.Stop()
 	}
-	if x.watch != nil {
-		x.watch.Stop()
-		x.watch = nil
+	if x.callerWatch != nil {
+		x.callerWatch.Stop()
+		x.callerWatch = nil
 	}
 	if x.body != nil {
 		x.body.release()
--- a/internal/entry/failure_test.go
+++ b/internal/entry/failure_test.go
@@ -21,14 +21,14 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// slow is an engine that takes a second or more for the long text.
-var slow = standin.Options{StepMs: 10}
+// slowEngine is an engine that takes a second or more for the long text.
+var slowEngine = standin.Options{StepMs: 10}
 
-// long is a text of a few hundred tokens.
-var long = strings.Repeat("cracked tile in the hall; ", 40)
+// longText is a text of a few hundred tokens.
+var longText = strings.Repeat("cracked tile in the hall; ", 40)
 
-// open sends a streamed chat and returns the response once it has begun.
-func (r *rig) open(ctx context.Context, text string) (*http.Response, error) {
+// openStream sends a streamed chat and returns the response once it has begun.
+func (r *rig) openStream(ctx context.Context, text string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, r.url+pathChat, bytes.NewReader(chatBody(testModel, text, true)))
 	if err != nil {
 		return nil, err
@@ -37,16 +37,16 @@
 	return http.DefaultClient.Do(req)
 }
 
-// events are what a stream brought.
-type events struct {
+// streamResult are what a stream brought.
+type streamResult struct {
 	text, code string
 	done       bool
 	err        error // how the body ended
 }
 
-// read reads a stream to its end.
-func read(body io.Reader) events {
-	var e events
+// readStream reads a stream to its end.
+func readStream(body io.Reader) streamResult {
+	var e streamResult
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), sseData)
@@ -58,7 +58,7 @@
 			continue
 		}
 		var g struct {
-			generated
+			generationResponse
 			Error *errorDetail `json:"error"`
 		}
 		if json.Unmarshal([]byte(data), &g) != nil {
@@ -77,9 +77,9 @@
 	return e
 }
 
-// faults switches an engine's faults over HTTP, as only that reaches its
+// setFaults switches an engine's faults over HTTP, as only that reaches its
 // connections.
-func (r *rig) faults(json string) {
+func (r *rig) setFaults(json string) {
 	resp, err := http.Post("http://"+r.engineAddr+standin.PathFaults, "application/json", strings.NewReader(json))
 	if err != nil {
 		r.tb.Fatal(err)
@@ -91,26 +91,26 @@
 }
 
 // Guards against this: prompts are computed for callers that have left.
-func TestCallerThatLeavesIsNoticed(t *testing.T) {
+func TestCallerDisconnectIsDetected(t *testing.T) {
 	Convey("A caller that leaves", t, func() {
-		r := newRig(t, slow, Limits{}, quick)
-		ctx, leave := context.WithCancel(context.Background())
-		defer leave()
+		r := newRig(t, slowEngine, Limits{}, shortSilence)
+		ctx, disconnect := context.WithCancel(context.Background())
+		defer disconnect()
 		Convey("while its request waits: it is withdrawn and never dispatched", func() {
 			r.broker.hold.Store(true)
-			go func() { _, _ = r.open(ctx, "echo:x") }()
+			go func() { _, _ = r.openStream(ctx, "echo:x") }()
 			r.eventually("request waits", func() bool { return r.broker.waiting.Load() == 1 })
-			leave()
+			disconnect()
 			r.eventually("request is withdrawn", func() bool { return r.broker.waiting.Load() == 0 })
 			r.eventually("it is counted", func() bool { return r.counter(groupRefusals, string(request.ReasonCallerGone)) == 1 })
 			So(r.engine.Runs(), ShouldBeEmpty)
 			r.eventually("memory is given back", func() bool { return r.entry.bodies.Used() == 0 })
 		})
 		Convey("while its answer is streamed: the run is cancelled and the slot freed", func() {
-			resp, err := r.open(ctx, "echo:"+long)
+			resp, err := r.openStream(ctx, "echo:"+longText)
 			So(err, ShouldBeNil)
 			defer resp.Body.Close()
-			leave()
+			disconnect()
 			r.eventually("slot is freed", func() bool { return len(r.broker.outcomes()) == 1 })
 			So(r.broker.outcomes()[0], ShouldEqual, pool.OutcomeCanceled)
 			r.eventually("run is cancelled", func() bool { return r.engine.Runs()[0].Outcome == standin.OutcomeCancelled })
@@ -120,12 +120,12 @@
 }
 
 // Guards against this: a second request on a connection is lost.
-func TestWatchLeavesPipelinedRequests(t *testing.T) {
+func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
 	Convey("Two requests sent at once get their answers in order", t, func() {
-		r := newRig(t, standin.Options{}, Limits{}, patient)
+		r := newRig(t, standin.Options{}, Limits{}, longSilence)
 		one := func(text, more string) string {
 			body := string(chatBody(testModel, "echo:"+text, false))
-			return fmt.Sprintf("%s%sContent-Length: %d\r\n\r\n%s", head, more, len(body), body)
+			return fmt.Sprintf("%s%sContent-Length: %d\r\n\r\n%s", requestHead, more, len(body), body)
 		}
 		for range 10 {
 			r.broker.freed = make(chan struct{})
@@ -152,36 +152,36 @@
 // Guards against this: a caller gets half an answer, or its prompt is computed twice.
 func TestBrokenStreamIsResumed(t *testing.T) {
 	Convey("The whole answer comes, from one run", t, func() {
-		r := newRig(t, slow, Limits{}, quick)
+		r := newRig(t, slowEngine, Limits{}, shortSilence)
 		Convey("when the connection goes silent in the middle of it", func() {
-			resp, err := r.open(context.Background(), "echo:"+long)
+			resp, err := r.openStream(context.Background(), "echo:"+longText)
 			So(err, ShouldBeNil)
 			defer resp.Body.Close()
-			r.faults(`{"silent":"existing"}`)
-			e := read(resp.Body)
+			r.setFaults(`{"silent":"existing"}`)
+			e := readStream(resp.Body)
 			So(e.err, ShouldBeNil)
-			So(e.text, ShouldEqual, long)
+			So(e.text, ShouldEqual, longText)
 			So(e.done, ShouldBeTrue)
-			So(r.counter(groupResumes, string(resumeBroken)), ShouldBeGreaterThan, 0)
+			So(r.counter(groupResumes, string(resumeConnectionLost)), ShouldBeGreaterThan, 0)
 			So(len(r.engine.Runs()), ShouldEqual, 1)
 		})
 		Convey("when it goes silent after a long time without a token", func() {
-			r := newRig(t, slow, Limits{ResumeWindow: time.Second}, quick)
-			r.faults(`{"answer_delay_ms":2500}`)
+			r := newRig(t, slowEngine, Limits{ResumeWindow: time.Second}, shortSilence)
+			r.setFaults(`{"answer_delay_ms":2500}`)
 			sent, got := time.Now(), make(chan string, 1)
 			go func() {
 				answer, _ := r.echo("late but whole", false)
 				got <- answer
 			}()
 			r.eventually("longer than the window", func() bool { return time.Since(sent) > 1500*time.Millisecond })
-			r.faults(`{"silent":"existing"}`)
+			r.setFaults(`{"silent":"existing"}`)
 			So(<-got, ShouldEqual, "late but whole")
 			So(len(r.engine.Runs()), ShouldEqual, 1)
 		})
 		Convey("when two answers come crossed", func() {
-			r.faults(`{"cross_answers":1,"answer_delay_ms":100}`)
+			r.setFaults(`{"cross_answers":1,"answer_delay_ms":100}`)
 			got := make(chan string, 2)
-			texts := []string{long + "one", long + "two"}
+			texts := []string{longText + "one", longText + "two"}
 			for _, text := range texts {
 				go func() {
 					answer, err := r.echo(text, false)
@@ -194,34 +194,34 @@
 			So([]string{<-got, <-got}, ShouldContain, texts[0])
 			So(len(r.engine.Runs()), ShouldEqual, 2)
 			So(r.counter(groupRequests, "whole_answers"), ShouldEqual, 2)
-			So(r.counter(groupResumes, string(resumeCrossed)), ShouldBeGreaterThan, 0)
+			So(r.counter(groupResumes, string(resumeMismatch)), ShouldBeGreaterThan, 0)
 		})
 	})
 }
 
 // Guards against this: a caller takes half an answer for a whole one.
-func TestCutAnswerIsNeverPassedAsWhole(t *testing.T) {
+func TestIncompleteAnswerIsReported(t *testing.T) {
 	Convey("When the engine loses the run", t, func() {
-		r := newRig(t, slow, Limits{ResumeWindow: 3 * time.Second}, quick)
+		r := newRig(t, slowEngine, Limits{ResumeWindow: 3 * time.Second}, shortSilence)
 		Convey("a stream ends with an error event and a broken body", func() {
-			resp, err := r.open(context.Background(), "echo:"+long)
+			resp, err := r.openStream(context.Background(), "echo:"+longText)
 			So(err, ShouldBeNil)
 			defer resp.Body.Close()
 			r.engine.Crash()
-			e := read(resp.Body)
+			e := readStream(resp.Body)
 			So(e.done, ShouldBeFalse)
 			So(e.code, ShouldEqual, string(request.ReasonEngineLost))
 			So(e.err, ShouldNotBeNil)
-			So(strings.HasPrefix(long, e.text), ShouldBeTrue)
+			So(strings.HasPrefix(longText, e.text), ShouldBeTrue)
 		})
 		Convey("a plain answer is a typed error that says that it ran", func() {
 			refused := make(chan [2]any, 1)
 			go func() {
-				_, body := r.post(pathChat, chatBody(testModel, "echo:"+long, false))
+				_, body := r.post(pathChat, chatBody(testModel, "echo:"+longText, false))
 				code, notRun := refusalOf(body)
 				refused <- [2]any{code, notRun}
 			}()
-			r.eventually("tokens come", func() bool { return r.broker.progressed.Load() > 0 })
+			r.eventually("tokens come", func() bool { return r.broker.progressReports.Load() > 0 })
 			r.engine.Crash()
 			So(<-refused, ShouldResemble, [2]any{string(request.ReasonEngineLost), false})
 		})
@@ -233,11 +233,11 @@
 }
 
 // Guards against this: a request runs on two engines, or is lost with the first one.
-func TestFailedConnectGoesToAnotherServer(t *testing.T) {
+func TestFailedConnectIsRequeued(t *testing.T) {
 	Convey("A request whose connect failed is dispatched once, elsewhere", t, func() {
-		r := newRig(t, standin.Options{}, Limits{}, patient)
-		nobody := "127.0.0.1:1"
-		r.broker.address.Store(&nobody)
+		r := newRig(t, standin.Options{}, Limits{}, longSilence)
+		unreachable := "127.0.0.1:1"
+		r.broker.nextAddress.Store(&unreachable)
 		got, err := r.echo("hello", false)
 		So(err, ShouldBeNil)
 		So(got, ShouldEqual, "hello")
@@ -249,8 +249,8 @@
 
 func TestEngineRefusal(t *testing.T) {
 	Convey("A request that the engine refused ends, with what the engine said", t, func() {
-		r := newRig(t, standin.Options{}, Limits{}, patient)
-		r.faults(`{"refuse":true}`)
+		r := newRig(t, standin.Options{}, Limits{}, longSilence)
+		r.setFaults(`{"refuse":true}`)
 		resp, body := r.post(pathChat, chatBody(testModel, "echo:x", true))
 		code, notRun := refusalOf(body)
 		So(code, ShouldEqual, string(request.ReasonEngineRefused))
@@ -262,29 +262,29 @@
 }
 
 // Guards against this: callers see broken answers whenever an entry is replaced.
-func TestShutdownCutsNothing(t *testing.T) {
+func TestShutdownCompletesOpenStreams(t *testing.T) {
 	Convey("A stream that runs when the entry stops comes whole", t, func() {
-		r := newRig(t, slow, Limits{}, quick)
-		resp, err := r.open(context.Background(), "echo:"+long)
+		r := newRig(t, slowEngine, Limits{}, shortSilence)
+		resp, err := r.openStream(context.Background(), "echo:"+longText)
 		So(err, ShouldBeNil)
 		defer resp.Body.Close()
 		stopped := make(chan error, 1)
 		go func() { stopped <- r.entry.Shutdown(context.Background()) }()
 		r.eventually("entry drains", r.entry.draining.isSet)
-		e := read(resp.Body)
+		e := readStream(resp.Body)
 		So(e.err, ShouldBeNil)
 		So(e.done, ShouldBeTrue)
-		So(e.text, ShouldEqual, long)
+		So(e.text, ShouldEqual, longText)
 		So(<-stopped, ShouldBeNil)
 	})
 }
 
 // Guards against this: background requests are refused although engines are free again.
-func TestLimitOfARunStartsWithItsDispatch(t *testing.T) {
+func TestRunTimeLimitStartsAtDispatch(t *testing.T) {
 	Convey("The limit on a run", t, func() {
 		const longest = 300 * time.Millisecond
 		Convey("does not count the wait", func() {
-			r := newRig(t, standin.Options{}, Limits{MaxRun: longest}, patient)
+			r := newRig(t, standin.Options{}, Limits{MaxRunTime: longest}, longSilence)
 			r.broker.hold.Store(true)
 			sent, got := time.Now(), make(chan string, 1)
 			go func() {
@@ -296,8 +296,8 @@
 			So(<-got, ShouldEqual, "late")
 		})
 		Convey("ends a run that takes too long, with a cancel", func() {
-			r := newRig(t, slow, Limits{MaxRun: longest}, patient)
-			_, body := r.post(pathChat, chatBody(testModel, "echo:"+long, false))
+			r := newRig(t, slowEngine, Limits{MaxRunTime: longest}, longSilence)
+			_, body := r.post(pathChat, chatBody(testModel, "echo:"+longText, false))
 			code, notRun := refusalOf(body)
 			So(code, ShouldEqual, string(request.ReasonAnswerIncomplete))
 			So(notRun, ShouldEqual, false)
@@ -308,13 +308,13 @@
 }
 
 // BenchmarkCallerLeaves measures how soon a caller's leaving is noticed.
-func BenchmarkCallerLeaves(b *testing.B) {
-	r := newRig(b, standin.Options{}, Limits{}, patient)
+func BenchmarkCallerDisconnect(b *testing.B) {
+	r := newRig(b, standin.Options{}, Limits{}, longSilence)
 	r.broker.hold.Store(true)
 	body := chatBody(testModel, "echo:x", false)
-	request := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
+	request := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", requestHead, len(body), body)
 	b.ResetTimer()
-	var noticed []time.Duration
+	var delays []time.Duration
 	for range b.N {
 		conn := r.dial()
 		if _, err := io.WriteString(conn, request); err != nil {
@@ -323,14 +323,14 @@
 		for r.broker.waiting.Load() != 1 {
 			runtime.Gosched()
 		}
-		left := time.Now()
+		closedAt := time.Now()
 		_ = conn.Close()
 		for r.broker.waiting.Load() != 0 {
 			runtime.Gosched()
 		}
-		noticed = append(noticed, time.Since(left))
+		delays = append(delays, time.Since(closedAt))
 	}
-	slices.Sort(noticed)
-	b.ReportMetric(float64(noticed[len(noticed)/2].Microseconds()), "p50_us")
-	b.ReportMetric(float64(noticed[len(noticed)*99/100].Microseconds()), "p99_us")
+	slices.Sort(delays)
+	b.ReportMetric(float64(delays[len(delays)/2].Microseconds()), "p50_us")
+	b.ReportMetric(float64(delays[len(delays)*99/100].Microseconds()), "p99_us")
 }
--- a/internal/entry/format.go
+++ b/internal/entry/format.go
@@ -14,8 +14,8 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// generated is an answer or a chunk of one, of either call.
-type generated struct {
+// generationResponse is an answer or a chunk of one, of either call.
+type generationResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"`
@@ -64,9 +64,9 @@
 	sseKeepalive = ": keepalive\n\n"
 )
 
-// format writes one answer in the shape of its call. It keeps nothing of the
+// formatter writes one answer in the shape of its call. It keeps nothing of the
 // prompt, which would otherwise stay in memory as long as its answer streams.
-type format struct {
+type formatter struct {
 	api          api
 	model        string
 	includeUsage bool
@@ -74,18 +74,18 @@
 	created      int64
 }
 
-func newFormat(g *generation, id request.ID, received time.Time) *format {
+func newFormat(g *generation, id request.ID, received time.Time) *formatter {
 	prefix := idPrefixChat
 	if g.api == apiCompletions {
 		prefix = idPrefixText
 	}
-	return &format{
+	return &formatter{
 		api: g.api, model: g.model, includeUsage: g.includeUsage, id: prefix + string(id), created: received.Unix(),
 	}
 }
 
-// whole returns a whole answer.
-func (f *format) whole(text, finish string, u usage) *generated {
+// response returns a whole answer.
+func (f *formatter) response(text, finish string, u usage) *generationResponse {
 	c := choice{FinishReason: &finish}
 	object := objectText
 	if f.api == apiChat {
@@ -94,11 +94,11 @@
 	} else {
 		c.Text = &text
 	}
-	return &generated{ID: f.id, Object: object, Created: f.created, Model: f.model, Choices: []choice{c}, Usage: &u}
+	return &generationResponse{ID: f.id, Object: object, Created: f.created, Model: f.model, Choices: []choice{c}, Usage: &u}
 }
 
 // appendStart appends the first event of a stream.
-func (f *format) appendStart(b []byte) []byte {
+func (f *formatter) appendStart(b []byte) []byte {
 	if f.api != apiChat {
 		return b
 	}
@@ -107,7 +107,7 @@
 }
 
 // appendText appends an event with a piece of the answer.
-func (f *format) appendText(b []byte, text string) []byte {
+func (f *formatter) appendText(b []byte, text string) []byte {
 	if text == "" {
 		return b
 	}
@@ -117,9 +117,9 @@
 	return f.appendChoice(b, choice{Text: &text})
 }
 
-// appendEnd appends what ends a whole stream: the finish reason, the usage
+// appendFinish appends what ends a whole stream: the finish reason, the usage
 // where it was asked for, and the end marker.
-func (f *format) appendEnd(b []byte, finish string, u usage) []byte {
+func (f *formatter) appendFinish(b []byte, finish string, u usage) []byte {
 	c := choice{FinishReason: &finish}
 	if f.api == apiChat {
 		c.Delta = &chatDelta{}
@@ -141,16 +141,16 @@
 	return append(b, sseEnd...)
 }
 
-func (f *format) appendChoice(b []byte, c choice) []byte {
+func (f *formatter) appendChoice(b []byte, c choice) []byte {
 	return f.appendEvent(b, []choice{c}, nil)
 }
 
-func (f *format) appendEvent(b []byte, choices []choice, u *usage) []byte {
+func (f *formatter) appendEvent(b []byte, choices []choice, u *usage) []byte {
 	object := objectText
 	if f.api == apiChat {
 		object = objectChatChunk
 	}
-	event, err := json.Marshal(generated{
+	event, err := json.Marshal(generationResponse{
 		ID: f.id, Object: object, Created: f.created, Model: f.model, Choices: choices, Usage: u,
 	})
 	if err != nil {
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -21,7 +21,7 @@
 		return err
 	}
 	x.watchCaller(ctx)
-	a, err := x.run(x.engineRun(g))
+	a, err := x.startRun(x.engineRun(g))
 	if err != nil {
 		return err
 	}
@@ -29,7 +29,7 @@
 	if g.stream {
 		return x.stream(ctx, a, format)
 	}
-	return x.whole(ctx, a, format)
+	return x.writeWhole(ctx, a, format)
 }
 
 // readGeneration reads, checks and classifies the call. The body itself is
@@ -43,27 +43,27 @@
 	if err != nil {
 		return nil, err
 	}
-	m, ok := x.space.Models[g.model]
+	m, ok := x.workspace.Models[g.model]
 	if !ok {
 		return nil, request.Refuse(request.ReasonUnknownModel, "no model %q in this workspace; see GET %s", g.model, pathModels)
 	}
-	if err := x.classifyModel(g, m); err != nil {
+	if err := x.classifyModelCall(g, m); err != nil {
 		return nil, err
 	}
 	if !x.spec.Idempotent {
-		x.claimSum = claimHash(ctx.Path(), body)
+		x.contentHash = claimHash(ctx.Path(), body)
 	}
-	if !x.body.resize(int64(len(g.prompt) + len(g.last))) {
-		return nil, noMemory()
+	if !x.body.resize(int64(len(g.prompt) + len(g.lastMessage))) {
+		return nil, memoryRefusal()
 	}
 	return g, nil
 }
 
-// classifyModel completes the spec of a model request.
-func (x *exchange) classifyModel(g *generation, m *workspace.ResolvedModel) error {
+// classifyModelCall completes the spec of a model request.
+func (x *exchange) classifyModelCall(g *generation, m *workspace.ResolvedModel) error {
 	tier := m.Tier
 	if tier == nil {
-		tier = x.space.DefaultTier
+		tier = x.workspace.DefaultTier
 	}
 	if err := x.classify(tier, !m.NonIdempotent); err != nil {
 		return err
@@ -72,20 +72,20 @@
 	s.Model = m.Name
 	s.Version = m.Version
 	s.PromptTokens = engine.EstimateTokens(g.prompt)
-	s.MaxTokens = capTokens(g.maxTokens, x.space.MaxTokens)
+	s.MaxTokens = limitTokens(g.maxTokens, x.workspace.MaxTokens)
 	s.Blocks = blockHashes(m.Version, g.prompt)
 	s.Fingerprint = fingerprint(s.Workspace, m.Version, g.prompt)
 	key := workspace.ModelRegion{Model: m.Name, Version: m.Version, Region: x.entry.deps.Region}
 	x.demand.Candidates = x.snapshot.ModelPools[key]
-	if !anyServer(x.demand.Candidates) {
+	if !hasServer(x.demand.Candidates) {
 		return request.Refuse(request.ReasonNoServer, "no pool serves model %q version %q here", m.Name, m.Version)
 	}
 	return nil
 }
 
-// anyServer tells whether a pool has a server. Where none has, a request would
+// hasServer tells whether a pool has a server. Where none has, a request would
 // only wait for its deadline: its caller is better told at once.
-func anyServer(pools []*workspace.ResolvedPool) bool {
+func hasServer(pools []*workspace.ResolvedPool) bool {
 	for _, p := range pools {
 		if len(p.Servers) > 0 {
 			return true
@@ -94,11 +94,11 @@
 	return false
 }
 
-// capTokens returns the tokens that may be generated: the caller's wish within
+// limitTokens returns the tokens that may be generated: the caller's wish within
 // what the template allows.
-func capTokens(asked, allowed int) int {
-	if asked > 0 && (allowed <= 0 || asked < allowed) {
-		return asked
+func limitTokens(requested, allowed int) int {
+	if requested > 0 && (allowed <= 0 || requested < allowed) {
+		return requested
 	}
 	return allowed
 }
@@ -109,16 +109,16 @@
 		Model:        x.spec.Model,
 		Version:      x.spec.Version,
 		Prompt:       g.prompt,
-		Last:         g.last,
+		LastMessage:  g.lastMessage,
 		PromptTokens: x.spec.PromptTokens,
 		MaxTokens:    x.spec.MaxTokens,
 		Blocks:       x.spec.Blocks,
 	}
 }
 
-// whole collects the answer and writes it in one piece. Only an answer whose
+// writeWhole collects the answer and writes it in one piece. Only an answer whose
 // end was seen is written.
-func (x *exchange) whole(ctx *fasthttp.RequestCtx, a *answer, f *format) error {
+func (x *exchange) writeWhole(ctx *fasthttp.RequestCtx, a *answer, f *formatter) error {
 	var text strings.Builder
 	finish := ""
 	for {
@@ -132,8 +132,8 @@
 		text.WriteString(c.Text)
 		finish = c.FinishReason
 	}
-	a.finish()
-	body, err := json.Marshal(f.whole(text.String(), finish, a.usage()))
+	a.completeRun()
+	body, err := json.Marshal(f.response(text.String(), finish, a.usage()))
 	if err != nil {
 		return errors.Wrap(err, "encode answer")
 	}
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -98,8 +98,8 @@
 	return out, nil
 }
 
-// checkKey checks the caller's idempotency key for a request that needs one.
-func (h callerHeader) checkKey(idempotent bool) error {
+// checkIdempotencyKey checks the caller's idempotency key for a request that needs one.
+func (h callerHeader) checkIdempotencyKey(idempotent bool) error {
 	if len(h.idempotencyKey) > maxIdempotencyKey {
 		return request.Refuse(request.ReasonBadRequest, "%s is over %d bytes", headerIdempotencyKey, maxIdempotencyKey)
 	}
--- a/internal/entry/input_test.go
+++ b/internal/entry/input_test.go
@@ -17,8 +17,8 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// raw sends bytes as they are and returns the first response with its body.
-func (r *rig) raw(text string) (*http.Response, []byte) {
+// sendRaw sends bytes as they are and returns the first response with its body.
+func (r *rig) sendRaw(text string) (*http.Response, []byte) {
 	conn := r.dial()
 	defer conn.Close()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -33,12 +33,12 @@
 	return resp, body
 }
 
-// head is the start of a raw chat request.
-const head = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + testKey + "\r\n"
+// requestHead is the start of a raw chat request.
+const requestHead = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + testKey + "\r\n"
 
 func TestBadInputGetsATypedRefusal(t *testing.T) {
 	const chat = pathChat
-	good := string(chatBody(testModel, "echo:x", false))
+	validBody := string(chatBody(testModel, "echo:x", false))
 	type call struct {
 		name, path, body string
 		header           []string
@@ -47,36 +47,36 @@
 	calls := []call{
 		{"empty body", chat, "", nil, request.ReasonBadRequest},
 		{"not JSON", chat, "{", nil, request.ReasonBadRequest},
-		{"trailing JSON", chat, good + "{}", nil, request.ReasonBadRequest},
-		{"invalid UTF-8", chat, strings.Replace(good, "echo:x", "echo:\xff", 1), nil, request.ReasonBadRequest},
+		{"trailing JSON", chat, validBody + "{}", nil, request.ReasonBadRequest},
+		{"invalid UTF-8", chat, strings.Replace(validBody, "echo:x", "echo:\xff", 1), nil, request.ReasonBadRequest},
 		{"no model", chat, `{"messages":[{"role":"user","content":"x"}]}`, nil, request.ReasonBadRequest},
 		{"no messages", chat, `{"model":"writer"}`, nil, request.ReasonBadRequest},
 		{"content of images", chat, `{"model":"writer","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, nil, request.ReasonBadRequest},
-		{"negative max_tokens", chat, strings.Replace(good, "{", `{"max_tokens":-1,`, 1), nil, request.ReasonBadRequest},
-		{"absurd max_tokens", chat, strings.Replace(good, "{", `{"max_tokens":999999999999,`, 1), nil, request.ReasonBadRequest},
-		{"max_tokens of a fraction", chat, strings.Replace(good, "{", `{"max_tokens":1.5,`, 1), nil, request.ReasonBadRequest},
-		{"two answers", chat, strings.Replace(good, "{", `{"n":2,`, 1), nil, request.ReasonBadRequest},
+		{"negative max_tokens", chat, strings.Replace(validBody, "{", `{"max_tokens":-1,`, 1), nil, request.ReasonBadRequest},
+		{"absurd max_tokens", chat, strings.Replace(validBody, "{", `{"max_tokens":999999999999,`, 1), nil, request.ReasonBadRequest},
+		{"max_tokens of a fraction", chat, strings.Replace(validBody, "{", `{"max_tokens":1.5,`, 1), nil, request.ReasonBadRequest},
+		{"two answers", chat, strings.Replace(validBody, "{", `{"n":2,`, 1), nil, request.ReasonBadRequest},
 		{"over 1 MiB", chat, `{"model":"` + strings.Repeat("x", 1<<20) + `"}`, nil, request.ReasonBodyTooLarge},
 		{"far over the limit", chat, strings.Repeat("x", 12<<20), nil, request.ReasonBodyTooLarge},
 		{"long and unknown key", chat, strings.Repeat("x", 12<<20), []string{"Authorization", ""}, request.ReasonUnauthorized},
 		{"unknown model", chat, string(chatBody("nobody", "x", false)), nil, request.ReasonUnknownModel},
 		{"model without servers", chat, string(chatBody("nowhere", "x", false)), nil, request.ReasonNoServer},
-		{"unknown key", chat, good, []string{"Authorization", "Bearer nobody"}, request.ReasonUnauthorized},
-		{"no key", chat, good, []string{"Authorization", ""}, request.ReasonUnauthorized},
-		{"unknown tier", chat, good, []string{headerTier, "golden"}, request.ReasonTierNotAllowed},
-		{"negative deadline", chat, good, []string{headerDeadline, "-5"}, request.ReasonDeadlineInvalid},
-		{"deadline in words", chat, good, []string{headerDeadline, "soon"}, request.ReasonDeadlineInvalid},
-		{"absurd deadline", chat, good, []string{headerDeadline, "99999999999999999999"}, request.ReasonDeadlineInvalid},
+		{"unknown key", chat, validBody, []string{"Authorization", "Bearer nobody"}, request.ReasonUnauthorized},
+		{"no key", chat, validBody, []string{"Authorization", ""}, request.ReasonUnauthorized},
+		{"unknown tier", chat, validBody, []string{headerTier, "golden"}, request.ReasonTierNotAllowed},
+		{"negative deadline", chat, validBody, []string{headerDeadline, "-5"}, request.ReasonDeadlineInvalid},
+		{"deadline in words", chat, validBody, []string{headerDeadline, "soon"}, request.ReasonDeadlineInvalid},
+		{"absurd deadline", chat, validBody, []string{headerDeadline, "99999999999999999999"}, request.ReasonDeadlineInvalid},
 		{"no idempotency key", chat, string(chatBody("once", "x", false)), nil, request.ReasonClaimKeyMissing},
-		{"absurd idempotency key", chat, good, []string{headerIdempotencyKey, strings.Repeat("k", 300)}, request.ReasonBadRequest},
-		{"unknown path", "/v2/chat", good, nil, request.ReasonUnknownPath},
+		{"absurd idempotency key", chat, validBody, []string{headerIdempotencyKey, strings.Repeat("k", 300)}, request.ReasonBadRequest},
+		{"unknown path", "/v2/chat", validBody, nil, request.ReasonUnknownPath},
 		{"unknown service", "/services/nobody/x", "", nil, request.ReasonUnknownService},
 		{"relative path", "/services/booking/a/%2e%2e/confirm", "", nil, request.ReasonBadRequest},
 		{"encoded slash", "/services/booking/a%2Fb", "", nil, request.ReasonBadRequest},
 		{"not repeatable without key", "/services/booking/confirm", "", nil, request.ReasonClaimKeyMissing},
 	}
 	Convey("Each bad call gets its own refusal, which is counted, and nothing runs", t, func() {
-		r := newRig(t, standin.Options{}, Limits{}, patient)
+		r := newRig(t, standin.Options{}, Limits{}, longSilence)
 		for _, c := range calls {
 			Convey(c.name, func() {
 				resp, body := r.post(c.path, []byte(c.body), c.header...)
@@ -96,20 +96,20 @@
 	body := string(chatBody(testModel, "echo:x", false))
 	length := strconv.Itoa(len(body))
 	Convey("A request with an ambiguous length is refused and its connection closed", t, func() {
-		r := newRig(t, standin.Options{}, Limits{}, patient)
+		r := newRig(t, standin.Options{}, Limits{}, longSilence)
 		for name, text := range map[string]string{
-			"both lengths":       head + "Content-Length: " + length + "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + body,
-			"two lengths":        head + "Content-Length: " + length + "\r\nContent-Length: 3\r\n\r\n" + body,
-			"a list of lengths":  head + "Content-Length: " + length + ", 3\r\n\r\n" + body,
-			"a signed length":    head + "Content-Length: +" + length + "\r\n\r\n" + body,
-			"a negative length":  head + "Content-Length: -1\r\n\r\n" + body,
-			"an unknown coding":  head + "Transfer-Encoding: xchunked\r\n\r\n" + body,
-			"two codings":        head + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n",
-			"space before colon": head + "Content-Length : " + length + "\r\n\r\n" + body,
-			"a broken chunk":     head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + body,
+			"both lengths":       requestHead + "Content-Length: " + length + "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + body,
+			"two lengths":        requestHead + "Content-Length: " + length + "\r\nContent-Length: 3\r\n\r\n" + body,
+			"a list of lengths":  requestHead + "Content-Length: " + length + ", 3\r\n\r\n" + body,
+			"a signed length":    requestHead + "Content-Length: +" + length + "\r\n\r\n" + body,
+			"a negative length":  requestHead + "Content-Length: -1\r\n\r\n" + body,
+			"an unknown coding":  requestHead + "Transfer-Encoding: xchunked\r\n\r\n" + body,
+			"two codings":        requestHead + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n",
+			"space before colon": requestHead + "Content-Length : " + length + "\r\n\r\n" + body,
+			"a broken chunk":     requestHead + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + body,
 		} {
 			Convey(name, func() {
-				resp, answer := r.raw(text)
+				resp, answer := r.sendRaw(text)
 				code, notRun := refusalOf(answer)
 				So(code, ShouldEqual, string(request.ReasonBadRequest))
 				So(notRun, ShouldEqual, true)
@@ -118,7 +118,7 @@
 			})
 		}
 		Convey("a folded line is a header's value, never a header (RFC 9112, 5.2)", func() {
-			resp, answer := r.raw(head + "X-A: b\r\n Content-Length: 3\r\nContent-Length: " + length + "\r\n\r\n" + body)
+			resp, answer := r.sendRaw(requestHead + "X-A: b\r\n Content-Length: 3\r\nContent-Length: " + length + "\r\n\r\n" + body)
 			So(resp.StatusCode, ShouldEqual, http.StatusOK)
 			So(string(answer), ShouldContainSubstring, `"content":"x"`)
 		})
@@ -126,16 +126,16 @@
 }
 
 // Guards against this: an entry that answers nobody while its processor idles.
-func TestSlowCallersAreLetGo(t *testing.T) {
+func TestSlowCallersAreRefused(t *testing.T) {
 	Convey("A caller that does not send its request in time is refused", t, func() {
-		r := newRig(t, standin.Options{}, Limits{ReadTimeout: 50 * time.Millisecond}, patient)
+		r := newRig(t, standin.Options{}, Limits{ReadTimeout: 50 * time.Millisecond}, longSilence)
 		for name, text := range map[string]string{
-			"within the header": head + "X-A: ",
-			"within the body":   head + "Content-Length: 100000\r\n\r\n{",
-			"within a chunk":    head + "Transfer-Encoding: chunked\r\n\r\n10\r\n{",
+			"within the header": requestHead + "X-A: ",
+			"within the body":   requestHead + "Content-Length: 100000\r\n\r\n{",
+			"within a chunk":    requestHead + "Transfer-Encoding: chunked\r\n\r\n10\r\n{",
 		} {
 			Convey(name, func() {
-				_, answer := r.raw(text)
+				_, answer := r.sendRaw(text)
 				code, notRun := refusalOf(answer)
 				So(code, ShouldEqual, string(request.ReasonReadTimeout))
 				So(notRun, ShouldEqual, true)
@@ -143,10 +143,10 @@
 			})
 		}
 		Convey("an announced body holds only what has arrived", func() {
-			r := newRig(t, standin.Options{}, Limits{ReadTimeout: waitLimit}, patient)
+			r := newRig(t, standin.Options{}, Limits{ReadTimeout: waitLimit}, longSilence)
 			conn := r.dial()
 			const sent = 20_000
-			fmt.Fprintf(conn, "%sContent-Length: 1000000\r\n\r\n%s", head, strings.Repeat(" ", sent))
+			fmt.Fprintf(conn, "%sContent-Length: 1000000\r\n\r\n%s", requestHead, strings.Repeat(" ", sent))
 			r.eventually("body is read", func() bool { return r.entry.bodies.Used() >= sent+requestOverhead })
 			So(r.entry.bodies.Used(), ShouldBeLessThan, 2*sent+requestOverhead)
 			So(conn.Close(), ShouldBeNil)
@@ -158,13 +158,13 @@
 // Guards against this: an entry runs out of file descriptors and accepts nobody.
 func TestConnectionsAreBounded(t *testing.T) {
 	Convey("A connection over the bound gets a typed refusal, and a freed place is used again", t, func() {
-		r := newRig(t, standin.Options{}, Limits{MaxConnections: 2}, patient)
+		r := newRig(t, standin.Options{}, Limits{MaxConnections: 2}, longSilence)
 		first, second := r.dial(), r.dial()
 		defer second.Close()
 		r.eventually("both are open", func() bool { return r.entry.app.Server().GetOpenConnectionsCount() == 2 })
 		body := string(chatBody(testModel, "echo:x", false))
-		text := fmt.Sprintf("%sConnection: close\r\nContent-Length: %d\r\n\r\n%s", head, len(body), body)
-		resp, answer := r.raw(text)
+		text := fmt.Sprintf("%sConnection: close\r\nContent-Length: %d\r\n\r\n%s", requestHead, len(body), body)
+		resp, answer := r.sendRaw(text)
 		code, notRun := refusalOf(answer)
 		So(code, ShouldEqual, string(request.ReasonTooManyConnections))
 		So(notRun, ShouldEqual, true)
@@ -172,7 +172,7 @@
 		So(r.counter(groupRefusals, code), ShouldEqual, 1)
 		So(first.Close(), ShouldBeNil)
 		r.eventually("a place is free", func() bool {
-			resp, _ := r.raw(text)
+			resp, _ := r.sendRaw(text)
 			return resp.StatusCode == http.StatusOK
 		})
 	})
@@ -180,7 +180,7 @@
 
 func TestEveryReasonHasItsCounterAndStatus(t *testing.T) {
 	Convey("Each refusal reason has a counter from the start, a type, a status and its line for operators", t, func() {
-		r := newRig(t, standin.Options{}, Limits{}, patient)
+		r := newRig(t, standin.Options{}, Limits{}, longSilence)
 		seen := r.metrics.JSON()
 		page, err := os.ReadFile("../../docs/operators/refusals.md")
 		So(err, ShouldBeNil)
--- a/internal/entry/listener.go
+++ b/internal/entry/listener.go
@@ -13,9 +13,9 @@
 
 // Bounds of telling a caller that there are too many connections.
 const (
-	lingerTime  = time.Second
-	lingerBytes = 64 << 10
-	lingerMax   = 256 // at once; further ones are closed without a word
+	lingerTimeout = time.Second
+	lingerBytes   = 64 << 10
+	maxLingering  = 256 // at once; further ones are closed without a word
 )
 
 // boundedListener bounds the open connections. The HTTP server's own bound
@@ -49,8 +49,8 @@
 // refuse tells a caller that there are too many connections. It reads what the
 // caller sends meanwhile: otherwise a reset overtakes the answer.
 func (l *boundedListener) refuse(conn *net.TCPConn) {
-	l.entry.counters.refusal(request.ReasonTooManyConnections)
-	if l.lingering.Add(1) > lingerMax {
+	l.entry.counters.countRefusal(request.ReasonTooManyConnections)
+	if l.lingering.Add(1) > maxLingering {
 		l.lingering.Add(-1)
 		_ = conn.Close()
 		return
@@ -58,7 +58,7 @@
 	go func() {
 		defer l.lingering.Add(-1)
 		defer conn.Close()
-		_ = conn.SetDeadline(time.Now().Add(lingerTime))
+		_ = conn.SetDeadline(time.Now().Add(lingerTimeout))
 		r := request.Refuse(request.ReasonTooManyConnections, "too many open connections here")
 		body := refusalJSON(r)
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 %d Service Unavailable\r\nContent-Type: %s\r\nContent-Length: %d\r\n"+
--- a/internal/entry/models.go
+++ b/internal/entry/models.go
@@ -31,15 +31,15 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-func (x *exchange) model(name string) modelInfo {
-	return modelInfo{ID: name, Object: "model", OwnedBy: x.space.Workspace}
+func (x *exchange) modelInfo(name string) modelInfo {
+	return modelInfo{ID: name, Object: "model", OwnedBy: x.workspace.Workspace}
 }
 
 // listModels answers with the models of the caller's workspace.
 func (x *exchange) listModels(ctx *fasthttp.RequestCtx) error {
 	list := modelList{Object: "list", Data: []modelInfo{}}
-	for name := range x.space.Models {
-		list.Data = append(list.Data, x.model(name))
+	for name := range x.workspace.Models {
+		list.Data = append(list.Data, x.modelInfo(name))
 	}
 	sort.Slice(list.Data, func(i, j int) bool { return list.Data[i].ID < list.Data[j].ID })
 	return x.writeJSON(ctx, list)
@@ -49,10 +49,10 @@
 func (x *exchange) showModel(ctx *fasthttp.RequestCtx) error {
 	raw := strings.TrimPrefix(string(ctx.Path()), pathModels+"/")
 	name, err := url.PathUnescape(raw)
-	if err != nil || x.space.Models[name] == nil {
+	if err != nil || x.workspace.Models[name] == nil {
 		return request.Refuse(request.ReasonUnknownModel, "no model %q in this workspace", raw)
 	}
-	return x.writeJSON(ctx, x.model(name))
+	return x.writeJSON(ctx, x.modelInfo(name))
 }
 
 // writeJSON writes a whole answer that was made here.
--- a/internal/entry/openai.go
+++ b/internal/entry/openai.go
@@ -18,16 +18,16 @@
 	apiCompletions
 )
 
-// maxAskedTokens is the largest max_tokens that is taken for a number of
+// maxRequestedTokens is the largest max_tokens that is taken for a number of
 // tokens rather than for a mistake. What a template allows caps it further.
-const maxAskedTokens = 1 << 24
+const maxRequestedTokens = 1 << 24
 
 // generation is a parsed call. Its strings are the entry's own.
 type generation struct {
 	api          api
 	model        string
 	prompt       string
-	last         string
+	lastMessage  string
 	maxTokens    int // 0: not given
 	stream       bool
 	includeUsage bool
@@ -94,8 +94,8 @@
 		if f == nil {
 			continue
 		}
-		if *f < 1 || *f > maxAskedTokens {
-			return badRequest("max_tokens must be from 1 to %d", maxAskedTokens)
+		if *f < 1 || *f > maxRequestedTokens {
+			return badRequest("max_tokens must be from 1 to %d", maxRequestedTokens)
 		}
 		g.maxTokens = *f
 	}
@@ -122,7 +122,7 @@
 		b.WriteString(text)
 		b.WriteByte('\n')
 		if m.Role == "user" {
-			g.last = text
+			g.lastMessage = text
 		}
 	}
 	g.prompt = b.String()
@@ -139,7 +139,7 @@
 		}
 		s = list[0]
 	}
-	g.prompt, g.last = s, s
+	g.prompt, g.lastMessage = s, s
 	return nil
 }
 
--- a/internal/entry/progress_test.go
+++ b/internal/entry/progress_test.go
@@ -9,37 +9,37 @@
 	"github.com/lycheekeel/lycheekeel/broker"
 )
 
-// reports notes when progress was reported.
-type reports struct {
+// progressRecorder notes when progress was reported.
+type progressRecorder struct {
 	broker.Grant
-	now time.Time
-	at  []time.Duration
-	per []time.Duration
+	now      time.Time
+	at       []time.Duration
+	perToken []time.Duration
 }
 
-func (r *reports) Progress(_ time.Duration, _ int, perToken time.Duration) {
+func (r *progressRecorder) Progress(_ time.Duration, _ int, perToken time.Duration) {
 	r.at = append(r.at, r.now.Sub(time.Unix(1000, 0)))
-	r.per = append(r.per, perToken)
+	r.perToken = append(r.perToken, perToken)
 }
 
 // Guards against this: most of what daemons send each other is reports of long answers.
-func TestProgressIsReportedAtGrowingTimes(t *testing.T) {
+func TestProgressReportInterval(t *testing.T) {
 	Convey("Given an answer of 273 tokens at 62 ms", t, func() {
 		start := time.Unix(1000, 0)
-		r := &reports{}
-		a := &answer{x: &exchange{entry: &Entry{limits: Limits{ProgressEvery: DefaultProgressEvery}}}, grant: r}
+		r := &progressRecorder{}
+		a := &answer{x: &exchange{entry: &Entry{limits: Limits{ProgressInterval: DefaultProgressInterval}}}, grant: r}
 		a.sent, a.first = start, start
 		for i := range 273 {
 			r.now = start.Add(time.Duration(i) * 62 * time.Millisecond)
 			a.tokens = i + 1
-			a.progress(r.now)
+			a.reportProgress(r.now)
 		}
 		So(len(r.at), ShouldEqual, 7)
 		So(ProgressReports(272*62*time.Millisecond), ShouldEqual, 7)
 		for i, due := range []float64{0, 0.5, 1.5, 3.5, 7.5, 11.5, 15.5} {
 			So(r.at[i].Seconds(), ShouldAlmostEqual, due, 0.4)
 		}
-		for _, per := range r.per[1:] {
+		for _, per := range r.perToken[1:] {
 			So(per, ShouldEqual, 62*time.Millisecond)
 		}
 	})
--- a/internal/entry/refuse.go
+++ b/internal/entry/refuse.go
@@ -38,9 +38,9 @@
 	typeServer         = "server_error"
 )
 
-// retryAfter holds, for reasons where to come back helps, when to do so if
+// defaultRetryAfter holds, for reasons where to come back helps, when to do so if
 // nothing better is known.
-var retryAfter = map[request.Reason]time.Duration{
+var defaultRetryAfter = map[request.Reason]time.Duration{
 	request.ReasonShed:               2 * time.Second,
 	request.ReasonWorkspaceLimit:     2 * time.Second,
 	request.ReasonEntryMemory:        2 * time.Second,
@@ -106,7 +106,7 @@
 func retrySeconds(r *request.Refusal) int {
 	d := r.RetryAfter
 	if d <= 0 {
-		d = retryAfter[r.Reason]
+		d = defaultRetryAfter[r.Reason]
 	}
 	if d <= 0 {
 		return 0
@@ -117,7 +117,7 @@
 
 // writeRefusal counts a refusal and makes it the response.
 func (e *Entry) writeRefusal(ctx *fasthttp.RequestCtx, id request.ID, r *request.Refusal) {
-	e.counters.refusal(r.Reason)
+	e.counters.countRefusal(r.Reason)
 	ctx.Response.ResetBody()
 	ctx.Response.Header.SetContentType(contentJSON)
 	ctx.Response.SetStatusCode(r.Reason.Status())
@@ -162,8 +162,8 @@
 	}
 }
 
-// cause returns why ctx ended, as a refusal of a request that did not run.
-func cause(ctx context.Context) *request.Refusal {
+// contextRefusal returns why ctx ended, as a refusal of a request that did not run.
+func contextRefusal(ctx context.Context) *request.Refusal {
 	err := context.Cause(ctx)
 	var r *request.Refusal
 	switch {
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -14,49 +14,49 @@
 
 // Pauses between two tries to resume.
 const (
-	firstResumePause = 20 * time.Millisecond
-	maxResumePause   = time.Second
+	initialResumeBackoff = 20 * time.Millisecond
+	maxResumeBackoff     = time.Second
 )
 
-// unopenedPatience is how long an engine may answer that it does not know a
+// unknownRunGrace is how long an engine may answer that it does not know a
 // run of which nothing was heard yet: an engine that is short of processor
 // time may read the request late, after the first resume.
-const unopenedPatience = time.Second
+const unknownRunGrace = time.Second
 
-// cancelLimit bounds telling an engine to cancel a run.
-const cancelLimit = 2 * time.Second
+// cancelTimeout bounds telling an engine to cancel a run.
+const cancelTimeout = 2 * time.Second
 
 // ensureStream resumes the stream where there is none. It never starts a run.
 func (a *answer) ensureStream(ctx context.Context) error {
 	if a.stream != nil {
 		return nil
 	}
-	pause := newBackOff(firstResumePause, maxResumePause)
-	var unknown time.Time // the first answer that the run is not known
+	delay := newBackoff(initialResumeBackoff, maxResumeBackoff)
+	var firstUnknown time.Time // the first answer that the run is not known
 	for {
-		stream, err := a.engine.Resume(ctx, string(a.x.id), a.next)
+		stream, err := a.engine.Resume(ctx, string(a.x.id), a.nextOffset)
 		if err == nil {
-			a.stream, a.opened, a.resumed = stream, true, time.Now()
+			a.stream, a.accepted, a.resumedAt = stream, true, time.Now()
 			return nil
 		}
 		if errors.Is(err, engine.ErrUnknownRun) {
-			if unknown.IsZero() {
-				unknown = time.Now()
+			if firstUnknown.IsZero() {
+				firstUnknown = time.Now()
 			}
-			if a.opened || time.Since(unknown) > unopenedPatience {
+			if a.accepted || time.Since(firstUnknown) > unknownRunGrace {
 				return err
 			}
 		}
-		if ctx.Err() != nil || a.givenUp() {
+		if ctx.Err() != nil || a.resumeWindowExpired() {
 			return err
 		}
 		a.x.entry.counters.resumes[resumeRetry].Add(1)
-		wait.For(ctx, pause.NextBackOff())
+		wait.For(ctx, delay.NextBackOff())
 	}
 }
 
-// refusal says how a run that was dispatched ended without a whole answer.
-func (a *answer) refusal(err error) (*request.Refusal, pool.Outcome) {
+// runRefusal says how a run that was dispatched ended without a whole answer.
+func (a *answer) runRefusal(err error) (*request.Refusal, pool.Outcome) {
 	ran := request.RanUnknown
 	if !a.first.IsZero() { // an engine that took the run may not have begun it
 		ran = request.NotRunFalse
@@ -72,15 +72,15 @@
 	case errors.Is(err, engine.ErrRefusedNotRun):
 		return refuse(request.ReasonEngineRefused, request.NotRunTrue, "the engine refused the request and did not run it"),
 			pool.OutcomeRefused
-	case errors.Is(err, errNothingLeft):
+	case errors.Is(err, errNothingSent):
 		return refuse(request.ReasonEngineUnreachable, request.NotRunTrue, "the connection to the engine was lost before anything was sent"),
 			pool.OutcomeNotSent
-	case errors.Is(err, engine.ErrUnknownRun) && a.opened:
+	case errors.Is(err, engine.ErrUnknownRun) && a.accepted:
 		return refuse(request.ReasonEngineLost, ran, "the engine lost the request"), pool.OutcomeCrashed
 	case errors.Is(err, engine.ErrUnknownRun):
 		// No proof of a crash, which would make suspects of all that ran there.
 		return refuse(request.ReasonEngineLost, ran, "the engine does not know the request"), pool.OutcomeStreamLost
-	case errors.Is(err, engine.ErrFailed):
+	case errors.Is(err, engine.ErrRunFailed):
 		return refuse(request.ReasonEngineFailed, ran, "the engine reports that it failed"), pool.OutcomeFailed
 	case errors.Is(err, engine.ErrNotSent):
 		return refuse(request.ReasonEngineLost, ran, "the engine can't be reached any more"), pool.OutcomeStreamLost
@@ -94,7 +94,7 @@
 func (a *answer) cancelRun() {
 	eng, id, log := a.engine, string(a.x.id), a.x.log
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), cancelLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
 		if err := eng.Cancel(ctx, id); err != nil {
 			log.WithError(err).Debug("cancel failed")
--- a/internal/entry/rig_test.go
+++ b/internal/entry/rig_test.go
@@ -31,10 +31,10 @@
 	testRegion = "here"
 	waitLimit  = 20 * time.Second // generous: no test is decided by it
 
-	// quick and patient are silence limits of connections to stand-ins: for
+	// shortSilence and patient are silence limits of connections to stand-ins: for
 	// tests of silence, and for those that a starved machine must not fail.
-	quick   = 500 * time.Millisecond
-	patient = waitLimit
+	shortSilence = 500 * time.Millisecond
+	longSilence  = waitLimit
 )
 
 // rig is an entry between a caller and stand-ins over loopback HTTP, with a
@@ -76,7 +76,7 @@
 	r.entry = New(Deps{
 		Config: live, Broker: r.broker, Ledger: r.ledger, Metrics: r.metrics, Region: testRegion,
 		Engines:  httpengine.NewDialer(settings),
-		Services: httpservice.NewDialer(httpservice.Settings{Settings: settings, Answer: time.Second}),
+		Services: httpservice.NewDialer(httpservice.Settings{Settings: settings, ResponseTimeout: time.Second}),
 	}, l)
 	running.Go(func() { _ = r.entry.Serve(entryLn) })
 	r.url = "http://" + entryLn.Addr().String()
@@ -141,11 +141,11 @@
 	refuse   atomic.Pointer[request.Refusal]
 	waiting  atomic.Int64
 	returned atomic.Int64
-	// progressed counts the grants' progress reports.
-	progressed atomic.Int64
-	mu         sync.Mutex
-	ends       []broker.Completion
-	address    atomic.Pointer[string] // replaces the server's address
+	// progressReports counts the grants' progress reports.
+	progressReports atomic.Int64
+	mu              sync.Mutex
+	completions     []broker.Completion
+	nextAddress     atomic.Pointer[string] // replaces the server's address
 }
 
 func (b *testBroker) Acquire(ctx context.Context, d broker.Demand) (broker.Grant, error) {
@@ -164,7 +164,7 @@
 		return nil, err
 	}
 	s := d.Candidates[0].Servers[0]
-	if a := b.address.Swap(nil); a != nil {
+	if a := b.nextAddress.Swap(nil); a != nil {
 		s.Address = *a
 	}
 	return &testGrant{broker: b, server: s}, nil
@@ -175,7 +175,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := []pool.Outcome{}
-	for _, e := range b.ends {
+	for _, e := range b.completions {
 		out = append(out, e.Outcome)
 	}
 	return out
@@ -187,20 +187,20 @@
 }
 
 func (g *testGrant) Server() workspace.BackendServer            { return g.server }
-func (g *testGrant) Progress(time.Duration, int, time.Duration) { g.broker.progressed.Add(1) }
+func (g *testGrant) Progress(time.Duration, int, time.Duration) { g.broker.progressReports.Add(1) }
 func (g *testGrant) ReturnUnused()                              { g.broker.returned.Add(1) }
 func (g *testGrant) Release(end broker.Completion) {
 	g.broker.mu.Lock()
 	defer g.broker.mu.Unlock()
-	g.broker.ends = append(g.broker.ends, end)
+	g.broker.completions = append(g.broker.completions, end)
 }
 
 // testLedger keeps claims in memory. While down is open, Claim waits for it
 // or for ctx.
 type testLedger struct {
-	mu     sync.Mutex
-	claims map[claim.Key]*testClaim
-	down   atomic.Pointer[chan struct{}]
+	mu          sync.Mutex
+	claims      map[claim.Key]*testClaim
+	unavailable atomic.Pointer[chan struct{}]
 }
 
 type testClaim struct {
@@ -212,7 +212,7 @@
 func newTestLedger() *testLedger { return &testLedger{claims: map[claim.Key]*testClaim{}} }
 
 func (l *testLedger) Claim(ctx context.Context, k claim.Key, h claim.Hash, _ request.ID) (claim.Claim, error) {
-	if down := l.down.Load(); down != nil {
+	if down := l.unavailable.Load(); down != nil {
 		select {
 		case <-*down:
 		case <-ctx.Done():
@@ -242,8 +242,8 @@
 
 func (c *testClaim) Release() { c.Finish(claim.Outcome{State: claim.NotRun}) }
 
-// calls returns how many calls the service got.
-func (r *rig) calls() int {
+// serviceCalls returns how many calls the service got.
+func (r *rig) serviceCalls() int {
 	n := 0
 	for _, c := range r.service.Calls() {
 		n += c.Count
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -57,16 +57,16 @@
 		}
 		if err != nil {
 			discardBody(ctx)
-			x.endWith(ctx, err)
+			x.respondEarly(ctx, err)
 		}
 		x.end()
 		return nil
 	}
 }
 
-// endWith writes the response of a request that ended early.
-func (x *exchange) endWith(ctx *fasthttp.RequestCtx, err error) {
-	var stored *replay
+// respondEarly writes the response of a request that ended early.
+func (x *exchange) respondEarly(ctx *fasthttp.RequestCtx, err error) {
+	var stored *replayError
 	if errors.As(err, &stored) {
 		x.writeReplay(ctx, stored)
 		return
@@ -80,7 +80,7 @@
 }
 
 // writeReplay writes the stored answer of the first run.
-func (x *exchange) writeReplay(ctx *fasthttp.RequestCtx, r *replay) {
+func (x *exchange) writeReplay(ctx *fasthttp.RequestCtx, r *replayError) {
 	ctx.Response.Header.SetContentType(r.outcome.ContentType)
 	ctx.Response.Header.Set(headerReplayed, "true")
 	ctx.Response.SetStatusCode(r.outcome.Status)
--- a/internal/entry/rules.go
+++ b/internal/entry/rules.go
@@ -19,10 +19,10 @@
 	if r.Method != anyMethod && !strings.EqualFold(r.Method, method) {
 		return false
 	}
-	return pathMatches(segments(r.Path), segments(path))
+	return pathMatches(splitPath(r.Path), splitPath(path))
 }
 
-func segments(path string) []string {
+func splitPath(path string) []string {
 	path = strings.Trim(path, "/")
 	if path == "" {
 		return nil
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -17,9 +17,9 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// hopHeaders are about one connection and are not passed on, nor is the
+// droppedHeaders are about one connection and are not passed on, nor is the
 // caller's key, which is this system's own.
-var hopHeaders = map[string]bool{
+var droppedHeaders = map[string]bool{
 	fasthttp.HeaderConnection:         true,
 	fasthttp.HeaderKeepAlive:          true,
 	fasthttp.HeaderProxyAuthenticate:  true,
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	s, ok := x.space.Services[path.service]
+	s, ok := x.workspace.Services[path.service]
 	if !ok {
 		return request.Refuse(request.ReasonUnknownService, "no service %q in this workspace", path.service)
 	}
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	if err := x.classifyService(s, method, path, body); err != nil {
+	if err := x.classifyServiceCall(s, method, path, body); err != nil {
 		return err
 	}
 	x.watchCaller(ctx)
@@ -97,7 +97,7 @@
 		Header:    x.forwardedHeader(ctx),
 		Body:      body,
 	}
-	reply, err := x.call(call)
+	reply, err := x.dispatchCall(call)
 	if err != nil {
 		return err
 	}
@@ -105,9 +105,9 @@
 	return nil
 }
 
-// classifyService makes the spec of a call by the template's rules: the first
+// classifyServiceCall makes the spec of a call by the template's rules: the first
 // that matches decides, else only GET and HEAD are idempotent.
-func (x *exchange) classifyService(s *workspace.ResolvedService, method string, path servicePath, body []byte) error {
+func (x *exchange) classifyServiceCall(s *workspace.ResolvedService, method string, path servicePath, body []byte) error {
 	idempotent := method == fasthttp.MethodGet || method == fasthttp.MethodHead
 	tier := s.Tier
 	for i := range s.Rules {
@@ -122,7 +122,7 @@
 		break
 	}
 	if tier == nil {
-		tier = x.space.DefaultTier
+		tier = x.workspace.DefaultTier
 	}
 	if err := x.classify(tier, idempotent); err != nil {
 		return err
@@ -130,7 +130,7 @@
 	x.spec.Service = s.Name
 	x.spec.Fingerprint = fingerprint(x.spec.Workspace, s.Name, method+" "+path.target+"\n"+string(body))
 	if !idempotent {
-		x.claimSum = claimHash([]byte(s.Name), []byte(method), []byte(path.target), body)
+		x.contentHash = claimHash([]byte(s.Name), []byte(method), []byte(path.target), body)
 	}
 	p, ok := x.snapshot.Pools[s.Pool]
 	if !ok || p.Region != x.entry.deps.Region || len(p.Servers) == 0 {
@@ -140,15 +140,15 @@
 	return nil
 }
 
-// call dispatches the call. A reply that breaks off is never asked for again:
+// dispatchCall dispatches the call. A reply that breaks off is never asked for again:
 // services can't resume.
-func (x *exchange) call(c service.Call) (service.Reply, error) {
+func (x *exchange) dispatchCall(c service.Call) (service.Reply, error) {
 	var reply service.Reply
-	var f figures
-	grant, err := x.dispatch(func(s workspace.BackendServer, sending func() error) error {
-		c.Sending = func() error {
-			f.sent = time.Now()
-			return sending()
+	var m measurements
+	grant, err := x.dispatch(func(s workspace.BackendServer, beforeSend func() error) error {
+		c.BeforeSend = func() error {
+			m.sent = time.Now()
+			return beforeSend()
 		}
 		var err error
 		reply, err = x.entry.deps.Services.Service(s.Address).Do(x.ctx, c)
@@ -160,20 +160,20 @@
 	}
 	now := time.Now()
 	if err != nil {
-		r, outcome := x.callRefusal(err)
-		grant.Release(f.end(outcome, now))
+		r, outcome := x.serviceCallRefusal(err)
+		grant.Release(m.completion(outcome, now))
 		x.settleClaim(r.NotRun, nil)
 		return reply, r
 	}
-	f.first = now
-	x.entry.counters.ended(x.spec, f, now)
-	grant.Release(f.end(pool.OutcomeDone, now))
+	m.first = now
+	x.entry.counters.countAnswer(x.spec, m, now)
+	grant.Release(m.completion(pool.OutcomeDone, now))
 	x.settleClaim(request.NotRunFalse, storedAnswer(reply.Body, replyType(reply), reply.Status))
 	return reply, nil
 }
 
-// callRefusal says how a call that was dispatched ended without a reply.
-func (x *exchange) callRefusal(err error) (*request.Refusal, pool.Outcome) {
+// serviceCallRefusal says how a call that was dispatched ended without a reply.
+func (x *exchange) serviceCallRefusal(err error) (*request.Refusal, pool.Outcome) {
 	switch {
 	case errors.Is(err, engine.ErrRefusedNotRun):
 		return request.Refuse(request.ReasonEngineRefused, "the service refused the call and did not run it"), pool.OutcomeRefused
@@ -194,7 +194,7 @@
 	var out [][2]string
 	for k, v := range ctx.Request.Header.All() {
 		name := string(k)
-		if hopHeaders[name] || strings.HasPrefix(name, headerPrefix) {
+		if droppedHeaders[name] || strings.HasPrefix(name, headerPrefix) {
 			continue
 		}
 		out = append(out, [2]string{name, string(v)})
@@ -205,7 +205,7 @@
 // writeReply passes a service's reply on.
 func (x *exchange) writeReply(ctx *fasthttp.RequestCtx, r service.Reply) {
 	for _, h := range r.Header {
-		if !hopHeaders[h[0]] {
+		if !droppedHeaders[h[0]] {
 			ctx.Response.Header.Add(h[0], h[1])
 		}
 	}
--- a/internal/gateway/cluster_test.go
+++ b/internal/gateway/cluster_test.go
@@ -38,11 +38,11 @@
 	c.config = &standin.Configuration{
 		Tenant: "space", Keys: []string{"key-1", "key-2"},
 		Routes: []standin.Route{
-			{Prefix: "/s/", Type: "stream", Service: "llm", Attempts: 2, Resume: true, TimeoutMs: 20000},
-			{Prefix: "/once/", Type: "non_idempotent", Service: "app", Attempts: 1, TimeoutMs: 20000},
-			{Prefix: "/again/", Type: "idempotent", Service: "app", Attempts: 2, TimeoutMs: 20000},
+			{Prefix: "/s/", Type: "stream", Service: "llm", MaxAttempts: 2, Resumable: true, TimeoutMs: 20000},
+			{Prefix: "/once/", Type: "non_idempotent", Service: "app", MaxAttempts: 1, TimeoutMs: 20000},
+			{Prefix: "/again/", Type: "idempotent", Service: "app", MaxAttempts: 2, TimeoutMs: 20000},
 		},
-		Engines: map[string]int{"llm": 4}, Plain: []string{"app"},
+		Engines: map[string]int{"llm": 4}, PlainServices: []string{"app"},
 	}
 	return c
 }
@@ -67,7 +67,7 @@
 }
 
 func (c *cluster) addServer(id, service string) *standin.Server {
-	b := &standin.Server{ID: id, Events: 40, EventEvery: time.Millisecond}
+	b := &standin.Server{ID: id, Events: 40, EventInterval: time.Millisecond}
 	c.servers[id] = b
 	address := c.serve(b.Serve)
 	c.store.PutServer(id, service, address, "ready", 4)
@@ -76,9 +76,9 @@
 
 // addVersion adds a server of a version.
 func (c *cluster) addVersion(id, service, version string) *standin.Server {
-	b := &standin.Server{ID: id, Events: 40, EventEvery: time.Millisecond}
+	b := &standin.Server{ID: id, Events: 40, EventInterval: time.Millisecond}
 	c.servers[id] = b
-	c.store.PutVersion(id, service, c.serve(b.Serve), version, 4)
+	c.store.PutServerVersion(id, service, c.serve(b.Serve), version, 4)
 	return b
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -37,7 +37,7 @@
 		wg.Wait()
 		runs := map[string]int{}
 		for _, b := range c.servers {
-			for id, n := range b.All() {
+			for id, n := range b.RunCounts() {
 				runs[id] += n
 			}
 		}
@@ -71,12 +71,12 @@
 		c.putConfig()
 		n := c.start("a")
 		eventually(t, "the route works", func() bool { return n.status("/once/", "i", "key-1") == 200 })
-		c.store.Fail(standin.Faults{MuteWatches: true})
+		c.store.SetFaults(standin.Faults{StallWatches: true})
 		c.config.Keys = []string{"key-2"}
 		c.putConfig()
 		eventually(t, "the key is rejected", func() bool { return n.status("/once/", "i", "key-1") == 401 })
-		c.store.Forget()
-		c.store.Fail(standin.Faults{})
+		c.store.Compact()
+		c.store.SetFaults(standin.Faults{})
 		c.config.Keys = []string{"key-1"}
 		c.putConfig()
 		eventually(t, "the key is accepted", func() bool { return n.status("/once/", "i", "key-1") == 200 })
@@ -91,10 +91,10 @@
 		c.putConfig()
 		n := c.start("a")
 		eventually(t, "the route works", func() bool { return n.status("/once/", "i", "key-1") == 200 })
-		c.store.Fail(standin.Faults{Busy: true})
+		c.store.SetFaults(standin.Faults{Busy: true})
 		eventually(t, "it is not ready", func() bool { return !n.ready() })
 		eventually(t, "the key is refused", func() bool { return n.status("/once/", "i", "key-1") == 503 })
-		c.store.Fail(standin.Faults{})
+		c.store.SetFaults(standin.Faults{})
 		eventually(t, "the key is accepted again", func() bool { return n.status("/once/", "i", "key-1") == 200 })
 		eventually(t, "it is ready", n.ready)
 	})
@@ -113,11 +113,11 @@
 			n.status("/once/", "later", "key-1")
 			return second.Runs("later") > 0
 		})
-		before := len(first.All())
+		before := len(first.RunCounts())
 		for i := range 20 {
 			So(n.status("/once/", fmt.Sprint("new", i), "key-1"), ShouldEqual, 200)
 		}
-		So(len(first.All()), ShouldEqual, before)
+		So(len(first.RunCounts()), ShouldEqual, before)
 	})
 }
 
@@ -138,7 +138,7 @@
 				}
 			})
 		}
-		eventually(t, "the streams run", func() bool { return len(c.servers["llm-0"].All()) == 4 })
+		eventually(t, "the streams run", func() bool { return len(c.servers["llm-0"].RunCounts()) == 4 })
 		n.stop()
 		eventually(t, "it is not ready", func() bool { return !n.ready() })
 		So(n.status("/s/", "late", "key-1"), ShouldEqual, 200)
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -42,7 +42,7 @@
 		b := &standin.Server{ID: fmt.Sprint("new-", i)}
 		configure(b)
 		c.servers[b.ID] = b
-		c.store.PutVersion(b.ID, "app", c.serve(b.Serve), "v2", 4)
+		c.store.PutServerVersion(b.ID, "app", c.serve(b.Serve), "v2", 4)
 	}
 }
 
@@ -117,7 +117,7 @@
 	for what, configure := range map[string]func(*standin.Server){
 		"fails half":  func(b *standin.Server) { b.Fails = func(n int) bool { return n%2 == 0 } },
 		"fails later": func(b *standin.Server) { b.Fails = func(n int) bool { return n > 15 } },
-		"is slow":     func(b *standin.Server) { b.Slow = 40 * time.Millisecond },
+		"is slow":     func(b *standin.Server) { b.Delay = 40 * time.Millisecond },
 	} {
 		Convey("A version that "+what+" is rolled back, and gets no more than its share", t, func() {
 			c := newRolloutCluster(t)
@@ -137,11 +137,11 @@
 		var bad atomic.Bool
 		c.rollOut(30, func(b *standin.Server) { b.Fails = func(int) bool { return bad.Load() } })
 		c.call(func() bool { return c.arrivals("new-") >= 3 })
-		c.store.Fail(standin.Faults{Busy: true})
+		c.store.SetFaults(standin.Faults{Busy: true})
 		bad.Store(true)
 		eventually(t, "the new version gets no more requests", func() bool { return c.idle("new-", "old-") })
 		So(c.state(), ShouldEqual, "running")
-		c.store.Fail(standin.Faults{})
+		c.store.SetFaults(standin.Faults{})
 		eventually(t, "the outcome is written", func() bool { return c.state() == "rolled_back" })
 	})
 }
@@ -150,7 +150,7 @@
 func TestOneOutcomeWhenStoreAnswersAreLost(t *testing.T) {
 	Convey("When answers to writes are lost, there is one outcome, and it does not change", t, func() {
 		c := newRolloutCluster(t)
-		c.store.Fail(standin.Faults{LoseWrites: true})
+		c.store.SetFaults(standin.Faults{LoseWriteAnswers: true})
 		c.rollOut(8, func(b *standin.Server) { b.Fails = func(n int) bool { return n%2 == 0 } })
 		c.call(func() bool { return c.state() == "rolled_back" })
 		writes := c.store.Calls("PUT")
--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -81,17 +81,17 @@
 // for the limit. The connection may be read on.
 func (c *Conn) TimedOut() bool { return c.timedOut && !c.guard.wasAborted() }
 
-// WrapError wraps an error met while the answer was read as engine.ErrBroken.
+// WrapError wraps an error met while the answer was read as engine.ErrConnectionLost.
 // After a silence it closes the pool's idle connections.
 func (c *Conn) WrapError(err error) error {
 	switch {
 	case c.guard.wasAborted():
-		return errors.Wrapf(engine.ErrBroken, "%s: %v", c.pool.address, errAborted)
+		return errors.Wrapf(engine.ErrConnectionLost, "%s: %v", c.pool.address, errAborted)
 	case c.timedOut:
 		c.pool.CloseIdle()
-		return errors.Wrapf(engine.ErrBroken, "%s: silent for %v", c.pool.address, c.silenceTimeout)
+		return errors.Wrapf(engine.ErrConnectionLost, "%s: silent for %v", c.pool.address, c.silenceTimeout)
 	default:
-		return errors.Wrapf(engine.ErrBroken, "%s: %v", c.pool.address, err)
+		return errors.Wrapf(engine.ErrConnectionLost, "%s: %v", c.pool.address, err)
 	}
 }
 
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -115,7 +115,7 @@
 
 // Send writes the request once and returns the connection, from which the
 // answer is to be read; the caller must end it with Keep or Drop. The error
-// wraps engine.ErrNotSent where no byte can have left, else engine.ErrBroken.
+// wraps engine.ErrNotSent where no byte can have left, else engine.ErrConnectionLost.
 //
 // sending, where not nil, is called once the connection is up and checked,
 // directly before the first byte; its error stops the request.
--- a/internal/poolhost/host_test.go
+++ b/internal/poolhost/host_test.go
@@ -126,7 +126,7 @@
 		So(len(eventsOf[pool.ServerLoad](b, "p")), ShouldBeBetween, 0, 3)
 
 		Convey("one lost probe is no silence, three are, and an answer ends it", func() {
-			b.engine.err = engine.ErrBroken
+			b.engine.err = engine.ErrConnectionLost
 			b.advanceUntil(func() bool { return b.misses() == "2" })
 			So(b.health("p").Health, ShouldEqual, pool.HealthUp)
 			b.advance(2 * probeRetryDelay)
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -42,7 +42,7 @@
 // answerFor returns the whole text that a run will generate, its tokens and
 // why it ends.
 func answerFor(r *port.Run) (text string, tokens int, finish string) {
-	if rest, ok := strings.CutPrefix(r.Last, PrefixEcho); ok {
+	if rest, ok := strings.CutPrefix(r.LastMessage, PrefixEcho); ok {
 		return rest, countTokens(rest), finishStop
 	}
 	want := min(wantedTokens(r), maxFillerTokens)
@@ -54,7 +54,7 @@
 }
 
 func wantedTokens(r *port.Run) int {
-	if rest, ok := strings.CutPrefix(r.Last, PrefixGenerate); ok {
+	if rest, ok := strings.CutPrefix(r.LastMessage, PrefixGenerate); ok {
 		digits := len(rest) - len(strings.TrimLeft(rest, "0123456789"))
 		if n, err := strconv.Atoi(rest[:digits]); err == nil {
 			return n
--- a/internal/standin/engine/body.go
+++ b/internal/standin/engine/body.go
@@ -53,7 +53,7 @@
 	chunk, id, ok, err := c.next(context.Background(), ms(c.e.opts.KeepaliveMs))
 	line := wire.Line{RequestID: []byte(id)}
 	switch {
-	case errors.Is(err, port.ErrFailed):
+	case errors.Is(err, port.ErrRunFailed):
 		line.Error, b.over = err.Error(), true
 	case err != nil:
 		return err
--- a/internal/standin/engine/cursor.go
+++ b/internal/standin/engine/cursor.go
@@ -56,11 +56,11 @@
 	case c.done:
 		return chunk, id, 0, io.EOF
 	case x.broken:
-		return chunk, id, 0, errors.Wrap(port.ErrBroken, "engine crashed")
+		return chunk, id, 0, errors.Wrap(port.ErrConnectionLost, "engine crashed")
 	case visible && (c.offset < x.generated || x.whole()):
 		return c.take(), id, 0, nil
 	case x.ended && !x.whole():
-		return chunk, id, 0, errors.Wrapf(port.ErrFailed, "run %s", x.record.Outcome)
+		return chunk, id, 0, errors.Wrapf(port.ErrRunFailed, "run %s", x.record.Outcome)
 	}
 	return chunk, id, max(until.Sub(now), 1), nil
 }
--- a/internal/standin/engine/direct.go
+++ b/internal/standin/engine/direct.go
@@ -17,7 +17,7 @@
 
 // Run implements port.Engine.
 func (e *Engine) Run(ctx context.Context, r port.Run) (port.Stream, error) {
-	if err := e.reach(ctx, r.Sending); err != nil {
+	if err := e.reach(ctx, r.BeforeSend); err != nil {
 		return nil, err
 	}
 	return stream(e.start(r))
@@ -107,7 +107,7 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return errors.Wrap(port.ErrBroken, "silent")
+	return errors.Wrap(port.ErrConnectionLost, "silent")
 }
 
 func (e *Engine) silent(c *cursor) bool {
@@ -132,13 +132,13 @@
 		case err != nil:
 			return port.Chunk{}, err
 		case ctx.Err() != nil:
-			return port.Chunk{}, errors.Wrap(port.ErrBroken, ctx.Err().Error())
+			return port.Chunk{}, errors.Wrap(port.ErrConnectionLost, ctx.Err().Error())
 		case c.e.silent(c):
 			return port.Chunk{}, c.e.keepSilent(ctx)
 		case !ok:
 			continue
 		case id != c.id:
-			return port.Chunk{}, errors.Wrapf(port.ErrCrossed, "answer of %q for %q", id, c.id)
+			return port.Chunk{}, errors.Wrapf(port.ErrRequestMismatch, "answer of %q for %q", id, c.id)
 		}
 		return chunk, nil
 	}
@@ -157,7 +157,7 @@
 
 func (e *Engine) importKV(data []byte) error {
 	if len(data)%blockBytes != 0 {
-		return errors.Wrap(port.ErrFailed, "KV data is torn")
+		return errors.Wrap(port.ErrRunFailed, "KV data is torn")
 	}
 	var blocks []uint64
 	for ; len(data) > 0; data = data[blockBytes:] {
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -39,7 +39,7 @@
 }
 
 func gen(id string, prompt, tokens int, blocks ...uint64) port.Run {
-	return port.Run{RequestID: id, Model: "m", Prompt: "p", Last: fmt.Sprintf("gen:%d", tokens), PromptTokens: prompt, Blocks: blocks}
+	return port.Run{RequestID: id, Model: "m", Prompt: "p", LastMessage: fmt.Sprintf("gen:%d", tokens), PromptTokens: prompt, Blocks: blocks}
 }
 
 func open(e *Engine, r port.Run) port.Stream {
@@ -122,7 +122,7 @@
 		So(err, ShouldBeNil)
 		So(e.Cancel(background, "long"), ShouldBeNil)
 		_, _, err = finish(s)
-		So(errors.Is(err, port.ErrFailed), ShouldBeTrue)
+		So(errors.Is(err, port.ErrRunFailed), ShouldBeTrue)
 		_, d, err := finish(open(e, gen("short", 1, 1)))
 		So(err, ShouldBeNil)
 		So(d, ShouldBeLessThan, 30*time.Millisecond)
@@ -200,13 +200,13 @@
 		old := open(e, gen("old", 1, 500))
 		So(e.SetFaults(Faults{Silent: SilenceExisting}), ShouldBeNil)
 		_, d, err := finish(old)
-		So(errors.Is(err, port.ErrBroken), ShouldBeTrue)
+		So(errors.Is(err, port.ErrConnectionLost), ShouldBeTrue)
 		So(d, ShouldBeGreaterThanOrEqualTo, time.Second)
 		_, _, err = finish(open(e, gen("new", 1, 2)))
 		So(err, ShouldBeNil)
 		So(e.SetFaults(Faults{Silent: SilenceAll}), ShouldBeNil)
 		_, err = e.Run(background, gen("lost", 1, 2))
-		So(errors.Is(err, port.ErrBroken), ShouldBeTrue)
+		So(errors.Is(err, port.ErrConnectionLost), ShouldBeTrue)
 
 		So(e.SetFaults(Faults{CrossAnswers: 1}), ShouldBeNil)
 		a, b := open(e, gen("a", 1, 2)), open(e, gen("b", 1, 2))
@@ -215,7 +215,7 @@
 		wg.Go(func() { _, _, errs[0] = finish(a) })
 		wg.Go(func() { _, _, errs[1] = finish(b) })
 		wg.Wait()
-		So(errors.Is(errs[0], port.ErrCrossed) && errors.Is(errs[1], port.ErrCrossed), ShouldBeTrue)
+		So(errors.Is(errs[0], port.ErrRequestMismatch) && errors.Is(errs[1], port.ErrRequestMismatch), ShouldBeTrue)
 		_, _, err = finish(open(e, gen("c", 1, 2)))
 		So(err, ShouldBeNil)
 
@@ -224,9 +224,9 @@
 		r := gen("poison", 1, 1)
 		r.Prompt = "a poison b"
 		_, _, err = finish(open(e, r))
-		So(errors.Is(err, port.ErrBroken), ShouldBeTrue)
+		So(errors.Is(err, port.ErrConnectionLost), ShouldBeTrue)
 		_, _, err = finish(bystander)
-		So(errors.Is(err, port.ErrBroken), ShouldBeTrue)
+		So(errors.Is(err, port.ErrConnectionLost), ShouldBeTrue)
 		_, err = e.Run(background, gen("d", 1, 1))
 		So(errors.Is(err, port.ErrNotSent), ShouldBeTrue)
 		<-time.After(1_100 * time.Millisecond)
@@ -240,7 +240,7 @@
 func TestEchoIsWholeFromAnyOffset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.String().Draw(t, "text")
-		x := newRun(port.Run{Last: PrefixEcho + text, MaxTokens: 1}, time.Now())
+		x := newRun(port.Run{LastMessage: PrefixEcho + text, MaxTokens: 1}, time.Now())
 		e := &Engine{}
 		from := rapid.IntRange(0, x.total).Draw(t, "from")
 		var got strings.Builder
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -118,7 +118,7 @@
 var routes = map[string]route{
 	wire.PathRun: taking(func(e *Engine, ctx *fasthttp.RequestCtx, m wire.Run) error {
 		return streamTo(ctx)(e.start(port.Run{
-			RequestID: m.RequestID, Model: m.Model, Version: m.Version, Prompt: m.Prompt, Last: m.Last,
+			RequestID: m.RequestID, Model: m.Model, Version: m.Version, Prompt: m.Prompt, LastMessage: m.LastMessage,
 			PromptTokens: m.PromptTokens, MaxTokens: m.MaxTokens, Blocks: m.Blocks,
 		}))
 	}),
@@ -158,7 +158,7 @@
 func cacheEvents(e *Engine, ctx *fasthttp.RequestCtx) error {
 	after, err := strconv.ParseUint(string(ctx.QueryArgs().Peek("after")), 10, 64)
 	if err != nil {
-		return errors.Wrap(port.ErrFailed, "after is no number")
+		return errors.Wrap(port.ErrRunFailed, "after is no number")
 	}
 	var m wire.CacheEvents
 	for _, ev := range e.cacheEvents(after) {
--- a/internal/standin/objectstore/http.go
+++ b/internal/standin/objectstore/http.go
@@ -111,13 +111,13 @@
 		body := bytes.Clone(c.PostBody()) // a slow write outlives the handler
 		if args.Has(wire.ArgCreate) {
 			v, err := s.Create(c, kind, name, body)
-			return wire.Written{Version: v}, err
+			return wire.WriteResponse{Version: v}, err
 		}
 		v, err := s.Update(c, kind, name, body, version(args, wire.ArgExpected))
-		return wire.Written{Version: v}, err
+		return wire.WriteResponse{Version: v}, err
 	case "DELETE " + wire.PathObject:
 		v, err := s.Delete(c, kind, name, version(args, wire.ArgExpected))
-		return wire.Written{Version: v}, err
+		return wire.WriteResponse{Version: v}, err
 	case "GET " + wire.PathObjects:
 		return s.List(c, kind, string(args.Peek(wire.ArgPrefix)))
 	case "GET " + wire.PathWatch:
@@ -126,7 +126,7 @@
 		return s.VMs(c)
 	case "POST " + wire.PathReserve:
 		wait, err := s.Reserve(c, string(args.Peek(wire.ArgModel)), string(args.Peek(wire.ArgVersion)))
-		return wire.Reserved{WaitMs: wait.Milliseconds() + boolToInt(wait > 0)}, err
+		return wire.ReserveResponse{WaitMs: wait.Milliseconds() + boolToInt(wait > 0)}, err
 	default:
 		return s.control(c, method+" "+string(c.Path()))
 	}
@@ -139,7 +139,7 @@
 	}
 	wait := time.Duration(args.GetUintOrZero(wire.ArgWaitMs)) * time.Millisecond
 	events, next, err := s.Watch(c, list, version(args, wire.ArgAfter), wait)
-	return wire.Watched{Events: events, Version: next}, err
+	return wire.WatchResponse{Events: events, Version: next}, err
 }
 
 // control answers the stand-in's own paths.
--- a/objectstore/callonce/callonce.go
+++ b/objectstore/callonce/callonce.go
@@ -22,10 +22,10 @@
 	// MaxConns bounds the connections; a call beyond them was not made. Zero
 	// takes the library's default of 512.
 	MaxConns int
-	// IdleAge is how long a connection is kept for the next call.
-	IdleAge time.Duration
-	// MaxAnswerBytes bounds an answer.
-	MaxAnswerBytes int
+	// IdleTimeout is how long a connection is kept for the next call.
+	IdleTimeout time.Duration
+	// MaxResponseBytes bounds an answer.
+	MaxResponseBytes int
 }
 
 // Call is one HTTP call.
@@ -45,8 +45,8 @@
 	return &Client{http: &fasthttp.HostClient{
 		Addr:                o.Addr,
 		MaxConns:            o.MaxConns,
-		MaxIdleConnDuration: o.IdleAge,
-		MaxResponseBodySize: o.MaxAnswerBytes,
+		MaxIdleConnDuration: o.IdleTimeout,
+		MaxResponseBodySize: o.MaxResponseBytes,
 		// The library would repeat a GET and a PUT whose connection broke. Who
 		// repeats a call decides that with its outcome in mind.
 		MaxIdemponentCallAttempts: 1,
@@ -65,43 +65,43 @@
 
 // Do makes a call and returns the body of a successful answer. The error is an
 // *OutcomeError.
-func (c *Client) Do(k Call, deadline time.Time) ([]byte, error) {
+func (c *Client) Do(call Call, deadline time.Time) ([]byte, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	c.fill(req, k)
+	c.fillRequest(req, call)
 	if err := c.http.DoDeadline(req, resp, deadline); err != nil {
-		return nil, c.failed(err)
+		return nil, c.outcomeError(err)
 	}
-	if err := objectstore.StatusError(resp.StatusCode()); err != nil {
+	if err := objectstore.ErrorFromStatus(resp.StatusCode()); err != nil {
 		return nil, &OutcomeError{err, errors.Errorf("status %d", resp.StatusCode())}
 	}
 	return bytes.Clone(resp.Body()), nil
 }
 
-func (c *Client) fill(req *fasthttp.Request, k Call) {
-	req.Header.SetMethod(k.Method)
+func (c *Client) fillRequest(req *fasthttp.Request, call Call) {
+	req.Header.SetMethod(call.Method)
 	req.URI().SetScheme("http")
 	req.URI().SetHost(c.http.Addr)
-	req.URI().SetPath(k.Path)
-	if k.Query != nil {
-		k.Query(req.URI().QueryArgs())
+	req.URI().SetPath(call.Path)
+	if call.Query != nil {
+		call.Query(req.URI().QueryArgs())
 	}
-	if k.Body != nil {
+	if call.Body != nil {
 		req.Header.SetContentType("application/json")
-		req.SetBodyRaw(k.Body)
+		req.SetBodyRaw(call.Body)
 	}
 }
 
-// failed says what a failed exchange proves: without a connection no byte
+// outcomeError says what a failed exchange proves: without a connection no byte
 // left, otherwise the outcome is unknown.
 //
 // A connection can go silent for good while new ones work; one would see calls
 // time out for minutes, until TCP gives up. So the idle connections, which were
 // opened through the same path, are closed with it.
-func (c *Client) failed(err error) error {
-	var refused *connectError
-	if errors.As(err, &refused) || errors.Is(err, fasthttp.ErrNoFreeConns) {
+func (c *Client) outcomeError(err error) error {
+	var connectErr *connectError
+	if errors.As(err, &connectErr) || errors.Is(err, fasthttp.ErrNoFreeConns) {
 		return &OutcomeError{objectstore.ErrUnavailable, err}
 	}
 	c.http.CloseIdleConnections()
--- a/objectstore/callonce/callonce_test.go
+++ b/objectstore/callonce/callonce_test.go
@@ -15,8 +15,8 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// dropper reads requests and closes their connections without an answer.
-func dropper(t *testing.T) (address string, requests *atomic.Int64) {
+// serveWithoutAnswer reads requests and closes their connections without an answer.
+func serveWithoutAnswer(t *testing.T) (address string, requests *atomic.Int64) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -43,8 +43,8 @@
 func TestEachCallIsSentOnce(t *testing.T) {
 	Convey("A call whose connection breaks is not repeated, and its outcome is unknown", t, func() {
 		for _, method := range []string{"GET", "PUT", "POST", "DELETE"} {
-			address, requests := dropper(t)
-			c := New(Options{Addr: address, ConnectTimeout: time.Second, IdleAge: time.Second})
+			address, requests := serveWithoutAnswer(t)
+			c := New(Options{Addr: address, ConnectTimeout: time.Second, IdleTimeout: time.Second})
 			_, err := c.Do(Call{Method: method, Path: "/x"}, time.Now().Add(10*time.Second))
 			So(errors.Is(err, objectstore.ErrUnknownOutcome), ShouldBeTrue)
 			So(requests.Load(), ShouldEqual, 1)
--- a/objectstore/httpobjectstore/httpobjectstore.go
+++ b/objectstore/httpobjectstore/httpobjectstore.go
@@ -22,12 +22,12 @@
 	defaultConnectTimeout = time.Second
 	defaultCallTimeout    = 2 * time.Second
 	defaultMaxConns       = 64
-	// idleConnAge is short of any server's idle timeout: a connection that
+	// idleConnTimeout is short of any server's idle timeout: a connection that
 	// the server has closed looks healthy until a request is written to it,
 	// and the request's outcome is then unknown.
-	idleConnAge = 5 * time.Second
-	// maxAnswerBytes bounds an answer: a listing holds many objects.
-	maxAnswerBytes = 256 << 20
+	idleConnTimeout = 5 * time.Second
+	// maxResponseBytes bounds an answer: a listing holds many objects.
+	maxResponseBytes = 256 << 20
 )
 
 // Metric groups.
@@ -85,13 +85,13 @@
 		timeout: o.CallTimeout,
 		metrics: o.Metrics,
 		store: callonce.New(callonce.Options{
-			Addr: o.Addr, ConnectTimeout: o.ConnectTimeout, MaxConns: o.MaxConns, IdleAge: idleConnAge, MaxAnswerBytes: maxAnswerBytes,
+			Addr: o.Addr, ConnectTimeout: o.ConnectTimeout, MaxConns: o.MaxConns, IdleTimeout: idleConnTimeout, MaxResponseBytes: maxResponseBytes,
 		}),
 	}
 }
 
-// call is one HTTP call.
-type call struct {
+// operation is one HTTP call.
+type operation struct {
 	name   string // of its counter
 	method string
 	path   string
@@ -100,10 +100,10 @@
 	wait   time.Duration // that the server may hold the answer
 }
 
-// read does a call without effect; it is repeated once on a new connection
+// doWithRetry does a call without effect; it is repeated once on a new connection
 // when the first one broke or went silent.
-func (c *Client) read(ctx context.Context, k call, answer any) error {
-	err := c.write(ctx, k, answer)
+func (c *Client) doWithRetry(ctx context.Context, op operation, out any) error {
+	err := c.do(ctx, op, out)
 	if !errors.Is(err, objectstore.ErrUnknownOutcome) || ctx.Err() != nil {
 		return err
 	}
@@ -112,26 +112,26 @@
 		reason = retryTimeout
 	}
 	c.metrics.Counter(groupRetries, reason).Add(1)
-	return c.write(ctx, k, answer)
+	return c.do(ctx, op, out)
 }
 
-// write does a call once and decodes its answer.
-func (c *Client) write(ctx context.Context, k call, answer any) error {
-	c.metrics.Counter(groupCalls, k.name).Add(1)
-	err := c.once(ctx, k, answer)
+// do does a call once and decodes its answer.
+func (c *Client) do(ctx context.Context, op operation, out any) error {
+	c.metrics.Counter(groupCalls, op.name).Add(1)
+	err := c.roundTrip(ctx, op, out)
 	if err != nil {
 		c.metrics.Counter(groupErrors, objectstore.ErrorName(err)).Add(1)
 	}
-	return errors.Wrap(err, k.name)
+	return errors.Wrap(err, op.name)
 }
 
-// once sends the request from a goroutine of its own, since fasthttp knows no
+// roundTrip sends the request from a goroutine of its own, since fasthttp knows no
 // contexts: a caller that gives up learns at once that the outcome is unknown.
-func (c *Client) once(ctx context.Context, k call, answer any) error {
+func (c *Client) roundTrip(ctx context.Context, op operation, out any) error {
 	if ctx.Err() != nil {
 		return &callonce.OutcomeError{Outcome: objectstore.ErrUnavailable, Cause: ctx.Err()}
 	}
-	deadline := time.Now().Add(c.timeout + k.wait)
+	deadline := time.Now().Add(c.timeout + op.wait)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
@@ -140,7 +140,7 @@
 		err  error
 	}
 	done := make(chan result, 1)
-	sent := callonce.Call{Method: k.method, Path: k.path, Query: k.args, Body: bytes.Clone(k.body)} // the caller may reuse its own
+	sent := callonce.Call{Method: op.method, Path: op.path, Query: op.args, Body: bytes.Clone(op.body)} // the caller may reuse its own
 	go func() {
 		body, err := c.store.Do(sent, deadline)
 		done <- result{body, err}
@@ -150,7 +150,7 @@
 		if r.err != nil {
 			return r.err
 		}
-		if err := json.Unmarshal(r.body, answer); err != nil {
+		if err := json.Unmarshal(r.body, out); err != nil {
 			return &callonce.OutcomeError{Outcome: objectstore.ErrUnknownOutcome, Cause: err}
 		}
 		return nil
--- a/objectstore/httpobjectstore/httpobjectstore_test.go
+++ b/objectstore/httpobjectstore/httpobjectstore_test.go
@@ -114,7 +114,7 @@
 
 // Guards against this: a write is done twice although its caller sent it once.
 func TestNoWriteIsRepeated(t *testing.T) {
-	var seen atomic.Int64
+	var requests atomic.Int64
 	ln := listen(t)
 	go func() {
 		for {
@@ -123,13 +123,13 @@
 				return
 			}
 			if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-				seen.Add(1)
+				requests.Add(1)
 			}
 			_ = conn.Close()
 		}
 	}()
 	Convey("Given a server that closes after reading", t, func() {
-		seen.Store(0)
+		requests.Store(0)
 		reg := metrics.New()
 		c := httpobjectstore.New(httpobjectstore.Options{Addr: ln.Addr().String(), Metrics: reg})
 		ctx := context.Background()
@@ -139,22 +139,22 @@
 				func() error { _, err := c.Update(ctx, kind, "a", nil, 1); return err },
 				func() error { _, err := c.Delete(ctx, kind, "a", 1); return err },
 			} {
-				before := seen.Load()
+				before := requests.Load()
 				So(errors.Is(write(), objectstore.ErrUnknownOutcome), ShouldBeTrue)
-				So(seen.Load()-before, ShouldEqual, 1)
+				So(requests.Load()-before, ShouldEqual, 1)
 			}
 		})
 		Convey("a read is sent twice, and counted", func() {
 			_, err := c.Get(ctx, kind, "a")
 			So(errors.Is(err, objectstore.ErrUnknownOutcome), ShouldBeTrue)
-			So(seen.Load(), ShouldEqual, 2)
+			So(requests.Load(), ShouldEqual, 2)
 			So(reg.Counter("platform_retries", "broken").Value(), ShouldEqual, 1)
 		})
 	})
 	Convey("A refused connect certainly had no effect", t, func() {
-		gone := listen(t)
-		_ = gone.Close()
-		_, err := httpobjectstore.New(httpobjectstore.Options{Addr: gone.Addr().String()}).Create(context.Background(), kind, "a", nil)
+		closed := listen(t)
+		_ = closed.Close()
+		_, err := httpobjectstore.New(httpobjectstore.Options{Addr: closed.Addr().String()}).Create(context.Background(), kind, "a", nil)
 		So(errors.Is(err, objectstore.ErrUnavailable), ShouldBeTrue)
 	})
 }
--- a/objectstore/httpobjectstore/wire/wire.go
+++ b/objectstore/httpobjectstore/wire/wire.go
@@ -29,18 +29,18 @@
 	ArgVersion  = "version"
 )
 
-// Written answers a write.
-type Written struct {
+// WriteResponse answers a write.
+type WriteResponse struct {
 	Version objectstore.Version `json:"version"`
 }
 
-// Watched answers a watch.
-type Watched struct {
+// WatchResponse answers a watch.
+type WatchResponse struct {
 	Events  []objectstore.Event `json:"events"`
 	Version objectstore.Version `json:"version"`
 }
 
-// Reserved answers a weight store's reservation; zero is a grant.
-type Reserved struct {
+// ReserveResponse answers a weight store's reservation; zero is a grant.
+type ReserveResponse struct {
 	WaitMs int64 `json:"wait_ms"`
 }
--- a/objectstore/status.go
+++ b/objectstore/status.go
@@ -6,9 +6,9 @@
 	"github.com/pkg/errors"
 )
 
-// StatusError maps the HTTP status of a store's answer to an error of the
+// ErrorFromStatus maps the HTTP status of a store's answer to an error of the
 // ports; nil is success. A status that is not known proves nothing.
-func StatusError(status int) error {
+func ErrorFromStatus(status int) error {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
 		return nil
--- a/placement/controller_test.go
+++ b/placement/controller_test.go
@@ -49,7 +49,7 @@
 	defer m.mu.Unlock()
 	if m.missProbes > 0 {
 		m.missProbes--
-		return engine.LoadReport{}, engine.ErrBroken
+		return engine.LoadReport{}, engine.ErrConnectionLost
 	}
 	return engine.LoadReport{Slots: 8, Models: slices.Clone(m.models), Warming: time.Now().Before(m.loadedAt)}, nil
 }
--- a/service/httpservice/header.go
+++ b/service/httpservice/header.go
@@ -8,20 +8,20 @@
 	"github.com/lycheekeel/lycheekeel/internal/httpconn"
 )
 
-// ownHeaders are set here, in canonical form.
-var ownHeaders = map[string]bool{"Host": true, "X-Request-Id": true}
+// adapterHeaders are set here, in canonical form.
+var adapterHeaders = map[string]bool{"Host": true, "X-Request-Id": true}
 
-// passedOn returns the headers of a message that go on to the other side.
-func passedOn(header [][2]string) [][2]string {
-	named := map[string]bool{}
+// endToEndHeaders returns the headers of a message that go on to the other side.
+func endToEndHeaders(header [][2]string) [][2]string {
+	connectionOptions := map[string]bool{}
 	for _, h := range header {
 		if strings.EqualFold(h[0], "connection") {
-			maps.Copy(named, httpconn.ConnectionOptions(h[1]))
+			maps.Copy(connectionOptions, httpconn.ConnectionOptions(h[1]))
 		}
 	}
 	var out [][2]string
 	for _, h := range header {
-		if !httpconn.HopByHop(h[0], named) && !ownHeaders[textproto.CanonicalMIMEHeaderKey(h[0])] {
+		if !httpconn.HopByHop(h[0], connectionOptions) && !adapterHeaders[textproto.CanonicalMIMEHeaderKey(h[0])] {
 			out = append(out, h)
 		}
 	}
--- a/service/httpservice/service.go
+++ b/service/httpservice/service.go
@@ -23,19 +23,19 @@
 	// HeaderRequestID carries Call.RequestID.
 	HeaderRequestID = "X-Request-Id"
 
-	// maxReplyBytes bounds an answer, which is held in memory.
-	maxReplyBytes = 64 << 20
-	// DefaultAnswer is the default of Settings.Answer.
-	DefaultAnswer = 30 * time.Second
+	// maxResponseBytes bounds an answer, which is held in memory.
+	maxResponseBytes = 64 << 20
+	// DefaultResponseTimeout is the default of Settings.Answer.
+	DefaultResponseTimeout = 30 * time.Second
 )
 
 // Settings of a Dialer. A zero field takes its default.
 type Settings struct {
 	httpconn.Settings
-	// Answer is the longest wait for the next byte of an answer. A plain
+	// ResponseTimeout is the longest wait for the next byte of an answer. A plain
 	// service sends no keepalive while it works, so this also bounds the
 	// work. Default 30 s.
-	Answer time.Duration
+	ResponseTimeout time.Duration
 }
 
 // Dialer keeps one Service per address. It is safe for concurrent use.
@@ -58,16 +58,16 @@
 
 // Service is one plain service's server. It is safe for concurrent use.
 type Service struct {
-	pool   *httpconn.Pool
-	answer time.Duration
+	pool            *httpconn.Pool
+	responseTimeout time.Duration
 }
 
 // New returns the service at the address (host:port). It does not connect.
 func New(address string, s Settings) *Service {
-	if s.Answer <= 0 {
-		s.Answer = DefaultAnswer
+	if s.ResponseTimeout <= 0 {
+		s.ResponseTimeout = DefaultResponseTimeout
 	}
-	return &Service{pool: httpconn.NewPool(address, s.Settings), answer: s.Answer}
+	return &Service{pool: httpconn.NewPool(address, s.Settings), responseTimeout: s.ResponseTimeout}
 }
 
 // Do implements service.Service. A call that is no well-formed HTTP fails
@@ -79,23 +79,23 @@
 	if err := fillRequest(req, s.pool.Address(), c); err != nil {
 		return service.Reply{}, errors.Wrap(engine.ErrNotSent, err.Error())
 	}
-	conn, err := s.pool.Send(ctx, req, httpconn.MustDial, c.Sending)
+	conn, err := s.pool.Send(ctx, req, httpconn.MustDial, c.BeforeSend)
 	if err != nil {
 		return service.Reply{}, err
 	}
-	conn.SetSilenceTimeout(s.answer)
-	return s.read(ctx, conn, c.Method)
+	conn.SetSilenceTimeout(s.responseTimeout)
+	return s.readReply(ctx, conn, c.Method)
 }
 
-func (s *Service) read(ctx context.Context, conn *httpconn.Conn, method string) (service.Reply, error) {
+func (s *Service) readReply(ctx context.Context, conn *httpconn.Conn, method string) (service.Reply, error) {
 	if err := conn.Bind(ctx); err != nil {
 		conn.Discard()
-		return service.Reply{}, errors.Wrapf(engine.ErrBroken, "%s: %v", s.pool.Address(), err)
+		return service.Reply{}, errors.Wrapf(engine.ErrConnectionLost, "%s: %v", s.pool.Address(), err)
 	}
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	resp.SkipBody = method == fasthttp.MethodHead
-	if err := resp.ReadLimitBody(conn.Reader, maxReplyBytes); err != nil {
+	if err := resp.ReadLimitBody(conn.Reader, maxResponseBytes); err != nil {
 		err = conn.WrapError(err)
 		conn.Discard()
 		return service.Reply{}, err
@@ -108,7 +108,7 @@
 	if string(resp.Header.Peek(HeaderNotRun)) == "true" {
 		return service.Reply{}, errors.Wrapf(engine.ErrRefusedNotRun, "%s: status %d", s.pool.Address(), resp.StatusCode())
 	}
-	return replyOf(resp), nil
+	return newReply(resp), nil
 }
 
 func fillRequest(req *fasthttp.Request, address string, c service.Call) error {
@@ -124,7 +124,7 @@
 			return errors.Errorf("header %q is not well-formed", h[0])
 		}
 	}
-	for _, h := range passedOn(c.Header) {
+	for _, h := range endToEndHeaders(c.Header) {
 		req.Header.Add(h[0], h[1])
 	}
 	if !validValue(c.RequestID) {
@@ -135,12 +135,12 @@
 	return nil
 }
 
-func replyOf(resp *fasthttp.Response) service.Reply {
+func newReply(resp *fasthttp.Response) service.Reply {
 	reply := service.Reply{Status: resp.StatusCode(), Body: append([]byte(nil), resp.Body()...)}
 	var all [][2]string
 	for k, v := range resp.Header.All() {
 		all = append(all, [2]string{string(k), string(v)})
 	}
-	reply.Header = passedOn(all)
+	reply.Header = endToEndHeaders(all)
 	return reply
 }
--- a/service/httpservice/service_test.go
+++ b/service/httpservice/service_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func deadline(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	t.Cleanup(cancel)
 	return ctx
@@ -52,7 +52,7 @@
 	Convey("method, path, query and body arrive as they are, with our request id", t, func() {
 		core, s := serve(t, httpservice.Settings{})
 		for range 2 {
-			reply, err := s.Do(deadline(t), call("r"))
+			reply, err := s.Do(testContext(t), call("r"))
 			So(err, ShouldBeNil)
 			So(reply.Status, ShouldEqual, 200)
 			var echo standin.Echo
@@ -81,18 +81,18 @@
 		want   error
 		count  int
 	}{
-		{"read and closed", standin.Faults{CloseAfterRead: true}, engine.ErrBroken, 1},
-		{"read and silent", standin.Faults{Silent: true}, engine.ErrBroken, 1},
+		{"read and closed", standin.Faults{CloseAfterRead: true}, engine.ErrConnectionLost, 1},
+		{"read and silent", standin.Faults{Silent: true}, engine.ErrConnectionLost, 1},
 		{"refused", standin.Faults{Refuse: true}, engine.ErrRefusedNotRun, 0},
 	}
 	for _, c := range cases {
 		Convey(c.name+", with an idle connection at hand and without one", t, func() {
 			core, s := serve(t, httpservice.Settings{})
-			_, err := s.Do(deadline(t), call("first"))
+			_, err := s.Do(testContext(t), call("first"))
 			So(err, ShouldBeNil)
 			core.SetFaults(c.faults)
 			for _, id := range []string{"a", "b"} {
-				ctx, cancel := context.WithCancel(deadline(t))
+				ctx, cancel := context.WithCancel(testContext(t))
 				var wg conc.WaitGroup
 				wg.Go(func() { // a caller of a silent service gives up some time after the call came in
 					for c.faults.Silent && core.Count(id) == 0 && ctx.Err() == nil {
@@ -127,12 +127,12 @@
 		}
 		sending := 0
 		for _, c := range bad {
-			c.Sending = func() error { sending++; return nil }
-			_, err := s.Do(deadline(t), c)
+			c.BeforeSend = func() error { sending++; return nil }
+			_, err := s.Do(testContext(t), c)
 			So(errors.Is(err, engine.ErrNotSent), ShouldBeTrue)
 		}
-		nobody := httpservice.NewDialer(httpservice.Settings{Settings: httpconn.Settings{DialTimeout: time.Second}}).Service("127.0.0.1:1")
-		_, err := nobody.Do(deadline(t), service.Call{Method: "GET", Path: "/", Sending: func() error { sending++; return nil }})
+		unreachable := httpservice.NewDialer(httpservice.Settings{Settings: httpconn.Settings{DialTimeout: time.Second}}).Service("127.0.0.1:1")
+		_, err := unreachable.Do(testContext(t), service.Call{Method: "GET", Path: "/", BeforeSend: func() error { sending++; return nil }})
 		So(errors.Is(err, engine.ErrNotSent), ShouldBeTrue)
 		So(sending, ShouldEqual, 0)
 		So(core.Calls(), ShouldBeEmpty)
--- a/service/service.go
+++ b/service/service.go
@@ -11,8 +11,8 @@
 	Path      string // path and query below /services/{service}
 	Header    [][2]string
 	Body      []byte
-	// Sending is as in engine.Run.
-	Sending func() error
+	// BeforeSend is as in engine.Run.
+	BeforeSend func() error
 }
 
 // Reply is a service's whole answer.
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -43,10 +43,10 @@
 	}},
 	{"harm a server's link", func(f *fleet, r *rand.Rand) func() { return harm(pick(r, f.servers).proxy, r) }},
 	{"store misbehaves", func(f *fleet, r *rand.Rand) func() {
-		f.store.Fail(pick(r, []standin.Faults{{Busy: true}, {Silent: true}, {LoseWrites: true}, {MuteWatches: true}}))
-		return func() { f.store.Fail(standin.Faults{}) }
+		f.store.SetFaults(pick(r, []standin.Faults{{Busy: true}, {Silent: true}, {LoseWriteAnswers: true}, {StallWatches: true}}))
+		return func() { f.store.SetFaults(standin.Faults{}) }
 	}},
-	{"store forgets its history", func(f *fleet, _ *rand.Rand) func() { f.store.Forget(); return nil }},
+	{"store forgets its history", func(f *fleet, _ *rand.Rand) func() { f.store.Compact(); return nil }},
 	{"server is busy", func(f *fleet, r *rand.Rand) func() {
 		s := pick(r, f.servers)
 		s.SetBusy(true)
--- a/test/soak/fleet_test.go
+++ b/test/soak/fleet_test.go
@@ -110,12 +110,12 @@
 	f.config = &standin.Configuration{
 		Tenant: "space",
 		Routes: []standin.Route{
-			{Prefix: "/s/once/", Type: "stream", Service: "llm", Attempts: 1, TimeoutMs: int(onceTimeout.Milliseconds())},
-			{Prefix: "/s/resume/", Type: "stream", Service: "llm", Attempts: 2, Resume: true, TimeoutMs: 8000},
-			{Prefix: "/once/", Type: "non_idempotent", Service: "app", Attempts: 1, TimeoutMs: 8000},
-			{Prefix: "/again/", Type: "idempotent", Service: "app", Attempts: 2, TimeoutMs: 8000},
+			{Prefix: "/s/once/", Type: "stream", Service: "llm", MaxAttempts: 1, TimeoutMs: int(onceTimeout.Milliseconds())},
+			{Prefix: "/s/resume/", Type: "stream", Service: "llm", MaxAttempts: 2, Resumable: true, TimeoutMs: 8000},
+			{Prefix: "/once/", Type: "non_idempotent", Service: "app", MaxAttempts: 1, TimeoutMs: 8000},
+			{Prefix: "/again/", Type: "idempotent", Service: "app", MaxAttempts: 2, TimeoutMs: 8000},
 		},
-		Engines: map[string]int{"llm": 8}, Plain: []string{"app"},
+		Engines: map[string]int{"llm": 8}, PlainServices: []string{"app"},
 	}
 	for i := range 3 {
 		f.addServer([]string{"llm", "app"}[i%2])
@@ -157,7 +157,7 @@
 
 func (f *fleet) addServer(service string) *server {
 	f.made++
-	s := &server{service: service, Server: &standin.Server{ID: fmt.Sprintf("i-%d", f.made), Events: 30, EventEvery: f.eventEvery}}
+	s := &server{service: service, Server: &standin.Server{ID: fmt.Sprintf("i-%d", f.made), Events: 30, EventInterval: f.eventEvery}}
 	address, stop := f.serve(s.Serve)
 	s.stop, s.proxy = stop, f.proxy(address)
 	f.servers = append(f.servers, s)
--- a/test/soak/rollout_test.go
+++ b/test/soak/rollout_test.go
@@ -23,7 +23,7 @@
 		s := &server{service: "app", Server: &standin.Server{ID: fmt.Sprintf("i-%d", f.made), Fails: func(int) bool { return true }}}
 		address, stop := f.serve(s.Serve)
 		s.stop, s.proxy = stop, f.proxy(address)
-		f.store.PutVersion(s.ID, "app", s.proxy.Addr(), badVersion, 8)
+		f.store.PutServerVersion(s.ID, "app", s.proxy.Addr(), badVersion, 8)
 		f.bad = append(f.bad, s)
 	}
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -126,8 +126,8 @@
 	}
 	for id, all := range runs {
 		for _, a := range all {
-			if a.Key || a.Tenant != "space" {
-				f.t.Errorf("%s: the key was passed on (%v), or its workspace is %q", id, a.Key, a.Tenant)
+			if a.HasKey || a.Tenant != "space" {
+				f.t.Errorf("%s: the key was passed on (%v), or its workspace is %q", id, a.HasKey, a.Tenant)
 			}
 		}
 	}
