--- a/internal/httpconn/alive_other.go
+++ b/internal/httpconn/alive_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// alive reports false: without a way to check, no connection is reused.
+// alive returns false: this platform has no check, so no connection is reused.
 func alive(syscall.RawConn) bool { return false }
--- a/internal/httpconn/alive_unix.go
+++ b/internal/httpconn/alive_unix.go
@@ -4,14 +4,14 @@
 
 import "syscall"
 
-// alive peeks at an idle connection without waiting. An idle connection has
-// nothing to read: an end of file means that the peer closed it, and any byte
-// that the peer is out of step.
+// alive peeks at an idle connection without blocking. An idle connection must have
+// nothing to read: end of file means that the peer closed it, and a byte means that the
+// peer is out of step with the exchanges.
 //
-// What goes wrong without it: the peer closes an idle connection, the next
-// request is written to it and lost, and nobody can say whether it ran. One
-// would notice unknown outcomes in a quiet system. The check costs one system
-// call and leaves only the moment between it and the write.
+// Without it, the next request may be written to a connection that the peer has closed.
+// It is lost, and nobody can tell whether it ran; the symptom is unknown outcomes in an
+// idle system. The check costs one system call and leaves only the interval between the
+// check and the write.
 func alive(raw syscall.RawConn) bool {
 	if raw == nil {
 		return false
--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -14,25 +14,25 @@
 	"github.com/lycheekeel/lycheekeel/engine"
 )
 
-// bufferBytes is the size of a connection's read and write buffers; a
-// response's header must fit into it.
+// bufferBytes is the size of a connection's read and write buffers. The header of a
+// response must fit into it.
 const bufferBytes = 8 << 10
 
-// writerPool are pooled: a connection needs one only while it sends.
+// writerPool holds write buffers: a connection needs one only while it sends.
 var writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferBytes) }}
 
-// Conn is one connection during one exchange. It is used by one goroutine.
+// Conn is a connection during one exchange. It is used by one goroutine at a time.
 type Conn struct {
-	// Reader reads what the peer sends. Each read from the connection waits
-	// for at most the pool's silence limit.
+	// Reader reads what the peer sends. Each read from the connection waits no longer
+	// than the silence timeout.
 	Reader *bufio.Reader
 
 	pool           *Pool
 	nc             net.Conn
-	rawConn        syscall.RawConn // nil where the platform has none
+	rawConn        syscall.RawConn // nil on platforms without one
 	silenceTimeout time.Duration
 	bytesWritten   int
-	timedOut       bool // a read or write met the silence limit
+	timedOut       bool // the last read or write exceeded the silence timeout
 	idleSince      time.Time
 	guard          ctxGuard
 }
@@ -47,21 +47,21 @@
 	return c
 }
 
-// SetSilenceTimeout changes the silence limit of this exchange.
+// SetSilenceTimeout changes the silence timeout of this exchange.
 func (c *Conn) SetSilenceTimeout(d time.Duration) { c.silenceTimeout = d }
 
-// Bind makes the end of ctx abort the connection until Leave. It returns
-// ctx's error where that has ended. To enter again with the same ctx is cheap.
+// Bind makes the end of ctx abort the connection until Unbind. It returns ctx's error
+// if ctx has already ended. Binding the same ctx again is cheap.
 func (c *Conn) Bind(ctx context.Context) error { return c.guard.bind(ctx) }
 
-// Abort ends what waits on the connection, which is of no more use. It may be called by
-// any goroutine.
+// Abort interrupts any read or write in progress; the connection can't be used again.
+// It is safe to call from any goroutine.
 func (c *Conn) Abort() { c.guard.abort() }
 
-// Unbind ends what Enter began.
+// Unbind undoes Bind: the end of the context no longer aborts the connection.
 func (c *Conn) Unbind() { c.guard.unbind() }
 
-// Release gives a connection whose exchange is complete back to the pool.
+// Release returns a connection whose exchange is complete to the pool.
 func (c *Conn) Release() {
 	if !c.guard.release() || c.Reader.Buffered() > 0 {
 		c.close()
@@ -77,12 +77,12 @@
 	c.close()
 }
 
-// TimedOut tells whether the last read or write ended because the peer was silent
-// for the limit. The connection may be read on.
+// TimedOut tells whether the last read or write exceeded the silence timeout. The
+// connection may still be read after that.
 func (c *Conn) TimedOut() bool { return c.timedOut && !c.guard.wasAborted() }
 
-// WrapError wraps an error met while the answer was read as engine.ErrConnectionLost.
-// After a silence it closes the pool's idle connections.
+// WrapError wraps an error of the exchange as engine.ErrConnectionLost. If the error was a
+// silence timeout, it also closes the pool's idle connections.
 func (c *Conn) WrapError(err error) error {
 	switch {
 	case c.guard.wasAborted():
@@ -97,9 +97,9 @@
 
 func (c *Conn) close() { _ = c.nc.Close() }
 
-// writeRequest writes the request. What goes wrong: after a failed write nobody knows
-// whether the peer got the request. Counting the bytes that the operating
-// system took tells the one case where it certainly did not: none were taken.
+// writeRequest writes the request. After a failed write it is unknown in general whether
+// the peer got the request. The error is engine.ErrNotSent only if the operating system
+// took no byte at all, which is why the bytes are counted.
 func (c *Conn) writeRequest(req Request) error {
 	c.bytesWritten = 0
 	w := writerPool.Get().(*bufio.Writer)
--- a/internal/httpconn/ctxguard.go
+++ b/internal/httpconn/ctxguard.go
@@ -8,20 +8,20 @@
 	"github.com/pkg/errors"
 )
 
-// errAborted: the context ended while the exchange was waiting.
+// errAborted is returned if the context ended, or Abort was called, during the exchange.
 var errAborted = errors.New("context ended")
 
-// ctxGuard aborts a connection when the context of the call that is waiting on
-// it ends. The registration with the context outlives a call, so that a
-// stream read token by token with one context registers once. A context that
-// ends between two calls has no effect: only the next call's context counts.
+// ctxGuard aborts a connection when the context that is bound to it ends. The
+// registration with the context outlives Unbind, so a stream that is read token by token
+// under one context registers only once. A context that ends while it is not bound has no
+// effect; only the context of the next Bind counts.
 type ctxGuard struct {
 	interrupt func()
 
 	mu         sync.Mutex
-	done       <-chan struct{} // identifies the registered context
+	done       <-chan struct{} // of the registered context; identifies it
 	stop       func() bool
-	generation uint64 // tells a late callback that its context is no longer the one
+	generation uint64 // of the registration; a late callback of an earlier one is ignored
 	bound      bool
 	aborted    bool
 }
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// abort aborts the connection at once.
+// abort aborts the connection whether or not a context is bound.
 func (g *ctxGuard) abort() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -61,8 +61,8 @@
 	g.mu.Unlock()
 }
 
-// release ends the registration. It returns false where the connection was
-// aborted and must not be used again.
+// release removes the registration. It returns false if the connection was aborted and
+// must not be used again.
 func (g *ctxGuard) release() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -94,8 +94,9 @@
 	}
 }
 
-// setDeadline sets a deadline unless the exchange was aborted. Without the lock a
-// fresh deadline could undo the abort's, and the cancellation be lost.
+// setDeadline sets a deadline by set, unless the exchange was aborted. It holds the lock
+// so that a new deadline can't overwrite the one that interrupt set; otherwise the
+// cancellation would be lost.
 func (g *ctxGuard) setDeadline(set func(time.Time) error, timeout time.Duration) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/httpconn/hopbyhop.go
+++ b/internal/httpconn/hopbyhop.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// hopByHopHeaders holds the headers that concern one connection only, in canonical
-// form. To pass one on lets the two sides disagree on where a message ends
-// (request smuggling).
+// hopByHopHeaders holds the headers that apply to one connection only, in canonical
+// form. Forwarding one would let the two sides disagree on where a message ends (request
+// smuggling).
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Content-Length": true, "Expect": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true,
 	"Upgrade": true,
 }
 
-// HopByHop tells whether a header is not to be passed on. named holds those
-// that the message's Connection header names, by ConnectionOptions.
+// HopByHop tells whether a header must not be forwarded. options holds the headers that
+// the message's Connection header names, as ConnectionOptions returns them.
 func HopByHop(name string, options map[string]bool) bool {
 	name = textproto.CanonicalMIMEHeaderKey(name)
 	return hopByHopHeaders[name] || options[name]
 }
 
-// ConnectionOptions returns the headers that a Connection header's value names,
-// in canonical form; nil where it names none but the usual two.
+// ConnectionOptions returns the headers that a Connection header's value names, in
+// canonical form. It returns nil for an empty value, "keep-alive" and "close".
 func ConnectionOptions(value string) map[string]bool {
 	if value == "" || strings.EqualFold(value, "keep-alive") || strings.EqualFold(value, "close") {
 		return nil
--- a/internal/httpconn/hopbyhop_test.go
+++ b/internal/httpconn/hopbyhop_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestHopByHop(t *testing.T) {
-	Convey("Headers of one connection are known in any spelling, with those that it names", t, func() {
+	Convey("Hop-by-hop headers are recognized in any letter case, as are those that the Connection header names", t, func() {
 		options := ConnectionOptions("close, x-secret ,X-Other")
 		for _, name := range []string{"transfer-encoding", "Transfer-Encoding", "TE", "X-SECRET", "x-other", "close"} {
 			So(HopByHop(name, options), ShouldBeTrue)
@@ -17,7 +17,7 @@
 		}
 		So(HopByHop("X-Secret", nil), ShouldBeFalse)
 	})
-	Convey("The usual values name nothing", t, func() {
+	Convey("Common values of the Connection header name no further headers", t, func() {
 		for _, value := range []string{"", "close", "Keep-Alive"} {
 			So(ConnectionOptions(value), ShouldBeNil)
 		}
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -1,11 +1,11 @@
-// Package httpconn is the client side of HTTP/1.1 for dispatch: it sends a
-// request at most once and knows whether a byte of it can have left.
+// Package httpconn is an HTTP/1.1 client for dispatch. It sends a request at most once and
+// reports whether any byte of it can have been sent.
 //
-// A ready-made HTTP client hides two things that matter here. It sends a
-// request again by itself where a reused connection turns out to be dead, and
-// it does not tell whether anything was written before an error. Here one
-// Send is at most one write, on a connection that is either new or was just
-// checked to be alive, and the error says which of the two cases holds.
+// General HTTP clients hide two things that matter here. They resend a request by
+// themselves if a reused connection turns out to be closed, and their errors don't tell
+// whether anything was written. Here each Send writes the request at most once, on a
+// connection that is new or was just checked to be open, and the error tells whether
+// bytes can have been sent.
 package httpconn
 
 import (
@@ -25,12 +25,12 @@
 type Settings struct {
 	// DialTimeout bounds connecting. Default 500 ms.
 	DialTimeout time.Duration
-	// SilenceTimeout is the longest time without any byte from (or taken by) the
-	// peer during an exchange. Default 1 s.
+	// SilenceTimeout is the longest time during an exchange in which the peer sends no
+	// byte, or takes none. Default 1 s.
 	SilenceTimeout time.Duration
-	// IdleTimeout is how long an idle connection may be reused. It must be far
-	// below the peer's own idle timeout, so that the peer does not close the
-	// connection while a request is on its way. Default 1 s.
+	// IdleTimeout is how long an idle connection may be reused. It must be well below
+	// the peer's idle timeout, so that the peer does not close the connection while a
+	// request is in transit. Default 1 s.
 	IdleTimeout time.Duration
 	// MaxIdleConns is how many idle connections are kept. Default 256.
 	MaxIdleConns int
@@ -60,12 +60,12 @@
 	return s
 }
 
-// Counts are a pool's totals since it was made.
+// Counts are the totals of a pool since its creation.
 type Counts struct {
-	// Dialed, Reused: how exchanges got their connection.
+	// Dialed and Reused count the exchanges by how they got their connection.
 	Dialed, Reused uint64
-	// Expired, Dead: idle connections given up by age, or by the check before
-	// reuse.
+	// Expired and Dead count the idle connections that were closed because of their age
+	// and because of the check before reuse.
 	Expired, Dead uint64
 }
 
@@ -77,13 +77,12 @@
 
 	mu            sync.Mutex
 	idle          []*Conn // oldest first
-	reapScheduled bool    // reap will be called
+	reapScheduled bool    // a call of reap is pending
 
 	dialed, reused, expired, dead atomic.Uint64
 }
 
-// NewPool returns a pool for the address (host:port). It connects only when
-// something is sent.
+// NewPool returns a pool for an address (host:port). It connects on the first Send.
 func NewPool(address string, s Settings) *Pool {
 	s = s.withDefaults()
 	return &Pool{address: address, settings: s, dialer: net.Dialer{Timeout: s.DialTimeout}}
@@ -97,28 +96,28 @@
 	return Counts{Dialed: p.dialed.Load(), Reused: p.reused.Load(), Expired: p.expired.Load(), Dead: p.dead.Load()}
 }
 
-// ReusePolicy says whether Send must use a new connection.
+// ReusePolicy tells whether Send may use an idle connection.
 type ReusePolicy bool
 
-// The values of Fresh.
+// The values of ReusePolicy.
 const (
 	MayReuse ReusePolicy = false
-	// MustDial: whatever broke the last connection may have broken the idle
-	// ones of the same age too.
+	// MustDial forces a new connection: what broke the last connection may have broken
+	// the idle ones of the same age, too.
 	MustDial ReusePolicy = true
 )
 
-// Request is what Send writes; a *fasthttp.Request is one.
+// Request is what Send writes. *fasthttp.Request implements it.
 type Request interface {
 	Write(w *bufio.Writer) error
 }
 
-// Send writes the request once and returns the connection, from which the
-// answer is to be read; the caller must end it with Keep or Drop. The error
-// wraps engine.ErrNotSent where no byte can have left, else engine.ErrConnectionLost.
+// Send writes the request once and returns the connection to read the answer from. The
+// caller must end its use by Release or Discard. The error wraps engine.ErrNotSent if no
+// byte can have been sent, otherwise engine.ErrConnectionLost.
 //
-// sending, where not nil, is called once the connection is up and checked,
-// directly before the first byte; its error stops the request.
+// beforeWrite, if not nil, is called once the connection is open and checked, directly
+// before the first byte. An error from it cancels the send.
 func (p *Pool) Send(ctx context.Context, req Request, policy ReusePolicy, beforeWrite func() error) (*Conn, error) {
 	c, err := p.get(ctx, policy)
 	if err != nil {
@@ -143,8 +142,8 @@
 	return c, nil
 }
 
-// CloseIdle closes all idle connections. Call it where a connection went silent:
-// whatever lost track of that one has likely lost the others as well.
+// CloseIdle closes all idle connections. Call it after a silence timeout: what made the
+// peer lose track of that connection has probably affected the others as well.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	idle := p.idle
@@ -170,8 +169,8 @@
 	return newConn(p, nc), nil
 }
 
-// takeIdle returns the most recently used idle connection that is still alive
-// as far as this side can know, or nil.
+// takeIdle returns the most recently used idle connection that still appears open on this
+// side, or nil.
 func (p *Pool) takeIdle() *Conn {
 	for {
 		c := p.popIdle()
@@ -200,7 +199,7 @@
 	return c
 }
 
-// closeExpired closes the idle connections that are too old; they stand first.
+// closeExpired closes the idle connections that are too old. They are first in p.idle.
 func (p *Pool) closeExpired(now time.Time) {
 	n := 0
 	for n < len(p.idle) && now.Sub(p.idle[n].idleSince) > p.settings.IdleTimeout {
@@ -228,7 +227,7 @@
 	p.scheduleReap()
 }
 
-// scheduleReap closes idle connections also where no other use comes by.
+// scheduleReap makes idle connections expire even if the pool is not used again.
 func (p *Pool) scheduleReap() {
 	if p.reapScheduled || len(p.idle) == 0 {
 		return
