--- a/internal/callerwatch/callerwatch.go
+++ b/internal/callerwatch/callerwatch.go
@@ -1,5 +1,5 @@
-// Package callerwatch notices a caller that closes its connection while its
-// request waits or its answer is streamed.
+// Package callerwatch detects that a caller has closed its connection while its
+// request is queued or its answer is being streamed.
 package callerwatch
 
 import (
@@ -11,25 +11,25 @@
 	"github.com/pkg/errors"
 )
 
-// ErrDisconnected is the cause of a context that ended because the caller left.
+// ErrDisconnected is the cancellation cause of a context whose caller has disconnected.
 var ErrDisconnected = errors.New("caller gone")
 
-// Watch watches one connection.
+// Watch watches one caller's connection.
 //
-// What goes wrong without it: the HTTP server reads a connection only between
-// two requests, so a caller that left keeps its place in the queue, takes a
-// slot, and its prompt is computed for nobody. One would notice wasted prefill
-// that grows with the callers' impatience.
+// The HTTP server reads a connection only between two requests. Without the watch, the
+// request of a caller that has disconnected keeps its place in the queue, takes a slot,
+// and its prompt is computed for nothing. The symptom is wasted prefill that grows as
+// callers become less patient.
 //
-// The watch waits for readability in the runtime's poller and then peeks: it
-// consumes no byte, so that a pipelined request is not lost.
+// The watch waits in the runtime's poller until the connection is readable and then
+// peeks. It consumes no byte, so a pipelined request is not lost.
 type Watch struct {
 	conn net.Conn
-	done chan struct{} // closed when the watching goroutine has ended
+	done chan struct{} // closed when run has returned
 }
 
-// Start calls gone with ErrDisconnected when the caller has left. Stop must be called before
-// the connection is read again.
+// Start calls cancel with ErrDisconnected when the caller closes the connection. Stop
+// must be called before the connection is read again.
 func Start(conn net.Conn, cancel context.CancelCauseFunc) *Watch {
 	w := &Watch{conn: conn, done: make(chan struct{})}
 	sc, ok := conn.(syscall.Conn)
@@ -47,8 +47,8 @@
 	return w
 }
 
-// run waits until the connection is closed by the caller, has bytes, or Stop
-// is called.
+// run waits until the caller closes the connection, the connection has bytes to read,
+// or Stop is called.
 func (w *Watch) run(raw syscall.RawConn, cancel context.CancelCauseFunc) {
 	defer close(w.done)
 	state := connOpen
@@ -61,7 +61,7 @@
 	}
 }
 
-// Stop ends the watch and leaves the connection as the HTTP server expects it.
+// Stop ends the watch and clears the read deadline, as the HTTP server expects it.
 func (w *Watch) Stop() {
 	select {
 	case <-w.done:
@@ -72,18 +72,18 @@
 	_ = w.conn.SetReadDeadline(time.Time{})
 }
 
-// connState is what a peek shows of a caller's connection.
+// connState is the state of a caller's connection, as a peek shows it.
 type connState uint8
 
-// The states of a caller's connection. One with bytes to read (a pipelined
-// request) can't be watched any further: those bytes keep it readable.
+// The states of a caller's connection. A connection with bytes to read (a pipelined
+// request) can't be watched any further, since the unread bytes keep it readable.
 const (
 	connOpen connState = iota
 	connClosed
 	connReadable
 )
 
-// peek looks at the connection without waiting and without consuming.
+// peek returns the state of a connection. It neither blocks nor consumes bytes.
 func peek(fd int) connState {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
