--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,13 +1,13 @@
-// Package mailbox runs a part's messages one at a time without a goroutine of
-// its own while it is idle.
+// Package mailbox queues messages for a handler that runs on at most one
+// goroutine, and on none while the queue is empty.
 package mailbox
 
 import "sync"
 
-// Mailbox is a queue of messages with at most one goroutine handling it. Post
-// never blocks and may be called by the handler itself; messages are handled
-// in the order of their posting. The queue has no bound: who posts bounds what
-// is under way (waiting requests per entry, send queues per peer).
+// Mailbox is a queue whose messages are handled in order on at most one
+// goroutine. Post never blocks and may be called by the handler. The queue is
+// unbounded; its senders bound the messages in flight, such as the waiting
+// requests of an entry or the send queue of a peer.
 type Mailbox[T any] struct {
 	handle func(batch []T)
 	spawn  func(func())
@@ -18,14 +18,14 @@
 	running bool
 }
 
-// New returns a mailbox. handle gets what has come together since its last
-// call; it must not keep the slice. spawn starts the goroutine that drains the
-// mailbox; a test may run it inline to make the order of all steps fixed.
+// New returns a mailbox. handle receives all messages queued since its last call
+// and must not keep the slice. spawn starts the goroutine that drains the queue.
+// A test may run it inline for a deterministic order of steps.
 func New[T any](spawn func(func()), handle func(batch []T)) *Mailbox[T] {
 	return &Mailbox[T]{handle: handle, spawn: spawn}
 }
 
-// Post adds a message and sees to it that it is handled.
+// Post queues a message and starts the handler if it is not running.
 func (m *Mailbox[T]) Post(v T) {
 	m.mu.Lock()
 	m.queue = append(m.queue, v)
@@ -51,7 +51,8 @@
 	}
 }
 
-// take returns the queued messages, or nil where the mailbox is now idle.
+// take returns the queued messages, or nil if there are none and the mailbox
+// becomes idle.
 func (m *Mailbox[T]) take() []T {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -7,9 +7,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// TestOneAtATime checks that messages of many posters, and those that the
-// handler posts itself, are handled one batch at a time, all of them, and in
-// order of each poster.
+// Guards against concurrent calls of the handler, and against messages that are
+// lost or reordered, including those that the handler posts itself.
 func TestHandlesBatchesSerially(t *testing.T) {
 	const posters, perPoster = 8, 2000
 	type message struct{ poster, n int }
@@ -19,15 +18,15 @@
 	handled, all := 0, make(chan struct{})
 	box = New(func(f func()) { go f() }, func(batch []message) {
 		if handling.Add(1) != 1 {
-			t.Error("two handlers at once")
+			t.Error("handler called concurrently")
 		}
 		for _, m := range batch {
 			if m.n != last[m.poster]+1 {
-				t.Errorf("poster %d: %d after %d", m.poster, m.n, last[m.poster])
+				t.Errorf("poster %d: message %d handled after message %d", m.poster, m.n, last[m.poster])
 			}
 			last[m.poster] = m.n
 			if m.poster == 0 && m.n < perPoster {
-				box.Post(message{0, m.n + 1}) // by the handler itself
+				box.Post(message{0, m.n + 1}) // the handler posts as well
 			}
 			if handled++; handled == posters*perPoster {
 				close(all)
