--- a/internal/poolhost/broadcast.go
+++ b/internal/poolhost/broadcast.go
@@ -11,10 +11,11 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// maxSuspects bounds the fingerprints that a host remembers.
+// maxSuspects limits the number of fingerprints that a host remembers.
 const maxSuspects = 1024
 
-// suspects remembers what was shared, for pools that this daemon takes later.
+// suspects remembers the suspect fingerprints that were shared, so that pools
+// taken over later learn of them.
 type suspects struct {
 	mu    sync.Mutex
 	known *simplelru.LRU[uint64, knownSuspect]
@@ -28,7 +29,7 @@
 func newSuspects() *suspects {
 	known, err := simplelru.NewLRU[uint64, knownSuspect](maxSuspects, nil)
 	if err != nil {
-		panic(err) // only for a size below one
+		panic(err) // NewLRU fails for a size below 1 only
 	}
 	return &suspects{known: known}
 }
@@ -39,7 +40,7 @@
 	s.known.Add(ev.Fingerprint, knownSuspect{ev.State, now.Add(ev.ExpiresIn)})
 }
 
-// replayTo tells a new runtime what is known.
+// replayTo posts the known suspects to a new runtime.
 func (s *suspects) replayTo(r *Runtime, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +52,7 @@
 	}
 }
 
-// broadcastSuspect tells this daemon's other pools and every other member.
+// broadcastSuspect sends a suspect to this daemon's other pools and to all members.
 func (h *Host) broadcastSuspect(from *Runtime, c pool.ShareSuspect) {
 	h.count.suspectsShared.Add(1)
 	ev := pool.SuspectShared(c)
@@ -62,7 +63,8 @@
 	payload := poolwire.EncodeSuspect(ev)
 	for _, m := range h.cfg.View.Load().Members {
 		if m.Name != h.cfg.Self {
-			// A member that misses it learns at the worst from a crash of its own.
+			// A member that misses the message detects the suspect by a crash
+			// on one of its own servers at the latest.
 			_ = h.cfg.Transport.Send(peer.Name(m.Name), peer.TypeSuspect, payload)
 		}
 	}
@@ -77,7 +79,8 @@
 	}
 }
 
-// sendBriefs tells the owners of a pool's siblings how it stands.
+// sendBriefs sends a pool's brief to the owners of its sibling pools, unless
+// the same brief was sent less than unchangedBriefInterval ago.
 func (h *Host) sendBriefs(r *Runtime, s pool.Summary) {
 	snapshot := h.cfg.Snapshots.Load()
 	if r.degraded || snapshot == nil {
@@ -107,7 +110,7 @@
 	}
 }
 
-// receiveBrief tells the owned siblings of a pool how it stands.
+// receiveBrief posts a pool's brief to its siblings that this daemon owns.
 func (h *Host) receiveBrief(b poolwire.Brief) {
 	snapshot := h.cfg.Snapshots.Load()
 	if snapshot == nil {
@@ -120,7 +123,8 @@
 	}
 }
 
-// siblings returns the other pools of the same model version and region.
+// siblings returns the names of the other pools that serve the same model
+// version in the same region.
 func siblings(s *workspace.Snapshot, name string) []string {
 	p := s.Pools[name]
 	if p == nil || p.Model == "" {
--- a/internal/poolhost/config.go
+++ b/internal/poolhost/config.go
@@ -1,6 +1,6 @@
-// Package poolhost runs the pools that this daemon owns now: it feeds each
-// pool's scheduler from the entries' sessions and from its own monitor of the
-// pool's backend servers, and takes the scheduler's commands to the entries.
+// Package poolhost runs the pools that this daemon owns. It passes events from
+// the entries' sessions and from the monitor of the backend servers to each
+// pool's scheduler, and sends the scheduler's commands to the entries.
 package poolhost
 
 import (
@@ -16,104 +16,109 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// The host's times. Entries and owners of mixed versions must agree on none
-// of them exactly; each only needs MinHeartbeatInterval well below SilenceTimeout.
+// Intervals and timeouts of the host. Daemons of different versions may use
+// different values as long as MinHeartbeatInterval is well below SilenceTimeout.
 const (
-	// TickInterval is how often Run lets time pass in the pools.
+	// TickInterval is how often Run calls Tick.
 	TickInterval = 25 * time.Millisecond
-	// MinHeartbeatInterval is how often either side of a session says that it lives.
+	// MinHeartbeatInterval is how often each side of a busy session sends a
+	// heartbeat, and the shortest interval of an idle one.
 	MinHeartbeatInterval = 500 * time.Millisecond
-	// SilenceTimeout is how long a session's other side may say nothing.
+	// SilenceTimeout ends a session after so long without a message from the
+	// other side, where that side sends heartbeats every MinHeartbeatInterval.
 	SilenceTimeout = 1600 * time.Millisecond
-	// ProbeInterval is how often, on average, a backend server's load report is
-	// asked for while it is up. What fails at a server is noticed sooner by our
-	// own requests, whose bad outcomes bring the next probe forward; the bound
-	// is that a leaving engine gets no new work after three seconds.
+	// ProbeInterval is the average time between two load reports requested from
+	// a server that is up. A request that fails at a server brings its next
+	// probe forward. The interval is short enough that a leaving engine gets no
+	// new requests after 3 s.
 	ProbeInterval = 2500 * time.Millisecond
-	// unhealthyProbeInterval is how often a server is asked that is not up, and probeRetryDelay
-	// how soon after a first miss.
+	// unhealthyProbeInterval is the probe interval of a server that is not up.
+	// probeRetryDelay is the delay after a first missed probe.
 	unhealthyProbeInterval = 500 * time.Millisecond
 	probeRetryDelay        = 250 * time.Millisecond
-	// probeJitter keeps the probes of a pool's servers apart.
+	// probeJitter spreads the probes of a pool's servers over time.
 	probeJitter = ProbeInterval / 5
-	// probesPerCachePoll is after how many probes cache events are asked for.
+	// probesPerCachePoll is the number of answered probes per poll of cache events.
 	probesPerCachePoll = 2
-	// probeTimeout bounds one probe.
+	// probeTimeout limits the duration of one probe.
 	probeTimeout = 450 * time.Millisecond
-	// maxProbeMisses is how many probes in a row without an answer make a
-	// server silent.
+	// maxProbeMisses is the number of consecutive missed probes after which a
+	// server is unresponsive.
 	maxProbeMisses = 3
-	// unconfirmedGrantTTL is how long a grant is counted whose entry's session
-	// ended before the entry told that it runs it.
+	// unconfirmedGrantTTL is how long a grant still occupies a slot after its
+	// entry's session ended, unless the entry reports in a new session that it
+	// runs the request.
 	unconfirmedGrantTTL = 30 * time.Second
-	// drainTimeout is how long a pool that was given up is served on for the
-	// entries that have not moved to its new owner.
+	// drainTimeout is how long a pool that was given up still serves entries
+	// that have not moved to its new owner.
 	drainTimeout = 2 * time.Second
-	// absentEntryTTL is how long an entry without a live member or session is
-	// still counted among the entries.
+	// absentEntryTTL is how long an entry without an open session or a live
+	// member is still in the entry set.
 	absentEntryTTL = 2 * time.Second
-	// defaultSlots is the number of slots of a server that names none.
+	// defaultSlots is the number of slots of a server whose configuration names none.
 	defaultSlots = 16
-	// entryCheckInterval is how often it is checked which entries are still there.
+	// entryCheckInterval is the interval between two updates of the entry set.
 	entryCheckInterval = 250 * time.Millisecond
-	// SummaryInterval is how often sibling pools' owners are told how a pool stands.
+	// SummaryInterval is the interval at which a pool's summary is refreshed and
+	// its brief is sent to the owners of sibling pools.
 	SummaryInterval = 500 * time.Millisecond
-	// unchangedBriefInterval is how often they are told the same again. A scheduler
-	// goes by no report older than 2 s.
+	// unchangedBriefInterval is the interval at which an unchanged brief is sent
+	// again. Schedulers ignore a brief that is older than 2 s.
 	unchangedBriefInterval = 1500 * time.Millisecond
 )
 
-// DegradedAfter is the default of Config.DegradedAfter: another owner is usually
-// found by then.
+// DegradedAfter is the default of Config.DegradedAfter. Entries usually find
+// another owner within this time.
 const DegradedAfter = 1500 * time.Millisecond
 
-// Scheduler is what a host needs of a pool.Pool.
+// Scheduler is the part of pool.Pool that a host uses.
 type Scheduler interface {
 	Handle(now time.Time, ev pool.Event, out []pool.Command) []pool.Command
 	Summary(now time.Time) pool.Summary
 }
 
-// Config is what a host needs. Zero fields have the defaults named below.
+// Config configures a Host. Zero fields take the defaults named below.
 type Config struct {
-	// Self is this daemon's member name, Region its region.
+	// Self is this daemon's member name. Region is its region.
 	Self   string
 	Region string
-	// Snapshots is the configuration in force.
+	// Snapshots holds the current configuration.
 	Snapshots *workspace.CurrentSnapshot
-	// View is the membership in force; nil where this daemon is alone and
-	// owns every pool.
+	// View holds the current membership. Nil means that this daemon is the only
+	// one and owns every pool.
 	View *member.CurrentView
-	// Transport reaches the other daemons; nil where this daemon is alone.
+	// Transport sends messages to the other daemons; nil for a single daemon.
 	Transport peer.Transport
-	// Engines dials model engines for load reports and cache events; nil:
-	// servers are not monitored and count as up.
+	// Engines dials model engines for load reports and cache events. If it is
+	// nil, engines are not probed and count as up.
 	Engines engine.Dialer
-	// DegradedAfter is how long a pool's owner may be out of reach before an entry
-	// serves waiting requests on its own share of the slots; the default is
-	// DegradedAfter.
+	// DegradedAfter is how long an entry waits for an unreachable owner before
+	// it serves waiting requests on its static share of the slots. The default
+	// is the constant DegradedAfter.
 	DegradedAfter time.Duration
-	// DisableProbes servers are not probed: what the configuration and the
-	// requests show of them is all that is known.
+	// DisableProbes turns probing off. The health of servers is then known from
+	// the configuration and from the outcomes of requests only.
 	DisableProbes bool
-	// Connect probes a plain service's server; the default connects by TCP.
+	// Connect probes a server of a plain service. The default opens a TCP connection.
 	Connect func(ctx context.Context, address string) error
-	// IsLeaving tells from elsewhere, e.g. the VM list, that a server leaves.
+	// IsLeaving reports that a server is leaving according to another source,
+	// such as the VM list. The default always returns false.
 	IsLeaving func(s workspace.BackendServer) bool
-	// Now is the clock; the default is time.Now.
+	// Now returns the current time. The default is time.Now.
 	Now func() time.Time
-	// Spawn starts a goroutine, which is the default; a test may run inline.
-	// A panic in a scheduler ends the process: its counts can't be trusted,
-	// and the entries go on at another owner.
+	// Spawn runs a function on a new goroutine by default. Tests may run it
+	// inline. A panic of a scheduler ends the process, because the scheduler's
+	// counts can't be trusted any more; the entries move to another owner.
 	Spawn func(func())
-	// HeartbeatInterval tells the interval of idle sessions' heartbeats; the default
-	// is HeartbeatInterval.
+	// HeartbeatInterval returns the heartbeat interval of idle sessions. The
+	// default is the function HeartbeatInterval.
 	HeartbeatInterval func(sessions int) time.Duration
-	// NewScheduler makes a pool's scheduler; the default is pool.New.
+	// NewScheduler returns a pool's scheduler. The default calls pool.New.
 	NewScheduler func(p *workspace.ResolvedPool, epoch uint64) Scheduler
-	// Trace sees every event that a pool handles, and the commands that
-	// follow, in their order. It must not keep the commands' slice.
+	// Trace is called with every event that a pool handles and the resulting
+	// commands, in order. It must not keep the slice of commands.
 	Trace func(pool string, now time.Time, ev pool.Event, cmds []pool.Command)
-	// Metrics gets the counters; the default is a registry of its own.
+	// Metrics holds the counters. The default is a new registry.
 	Metrics *metrics.Registry
 }
 
--- a/internal/poolhost/counters.go
+++ b/internal/poolhost/counters.go
@@ -7,7 +7,7 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// counters are the host's; names are those of the metrics group "poolhost".
+// counters are the host's counters, in the metrics group "poolhost".
 type counters struct {
 	sessionsOpened, sessionResets, batchGaps, sessionTimeouts, sendFailed *expvar.Int
 	grantsReclaimed, entriesEnded, unknownReleases, badMessages           *expvar.Int
--- a/internal/poolhost/entries.go
+++ b/internal/poolhost/entries.go
@@ -7,11 +7,11 @@
 	"github.com/lycheekeel/lycheekeel/pool"
 )
 
-// updateEntries tells the scheduler which entries there are: the region's live
-// members, and every entry whose session is open or was until a moment ago.
-// A live member that has not said hello counts by its bare name, so that a
-// new owner knows whose reports are still to come. What an absent entry was
-// granted is remembered for a while: it may have been wrongly taken for dead.
+// updateEntries updates the scheduler's set of entries: the region's live
+// members, and entries whose session is open or ended less than absentEntryTTL
+// ago. A live member that has not opened a session is listed by its bare name,
+// so that a new owner knows which reports are missing. An absent entry is kept
+// while it has outstanding grants, because it may still be alive.
 func (r *Runtime) updateEntries() {
 	r.entriesCheckedAt = r.now
 	set := make([]pool.EntryID, 0, len(r.entries)+len(r.members))
@@ -37,10 +37,10 @@
 	}
 }
 
-// endPreviousEntries ends the entries of a new entry's member: a member has one
-// process, so theirs have ended. A late message of such a process would end the
-// new entry instead; that one is then told so at its next word, and tells anew
-// what it runs.
+// endPreviousEntries ends the other entries of a new entry's member. A member
+// runs one process, so the processes of the others have ended. A late message
+// of such a process would end the new entry instead; the new entry then gets a
+// reset on its next message and reports its running requests again.
 func (r *Runtime) endPreviousEntries(e *entry) {
 	member := poolwire.MemberOf(e.id)
 	for id, other := range r.entries {
@@ -54,8 +54,8 @@
 	}
 }
 
-// present tells whether an entry may still run what it was granted: its
-// session is open, or ended a moment ago, or its member lives.
+// present reports whether an entry may still run what it was granted: its
+// session is open or ended less than absentEntryTTL ago, or its member is alive.
 func (r *Runtime) present(e *entry) bool {
 	return e.open || r.now.Sub(e.lastReceived) < absentEntryTTL || slices.Contains(r.members, poolwire.MemberOf(e.id))
 }
--- a/internal/poolhost/handlers.go
+++ b/internal/poolhost/handlers.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// register takes the messages that concern owners from the transport.
+// register registers the handlers of messages to pool owners with the transport.
 func (h *Host) register() {
 	if h.cfg.Transport == nil {
 		return
@@ -26,8 +26,9 @@
 	})
 }
 
-// errForeignEntry reports a peer that speaks for another daemon's entry.
-var errForeignEntry = errors.New("message for another member's entry")
+// errForeignEntry reports a peer that sent a message on behalf of another
+// member's entry.
+var errForeignEntry = errors.New("message names another member's entry")
 
 func (h *Host) onHello(_ context.Context, from peer.Name, payload []byte) ([]byte, error) {
 	hello, err := poolwire.DecodeHello(payload)
@@ -53,8 +54,8 @@
 	return nil, nil
 }
 
-// onSummary takes a sibling's brief, or answers an empty call with the full
-// summaries of the pools owned here.
+// onSummary receives a sibling's brief. An empty call is answered with the
+// full summaries of the pools that this daemon owns.
 func (h *Host) onSummary(_ context.Context, _ peer.Name, payload []byte) ([]byte, error) {
 	if len(payload) == 0 {
 		return poolwire.EncodeSummaries(h.Summaries()), nil
@@ -81,14 +82,15 @@
 	return err
 }
 
-// replyTo returns the way back to a peer's entry.
+// replyTo returns a function that sends batches of commands to a peer.
 func (h *Host) replyTo(to peer.Name) Reply {
 	return func(b poolwire.Commands) error {
 		return h.cfg.Transport.Send(to, peer.TypePoolCommands, poolwire.EncodeCommands(b))
 	}
 }
 
-// Hello opens or closes a session with a pool's owner on this daemon.
+// Hello opens or closes an entry's session with a pool that this daemon owns.
+// Sessions of draining pools can only be closed.
 func (h *Host) Hello(hello poolwire.Hello, reply Reply) {
 	r := h.Owned(hello.Pool)
 	if r == nil && hello.Close {
@@ -102,7 +104,7 @@
 	}
 }
 
-// Events takes an entry's batch for a pool owned by this daemon.
+// Events handles an entry's batch for an owned or draining pool.
 func (h *Host) Events(b poolwire.Events, reply Reply) {
 	r := h.Owned(b.Pool)
 	if r == nil {
--- a/internal/poolhost/heartbeat.go
+++ b/internal/poolhost/heartbeat.go
@@ -3,47 +3,49 @@
 import "time"
 
 const (
-	// maxSessionsAtMinInterval is up to how many sessions each has a heartbeat every
-	// MinHeartbeatInterval. It is more than any daemon has in a region of nine.
+	// maxSessionsAtMinInterval is the largest number of sessions at which idle
+	// ones send heartbeats every MinHeartbeatInterval. A daemon in a region of
+	// nine members has fewer.
 	maxSessionsAtMinInterval = 9
-	// MaxHeartbeatInterval is the longest time between two heartbeats. The transport
-	// watches a connection for 30 s after its last message; a longer silence
-	// would leave the session to nobody's watch.
+	// MaxHeartbeatInterval is the longest heartbeat interval. The transport
+	// checks a connection until 30 s after its last message, so with a longer
+	// interval nothing would check the session in between.
 	MaxHeartbeatInterval = 20 * time.Second
 )
 
-// HeartbeatInterval returns how often one side says that it lives in a session
-// in which nothing waits and nothing is unacknowledged. sessions are those of
-// an entry with all owners, or those of one pool's owner with all entries.
+// HeartbeatInterval returns the heartbeat interval of a session that is idle:
+// no request waits and no message is unacknowledged. sessions is the number of
+// sessions of an entry with all owners, or of a pool's owner with all entries.
 //
-// A session in which a request waits has MinHeartbeatInterval at any size. Idle ones
-// are watched by the transport, which notices a silent connection by itself;
-// their heartbeats only show that the other side's session still exists. At a
-// fixed interval, a daemon's idle sessions alone would take more than all its
-// control traffic may. The interval grows with the square of their number, so
-// that the messages a second reach their most at maxSessionsAtMinInterval and then fall,
-// until MaxHeartbeatInterval ends the growth.
+// A busy session always uses MinHeartbeatInterval. For idle sessions, the
+// transport detects a silent connection by itself; their heartbeats only verify
+// that the other side still has the session. With a fixed interval, the idle
+// sessions of a daemon would exceed the bound on all its control traffic. The
+// interval therefore grows with the square of the number of sessions: the
+// message rate is highest at maxSessionsAtMinInterval and falls beyond, until
+// the interval reaches MaxHeartbeatInterval.
 func HeartbeatInterval(sessions int) time.Duration {
 	if sessions <= maxSessionsAtMinInterval {
 		return MinHeartbeatInterval
 	}
-	n := min(sessions, 1000) // far beyond MaxHeartbeatInterval, and no overflow
+	n := min(sessions, 1000) // prevents overflow; MaxHeartbeatInterval is reached far below
 	return min(MaxHeartbeatInterval, MinHeartbeatInterval*time.Duration(n*n)/(maxSessionsAtMinInterval*maxSessionsAtMinInterval))
 }
 
-// SilenceTimeoutFor returns how long the other side may say nothing that has told
-// to speak again within next; zero means a peer that does not tell.
+// SilenceTimeoutFor returns how long to wait for a message from a peer that
+// announced its next message within announced. Zero means a peer that
+// announces nothing.
 func SilenceTimeoutFor(announced time.Duration) time.Duration {
 	return max(announced, MinHeartbeatInterval) + SilenceTimeout - MinHeartbeatInterval
 }
 
-// busy tells whether the entry waits for a word of the owner, or owes it one.
-// Whatever is lost then must be noticed soon, however many sessions there are.
+// busy reports whether a request waits or a message is unacknowledged on
+// either side. A loss must then be detected soon, whatever the number of sessions.
 func (e *entry) busy() bool {
 	return len(e.waiting) > 0 || e.ackDue || e.ackedSeq < e.sentSeq
 }
 
-// trackBusy remembers since when the session is busy; it is called each tick.
+// trackBusy updates busySince. It is called on each tick.
 func (e *entry) trackBusy(now time.Time) {
 	switch {
 	case !e.busy():
@@ -53,9 +55,9 @@
 	}
 }
 
-// heartbeatInterval returns the time between two words of the owner as of now. An entry
-// that does not tell when it speaks again is of a version that expects one
-// every MinHeartbeatInterval.
+// heartbeatInterval returns the current interval between two messages of the
+// owner. An entry that announces no interval has an older version, which
+// expects a message every MinHeartbeatInterval.
 func (e *entry) heartbeatInterval(r *Runtime) time.Duration {
 	if e.busy() || e.peerInterval == 0 {
 		return MinHeartbeatInterval
@@ -63,8 +65,9 @@
 	return r.host.cfg.HeartbeatInterval(int(r.openSessions.Load()))
 }
 
-// heartbeatDue tells whether a word is due. The first one in a session that
-// has just become busy waits a moment for commands to go along with.
+// heartbeatDue reports whether a heartbeat is due. When a session becomes busy,
+// its first heartbeat waits for MinHeartbeatInterval, so that commands can be
+// sent with it.
 func (e *entry) heartbeatDue(r *Runtime) bool {
 	sinceSent := r.now.Sub(e.lastSent)
 	if sinceSent >= e.announcedInterval {
--- a/internal/poolhost/host.go
+++ b/internal/poolhost/host.go
@@ -20,29 +20,31 @@
 	cfg   Config
 	count counters
 
-	// owned is replaced as a whole: readers on a request's path only load it.
+	// owned is replaced as a whole, so that the request path reads it without
+	// a lock.
 	owned atomic.Pointer[map[string]*Runtime]
-	// draining are pools that were given up a moment ago. Membership changes
-	// reach the daemons one after the other; without this, a planned change
-	// of owner would stop a pool until the last of them has heard of it.
+	// draining are pools that were given up less than drainTimeout ago.
+	// Daemons learn of a membership change at different times. Without
+	// draining, a planned change of owner would stop a pool until the last
+	// daemon has learnt of it.
 	draining   atomic.Pointer[map[string]*Runtime]
-	mu         sync.Mutex // one reconciliation at a time
+	mu         sync.Mutex // serializes reconciliation
 	shares     map[*StaticShare]struct{}
 	lastInputs reconcileInputs
-	// aliveNames are the names of aliveMembers, made from the view aliveView.
+	// aliveNames caches the result of aliveMembers for aliveView.
 	aliveView  *member.View
 	aliveNames []string
 
 	suspects *suspects
 }
 
-// reconcileInputs is what the owned pools were last made from.
+// reconcileInputs are the inputs of the last reconciliation.
 type reconcileInputs struct {
 	snapshot *workspace.Snapshot
 	view     *member.View
 }
 
-// New returns a host that owns nothing until Tick or Run.
+// New returns a host that owns no pool until the first Tick or Run.
 func New(cfg Config) *Host {
 	cfg = cfg.withDefaults()
 	h := &Host{cfg: cfg, shares: map[*StaticShare]struct{}{}, suspects: newSuspects()}
@@ -53,11 +55,11 @@
 	return h
 }
 
-// Config returns the host's configuration with its defaults filled in.
+// Config returns the host's configuration with defaults filled in.
 func (h *Host) Config() Config { return h.cfg }
 
-// Run lets time pass until ctx ends; then the pools' entries are told to ask
-// for the new owner.
+// Run calls Tick every TickInterval until ctx ends. It then closes all
+// sessions, so that the entries look for the new owners.
 func (h *Host) Run(ctx context.Context) {
 	t := time.NewTicker(TickInterval)
 	defer t.Stop()
@@ -72,8 +74,8 @@
 	}
 }
 
-// Tick lets time pass once: pools are taken and given up as membership and
-// configuration say, servers are probed, sessions checked.
+// Tick takes over and gives up pools according to membership and
+// configuration, checks sessions and starts the probes that are due.
 func (h *Host) Tick() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -89,8 +91,8 @@
 	}
 }
 
-// tickDraining serves given-up pools on, and ends those that no entry uses
-// any more or whose time is up.
+// tickDraining ticks the draining pools, and closes those that no entry uses
+// any more or whose drain timeout has passed.
 func (h *Host) tickDraining(members []string) {
 	remaining := map[string]*Runtime{}
 	for name, r := range *h.draining.Load() {
@@ -107,11 +109,11 @@
 	}
 }
 
-// Owned returns the runtime of a pool that this daemon owns now, or nil.
+// Owned returns the runtime of a pool that this daemon owns, or nil.
 func (h *Host) Owned(pool string) *Runtime { return (*h.owned.Load())[pool] }
 
-// Summaries returns the newest summary of each pool that this daemon owns,
-// sorted by name. A summary is at most half a second old.
+// Summaries returns the last summary of each pool that this daemon owns,
+// sorted by name. A summary is at most SummaryInterval old.
 func (h *Host) Summaries() []pool.Summary {
 	var out []pool.Summary
 	for _, r := range *h.owned.Load() {
@@ -123,9 +125,9 @@
 	return out
 }
 
-// Owner returns the name of the member that owns a pool, as membership has
-// it; false where the region has no live member. A daemon that leaves keeps
-// the pools for which there is nobody else.
+// Owner returns the name of the member that owns a pool according to the
+// current membership, or false if the region has no live member. A leaving
+// daemon keeps its pools if no other member can own them.
 func (h *Host) Owner(pool, region string) (string, bool) {
 	if h.cfg.View == nil {
 		return h.cfg.Self, true
@@ -137,7 +139,7 @@
 	return m.Name, ok
 }
 
-// reconcile takes the pools that this daemon owns now and gives up the rest.
+// reconcile takes over the pools that this daemon now owns and gives up the others.
 func (h *Host) reconcile() {
 	inputs := reconcileInputs{snapshot: h.cfg.Snapshots.Load()}
 	if h.cfg.View != nil {
@@ -160,8 +162,8 @@
 			delete(draining, name)
 		}
 		if r != nil && r.policy != p.Policy {
-			// A scheduler keeps its policy for life. A new one takes over as
-			// a new owner does: the entries enqueue again and report.
+			// A scheduler's policy never changes. A new scheduler takes over
+			// like a new owner: the entries enqueue again and report.
 			r.mailbox.Post(closeMessage{})
 			r = nil
 		}
@@ -194,8 +196,8 @@
 	return ok && owner == h.cfg.Self
 }
 
-// aliveMembers returns the names of the region's members that may hold
-// requests, sorted. It is called with the mutex held; the result is not changed.
+// aliveMembers returns the sorted names of the region's members that may hold
+// requests. The caller holds h.mu and must not change the result.
 func (h *Host) aliveMembers() []string {
 	if h.cfg.View == nil {
 		return []string{h.cfg.Self}
@@ -227,7 +229,8 @@
 	h.lastInputs = reconcileInputs{}
 }
 
-// configure gives the runtime the pool's servers and the bound of its queue.
+// configure passes the pool's servers and queue bound to the scheduler and
+// the monitor.
 func (r *Runtime) configure(p *workspace.ResolvedPool) {
 	set := pool.ServerSet{Servers: make([]pool.ServerInfo, 0, len(p.Servers))}
 	for _, s := range p.Servers {
--- a/internal/poolhost/host_test.go
+++ b/internal/poolhost/host_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-// fakeEngine answers load reports and cache events as a test sets them.
+// fakeEngine returns the load report and cache events that a test sets.
 type fakeEngine struct {
 	engine.Engine
 	report engine.LoadReport
@@ -39,14 +39,14 @@
 
 func (d fakeDialer) Engine(string) engine.Engine { return d.engine }
 
-// harness is one host on one thread with an injected clock, and a record of all
-// that its pools handled.
+// harness runs one host on one goroutine with a simulated clock, and records
+// all events that its pools handle.
 type harness struct {
 	host       *Host
 	now        time.Time
 	snapshot   workspace.CurrentSnapshot
 	leaving    bool
-	connectErr error // what a plain connect ends with
+	connectErr error // returned by Config.Connect
 	events     map[string][]pool.Event
 	engine     *fakeEngine
 }
@@ -86,8 +86,8 @@
 	}
 }
 
-// advanceUntil lets time pass until done, and returns how long that took; it
-// gives up after ten seconds.
+// advanceUntil advances the clock until done, for 10 s at most, and returns
+// the time that passed.
 func (b *harness) advanceUntil(done func() bool) time.Duration {
 	start := b.now
 	for !done() && b.now.Sub(start) < 10*time.Second {
@@ -98,7 +98,7 @@
 
 func (b *harness) misses() string { return b.host.count.probeMisses.String() }
 
-// health returns the last health that a pool was told.
+// health returns the last health posted to a pool.
 func (b *harness) health(p string) (last pool.ServerHealth) {
 	for _, ev := range b.events[p] {
 		if h, ok := ev.(pool.ServerHealth); ok {
@@ -108,7 +108,7 @@
 	return last
 }
 
-// eventsOf returns the events of one type that a pool handled.
+// eventsOf returns the events of type T that a pool handled.
 func eventsOf[T pool.Event](b *harness, p string) (out []T) {
 	for _, ev := range b.events[p] {
 		if e, ok := ev.(T); ok {
@@ -125,7 +125,7 @@
 		So(b.health("p"), ShouldResemble, pool.ServerHealth{Server: "p-server", Health: pool.HealthUp, Incarnation: 1})
 		So(len(eventsOf[pool.ServerLoad](b, "p")), ShouldBeBetween, 0, 3)
 
-		Convey("one lost probe is no silence, three are, and an answer ends it", func() {
+		Convey("it is unresponsive after three missed probes, and up again after an answer", func() {
 			b.engine.err = engine.ErrConnectionLost
 			b.advanceUntil(func() bool { return b.misses() == "2" })
 			So(b.health("p").Health, ShouldEqual, pool.HealthUp)
@@ -135,13 +135,13 @@
 			b.advance(ProbeInterval + probeJitter)
 			So(b.health("p").Health, ShouldEqual, pool.HealthUp)
 		})
-		Convey("a refused connect is gone at once", func() {
+		Convey("it is gone after one refused connection", func() {
 			b.engine.err = engine.ErrNotSent
 			b.connectErr = fmt.Errorf("probe: %w", syscall.ECONNREFUSED)
 			b.advance(ProbeInterval + probeJitter)
 			So(b.health("p").Health, ShouldEqual, pool.HealthGone)
 		})
-		Convey("an engine that holds other models only is warming until it has the pool's", func() {
+		Convey("an engine without the pool's model is warming until it lists the model", func() {
 			b.engine.report.Models = []engine.LoadedModel{{Model: "m", Version: "0"}}
 			b.advance(ProbeInterval + probeJitter)
 			So(b.health("p").Health, ShouldEqual, pool.HealthWarming)
@@ -149,14 +149,14 @@
 			b.advance(unhealthyProbeInterval + TickInterval)
 			So(b.health("p").Health, ShouldEqual, pool.HealthUp)
 		})
-		Convey("a request that ended badly there brings the next probe forward", func() {
+		Convey("probeNow makes the next probe due at once", func() {
 			b.advance(ProbeInterval + probeJitter)
 			b.engine.report.Leaving = true
 			b.host.Owned("p").monitor.probeNow("p-server")
 			b.advance(2 * TickInterval)
 			So(b.health("p").Health, ShouldEqual, pool.HealthLeaving)
 		})
-		Convey("a restart is a new incarnation, and its cache events start anew", func() {
+		Convey("a restarted engine has a new incarnation and new sequence numbers of cache events", func() {
 			b.engine.events = []engine.CacheEvent{{Seq: 1, Block: 5, Stored: true}, {Seq: 2, Block: 6, Stored: true}}
 			b.advanceUntil(func() bool { return len(eventsOf[pool.ServerCache](b, "p")) == 1 })
 			b.engine.events = append(b.engine.events, engine.CacheEvent{Seq: 4, Block: 7, Stored: true})
@@ -172,9 +172,10 @@
 	})
 }
 
-// Guards against runs of a killed process that stay counted when another one has taken its place.
+// Guards against running requests of a killed process that still count after
+// another process of the same member has started.
 func TestNewEntryEndsPreviousEntriesOfItsMember(t *testing.T) {
-	Convey("A new entry of a member ends its other ones", t, func() {
+	Convey("A new entry ends the other entries of its member", t, func() {
 		b := newHarness("p")
 		b.advance(TickInterval)
 		reply := func(poolwire.Commands) error { return nil }
@@ -184,7 +185,7 @@
 		first, second, other := poolwire.NewEntryID("m", 1), poolwire.NewEntryID("m", 2), poolwire.NewEntryID("n", 1)
 		hello(first, 1)
 		hello(other, 2)
-		hello(first, 3) // the same process again
+		hello(first, 3) // new session of the same process
 		So(eventsOf[pool.EntryEnded](b, "p"), ShouldBeEmpty)
 		hello(second, 4)
 		So(eventsOf[pool.EntryEnded](b, "p"), ShouldResemble, []pool.EntryEnded{{Entry: first}})
@@ -193,14 +194,14 @@
 	})
 }
 
-// Guards against requests to a leaving server, whichever of the three signs comes first.
+// Guards against new requests to a leaving server, whichever source reports it.
 func TestLeavingWithinThreeSeconds(t *testing.T) {
 	for name, leave := range map[string]func(b *harness){
 		"operator": func(b *harness) { b.configure(true, "p") },
 		"VM list":  func(b *harness) { b.leaving = true },
 		"engine":   func(b *harness) { b.engine.report.Leaving = true },
 	} {
-		Convey("Given a sign from the "+name, t, func() {
+		Convey("Given a server that leaves according to the "+name, t, func() {
 			b := newHarness("p")
 			b.advance(time.Second)
 			leave(b)
@@ -211,24 +212,24 @@
 }
 
 func TestSpread(t *testing.T) {
-	Convey("Given two pools of one model", t, func() {
+	Convey("Given two pools of the same model", t, func() {
 		b := newHarness("p", "q")
 		b.advance(time.Second)
 
-		Convey("each learns how the other stands", func() {
+		Convey("each receives the other's brief", func() {
 			s := eventsOf[pool.Sibling](b, "p")
 			So(s, ShouldNotBeEmpty)
 			So(s[0], ShouldResemble, pool.Sibling{Pool: "q", Free: 2})
 		})
-		Convey("what has not changed is told again often enough to count, and not more", func() {
+		Convey("an unchanged brief is sent every unchangedBriefInterval", func() {
 			before := len(eventsOf[pool.Sibling](b, "p"))
 			b.advance(4 * unchangedBriefInterval)
 			So(len(eventsOf[pool.Sibling](b, "p"))-before, ShouldBeBetweenOrEqual, 3, 5)
 		})
-		Convey("a change is told within half a second", func() {
+		Convey("a changed brief is sent within SummaryInterval", func() {
 			count := func() int { return len(eventsOf[pool.Sibling](b, "q")) }
 			first := count()
-			b.advanceUntil(func() bool { return count() > first }) // just told
+			b.advanceUntil(func() bool { return count() > first }) // a brief was just sent
 			before := count()
 			b.host.Owned("p").post(pool.Running{Entry: "a/1", Request: "r", Grant: pool.GrantID{Epoch: 1, Seq: 1}, Server: "p-server"})
 			took := b.advanceUntil(func() bool { return count() > before })
@@ -236,7 +237,7 @@
 			briefs := eventsOf[pool.Sibling](b, "q")
 			So(briefs[len(briefs)-1].Free, ShouldEqual, 1)
 		})
-		Convey("a suspect of one is told to the other, and to a pool taken later", func() {
+		Convey("a suspect is shared with the other pool, and with a pool that is taken over later", func() {
 			b.host.broadcastSuspect(b.host.Owned("p"), pool.ShareSuspect{Fingerprint: 7, State: pool.SuspectConfirmed, ExpiresIn: time.Minute})
 			b.configure(false, "p", "q", "later")
 			b.advance(time.Second)
@@ -246,7 +247,7 @@
 			So(len(later), ShouldEqual, 1)
 			So(later[0].ExpiresIn, ShouldBeBetween, 59*time.Second, time.Minute)
 		})
-		Convey("a session of a pool that is not owned here is refused", func() {
+		Convey("a session with a pool that this daemon does not own is refused", func() {
 			var got []poolwire.Commands
 			b.host.Hello(poolwire.Hello{Pool: "x", Entry: "e/1", Session: 9}, func(c poolwire.Commands) error {
 				got = append(got, c)
@@ -258,9 +259,9 @@
 	})
 }
 
-// TestSharesProperty checks that what all members take of a server in degraded
-// mode is its slots: nobody grants what another one grants, too. A pool with
-// fewer slots than members is over-granted by one slot a member at most.
+// TestSharesProperty checks that the static shares of all members sum to each
+// server's slots, so that no slot is granted twice in degraded mode. If a pool
+// has fewer slots than members, each member without a share gets one extra slot.
 func TestSharesProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &workspace.ResolvedPool{}
@@ -285,7 +286,7 @@
 				got += s.Slots
 			}
 			if got != max(1, own) {
-				t.Fatalf("%s has %d slots, not %d", m, got, own)
+				t.Fatalf("member %s has %d slots, want %d", m, got, own)
 			}
 			sum += own
 			if own == 0 {
@@ -293,7 +294,7 @@
 			}
 		}
 		if sum != slots || withoutSlots >= len(members) {
-			t.Fatalf("shares sum to %d of %d slots, %d members without any", sum, slots, withoutSlots)
+			t.Fatalf("shares sum to %d of %d slots; %d members have none", sum, slots, withoutSlots)
 		}
 	})
 }
--- a/internal/poolhost/monitor.go
+++ b/internal/poolhost/monitor.go
@@ -13,29 +13,28 @@
 	"github.com/pkg/errors"
 )
 
-// monitor watches a pool's backend servers for its runtime. What it learns of
-// load is stale; the scheduler's limits rest on what our own requests show.
+// monitor probes a pool's backend servers for its runtime. Its load reports are
+// stale, so the scheduler's limits depend on the outcomes of requests instead.
 type monitor struct {
 	runtime  *Runtime
 	mu       sync.Mutex
-	isEngine bool // model engines, not plain services
+	isEngine bool // the servers are model engines, not a plain service
 	model    engine.LoadedModel
-	// servers is in the order of the configuration.
+	// servers are in the order of the configuration.
 	servers []*monitoredServer
 }
 
-// monitoredServer is one server as the monitor sees it, guarded by the monitor's
-// mutex.
+// monitoredServer is the monitor's state of one server, guarded by monitor.mu.
 type monitoredServer struct {
 	spec           workspace.BackendServer
 	probing        bool
-	nextProbe      time.Time // of the next probe
-	answeredProbes int       // that were answered
+	nextProbe      time.Time // time of the next probe
+	answeredProbes int       // in this incarnation
 	removed        bool
 	misses         int
-	reachability   pool.Health // Up, Silent or Gone
-	leaving        bool        // the engine says so
-	warming        bool        // the engine says so
+	reachability   pool.Health // up, unresponsive or gone
+	leaving        bool        // reported by the engine
+	warming        bool        // the engine warms up or lacks the pool's model
 	incarnation    uint64
 	cacheSeq       uint64
 	reported       pool.ServerHealth
@@ -44,8 +43,8 @@
 
 func newMonitor(r *Runtime) *monitor { return &monitor{runtime: r} }
 
-// configure takes the pool's servers; what is known of those that stay, at
-// the same address, is kept.
+// configure sets the pool's servers. The state of a server that stays at the
+// same address is kept.
 func (m *monitor) configure(p *workspace.ResolvedPool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -63,15 +62,14 @@
 			w = &monitoredServer{}
 		}
 		w.spec, w.removed = s, false
-		// A server may have left the pool and come back: the scheduler may
-		// have forgotten what it was told.
+		// A server may have left the pool and returned. The scheduler may
+		// have forgotten the health that was reported before.
 		w.everReported = w.everReported && old[s.Name] != nil
 		m.servers = append(m.servers, w)
 	}
 }
 
-// tick tells the scheduler of servers that leave, and starts the probes that
-// are due.
+// tick reports changes of health to the scheduler and starts the probes that are due.
 func (m *monitor) tick() {
 	now := m.runtime.host.cfg.Now()
 	m.mu.Lock()
@@ -90,8 +88,8 @@
 	}
 }
 
-// reportHealth posts a server's health where it changed. The signs of leaving are the
-// operator's order, the VM list and the engine itself; the first one counts.
+// reportHealth posts a server's health if it has changed. A server is leaving
+// if the operator, the VM list or the engine says so, whichever comes first.
 func (m *monitor) reportHealth(w *monitoredServer) {
 	h := pool.ServerHealth{Server: w.spec.Name, Health: w.reachability, Incarnation: w.incarnation}
 	switch {
@@ -108,13 +106,14 @@
 	m.runtime.post(h)
 }
 
-// probeTarget is a server to probe, with its configuration as of then.
+// probeTarget is a server to probe, with its configuration at the start of the probe.
 type probeTarget struct {
 	server *monitoredServer
 	spec   workspace.BackendServer
 }
 
-// probe asks a server once how it is.
+// probe requests a load report from a model engine, or connects to the server
+// of a plain service.
 func (m *monitor) probe(t probeTarget, isEngine bool) {
 	w := t.server
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
@@ -127,8 +126,8 @@
 	e := m.runtime.host.cfg.Engines.Engine(t.spec.Address)
 	report, err := e.Load(ctx)
 	if errors.Is(err, engine.ErrNotSent) {
-		// Adapters don't tell a refused connect, where nobody listens any
-		// more, from one that got no answer.
+		// Adapters return the same error for a refused connection, where no
+		// process listens, and for one without an answer.
 		if c := m.runtime.host.cfg.Connect(ctx, t.spec.Address); errors.Is(c, syscall.ECONNREFUSED) {
 			err = c
 		}
@@ -143,12 +142,13 @@
 	}
 }
 
-// recordProbe takes a probe's result. It reports whether the server is still watched,
-// and whether its cache events are due; the next probe may start at once.
+// recordProbe records the result of a probe. It reports whether the server is
+// still monitored, and whether a poll of its cache events is due. The next
+// probe may start at once.
 //
-// A probe that fails because its connection went silent says nothing of the
-// server: new connections may work. So only several misses in a row, each on a
-// connection of its own after the adapter dropped the last, make it silent.
+// A probe also fails if its connection is silent while new connections work.
+// A server is therefore unresponsive only after maxProbeMisses consecutive
+// misses, each on a new connection, since the adapter drops a failed one.
 func (m *monitor) recordProbe(w *monitoredServer, report engine.LoadReport, err error) (current, cacheDue bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -184,8 +184,8 @@
 	return true, err == nil && w.answeredProbes%probesPerCachePoll == 0
 }
 
-// lacksModel tells whether an engine reports its models and the pool's is not
-// among them: it would refuse every request until an order has loaded it.
+// lacksModel reports whether an engine lists its models without the pool's
+// model. It would refuse every request until the model has been loaded.
 func (m *monitor) lacksModel(report engine.LoadReport) bool {
 	if !m.isEngine || len(report.Models) == 0 {
 		return false
@@ -198,8 +198,8 @@
 	return true
 }
 
-// probeNow brings a server's next probe forward: a request ended there as it
-// does where the server has crashed, leaves or can't be reached.
+// probeNow makes a server's next probe due, after a request ended as it does
+// when the server has crashed, is leaving or can't be reached.
 func (m *monitor) probeNow(server string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -210,8 +210,8 @@
 	}
 }
 
-// pollCache takes the cache events since the last poll to the scheduler. A
-// jump in their numbers is a gap.
+// pollCache posts the cache events since the last poll to the scheduler. A jump
+// in their sequence numbers is a gap.
 func (m *monitor) pollCache(ctx context.Context, t probeTarget, e engine.Engine) {
 	m.mu.Lock()
 	after := t.server.cacheSeq
--- a/internal/poolhost/recovery.go
+++ b/internal/poolhost/recovery.go
@@ -7,18 +7,18 @@
 	"github.com/lycheekeel/lycheekeel/pool"
 )
 
-// recoveryTimeout is how long a new owner's requests wait for the reports of the
-// entries that it has not heard of.
+// recoveryTimeout is how long a new owner holds requests while reports of
+// live entries are missing.
 const recoveryTimeout = 250 * time.Millisecond
 
 // recovery holds requests back from a new owner's scheduler until every live
-// entry has told what it runs, or a moment has passed.
+// entry has reported its running requests, or recoveryTimeout has passed.
 //
-// Entries find a new owner some tens of milliseconds after one another. What
-// goes wrong without this: the first one's requests are granted the slots
-// that the others' are still using; one would see servers over their slots at
-// each restart of a daemon. After the moment the scheduler grants the missing
-// entries' share only as they report.
+// Entries find a new owner some tens of milliseconds apart. Without recovery,
+// the requests of the first entry would be granted slots that requests of the
+// other entries still occupy, and each restart of a daemon would put servers
+// over their slots. After the timeout, the scheduler withholds the share of
+// the missing entries until they report.
 type recovery struct {
 	started time.Time
 	done    bool
@@ -30,7 +30,7 @@
 	receivedAt time.Time
 }
 
-// enqueue feeds a request, or holds it.
+// enqueue feeds a request to the scheduler, or holds it during recovery.
 func (r *Runtime) enqueue(ev pool.Enqueue) {
 	if r.recovery.done {
 		r.feed(ev)
@@ -39,7 +39,8 @@
 	r.recovery.held = append(r.recovery.held, heldEnqueue{ev, r.now})
 }
 
-// finishRecovery feeds the held requests when it is time.
+// finishRecovery ends the recovery when all entries have reported or the
+// timeout has passed, and feeds the held requests to the scheduler.
 func (r *Runtime) finishRecovery() {
 	s := &r.recovery
 	if s.done || (r.now.Sub(s.started) < recoveryTimeout && !r.allReported()) {
@@ -59,7 +60,7 @@
 	s.held = nil
 }
 
-// delayedBy returns the event as if sent that much later.
+// delayedBy returns the event as if it had been sent later by d.
 func (h heldEnqueue) delayedBy(d time.Duration) pool.Enqueue {
 	ev := h.ev
 	ev.Waited += d
@@ -70,7 +71,7 @@
 	return ev
 }
 
-// allReported tells whether every live member's entry has reported.
+// allReported reports whether the entry of every live member has reported.
 func (r *Runtime) allReported() bool {
 	reported := map[string]bool{}
 	for id, e := range r.entries {
--- a/internal/poolhost/report.go
+++ b/internal/poolhost/report.go
@@ -12,7 +12,7 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// tierCounters count what became of one tier's requests in this daemon's pools.
+// tierCounters count the outcomes of one tier's requests in this daemon's pools.
 type tierCounters struct {
 	granted, grantedLate, shed, expired, slotMs *expvar.Int
 }
@@ -36,8 +36,8 @@
 	c.slotMs.Add(t.SlotTime.Milliseconds())
 }
 
-// reportTally counts what became of requests since the last summary, and tells of a pool
-// that refused some.
+// reportTally adds the outcomes since the last summary to the counters, and
+// logs the pool's state if it refused requests.
 func (r *Runtime) reportTally(s pool.Summary) {
 	since := s.Tally.Since(r.lastTally)
 	r.lastTally = s.Tally
@@ -47,8 +47,9 @@
 	r.logRefusals(s, since)
 }
 
-// logRefusals tells how the pool stood when it refused requests, and what ran instead,
-// by tier, so that a refused caller's log line leads to its cause.
+// logRefusals logs the pool's state and the outcomes by tier if requests were
+// shed or expired since the last summary. It is the log line to look up when a
+// caller's request was refused.
 func (r *Runtime) logRefusals(s pool.Summary, since pool.Tally) {
 	var granted, late, shed, expired, slotMs [request.MaxTiers]int
 	refused := 0
@@ -73,13 +74,13 @@
 	}).Info("Pool is crowded.")
 }
 
-// logBreaker tells when a server counts as down and when it answers again.
+// logBreaker logs when the circuit breaker of a server opens or closes.
 func (r *Runtime) logBreaker(c pool.BreakerChanged) {
 	l := logs.For("poolhost").WithFields(logrus.Fields{"pool": r.name, "server": c.Server, "share": r.degraded})
 	if c.Open {
 		r.host.count.breakersOpened.Add(1)
-		l.Warn("Server counts as down.")
+		l.Warn("Circuit breaker opened.")
 		return
 	}
-	l.Info("Server answers again.")
+	l.Info("Circuit breaker closed.")
 }
--- a/internal/poolhost/report_test.go
+++ b/internal/poolhost/report_test.go
@@ -10,9 +10,9 @@
 	"github.com/lycheekeel/lycheekeel/pool"
 )
 
-// Guards against counters that don't tell which tier was refused while another ran.
+// Guards against counters that don't show which tier was refused while another ran.
 func TestCountsGrantsAndRefusalsByTier(t *testing.T) {
-	Convey("What a pool granted and refused since its last summary is counted by tier", t, func() {
+	Convey("Grants and refusals since the last summary are counted by tier", t, func() {
 		b := newHarness("p")
 		b.host.Tick()
 		r := b.host.Owned("p")
--- a/internal/poolhost/runtime.go
+++ b/internal/poolhost/runtime.go
@@ -12,8 +12,8 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Runtime runs one pool: one mailbox feeds its scheduler, so the scheduler is
-// used by one goroutine at a time. Its methods are safe for concurrent use.
+// Runtime runs one pool. A mailbox feeds its scheduler, so that only one
+// goroutine at a time uses the scheduler. Its methods are safe for concurrent use.
 type Runtime struct {
 	host    *Host
 	name    string
@@ -21,34 +21,34 @@
 	epoch   uint64
 	mailbox *mailbox.Mailbox[message]
 
-	// What follows is touched only by the mailbox's handler.
+	// The fields below are used by the mailbox's handler only.
 	scheduler        Scheduler
 	now              time.Time
 	commands         []pool.Command
 	entries          map[pool.EntryID]*entry
-	members          []string // alive in the region, as of the last view
+	members          []string // live members of the region, as of the last tick
 	recovery         recovery
-	entriesCheckedAt time.Time // of the last updateEntries
+	entriesCheckedAt time.Time // time of the last updateEntries
 	lastEntrySet     []pool.EntryID
 	summaryAt        time.Time
-	// lastBrief is what siblings were told at briefSentAt, briefInputs by what
-	// configuration and membership.
+	// lastBrief was sent to siblings at briefSentAt, under the configuration
+	// and membership in briefInputs.
 	lastBrief   poolwire.Brief
 	briefInputs reconcileInputs
 	briefSentAt time.Time
 	closed      bool
 	lastTally   pool.Tally // as of the last summary
-	degraded    bool       // a degraded share, not an owner
+	degraded    bool       // runs a StaticShare; this daemon is not the owner
 
 	monitor      *monitor
-	drainUntil   time.Time                    // guarded by the host's mutex
-	openSessions atomic.Int64                 // open ones, as of the last tick
+	drainUntil   time.Time                    // guarded by host.mu
+	openSessions atomic.Int64                 // as of the last tick
 	summary      atomic.Pointer[pool.Summary] // refreshed every SummaryInterval
-	// hasSiblings tells whether other pools serve the same model version.
+	// hasSiblings is true if other pools serve the same model version.
 	hasSiblings atomic.Bool
 }
 
-// message is one thing for a runtime to do.
+// message is an operation that the runtime's mailbox applies.
 type message interface{ apply(r *Runtime) }
 
 func newRuntime(h *Host, p *workspace.ResolvedPool, members []string) *Runtime {
@@ -62,12 +62,12 @@
 	return r
 }
 
-// Hello opens or closes an entry's session; reply takes batches to the entry
+// Hello opens or closes an entry's session. reply sends batches to the entry
 // and must not block.
 func (r *Runtime) Hello(h poolwire.Hello, reply Reply) { r.mailbox.Post(helloMessage{h, reply}) }
 
-// Events takes a batch of an entry's session. reply is used where the session
-// is not known.
+// Events handles a batch of an entry's session. reply is used to reset a
+// session that is not open.
 func (r *Runtime) Events(b poolwire.Events, reply Reply) { r.mailbox.Post(eventsMessage{b, reply}) }
 
 func (r *Runtime) handle(batch []message) {
@@ -82,7 +82,7 @@
 	r.flush()
 }
 
-// feed gives the scheduler one event and takes its commands to the sessions.
+// feed passes one event to the scheduler and routes the resulting commands.
 func (r *Runtime) feed(ev pool.Event) {
 	r.commands = r.scheduler.Handle(r.now, ev, r.commands[:0])
 	if trace := r.host.cfg.Trace; trace != nil {
@@ -93,7 +93,7 @@
 	}
 }
 
-// routeCommand notes what a command changes and queues it for its entry.
+// routeCommand records the effect of a command and queues it for its entry.
 func (r *Runtime) routeCommand(c pool.Command) {
 	switch c := c.(type) {
 	case pool.Grant:
@@ -119,14 +119,14 @@
 	}
 }
 
-// flush sends each session what has come together for it.
+// flush sends the queued commands of each session.
 func (r *Runtime) flush() {
 	for pending := true; pending; {
 		pending = false
 		for _, e := range r.entries {
 			if len(e.outbox) > 0 {
 				e.send(r, poolwire.SessionUnchanged)
-				pending = true // a failed send frees slots for other entries
+				pending = true // a failed send ends a session, which may queue commands for other entries
 			}
 		}
 	}
@@ -136,10 +136,10 @@
 
 func (m eventMessage) apply(r *Runtime) { r.feed(m.ev) }
 
-// post gives the runtime an event that does not come from an entry.
+// post queues an event that does not come from an entry.
 func (r *Runtime) post(ev pool.Event) { r.mailbox.Post(eventMessage{ev}) }
 
-// tickMessage lets time pass.
+// tickMessage runs the periodic work of a runtime.
 type tickMessage struct{ members []string }
 
 func (m tickMessage) apply(r *Runtime) {
@@ -154,7 +154,8 @@
 	r.refreshSummary()
 }
 
-// refreshSummary renews the summary that others read, and spreads it.
+// refreshSummary updates the published summary every SummaryInterval, reports
+// its tally and sends the brief to sibling pools.
 func (r *Runtime) refreshSummary() {
 	if r.now.Sub(r.summaryAt) < SummaryInterval {
 		return
@@ -166,8 +167,8 @@
 	r.host.sendBriefs(r, s)
 }
 
-// brief returns the pool's standing for a session's batch; entries need it
-// only to choose among siblings.
+// brief returns the pool's brief for a batch of commands, or nil. Entries use
+// it only to choose among sibling pools.
 func (r *Runtime) brief() *poolwire.Brief {
 	s := r.summary.Load()
 	if s == nil || !r.hasSiblings.Load() {
@@ -177,7 +178,7 @@
 	return &b
 }
 
-// closeMessage ends the runtime: its entries ask for the new owner.
+// closeMessage closes the runtime and tells its entries to look for the new owner.
 type closeMessage struct{}
 
 func (closeMessage) apply(r *Runtime) {
--- a/internal/poolhost/session.go
+++ b/internal/poolhost/session.go
@@ -8,28 +8,28 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Reply takes an owner's batch to an entry. It must not block.
+// Reply sends a batch of commands to an entry. It must not block.
 type Reply func(poolwire.Commands) error
 
-// outstandingGrant is a grant that has not been released.
+// outstandingGrant is a grant that was not released yet.
 type outstandingGrant struct {
 	request request.ID
 	server  string
-	// confirmed is false from the end of a session until the entry tells in
-	// its next one that it runs the request; since is when that began.
+	// confirmed is false from the end of a session until the entry reports the
+	// running request in its next session. since is when it became false.
 	confirmed bool
 	since     time.Time
 }
 
-// entry is the owner's side of one entry: its session, and what the scheduler
-// has of it. After a lost batch the two sides' pictures may differ; the entry
-// then opens a new session and tells its own, and what the entry does not
-// tell is taken back.
+// entry is the owner's state of one entry: its session, and what the scheduler
+// knows of it. After a lost batch the states of owner and entry may differ. The
+// entry then opens a new session and reports its running requests, and the
+// owner reclaims the grants that the entry does not report.
 type entry struct {
 	id     pool.EntryID
 	open   bool
-	absent bool // the scheduler was told that it is gone
-	// reported is set once the entry has told what it runs.
+	absent bool // not in the scheduler's entry set
+	// reported is true once the entry has reported its running requests.
 	reported     bool
 	session      poolwire.SessionID
 	reply        Reply
@@ -37,18 +37,19 @@
 	sentSeq      uint64
 	lastReceived time.Time
 	lastSent     time.Time
-	// peerInterval is within how long the entry speaks again, as it told; zero from
-	// an entry that does not tell, which expects a word each 500 ms itself.
+	// peerInterval is the heartbeat interval that the entry announced last. Zero
+	// is an entry that announces none; it expects a message every 500 ms.
 	peerInterval time.Duration
-	// announcedInterval is within how long after sent the owner speaks again.
+	// announcedInterval is the interval after lastSent within which the owner
+	// announced its next message.
 	announcedInterval time.Duration
-	// ackDue is set while the entry waits for an acknowledgment, and acked is
-	// the last batch that it acknowledged itself.
+	// ackDue is true while the entry waits for an acknowledgment. ackedSeq is
+	// the last batch that the entry acknowledged.
 	ackDue   bool
 	ackedSeq uint64
-	// busySince is since when the session is busy; zero: it is not.
+	// busySince is when the session became busy; zero if it is not busy.
 	busySince   time.Time
-	briefSentAt time.Time // when the entry was last sent a brief
+	briefSentAt time.Time // time of the last batch that could carry a brief
 	outbox      []pool.Command
 	waiting     map[request.ID]struct{}
 	grants      map[pool.GrantID]outstandingGrant
@@ -60,8 +61,8 @@
 	}
 }
 
-// send takes the queued commands, or a heartbeat, to the entry. A batch that
-// can't be sent ends the session: the entry would miss its commands.
+// send sends the queued commands, or a heartbeat if there are none. A failed
+// send ends the session, because the entry would miss its commands.
 func (e *entry) send(r *Runtime, status poolwire.SessionStatus) {
 	b := poolwire.Commands{
 		Pool: r.name, Session: e.session, Ack: e.receivedSeq, Epoch: r.epoch, Status: status, Commands: e.outbox,
@@ -88,8 +89,8 @@
 }
 
 // apply opens or closes a session. Requests that wait from an earlier session
-// are withdrawn: the entry enqueues them again with their age, so they keep
-// their place.
+// are withdrawn. The entry enqueues them again with their age, so they keep
+// their place in the queue.
 func (m helloMessage) apply(r *Runtime) {
 	e := r.entries[m.hello.Entry]
 	if m.hello.Close {
@@ -114,11 +115,13 @@
 	e.send(r, poolwire.SessionAccepted)
 }
 
-// endSession takes back what waits and marks what was granted as unconfirmed.
+// endSession withdraws the entry's waiting requests and marks its grants as
+// unconfirmed.
 func (r *Runtime) endSession(e *entry) { r.endSessionSince(e, r.now) }
 
-// endSessionSince ends a session that is known to be over since an earlier
-// time: what it was granted is held no longer for having been idle.
+// endSessionSince ends a session that was lost at an earlier time. The TTL of
+// its unconfirmed grants counts from since, so that the long heartbeat interval
+// of an idle session does not extend it.
 func (r *Runtime) endSessionSince(e *entry, since time.Time) {
 	e.open, e.outbox = false, nil
 	for id := range e.waiting {
@@ -166,16 +169,16 @@
 	r.finishRecovery()
 }
 
-// sendReset tells an entry that its session is not, or no longer, open.
+// sendReset tells an entry to open a new session, because this one is not open.
 func (r *Runtime) sendReset(b poolwire.Events, reply Reply) {
 	r.host.count.sessionResets.Add(1)
 	_ = reply(poolwire.Commands{Pool: b.Pool, Session: b.Session, Epoch: r.epoch, Status: poolwire.SessionReset})
 }
 
-// handle feeds one event of the entry, and notes what it changes.
+// handle applies one event of the entry to the entry's state and the scheduler.
 func (e *entry) handle(r *Runtime, ev pool.Event) {
 	if _, progress := ev.(pool.Progress); !progress {
-		e.ackDue = true // nobody waits to hear that a Progress has come
+		e.ackDue = true // entries don't wait for an acknowledgment of a Progress
 	}
 	switch ev := ev.(type) {
 	case pool.Enqueue:
@@ -199,8 +202,8 @@
 	}
 }
 
-// handleUnsequenced takes what an entry answers outside the order: grants that it does
-// not use.
+// handleUnsequenced handles a batch without a sequence number. It may only
+// return grants that the entry does not use.
 func (e *entry) handleUnsequenced(r *Runtime, events []pool.Event) {
 	for _, ev := range events {
 		if rel, ok := ev.(pool.Release); ok && rel.Outcome == pool.OutcomeNotDispatched {
@@ -209,7 +212,7 @@
 	}
 }
 
-// release frees a slot; the scheduler drops a doubled release.
+// release frees a slot. The scheduler ignores a duplicate release.
 func (e *entry) release(r *Runtime, ev pool.Release) {
 	if _, ok := e.grants[ev.Grant]; !ok {
 		r.host.count.unknownReleases.Add(1)
@@ -223,17 +226,17 @@
 	}
 }
 
-// confirmRunning takes a report of a running request, also of one that this owner
-// granted itself and counts already.
+// confirmRunning handles the report of a running request, which this owner may
+// have granted itself and count already.
 func (e *entry) confirmRunning(r *Runtime, ev pool.Running) {
 	ev.Entry = e.id
 	e.grants[ev.Grant] = outstandingGrant{request: ev.Request, server: ev.Server, confirmed: true}
 	r.feed(ev)
 }
 
-// reclaimUnconfirmed frees the slots of grants that the entry does not know
-// of: they were lost on the way. Without this each lost grant would take a
-// slot for good.
+// reclaimUnconfirmed frees the slots of grants that have been unconfirmed for
+// minAge. The entry does not know of them, because they were lost in transit.
+// Without this, each lost grant would occupy a slot forever.
 func (e *entry) reclaimUnconfirmed(r *Runtime, minAge time.Duration) {
 	for id, g := range e.grants {
 		if g.confirmed || r.now.Sub(g.since) < minAge {
@@ -247,8 +250,8 @@
 	}
 }
 
-// peerDownMessage tells that the connection to a member broke. What was under way
-// is lost, so its session can't go on: nothing more is granted into the void.
+// peerDownMessage reports that the connection to a member broke. Messages in
+// flight are lost, so the member's session ends and gets no further grants.
 type peerDownMessage struct{ member string }
 
 func (m peerDownMessage) apply(r *Runtime) {
@@ -259,8 +262,8 @@
 	}
 }
 
-// checkSessions ends sessions that went silent, keeps the others alive, and
-// gives up grants that nobody confirmed.
+// checkSessions ends sessions that timed out, sends due heartbeats on the
+// others, and reclaims grants that stayed unconfirmed for unconfirmedGrantTTL.
 func (r *Runtime) checkSessions() {
 	open := int64(0)
 	for _, e := range r.entries {
--- a/internal/poolhost/share.go
+++ b/internal/poolhost/share.go
@@ -8,9 +8,10 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// StaticShare runs a pool on this daemon's static share of each server's slots, for
-// its own entry alone, while no owner can be reached. The same scheduler runs
-// it, so tiers keep their order among this entry's requests.
+// StaticShare runs a pool in degraded mode, while no owner can be reached. It
+// serves the requests of this daemon's own entry on this daemon's static share
+// of each server's slots. It uses the same scheduler as an owner, so the
+// priorities of tiers hold among this entry's requests.
 type StaticShare struct {
 	*Runtime
 	host     *Host
@@ -30,7 +31,7 @@
 	return s
 }
 
-// Close ends degraded mode; the entry has moved on.
+// Close ends degraded mode after the entry has found an owner.
 func (s *StaticShare) Close() {
 	s.host.mu.Lock()
 	delete(s.host.shares, s)
@@ -38,7 +39,7 @@
 	s.mailbox.Post(closeMessage{})
 }
 
-// tick is called with the host's mutex held.
+// tick updates the share to configuration and membership. The caller holds host.mu.
 func (s *StaticShare) tick(members []string) {
 	snapshot := s.host.cfg.Snapshots.Load()
 	if snapshot != nil && (snapshot != s.snapshot || !slices.Equal(members, s.members)) {
@@ -57,9 +58,9 @@
 }
 
 // poolShare returns the pool with one member's share of its servers' slots.
-// The shares of all members that agree on who lives sum to the slots, but for
-// members whose share of the whole pool would be nothing: each of those gets
-// one slot, so that none of its requests waits in vain.
+// Among members that agree on who is alive, the shares sum to the slots, except
+// that a member whose share of the whole pool would be zero gets one slot, so
+// that its requests don't wait forever.
 func poolShare(p *workspace.ResolvedPool, self string, members []string) *workspace.ResolvedPool {
 	out := &workspace.ResolvedPool{Pool: p.Pool}
 	for _, s := range p.Servers {
@@ -77,8 +78,9 @@
 	return out
 }
 
-// slotShare divides a server's slots by the members; the remainder goes to the
-// members that weigh most for this server.
+// slotShare returns a member's share of a server's slots: an equal part, and
+// one slot of the remainder for the members that rank highest for this server
+// by rendezvous hashing.
 func slotShare(s workspace.BackendServer, self string, members []string) int {
 	slots := s.Slots
 	if slots == 0 {
