--- a/internal/poolwire/check.go
+++ b/internal/poolwire/check.go
@@ -9,28 +9,28 @@
 	"github.com/pkg/errors"
 )
 
-// ErrInvalid reports a payload that can't be decoded or holds a value out of
-// its bounds. The whole batch is refused; the sequence numbers then show a
-// gap, and the session is opened again.
+// ErrInvalid reports a payload that can't be decoded or has a value out of
+// bounds. The whole batch is refused. The session then has a gap in its
+// sequence numbers and is opened again.
 var ErrInvalid = errors.New("invalid pool message")
 
-// The bounds of what a peer may send.
+// Bounds of what a peer may send.
 const (
 	maxNameBytes = 256
-	// MaxBatch is the largest number of events or commands in one batch.
+	// MaxBatch is the largest number of events or commands in a batch.
 	MaxBatch  = 4096
 	maxBlocks = 1 << 16
-	// maxServers bounds the servers that one request was sent to before.
+	// maxServers limits the servers that a request was sent to before.
 	maxServers  = 64
 	maxCount    = 1 << 40
 	maxDuration = 30 * 24 * time.Hour
-	// maxNextWithin bounds how long a peer may announce to be silent: a faulty one
-	// could otherwise keep a dead session open for days.
+	// maxNextWithin limits the announced interval between two messages. A
+	// faulty peer could otherwise keep a dead session open for days.
 	maxNextWithin = time.Minute
 	tierCount     = uint32(request.MaxTiers)
 )
 
-// checker collects the first thing wrong with a message.
+// checker validates the fields of a message and keeps the first error.
 type checker struct{ err error }
 
 func (c *checker) fail(format string, args ...any) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// requiredName checks a name that must be there.
+// requiredName checks a name that must not be empty.
 func (c *checker) requiredName(field, s string) string {
 	if s == "" {
 		c.fail("%s is empty", field)
@@ -50,22 +50,23 @@
 // optionalName checks a name that may be empty.
 func (c *checker) optionalName(field, s string) string {
 	if len(s) > maxNameBytes {
-		c.fail("%s of %d bytes", field, len(s))
+		c.fail("%s is too long: %d bytes", field, len(s))
 	}
 	return s
 }
 
 func (c *checker) number(field string, v uint64) int {
 	if v > maxCount {
-		c.fail("%s is %d", field, v)
+		c.fail("%s is out of range: %d", field, v)
 		return 0
 	}
 	return int(v)
 }
 
+// enum checks a value that must be less than limit.
 func (c *checker) enum(field string, v, limit uint32) uint8 {
 	if v >= limit {
-		c.fail("%s is %d", field, v)
+		c.fail("%s is out of range: %d", field, v)
 		return 0
 	}
 	return uint8(v)
@@ -73,34 +74,35 @@
 
 func (c *checker) batchSize(field string, n int) {
 	if n > MaxBatch {
-		c.fail("%d %s in one batch", n, field)
+		c.fail("%d %s exceed the batch limit", n, field)
 	}
 }
 
-// duration checks a duration that may be negative: what is left of a target.
+// duration checks a duration that may be negative, such as the time left until
+// a deadline.
 func (c *checker) duration(field string, v int64) time.Duration {
 	d := time.Duration(v)
 	if d > maxDuration || d < -maxDuration {
-		c.fail("%s is %s", field, d)
+		c.fail("%s is out of range: %s", field, d)
 		return 0
 	}
 	return d
 }
 
-// elapsed checks a duration that may not be negative.
+// elapsed checks a duration that must not be negative.
 func (c *checker) elapsed(field string, v int64) time.Duration {
 	if v < 0 {
-		c.fail("%s is %d ns", field, v)
+		c.fail("%s is negative: %d ns", field, v)
 		return 0
 	}
 	return c.duration(field, v)
 }
 
-// nextWithin checks when a peer speaks again.
+// nextWithin checks the announced interval until a peer's next message.
 func (c *checker) nextWithin(ms uint32) time.Duration {
 	d := time.Duration(ms) * time.Millisecond
 	if d > maxNextWithin {
-		c.fail("next_ms is %s", d)
+		c.fail("next_ms is too long: %s", d)
 		return 0
 	}
 	return d
@@ -108,16 +110,16 @@
 
 func (c *checker) blocks(b []uint64) []uint64 {
 	if len(b) > maxBlocks {
-		c.fail("%d blocks", len(b))
+		c.fail("too many blocks: %d", len(b))
 		return nil
 	}
 	return b
 }
 
-// servers checks the names of a few servers; none is nil.
+// servers checks a list of server names, which may be nil.
 func (c *checker) servers(field string, names []string) []string {
 	if len(names) > maxServers {
-		c.fail("%d servers in %s", len(names), field)
+		c.fail("%d servers in %s are too many", len(names), field)
 		return nil
 	}
 	for _, s := range names {
@@ -152,7 +154,7 @@
 	case *wirepb.Event_EntryReported:
 		return pool.EntryReported{Entry: entry}
 	default:
-		return pool.Tick{} // of a newer peer; a session ignores it
+		return pool.Tick{} // an unknown kind from a newer peer; sessions ignore it
 	}
 }
 
@@ -217,6 +219,6 @@
 			Request: c.request(k.Redirect.GetRequest()), Entry: entry, Pool: c.requiredName("pool", k.Redirect.GetPool()),
 		}
 	default:
-		return pool.ShareSuspect{} // of a newer peer; an entry ignores it
+		return pool.ShareSuspect{} // an unknown kind from a newer peer; entries ignore it
 	}
 }
--- a/internal/poolwire/decode.go
+++ b/internal/poolwire/decode.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// unmarshal decodes a payload, which must not be empty.
+// unmarshal decodes a payload. An empty payload is an error.
 func unmarshal(payload []byte, m proto.Message) error {
 	if len(payload) == 0 {
 		return errors.Wrap(ErrInvalid, "empty payload")
@@ -19,7 +19,8 @@
 	return nil
 }
 
-// DecodeHello reads a Hello's payload.
+// DecodeHello decodes the payload of a Hello. All decoders return ErrInvalid
+// for a payload that is malformed or out of bounds.
 func DecodeHello(payload []byte) (Hello, error) {
 	var m wirepb.Hello
 	if err := unmarshal(payload, &m); err != nil {
@@ -33,7 +34,7 @@
 	return h, c.err
 }
 
-// DecodeEvents reads a batch of events; each gets the batch's entry.
+// DecodeEvents decodes a batch of events and sets each event's entry to the batch's.
 func DecodeEvents(payload []byte) (Events, error) {
 	var m wirepb.Events
 	if err := unmarshal(payload, &m); err != nil {
@@ -51,7 +52,8 @@
 	return b, c.err
 }
 
-// DecodeCommands reads a batch of commands; each gets the entry that reads it.
+// DecodeCommands decodes a batch of commands and sets each command's entry to
+// entry, the receiver.
 func DecodeCommands(payload []byte, entry pool.EntryID) (Commands, error) {
 	var m wirepb.Commands
 	if err := unmarshal(payload, &m); err != nil {
@@ -73,7 +75,7 @@
 	return b, c.err
 }
 
-// DecodeBrief reads a pool's brief.
+// DecodeBrief decodes a pool's brief.
 func DecodeBrief(payload []byte) (Brief, error) {
 	var m wirepb.Brief
 	if err := unmarshal(payload, &m); err != nil {
@@ -84,7 +86,7 @@
 	return b, c.err
 }
 
-// DecodeSuspect reads what is known of a fingerprint.
+// DecodeSuspect decodes the state of a suspect fingerprint.
 func DecodeSuspect(payload []byte) (pool.SuspectShared, error) {
 	var m wirepb.Suspect
 	if err := unmarshal(payload, &m); err != nil {
@@ -99,7 +101,7 @@
 	return s, c.err
 }
 
-// DecodeSummaries reads full summaries; an empty payload holds none.
+// DecodeSummaries decodes full summaries. An empty payload holds none.
 func DecodeSummaries(payload []byte) ([]pool.Summary, error) {
 	var m wirepb.Summaries
 	if err := proto.Unmarshal(payload, &m); err != nil {
@@ -129,7 +131,7 @@
 func (c *checker) brief(m *wirepb.Brief) Brief {
 	b := Brief{Pool: c.requiredName("pool", m.GetPool()), Free: c.number("free", m.GetFree())}
 	if len(m.GetWaiting()) > request.MaxTiers || len(m.GetExpectedWait()) > request.MaxTiers {
-		c.fail("brief of more than %d tiers", request.MaxTiers)
+		c.fail("brief has more than %d tiers", request.MaxTiers)
 		return b
 	}
 	for t, v := range m.GetWaiting() {
--- a/internal/poolwire/encode.go
+++ b/internal/poolwire/encode.go
@@ -6,23 +6,23 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// marshal encodes a message that this package made; that fails only for
-// strings that are not UTF-8, which no checked name is.
+// marshal encodes a message of this package. It fails only for a string that
+// is not UTF-8, which validated names never are.
 func marshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
-		return nil // an empty payload is refused by every decoder
+		return nil // all decoders but DecodeSummaries refuse an empty payload
 	}
 	return b
 }
 
-// EncodeHello returns the payload of a Hello.
+// EncodeHello encodes a Hello.
 func EncodeHello(h Hello) []byte {
 	return marshal(&wirepb.Hello{Pool: h.Pool, Entry: string(h.Entry), Session: uint64(h.Session), Close: h.Close})
 }
 
-// EncodeEvents returns the payload of a batch of events. The entry of each
-// event is left out: it is the batch's.
+// EncodeEvents encodes a batch of events. The entry is encoded once for the
+// batch, not in each event.
 func EncodeEvents(b Events) []byte {
 	m := &wirepb.Events{
 		Pool: b.Pool, Entry: string(b.Entry), Session: uint64(b.Session), Seq: b.Seq, Ack: b.Ack,
@@ -37,8 +37,8 @@
 	return marshal(m)
 }
 
-// EncodeCommands returns the payload of a batch of commands. The entry of
-// each command is left out: it is the session's.
+// EncodeCommands encodes a batch of commands. The entry is not encoded, since
+// the session implies it.
 func EncodeCommands(b Commands) []byte {
 	m := &wirepb.Commands{
 		Pool: b.Pool, Session: uint64(b.Session), Seq: b.Seq, Ack: b.Ack, Epoch: b.Epoch, Verdict: uint32(b.Status),
@@ -56,15 +56,15 @@
 	return marshal(m)
 }
 
-// EncodeBrief returns the payload of a pool's brief.
+// EncodeBrief encodes a pool's brief.
 func EncodeBrief(b Brief) []byte { return marshal(briefToWire(b)) }
 
-// EncodeSuspect returns the payload of what is known of a fingerprint.
+// EncodeSuspect encodes the state of a suspect fingerprint.
 func EncodeSuspect(s pool.SuspectShared) []byte {
 	return marshal(&wirepb.Suspect{Fingerprint: s.Fingerprint, State: uint32(s.State), ExpiresIn: int64(s.ExpiresIn)})
 }
 
-// EncodeSummaries returns the payload of full summaries.
+// EncodeSummaries encodes full summaries.
 func EncodeSummaries(all []pool.Summary) []byte {
 	m := &wirepb.Summaries{}
 	for _, s := range all {
@@ -97,7 +97,7 @@
 	case pool.EntryReported:
 		return &wirepb.Event{Kind: &wirepb.Event_EntryReported{EntryReported: &wirepb.EntryReported{}}}
 	default:
-		return nil // the other events never leave their owner
+		return nil // the other events are internal to an owner
 	}
 }
 
@@ -144,7 +144,7 @@
 			Request: string(c.Request), Pool: c.Pool,
 		}}}
 	default:
-		return nil // ShareSuspect goes to members, not to entries
+		return nil // ShareSuspect is sent to members, not to entries
 	}
 }
 
--- a/internal/poolwire/messages.go
+++ b/internal/poolwire/messages.go
@@ -1,6 +1,6 @@
-// Package poolwire holds the messages between an entry and a pool's owner,
-// and their protobuf encoding. Decoding checks every field, so that a faulty
-// or newer peer can't put a value into a pool that the pool does not expect.
+// Package poolwire defines the messages between an entry and a pool's owner and
+// their protobuf encoding. Decoders check every field, so that a faulty or newer
+// peer can't pass a value to a pool that the pool does not expect.
 package poolwire
 
 import (
@@ -10,12 +10,12 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// SessionID names one session of an entry with a pool's owner. It is random
+// SessionID identifies a session of an entry with a pool's owner. It is random
 // and never reused.
 type SessionID uint64
 
-// Hello opens a session in place of the entry's earlier one with the owner,
-// or closes it.
+// Hello opens a session, which replaces the entry's earlier one with the owner,
+// or closes a session.
 type Hello struct {
 	Pool    string
 	Entry   pool.EntryID
@@ -23,10 +23,11 @@
 	Close   bool
 }
 
-// Events is a batch from an entry to an owner. A batch with events has the
-// next Seq of its session; one without (a heartbeat) repeats the last, so that
-// a loss at the end is noticed too. Seq zero is outside the order: an answer
-// to a grant of a session that the entry has given up.
+// Events is a batch from an entry to an owner. A batch with events has the next
+// Seq of its session. A heartbeat, which has no events, repeats the last Seq, so
+// that the loss of the last batch is detected too. A batch with events and Seq
+// zero is outside the sequence: it returns grants of a session that the entry
+// has closed.
 type Events struct {
 	Pool    string
 	Entry   pool.EntryID
@@ -35,23 +36,23 @@
 	// Ack is the last Seq received from the owner in this session.
 	Ack    uint64
 	Events []pool.Event
-	// NextWithin is within how long the entry speaks again, in milliseconds on the
-	// wire; zero from an entry that does not tell.
+	// NextWithin is the announced interval: the entry sends its next message
+	// within this time. It is in milliseconds on the wire; zero announces nothing.
 	NextWithin time.Duration
 }
 
-// SessionStatus is what an owner says of a session.
+// SessionStatus tells an entry the state of its session.
 type SessionStatus uint8
 
-// The verdicts.
+// Session states.
 const (
 	SessionUnchanged SessionStatus = iota
 	SessionAccepted                // the session is open
-	SessionNotOwner                // ask the pool's owner, as membership has it now
-	SessionReset                   // a batch is missing: open a new session
+	SessionNotOwner                // find the pool's owner in the current membership
+	SessionReset                   // a batch is missing or the session is unknown: open a new one
 )
 
-// Commands is a batch from an owner to an entry, numbered like Events.
+// Commands is a batch from an owner to an entry, with sequence numbers as in Events.
 type Commands struct {
 	Pool    string
 	Session SessionID
@@ -60,14 +61,15 @@
 	Ack    uint64
 	Epoch  uint64
 	Status SessionStatus
-	// Brief tells how the pool stands; nil where nothing new is to tell.
+	// Brief is the pool's current brief; nil if the entry needs none now.
 	Brief    *Brief
 	Commands []pool.Command
-	// NextWithin is within how long the owner speaks again, as in Events.
+	// NextWithin is the owner's announced interval, as in Events.
 	NextWithin time.Duration
 }
 
-// Brief is a pool's standing as sibling pools and entries need it.
+// Brief is the part of a pool's summary that entries and sibling pools need.
+// Waiting and ExpectedWait are by tier.
 type Brief struct {
 	Pool         string
 	Waiting      [request.MaxTiers]int
@@ -75,7 +77,7 @@
 	ExpectedWait [request.MaxTiers]time.Duration
 }
 
-// BriefOf shortens a summary.
+// BriefOf returns the brief of a summary.
 func BriefOf(s pool.Summary) Brief {
 	return Brief{Pool: s.Pool, Waiting: s.Waiting, Free: s.Free, ExpectedWait: s.ExpectedWait}
 }
--- a/internal/poolwire/poolwire_test.go
+++ b/internal/poolwire/poolwire_test.go
@@ -54,7 +54,7 @@
 func TestRoundTrip(t *testing.T) {
 	entry := NewEntryID("a/b", 0xfeed)
 	if MemberOf(entry) != "a/b" {
-		t.Fatalf("member of %q is %q", entry, MemberOf(entry))
+		t.Fatalf("MemberOf(%q) = %q", entry, MemberOf(entry))
 	}
 	hello := Hello{Pool: "p", Entry: entry, Session: 1 << 63, Close: true}
 	gotHello, err := DecodeHello(EncodeHello(hello))
@@ -109,13 +109,12 @@
 		"not a protobuf":   []byte("{}"),
 	} {
 		if _, err := DecodeEvents(payload); !errors.Is(err, ErrInvalid) {
-			t.Errorf("%s: got %v", name, err)
+			t.Errorf("%s: got %v, want ErrInvalid", name, err)
 		}
 	}
 }
 
-// TestNewerPeer checks that an event of a kind that is not known here neither
-// fails its batch nor reaches a pool as anything that it acts on.
+// Guards against an event of a newer peer that fails its batch or acts on a pool.
 func TestUnknownEventKind(t *testing.T) {
 	payload := marshal(&wirepb.Events{Pool: "p", Entry: "e", Seq: 1, Events: []*wirepb.Event{{}}})
 	b, err := DecodeEvents(payload)
@@ -124,7 +123,7 @@
 	}
 }
 
-// TestAnyEnqueue checks that what an entry may send is read back unchanged.
+// Guards against fields of an Enqueue that change in encoding or decoding.
 func TestEnqueueRoundTripProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringMatching(`[a-z0-9-]{1,40}`)
@@ -143,8 +142,8 @@
 	})
 }
 
-// FuzzDecode checks that no payload makes a decoder panic, and that what is
-// read as valid is within bounds: it can be written and read again unchanged.
+// FuzzDecode checks that no payload makes a decoder panic, and that a decoded
+// batch is unchanged after it is encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	f.Add(EncodeHello(Hello{Pool: "p", Entry: "e", Session: 1}))
 	f.Add(EncodeEvents(Events{Pool: "p", Entry: "e", Seq: 1, Events: allEvents("e")}))
@@ -166,7 +165,7 @@
 	})
 }
 
-// allEventsKnown tells whether no event is of a newer kind, which isn't written again.
+// allEventsKnown reports whether no event is of an unknown kind, which is not encoded again.
 func allEventsKnown(events []pool.Event) bool {
 	for _, ev := range events {
 		if _, newer := ev.(pool.Tick); newer {
