--- a/internal/peer/auth.go
+++ b/internal/peer/auth.go
@@ -19,21 +19,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Authentication: TLS 1.3 with a certificate made at each start gives an
-// encrypted channel with nobody in particular. Inside it both sides prove that
+// Authentication: TLS 1.3 with a certificate generated at each start gives an
+// encrypted channel with an unknown peer. Inside it, both sides prove that
 // they hold a cluster key by an HMAC over the channel's exported keying
-// material, their role and both hellos. The keying material is unique to one
-// TLS session and the same at both of its ends, so a recorded hello, one
-// passed on by somebody in the middle, or one's own hello sent back proves
-// nothing, and every later byte is protected by TLS.
+// material, their role and the hellos. The keying material is unique to one
+// TLS session and the same at both ends. A recorded hello, a hello relayed by
+// a man in the middle and a daemon's own hello sent back to it are therefore
+// refused. TLS protects everything that follows.
 
 const (
 	// exporterLabel and exporterBytes define the channel binding.
 	exporterLabel = "EXPORTER-lycheekeel-peer"
 	exporterBytes = 32
-	// maxHelloBytes bounds what is read from a peer before it is trusted.
+	// maxHelloBytes limits what is read from a peer before it is authenticated.
 	maxHelloBytes = 1024
-	// certificateValidity is longer than any daemon runs; nobody checks it.
+	// certificateValidity exceeds the runtime of any daemon. It is not verified.
 	certificateValidity = 100 * 365 * 24 * time.Hour
 )
 
@@ -45,7 +45,7 @@
 	roleAcceptor role = "acceptor"
 )
 
-// authError is a failed handshake with its reason.
+// authError is a failed handshake with the reason to count.
 type authError struct {
 	reason reason
 	err    error
@@ -58,7 +58,7 @@
 }
 
 // newTLSConfig returns the configuration for both roles. Sessions are never
-// resumed: each connection makes its own keying material.
+// resumed, so each connection has its own keying material.
 func newTLSConfig() (*tls.Config, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -77,16 +77,17 @@
 	return &tls.Config{
 		Certificates: []tls.Certificate{{Certificate: [][]byte{der}, PrivateKey: private}},
 		MinVersion:   tls.VersionTLS13,
-		// The certificate proves nothing; the HMAC inside the channel does.
+		// Peers are authenticated by the HMAC inside the channel, not by the
+		// certificate.
 		InsecureSkipVerify:     true,
 		SessionTicketsDisabled: true,
-		// One small key share: the default's post-quantum one doubles the
-		// bytes of a dial, and membership dials for as long as it runs.
+		// One small key share. The default's post-quantum key share doubles the
+		// bytes of a dial, and membership keeps dialing.
 		CurvePreferences: []tls.CurveID{tls.X25519},
 	}, nil
 }
 
-// handshakeResult is what both sides agreed on.
+// handshakeResult is the outcome of a successful handshake.
 type handshakeResult struct {
 	peer     Name
 	instance uint64
@@ -94,7 +95,7 @@
 	replaces bool
 }
 
-// authenticator does both sides of the handshake inside a TLS connection.
+// authenticator performs both sides of the handshake inside a TLS connection.
 type authenticator struct {
 	name           Name
 	keys           [][]byte
@@ -102,7 +103,7 @@
 	oldest, newest uint32
 }
 
-// dial proves this daemon first and then checks the acceptor.
+// dial sends this daemon's proof and then verifies the acceptor's.
 func (a *authenticator) dial(conn *tls.Conn, to Name, replaces bool) (handshakeResult, error) {
 	binding, err := channelBinding(conn)
 	if err != nil {
@@ -121,16 +122,16 @@
 		return handshakeResult{}, err
 	}
 	if answer.Refusal != "" {
-		return handshakeResult{}, newAuthError(authRefused, "peer refused: %.64q", answer.Refusal)
+		return handshakeResult{}, newAuthError(authRefused, "peer refused the connection: %.64q", answer.Refusal)
 	}
 	if !a.verifyProof(answer.Proof, roleAcceptor, binding, ownHello, answer.Hello) {
-		return handshakeResult{}, newAuthError(authWrongKey, "acceptor holds no known cluster key")
+		return handshakeResult{}, newAuthError(authWrongKey, "proof of the acceptor matches no cluster key")
 	}
 	return a.checkHello(answer.Hello, to)
 }
 
-// accept checks the dialer first and then proves this daemon. A refusal is
-// told to the dialer in one word, since its log is where an operator looks.
+// accept verifies the dialer's proof and then sends this daemon's. A refusal is
+// sent to the dialer as its reason, since an operator looks at the dialer's log.
 func (a *authenticator) accept(conn *tls.Conn) (handshakeResult, error) {
 	binding, err := channelBinding(conn)
 	if err != nil {
@@ -141,7 +142,7 @@
 		return handshakeResult{}, err
 	}
 	if !a.verifyProof(peerHello.Proof, roleDialer, binding, peerHello.Hello) {
-		return handshakeResult{}, refuse(conn, newAuthError(authWrongKey, "dialer holds no known cluster key"))
+		return handshakeResult{}, refuse(conn, newAuthError(authWrongKey, "proof of the dialer matches no cluster key"))
 	}
 	res, err := a.checkHello(peerHello.Hello, "")
 	if err != nil {
@@ -155,7 +156,8 @@
 	return res, writeHello(conn, &wire.SignedHello{Hello: ownHello, Proof: proof})
 }
 
-// refuse tells the dialer the reason as far as it can, and returns err.
+// refuse sends the reason of a refusal to the dialer on a best-effort basis, and
+// returns err.
 func refuse(conn *tls.Conn, err error) error {
 	var ae *authError
 	if errors.As(err, &ae) {
@@ -176,11 +178,11 @@
 	return b, errors.Wrap(err, "peer: encode hello")
 }
 
-// checkHello validates a proven hello; expected is the name that was dialed.
+// checkHello validates an authenticated hello. expected is the name that was dialed.
 func (a *authenticator) checkHello(hello []byte, expected Name) (handshakeResult, error) {
 	var h wire.Hello
 	if err := proto.Unmarshal(hello, &h); err != nil {
-		return handshakeResult{}, newAuthError(authBadHello, "hello: %v", err)
+		return handshakeResult{}, newAuthError(authBadHello, "decode hello: %v", err)
 	}
 	name := Name(h.Name)
 	_, nameIsAddress := name.Address()
@@ -188,20 +190,20 @@
 	version := min(a.newest, h.NewestVersion)
 	switch {
 	case name == "" || len(name) > maxNameBytes || nameIsAddress:
-		return handshakeResult{}, newAuthError(authBadHello, "bad name")
+		return handshakeResult{}, newAuthError(authBadHello, "invalid peer name")
 	case name == a.name:
-		return handshakeResult{}, newAuthError(authSelf, "connected to a daemon with my own name")
+		return handshakeResult{}, newAuthError(authSelf, "peer has the name of this daemon")
 	case h.To != "" && Name(h.To) != a.name:
-		return handshakeResult{}, newAuthError(authWrongPeer, "peer wanted %q", h.To)
+		return handshakeResult{}, newAuthError(authWrongPeer, "peer dialed %q, not this daemon", h.To)
 	case expected != "" && !byAddress && name != expected:
-		return handshakeResult{}, newAuthError(authWrongPeer, "wanted %q, found %q", expected, name)
+		return handshakeResult{}, newAuthError(authWrongPeer, "dialed %q, found %q", expected, name)
 	case version < a.oldest || version < h.OldestVersion:
-		return handshakeResult{}, newAuthError(authProtocol, "no common version with %q: %d to %d", name, h.OldestVersion, h.NewestVersion)
+		return handshakeResult{}, newAuthError(authProtocol, "no common protocol version with %q, which supports %d to %d", name, h.OldestVersion, h.NewestVersion)
 	}
 	return handshakeResult{peer: name, instance: h.Instance, version: version, replaces: h.Replaces}, nil
 }
 
-// verifyProof tells whether any known key made the proof.
+// verifyProof reports whether the proof was made with any of the known keys.
 func (a *authenticator) verifyProof(proof []byte, r role, binding []byte, parts ...[]byte) bool {
 	ok := false
 	for _, k := range a.keys {
@@ -212,8 +214,8 @@
 	return ok
 }
 
-// computeProof is an HMAC-SHA256 over length-prefixed parts, so that no two lists of
-// parts give the same input.
+// computeProof returns an HMAC-SHA256 over length-prefixed parts, so that no two
+// lists of parts have the same input.
 func computeProof(key []byte, r role, binding []byte, parts ...[]byte) []byte {
 	m := hmac.New(sha256.New, key)
 	for _, p := range append([][]byte{[]byte(r), binding}, parts...) {
@@ -227,7 +229,7 @@
 
 func channelBinding(conn *tls.Conn) ([]byte, error) {
 	if err := conn.Handshake(); err != nil {
-		return nil, newAuthError(authTLS, "tls: %v", err)
+		return nil, newAuthError(authTLS, "TLS handshake: %v", err)
 	}
 	state := conn.ConnectionState()
 	b, err := state.ExportKeyingMaterial(exporterLabel, nil, exporterBytes)
@@ -248,7 +250,7 @@
 	return nil
 }
 
-// readHello reads byte by byte, so that nothing of what follows is consumed.
+// readHello reads byte by byte, so that it consumes nothing beyond the hello.
 func readHello(r io.Reader) (*wire.SignedHello, error) {
 	var h wire.SignedHello
 	opts := protodelim.UnmarshalOptions{MaxSize: maxHelloBytes}
--- a/internal/peer/auth_test.go
+++ b/internal/peer/auth_test.go
@@ -35,9 +35,9 @@
 			{a: []string{oldKey}, b: []string{oldKey}, ok: true},
 			{a: []string{oldKey}, b: []string{newKey}},
 			{a: []string{newKey}, b: []string{oldKey}},
-			{a: []string{oldKey, newKey}, b: []string{oldKey}, ok: true}, // rotation's first step
+			{a: []string{oldKey, newKey}, b: []string{oldKey}, ok: true}, // first step of a rotation
 			{a: []string{oldKey, newKey}, b: []string{newKey, oldKey}, ok: true},
-			{a: []string{newKey}, b: []string{newKey, oldKey}, ok: true}, // its last step
+			{a: []string{newKey}, b: []string{newKey, oldKey}, ok: true}, // last step of a rotation
 			{a: []string{newKey, oldKey}, b: []string{oldKey}},
 		} {
 			a, b := startNode("a", withKeys(c.a...)), startNode("b", withKeys(c.b...))
@@ -49,20 +49,21 @@
 			}
 		}
 	})
-	Convey("A short key is refused at the start", t, func() {
+	Convey("A short key is refused by NewTCP", t, func() {
 		_, err := NewTCP(Options{Name: "a", Listen: "127.0.0.1:0", Keys: [][]byte{[]byte("short")}})
 		So(err, ShouldNotBeNil)
 	})
 }
 
 func TestMixedVersions(t *testing.T) {
-	// Guards against this: during an upgrade the old and the new daemons form two clusters, or a daemon closes connections on a message type that it does not know.
+	// Guards against an upgrade that splits the cluster, and against an unknown message type
+	// that closes a connection.
 	Convey("Given an old daemon and a new one with more message types", t, func() {
 		old := startNode("old", nil)
 		newer := startNode("young", func(o *Options) { o.newest = NewestVersion + 1 })
 		newer.setAddresses(old)
 
-		Convey("they agree on the old version and ignore what they don't know", func() {
+		Convey("they use the old version and ignore unknown message types", func() {
 			const unknownType Type = 9000
 			So(newer.Send("old", unknownType, []byte("?")), ShouldBeNil)
 			So(newer.Send("old", TypePoolEvents, []byte("1")), ShouldBeNil)
@@ -74,7 +75,7 @@
 			So(ok, ShouldBeTrue)
 			So(v, ShouldEqual, NewestVersion)
 		})
-		Convey("a daemon that has dropped the old version is refused and counted", func() {
+		Convey("a daemon without support for the old version is refused and counted", func() {
 			strict := startNode("strict", func(o *Options) {
 				o.oldest, o.newest = NewestVersion+1, NewestVersion+1
 			})
@@ -88,15 +89,15 @@
 }
 
 func TestPeerNameMismatch(t *testing.T) {
-	// Guards against this: messages meant for one daemon are handled by another.
-	Convey("A daemon that finds another name at an address refuses it", t, func() {
+	// Guards against messages that are handled by another daemon than the one addressed.
+	Convey("A connection to a daemon with another name is refused", t, func() {
 		a, b := startNode("a", nil), startNode("b", nil)
 		a.SetAddress("c", b.Addr().String())
 		_, err := a.call("c", "x")
 		So(err, ShouldNotBeNil)
 		eventually(func() bool { return b.count(groupAuth, authWrongPeer) > 0 })
 	})
-	Convey("A daemon does not connect to itself through its seed list", t, func() {
+	Convey("A daemon refuses a connection to itself, as through its seed list", t, func() {
 		a := startNode("a", nil)
 		So(a.Send(ByAddress(a.Addr().String()), TypePoolEvents, nil), ShouldBeNil)
 		eventually(func() bool { return a.count(groupAuth, authSelf) > 0 })
@@ -104,7 +105,7 @@
 	})
 }
 
-// dialUnauthenticated opens a TLS connection to a daemon as anybody may.
+// dialUnauthenticated opens a TLS connection without authentication.
 func dialUnauthenticated(n *node) *tls.Conn {
 	c, err := tls.Dial("tcp", n.Addr().String(), &tls.Config{InsecureSkipVerify: true, MinVersion: tls.VersionTLS13})
 	So(err, ShouldBeNil)
@@ -112,25 +113,25 @@
 	return c
 }
 
-// refused tells that the daemon closed the connection without a proof.
+// refused reports whether the daemon closed the connection without a proof.
 func refused(c *tls.Conn) bool {
 	h, err := readHello(c)
 	return err != nil || (h.Refusal != "" && len(h.Proof) == 0)
 }
 
 func TestUnauthenticatedPeers(t *testing.T) {
-	// Guards against this: grants from nobody's daemon, or a daemon busy with strangers.
+	// Guards against messages of unauthenticated peers, and against resources that they use up.
 	Convey("Given a daemon", t, func() {
 		a := startNode("a", func(o *Options) { o.HandshakeTimeout = 300 * time.Millisecond })
 
-		Convey("a hello recorded on another connection proves nothing", func() {
+		Convey("a hello replayed from another connection is refused", func() {
 			recorded := recordHello(a)
 			c := dialUnauthenticated(a)
 			So(writeHello(c, recorded), ShouldBeNil)
 			So(refused(c), ShouldBeTrue)
 			eventually(func() bool { return a.count(groupAuth, authWrongKey) == 1 })
 		})
-		Convey("somebody in the middle who passes the hellos on is refused", func() {
+		Convey("a man in the middle who relays the hellos is refused", func() {
 			victim := startNode("victim", nil)
 			relay, err := net.Listen("tcp", "127.0.0.1:0")
 			So(err, ShouldBeNil)
@@ -141,7 +142,7 @@
 			So(err, ShouldNotBeNil)
 			eventually(func() bool { return a.count(groupAuth, authWrongKey) == 1 })
 		})
-		Convey("a daemon's own proof sent back to it proves nothing", func() {
+		Convey("a daemon's own proof reflected to it is refused", func() {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			So(err, ShouldBeNil)
 			Reset(func() { ln.Close() })
@@ -151,7 +152,7 @@
 			So(err, ShouldNotBeNil)
 			eventually(func() bool { return a.count(groupAuth, authWrongKey) == 1 })
 		})
-		Convey("garbage and large hellos are refused, silence is cut off", func() {
+		Convey("an oversized hello is refused, and a silent connection is closed", func() {
 			c := dialUnauthenticated(a)
 			So(writeHello(c, &wire.SignedHello{Hello: make([]byte, 2*maxHelloBytes)}), ShouldBeNil)
 			So(refused(c), ShouldBeTrue)
@@ -163,7 +164,7 @@
 			So(err, ShouldBeNil)
 			eventually(func() bool { return a.count(groupAuth, authTLS) == 1 })
 		})
-		Convey("only so many strangers are listened to at once", func() {
+		Convey("the number of concurrent handshakes is limited", func() {
 			for range maxHandshakes + 1 {
 				c, err := net.Dial("tcp", a.Addr().String())
 				So(err, ShouldBeNil)
@@ -174,7 +175,7 @@
 	})
 }
 
-// recordHello returns what a holder of the key proved on its own connection.
+// recordHello returns a valid hello with its proof for another connection.
 func recordHello(a *node) *wire.SignedHello {
 	c := dialUnauthenticated(a)
 	defer c.Close()
@@ -188,7 +189,7 @@
 	return signed
 }
 
-// relayHellos is a TLS server towards the dialer and a client of the target.
+// relayHellos is a TLS server for the dialer and a TLS client of the target.
 func relayHellos(ln net.Listener, target string) {
 	conf, err := newTLSConfig()
 	if err != nil {
@@ -209,7 +210,7 @@
 	_, _ = io.Copy(client, server)
 }
 
-// echo is a TLS server that sends back whatever it is sent.
+// echo is a TLS server that sends back whatever it receives.
 func echo(ln net.Listener) {
 	conf, err := newTLSConfig()
 	if err != nil {
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/lycheekeel/lycheekeel/internal/metrics"
 )
 
-// benchPair starts two transports; the second answers calls and acks messages.
+// benchPair starts two transports; the second one acknowledges probes.
 func benchPair(b *testing.B) (*TCP, *TCP, chan struct{}) {
 	acks := make(chan struct{}, maxQueuedMessages)
 	newTransport := func(name Name) *TCP {
@@ -33,11 +33,11 @@
 	return a, c, acks
 }
 
-// wireBytes is what a transport sent and received with encryption and framing,
-// without the TCP and IP headers.
+// wireBytes returns the bytes that a transport sent and received, including
+// encryption and framing, without TCP and IP headers.
 func wireBytes(t *TCP) int64 { return t.count.wireBytesIn.Value() + t.count.wireBytesOut.Value() }
 
-// BenchmarkProbe is one small message and its answer, one at a time.
+// BenchmarkProbe sends one small message at a time and waits for its answer.
 func BenchmarkProbe(b *testing.B) {
 	a, _, acks := benchPair(b)
 	payload := make([]byte, 20)
@@ -56,8 +56,8 @@
 	b.ReportMetric(float64(wireBytes(a)-before)/float64(b.N), "wire-B/op")
 }
 
-// BenchmarkDial is a connection's whole life: dial, authentication, one
-// message and its answer, close.
+// BenchmarkDial covers the life of a connection: dial, authentication, one message
+// and its answer, close.
 func BenchmarkDial(b *testing.B) {
 	a, _, acks := benchPair(b)
 	b.ReportAllocs()
@@ -69,7 +69,7 @@
 		a.mu.Lock()
 		l := a.peers["c"].current
 		a.mu.Unlock()
-		a.closeLink(l, closedSilent) // the next dial replaces it at once
+		a.closeLink(l, closedSilent) // closedSilent allows the next dial without backoff
 	}
 	b.ReportMetric(float64(wireBytes(a))/float64(b.N), "wire-B/op")
 }
--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -9,8 +9,8 @@
 	"github.com/pkg/errors"
 )
 
-// call does one call on its own stream. Errors before the first byte left are
-// ErrNotConnected, later ones ErrUnknownOutcome.
+// call performs one call on its own stream. An error before the request is
+// written is ErrNotConnected; a later one is ErrUnknownOutcome.
 func (l *link) call(ctx context.Context, t Type, payload []byte) ([]byte, error) {
 	if !l.startCall() {
 		return nil, errLinkClosing
@@ -34,7 +34,7 @@
 	return callResult(e)
 }
 
-// startCall counts a call, so that the link is not closed as idle under it.
+// startCall counts a call, so that the link is not closed as idle during it.
 func (l *link) startCall() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,7 +63,7 @@
 	return e, nil
 }
 
-// callResult turns an answer into Call's result.
+// callResult returns the result of Call for an answer.
 func callResult(e *wire.Envelope) ([]byte, error) {
 	switch e.Status {
 	case wire.Status_STATUS_OK:
@@ -77,7 +77,7 @@
 	}
 }
 
-// serveCall runs the handler of a peer's call and writes its answer.
+// serveCall reads a peer's call, runs its handler and writes the answer.
 func (l *link) serveCall(s *yamux.Stream, r *bufio.Reader) {
 	e, size, err := readEnvelope(r)
 	if err != nil {
@@ -99,7 +99,8 @@
 	}
 }
 
-// handleCall bounds how many calls of one connection run at once.
+// handleCall runs the handler of a call. It refuses the call if
+// maxConcurrentCalls of this connection are running.
 func (l *link) handleCall(t Type, payload []byte) *wire.Envelope {
 	h, ok := l.transport.handlers[t]
 	if !ok {
--- a/internal/peer/connect.go
+++ b/internal/peer/connect.go
@@ -10,7 +10,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// dial connects a link, authenticates it and runs it until it ends.
+// dial connects and authenticates a link and serves it until it is closed.
 func (t *TCP) dial(l *link, address string, replaces bool) {
 	res, conn, err := t.dialAndAuthenticate(l, address, replaces)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return res, conn, raw.SetReadDeadline(noDeadline)
 }
 
-// wrapTLS wraps a raw connection for the handshake, under its deadline.
+// wrapTLS wraps a raw connection for the handshake and sets the handshake's deadline.
 func (t *TCP) wrapTLS(l *link, raw net.Conn, wrap func(net.Conn, *tls.Config) *tls.Conn) *tls.Conn {
 	l.mu.Lock()
 	l.rawConn = raw
@@ -60,7 +60,7 @@
 			if t.ctx.Err() != nil {
 				return
 			}
-			t.log.WithError(err).Warn("accept failed")
+			t.log.WithError(err).Warn("Accepting a connection failed.")
 			continue
 		}
 		select {
@@ -73,7 +73,7 @@
 	}
 }
 
-// accept authenticates an accepted connection and runs it until it ends.
+// accept authenticates an accepted connection and serves it until it is closed.
 func (t *TCP) accept(raw net.Conn) {
 	l := newLink(t, "", false)
 	t.mu.Lock()
@@ -103,7 +103,7 @@
 	t.serve(l, res, session)
 }
 
-// serve registers an authenticated link and runs it until it ends.
+// serve registers an authenticated link and serves it until it is closed.
 func (t *TCP) serve(l *link, res handshakeResult, session *session) {
 	stale, ok := t.attach(l, res, session)
 	for s, why := range stale {
@@ -118,9 +118,10 @@
 	t.closeLink(l, l.run())
 }
 
-// attach makes an authenticated link known under its peer's name and returns
-// the links that it makes stale: those of an earlier instance of the peer, and
-// those that the peer has given up as silent. False if the link was closed.
+// attach registers an authenticated link under its peer's name. It returns the
+// links that become stale: those of an earlier instance of the peer, and those
+// that the peer replaces because they were silent. It returns false if the link
+// was closed in the meantime.
 func (t *TCP) attach(l *link, res handshakeResult, session *session) (map[*link]reason, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -150,7 +151,7 @@
 	return stale, true
 }
 
-// detach takes a link out of use for sending; it stays open for reading.
+// detach stops sending new messages on a link, which stays open for reading.
 func (t *TCP) detach(l *link) {
 	l.mu.Lock()
 	l.closing = true
@@ -161,7 +162,8 @@
 	t.unlistLocked(l)
 }
 
-// unlistLocked needs t.mu. Another open connection to the peer takes l's place.
+// unlistLocked removes a link from its peer. Another open connection to the peer
+// replaces it. The caller holds t.mu.
 func (t *TCP) unlistLocked(l *link) {
 	for _, key := range []Name{l.dialedName, l.peer} {
 		p, ok := t.peers[key]
@@ -179,8 +181,8 @@
 	}
 }
 
-// closeLink closes a link, loses its queue and tells OnDown, unless the close was
-// agreed on. Only the first call has an effect.
+// closeLink closes a link, drops its queue and calls the OnDown functions, unless
+// both sides agreed on the close. Only the first call has an effect.
 func (t *TCP) closeLink(l *link, why reason) {
 	first, lost := l.close()
 	if !first {
@@ -211,18 +213,19 @@
 	}
 	level := logrus.InfoLevel
 	if why == closedDialFailed {
-		level = logrus.DebugLevel // repeated for as long as a peer is away
+		level = logrus.DebugLevel // repeated while a peer is unreachable
 	}
-	t.log.WithField("of", name).WithField("reason", why).WithField("lost", lost).Log(level, "connection down")
+	t.log.WithField("of", name).WithField("reason", why).WithField("lost", lost).Log(level, "Connection closed.")
 	for _, f := range callbacks {
 		f(name)
 	}
 	t.redial(l, name, why)
 }
 
-// recordDisconnect remembers that the next dial replaces a connection, and puts the
-// dial off when this one never came up or broke soon after. A silent one took
-// its time already. It needs t.mu.
+// recordDisconnect records that the next dial replaces a connection. If the dial
+// failed or the connection broke soon after it, the next dial is delayed by the
+// backoff. A silent connection needs none, since detecting silence took time
+// already. The caller holds t.mu.
 func (t *TCP) recordDisconnect(l *link, name Name, why reason) {
 	p := t.stateOf(name)
 	p.replaceNext = p.replaceNext || l.session != nil
@@ -233,8 +236,8 @@
 	p.dialAfter = t.now().Add(p.backoff.NextBackOff())
 }
 
-// redial opens a new connection at once in place of one that was in use, so
-// that the peer's next message doesn't wait for the dial.
+// redial immediately replaces a connection that was in use, so that the next message
+// to the peer need not wait for the dial.
 func (t *TCP) redial(l *link, to Name, why reason) {
 	c, counted := t.count.redials[why]
 	if !counted || !l.hasAppTraffic() {
@@ -244,8 +247,8 @@
 	_, _ = t.linkTo(to)
 }
 
-// recordAuthError counts a failed handshake by its reason; a failed connect is
-// counted by its caller.
+// recordAuthError counts and logs a failed handshake by its reason. Callers count
+// a failed dial.
 func (t *TCP) recordAuthError(err error, address string) {
 	var ae *authError
 	if !errors.As(err, &ae) {
--- a/internal/peer/counters.go
+++ b/internal/peer/counters.go
@@ -8,16 +8,16 @@
 	"github.com/lycheekeel/lycheekeel/internal/metrics"
 )
 
-// reason is why a connection was refused, given up, or a message dropped. It
-// is also the counter's name.
+// reason is why a handshake failed, a connection was closed or a message was
+// dropped. It is also the name of the counter.
 type reason string
 
 // Reasons of a failed or refused handshake (group peer_auth_failures).
 const (
 	authWrongKey  reason = "wrong_key"
-	authWrongPeer reason = "wrong_peer" // another daemon listens at the address
+	authWrongPeer reason = "wrong_peer" // the address belongs to another daemon
 	authBadHello  reason = "bad_hello"
-	authProtocol  reason = "protocol" // no common version
+	authProtocol  reason = "protocol" // no common protocol version
 	authTLS       reason = "tls"
 	authBusy      reason = "busy" // too many handshakes at once
 	authSelf      reason = "self"
@@ -31,8 +31,8 @@
 	closedBroken     reason = "broken"
 	closedSilent     reason = "silent"
 	closedWrite      reason = "write_timeout"
-	closedReplaced   reason = "replaced"  // the peer dialed anew after a silence
-	closedRestarted  reason = "restarted" // the peer is another instance now
+	closedReplaced   reason = "replaced"  // the peer replaced a silent connection
+	closedRestarted  reason = "restarted" // the peer has a new instance
 	closedIdle       reason = "idle"
 	closedShutdown   reason = "shutdown"
 )
@@ -46,7 +46,7 @@
 	dropCallsFull    reason = "calls_full"
 )
 
-// The groups in the metrics registry.
+// Groups in the metrics registry.
 const (
 	groupPeer    = "peer"
 	groupAuth    = "peer_auth_failures"
@@ -57,7 +57,7 @@
 	groupRecv    = "peer_received"
 )
 
-// typeNames names the known message types in counters.
+// typeNames are the names of the message types in counters.
 var typeNames = map[Type]string{
 	TypePing: "ping", TypeMemberGossip: "member_gossip", TypeMemberProbe: "member_probe",
 	TypeMemberIndirectProbe: "member_ask", TypeMemberAck: "member_ack", TypePoolEvents: "pool_events",
@@ -76,7 +76,7 @@
 	return "type_" + strconv.FormatUint(uint64(t), 10)
 }
 
-// traffic counts messages and envelope bytes of one type and direction.
+// traffic counts the messages and envelope bytes of one type and direction.
 type traffic struct{ messages, bytes *expvar.Int }
 
 func (c traffic) add(size int) {
@@ -84,8 +84,8 @@
 	c.bytes.Add(int64(size))
 }
 
-// counters holds every counter of a transport, made at its start so that a
-// reason that never happened shows as zero.
+// counters holds all counters of a transport. They are created at its start, so
+// that a counter without events is exported as zero.
 type counters struct {
 	reg                                  *metrics.Registry
 	dials, accepts                       *expvar.Int
@@ -153,9 +153,9 @@
 	c.receivedOther.add(size)
 }
 
-// countedConn counts the bytes on the wire, encryption included, tells when
-// something arrived, and bounds each write: a peer whose receive window is
-// closed for good would otherwise block the writer for ever.
+// countedConn counts the bytes on the wire, including encryption, and records
+// when bytes arrive. It also sets a deadline on each write, because a peer whose
+// receive window stays closed would block the writer forever.
 type countedConn struct {
 	net.Conn
 	link *link
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -14,20 +14,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxPayloadBytes bounds one message's payload.
+// MaxPayloadBytes is the largest payload of a message.
 const MaxPayloadBytes = 4 << 20
 
-// maxEnvelopeBytes leaves room for the envelope's other fields.
+// maxEnvelopeBytes allows for the other fields of the envelope.
 const maxEnvelopeBytes = MaxPayloadBytes + 4096
 
-// The first byte of a yamux stream tells what it carries.
+// The first byte of a yamux stream is the kind of its content.
 const (
-	streamMessages byte = 1 // one-way messages in order, as long as the connection lives
+	streamMessages byte = 1 // one-way messages in order, for the life of the connection
 	streamCall     byte = 2 // one call and its answer
 )
 
-// appendDelimited appends a message with its size before it, in one buffer so
-// that it leaves in one write.
+// appendDelimited appends a message with its size as prefix to one buffer, so
+// that both are sent in one write.
 func appendDelimited(b []byte, m proto.Message) ([]byte, error) {
 	opts := proto.MarshalOptions{}
 	b = protowire.AppendVarint(b, uint64(opts.Size(m)))
@@ -45,7 +45,7 @@
 	return &e, proto.Size(&e), nil
 }
 
-// yamux's frame header, as far as joiner needs it.
+// The parts of yamux's frame header that frameWriter needs.
 const (
 	yamuxHeaderBytes  = 12
 	yamuxTypeOffset   = 1
@@ -53,8 +53,8 @@
 	yamuxTypeData     = 0
 )
 
-// frameWriter joins a yamux data frame's header with its body, which yamux writes
-// one after the other: apart they would cost two TLS records, two system
+// frameWriter writes the header and the body of a yamux data frame together.
+// yamux writes them separately, which would cost two TLS records, two system
 // calls and two packets for each small message.
 type frameWriter struct {
 	net.Conn
@@ -69,7 +69,8 @@
 	return j.Conn.Close()
 }
 
-// Write implements net.Conn. yamux writes from one goroutine.
+// Write implements net.Conn. It needs no lock, because yamux writes from one
+// goroutine.
 func (j *frameWriter) Write(p []byte) (int, error) {
 	if len(j.pendingHeader) == 0 && isDataHeader(p) {
 		j.pendingHeader = append(j.pendingHeader, p...)
@@ -84,14 +85,14 @@
 	return max(0, n-yamuxHeaderBytes), err
 }
 
-// isDataHeader tells whether p is the header of a frame with a body.
+// isDataHeader reports whether p is the header of a frame with a body.
 func isDataHeader(p []byte) bool {
 	return len(p) == yamuxHeaderBytes && p[yamuxTypeOffset] == yamuxTypeData &&
 		binary.BigEndian.Uint32(p[yamuxLengthOffset:]) > 0
 }
 
-// yamuxConfig turns yamux's own keepalive off: the heartbeats of watch.go find
-// silence sooner and cost nothing on connections that are not in use.
+// yamuxConfig disables yamux's keepalive. The heartbeats in heartbeat.go detect
+// silence sooner and cost nothing on unused connections.
 func yamuxConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
 	c.EnableKeepAlive = false
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -7,26 +7,28 @@
 )
 
 const (
-	// heartbeatTick is how often connections are looked at.
+	// heartbeatTick is the interval between two checks of all connections.
 	heartbeatTick = 100 * time.Millisecond
-	// pauseThreshold between two looks means that this process did not run.
+	// pauseThreshold is the time between two checks above which this process
+	// was paused.
 	pauseThreshold = 500 * time.Millisecond
-	// pingBurst is how many heartbeats may leave at once.
+	// pingBurst is the largest burst of heartbeats.
 	pingBurst = 20
-	// goAwayTimeout ends an idle connection whose peer doesn't answer the bye.
+	// goAwayTimeout closes an idle connection whose peer doesn't answer the
+	// pingGoAway.
 	goAwayTimeout = 30 * time.Second
 )
 
 // noDeadline clears a deadline.
 var noDeadline time.Time
 
-// heartbeatLoop sends heartbeats and gives silent connections up.
+// heartbeatLoop sends heartbeats and closes silent connections.
 //
-// What goes wrong: something between two daemons forgets an open connection,
-// and TCP keeps what is written for many minutes before it gives up, while a
-// new connection would work. It is noticed by no byte arriving after a
-// heartbeat was sent. The connection is then closed here, its users are told,
-// and the next message dials.
+// A device between two daemons may drop the state of an open connection. TCP then
+// retransmits for many minutes before it reports an error, while a new connection
+// would work. Such a connection is detected when no byte arrives after a
+// heartbeat. It is closed, its users are notified, and the next message dials a
+// new one.
 func (t *TCP) heartbeatLoop() {
 	tick := time.NewTicker(heartbeatTick)
 	defer tick.Stop()
@@ -50,7 +52,7 @@
 	}
 }
 
-// checkAll looks at all connections and returns those to be pinged.
+// checkAll checks all connections and returns those to ping.
 func (t *TCP) checkAll(links []*link, paused bool) []*link {
 	var due []*link
 	for _, l := range links {
@@ -61,12 +63,13 @@
 	return due
 }
 
-// pingDue pings connections as far as the rate allows: first those on which a
-// message is unanswered, the oldest first, then those that were quiet longest.
+// pingDue pings connections as far as the rate limit allows: first those with an
+// unanswered message, oldest first, then the others, longest without a receipt
+// first.
 //
-// What goes wrong without the order: with 60 connections the rate is less than
-// the quiet ones ask for, and one with a request on it would wait its turn
-// among them for many seconds before its silence is looked into.
+// With 60 connections, the quiet ones alone exceed the rate limit. Without this
+// order, the silence of a connection with a request on it would be detected many
+// seconds late.
 func (t *TCP) pingDue(due []*link) {
 	now := t.nanos()
 	slices.SortFunc(due, func(a, b *link) int { return cmp.Compare(b.urgency(now), a.urgency(now)) })
@@ -78,10 +81,10 @@
 	}
 }
 
-// unansweredPriority puts an unanswered message before any quiet time.
+// unansweredPriority ranks an unanswered message before any quiet connection.
 const unansweredPriority = time.Hour
 
-// urgency orders connections to be pinged.
+// urgency returns the priority of a connection to be pinged; higher is first.
 func (l *link) urgency(now int64) int64 {
 	if since := l.awaitingSince.Load(); since != 0 && now-since > int64(l.transport.opts.PingDelay) {
 		return int64(unansweredPriority) + now - since
@@ -89,9 +92,9 @@
 	return now - l.receivedAt.Load()
 }
 
-// check looks at one connection and tells whether it is to be pinged. After an
-// own pause nothing is held against the peer: what it sent meanwhile may be
-// waiting in the kernel.
+// check closes a connection that is silent or idle, and reports whether it is to
+// be pinged. After a pause of this process, silence is not counted, because
+// messages of the peer may still be in the kernel's buffer.
 func (t *TCP) check(l *link, paused bool) (ping bool) {
 	if paused {
 		l.awaitingSince.Store(0)
@@ -107,8 +110,8 @@
 	return pinged == 0 && l.needsPing(now)
 }
 
-// needsPing tells whether a sign of life is due: a message went unanswered, or
-// a connection that is in use has been quiet.
+// needsPing reports whether a ping is due: a message was not answered, or a
+// connection in use was quiet for too long.
 func (l *link) needsPing(now int64) bool {
 	if since := l.awaitingSince.Load(); since != 0 && now-since > int64(l.transport.opts.PingDelay) {
 		return true
@@ -116,24 +119,24 @@
 	return l.hasAppTraffic() && now-l.receivedAt.Load() > int64(l.transport.opts.KeepaliveInterval)
 }
 
-// hasAppTraffic tells whether messages other than membership's, which has its own
-// timeouts, used the link within IdleTimeout.
+// hasAppTraffic reports whether messages other than membership's were sent or
+// received within IdleTimeout. Membership has its own timeouts.
 func (l *link) hasAppTraffic() bool {
 	at := l.appMessageAt.Load()
 	return at != 0 && l.nanos()-at < int64(l.transport.opts.IdleTimeout)
 }
 
-// ping asks for a sign of life. A full queue counts as asked: the peer then
-// takes nothing, which is the silence that is looked for.
+// ping sends a heartbeat request. If the queue is full, the ping still counts as
+// sent: the peer then reads nothing, which is silence too.
 func (t *TCP) ping(l *link, now int64) {
 	t.count.pings.Add(1)
 	l.pingedAt.CompareAndSwap(0, max(1, now))
 	_ = l.sendPing(pingRequest)
 }
 
-// closeIfIdle closes a connection that nobody uses. The dialer says bye, the
-// peer sends what it still has and says bye too; neither side is told of a
-// break, because no message is lost.
+// closeIfIdle closes an unused connection. The dialer sends a pingGoAway; the peer
+// sends its queued messages and answers with a pingGoAway. OnDown is not called,
+// because no message is lost.
 func (t *TCP) closeIfIdle(l *link, now int64) {
 	idle := now-l.usedAt.Load() > int64(t.opts.IdleTimeout)
 	if l.dialed && idle && !l.goAwayReceived.Load() && l.startClosing() {
--- a/internal/peer/heartbeat_test.go
+++ b/internal/peer/heartbeat_test.go
@@ -9,8 +9,9 @@
 )
 
 func TestPingOrder(t *testing.T) {
-	// Guards against this: a request waits for many seconds on a connection that is silent, though others are noticed within one.
-	Convey("Where the rate allows a few pings only", t, func() {
+	// Guards against a silent connection with a request on it that is detected many seconds
+	// late, because idle ones were pinged first.
+	Convey("Unanswered messages are pinged first, then the connection that was quiet longest", t, func() {
 		transport, err := NewTCP(Options{Name: "a", Listen: "127.0.0.1:0", Keys: [][]byte{testKey}})
 		So(err, ShouldBeNil)
 		Reset(transport.Close)
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -16,55 +16,55 @@
 )
 
 const (
-	// writeTimeout bounds each write to the network.
+	// writeTimeout limits each write to the network.
 	writeTimeout = 2 * time.Second
-	// streamTimeout bounds a yamux stream's opening and closing.
+	// streamTimeout limits the opening and closing of a yamux stream.
 	streamTimeout = 5 * time.Second
-	// maxQueuedMessages and maxQueuedBytes bound what waits for one peer.
+	// maxQueuedMessages and maxQueuedBytes limit the send queue of a connection.
 	maxQueuedMessages = 2048
 	maxQueuedBytes    = 8 << 20
-	// writeBatchBytes is how much of the queue leaves in one write.
+	// writeBatchBytes is the approximate payload size of a batched write.
 	writeBatchBytes = 64 << 10
-	// maxKeptBufferBytes is the largest write buffer that a connection keeps.
+	// maxKeptBufferBytes is the largest write buffer kept for the next write.
 	maxKeptBufferBytes = 16 << 10
-	// maxConcurrentCalls bounds the calls of one connection that run at once.
+	// maxConcurrentCalls limits the calls that one connection serves at once.
 	maxConcurrentCalls = 128
 )
 
-// The payloads of TypePing.
+// Payloads of TypePing.
 const (
-	pingRequest byte = 1 // answer with pingReply
+	pingRequest byte = 1 // requests a pingReply
 	pingReply   byte = 2
-	pingGoAway  byte = 3 // no further message will be sent on this connection
+	pingGoAway  byte = 3 // the sender's last message on this connection
 )
 
-// outMessage waits in a link's queue.
+// outMessage is a message in a link's send queue.
 type outMessage struct {
 	typ     Type
 	payload []byte
 }
 
-// link is one connection to a peer, from before it is dialed until it is
-// closed. A link is never revived: what was in its queue when it broke is lost
-// and told through OnDown.
+// link is one connection to a peer, from before the dial until it is closed. A
+// closed link is never reused. Messages that were queued when it broke are lost,
+// which is reported through OnDown.
 type link struct {
 	transport  *TCP
-	dialedName Name // what was dialed: a name or ByAddress; empty when accepted
+	dialedName Name // a name or ByAddress; empty if the connection was accepted
 	dialed     bool
 	created    time.Time
 
-	// Set once, before up is closed.
+	// Set before up is closed and not changed afterwards.
 	peer     Name
 	instance uint64
 	version  uint32
 	rawConn  net.Conn
 	session  *session
 
-	up   chan struct{} // closed when messages can flow
+	up   chan struct{} // closed when messages can be sent
 	done chan struct{} // closed when the link is closed
 
 	mu          sync.Mutex
-	closing     bool // no further Send; a bye ends the queue
+	closing     bool // accepts no further messages but a pingGoAway
 	closed      bool
 	queue       []outMessage
 	queuedBytes int
@@ -72,15 +72,15 @@
 
 	goAwayReceived atomic.Bool
 	goAwaySent     atomic.Bool
-	outgoingCalls  atomic.Int64 // own calls under way
+	outgoingCalls  atomic.Int64 // this daemon's calls in flight
 	callSlots      chan struct{}
 
-	// Times in nanoseconds of the transport's clock; zero: none.
-	awaitingSince atomic.Int64 // first message since anything was received
-	pingedAt      atomic.Int64 // ping since anything was received
+	// Times in ns since the transport's start; zero if unset.
+	awaitingSince atomic.Int64 // first message sent since the last receipt
+	pingedAt      atomic.Int64 // ping sent since the last receipt
 	receivedAt    atomic.Int64
-	usedAt        atomic.Int64 // last message other than heartbeats
-	appMessageAt  atomic.Int64 // last message that keeps the heartbeats going
+	usedAt        atomic.Int64 // last message except heartbeats
+	appMessageAt  atomic.Int64 // last message except heartbeats and membership's
 	closingAt     atomic.Int64
 }
 
@@ -99,14 +99,14 @@
 
 func (t *TCP) nanos() int64 { return t.now().Sub(t.start).Nanoseconds() }
 
-// markReceived is called for every arrival, of whatever kind.
+// markReceived is called when any bytes arrive.
 func (l *link) markReceived() {
 	l.receivedAt.Store(l.nanos())
 	l.awaitingSince.Store(0)
 	l.pingedAt.Store(0)
 }
 
-// markUsed is called for every message sent or received but heartbeats.
+// markUsed is called for every message sent or received, except heartbeats.
 func (l *link) markUsed(t Type) {
 	now := l.nanos()
 	l.usedAt.Store(now)
@@ -115,8 +115,8 @@
 	}
 }
 
-// markSent starts the wait for a sign of life, unless one is awaited already.
-// An ack asks for none, or the two ends would ping each other for ever.
+// markSent records that a receipt is awaited from now on, if none is awaited
+// already. An ack awaits none; otherwise the two ends would ping each other forever.
 func (l *link) markSent(t Type) {
 	l.markUsed(t)
 	if t != TypeMemberAck {
@@ -124,7 +124,7 @@
 	}
 }
 
-// send queues a message. errLinkClosing: take another link.
+// send queues a message. After errLinkClosing the caller must use another link.
 func (l *link) send(m outMessage) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// enqueue needs l.mu.
+// enqueue adds a message to the queue. The caller holds l.mu.
 func (l *link) enqueue(m outMessage) error {
 	if len(l.queue) >= maxQueuedMessages || l.queuedBytes+len(m.payload) > maxQueuedBytes {
 		return ErrOverloaded
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// dequeue takes messages of about writeBatchBytes from the queue's front.
+// dequeue removes messages of about writeBatchBytes from the front of the queue.
 func (l *link) dequeue() []outMessage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,8 +170,8 @@
 	return batch
 }
 
-// sendPing queues a heartbeat, which counts neither as use nor as a message
-// that awaits a sign of life.
+// sendPing queues a heartbeat. It does not count as use of the connection and
+// awaits no receipt.
 func (l *link) sendPing(kind byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,8 +181,8 @@
 	return l.enqueue(outMessage{typ: TypePing, payload: []byte{kind}})
 }
 
-// startClosing lets nothing more into the queue but a bye. False if messages
-// or calls are under way or it is closing already.
+// startClosing closes the queue for all messages but a pingGoAway. It returns
+// false if messages or calls are in flight, or the link is closing already.
 func (l *link) startClosing() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -194,7 +194,7 @@
 	return true
 }
 
-// run serves the link until it is closed; the reason is why.
+// run serves the link until it is closed and returns the reason.
 func (l *link) run() reason {
 	defer l.session.Close()
 	writeFailed := make(chan struct{})
@@ -219,8 +219,8 @@
 	}
 }
 
-// write sends the queue, several messages in one write where they are there.
-// It returns an error when the peer took too long to take them.
+// write sends the queued messages, several in one write if possible. It returns
+// an error only if a write timed out.
 func (l *link) write() error {
 	stream, err := l.session.open()
 	if err != nil {
@@ -260,14 +260,14 @@
 	before := len(buf)
 	buf, err := appendDelimited(buf, &wire.Envelope{Version: l.version, Type: uint32(m.typ), Payload: m.payload})
 	if err != nil {
-		l.transport.log.WithError(err).Error("message not encoded")
+		l.transport.log.WithError(err).Error("Encoding a message failed.")
 		return buf[:before]
 	}
 	l.transport.count.countSent(m.typ, len(buf)-before)
 	return buf
 }
 
-// serveStream reads what the peer opened a stream for.
+// serveStream serves a stream that the peer opened.
 func (l *link) serveStream(s *yamux.Stream) {
 	defer l.session.closeStream(s)
 	r := bufio.NewReaderSize(s, readBufferBytes)
@@ -283,10 +283,10 @@
 	}
 }
 
-// readBufferBytes is small because every connection has such a buffer.
+// readBufferBytes is small, because every stream has a read buffer.
 const readBufferBytes = 1024
 
-// readMessages hands the peer's one-way messages to their handlers in order.
+// readMessages passes the peer's one-way messages to their handlers in order.
 func (l *link) readMessages(r *bufio.Reader) {
 	for {
 		e, size, err := readEnvelope(r)
@@ -309,13 +309,13 @@
 			continue
 		}
 		if _, err := l.handle(h, t, e.Payload); err != nil {
-			l.transport.log.WithError(err).WithField("from", l.peer).WithField("type", t).Warn("message not handled")
+			l.transport.log.WithError(err).WithField("from", l.peer).WithField("type", t).Warn("Handling a message failed.")
 		}
 	}
 }
 
-// handle runs a handler. Its panic is logged and counted and ends the message
-// alone: the goroutine group would keep it silent until the transport closes.
+// handle runs a handler. A panic is logged and counted, and fails this message
+// only. Otherwise the goroutine group would report it only when the transport closes.
 func (l *link) handle(h Handler, t Type, payload []byte) (out []byte, err error) {
 	recovered := panics.Try(func() { out, err = h(l.transport.ctx, l.peer, payload) })
 	if recovered != nil {
@@ -339,8 +339,8 @@
 	}
 }
 
-// close ends the link; only the first call has an effect. Calls under way end
-// with ErrUnknownOutcome. It returns how many queued messages were lost.
+// close closes the link and returns the number of queued messages that are lost.
+// Calls in flight end with ErrUnknownOutcome. Only the first call has an effect.
 func (l *link) close() (first bool, lost int) {
 	l.mu.Lock()
 	if l.closed {
@@ -352,14 +352,14 @@
 	l.mu.Unlock()
 	close(l.done)
 	if l.rawConn != nil {
-		// The raw connection goes first: closing the session or TLS above it
-		// would write, and wait for, a connection that may be silent.
+		// Close the raw connection first. Closing the session or TLS would write
+		// to a connection that may be silent, and wait for it.
 		l.rawConn.Close()
 	}
 	return true, lost
 }
 
-// isUp tells whether messages can flow.
+// isUp reports whether messages can be sent.
 func (l *link) isUp() bool {
 	select {
 	case <-l.up:
@@ -369,7 +369,8 @@
 	}
 }
 
-// awaitUp waits until messages can flow.
+// awaitUp waits until messages can be sent. It returns ErrNotConnected if the
+// link closes or ctx ends first.
 func (l *link) awaitUp(ctx context.Context) error {
 	select {
 	case <-l.up:
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -7,60 +7,61 @@
 	"github.com/pkg/errors"
 )
 
-// The protocol versions that this build speaks. Two daemons use the newest
-// that both know; a daemon whose oldest is newer than that is refused.
+// The protocol versions that this build supports. Two daemons use the newest
+// version that both support, and refuse each other if there is none.
 const (
 	OldestVersion uint32 = 1
 	NewestVersion uint32 = 1
 )
 
-// MinKeyBytes is the shortest cluster key: an acceptor sees the dialer's proof
-// only after its own was checked, but a dialer can be lured to a stranger's
-// address, who may then try keys at leisure; 16 random bytes withstand that.
+// MinKeyBytes is the shortest cluster key. An acceptor sends its proof only after
+// it has checked the dialer's. But a dialer may be lured to an attacker's address,
+// and its proof allows trying keys offline. 16 random bytes resist that.
 const MinKeyBytes = 16
 
-// maxNameBytes bounds a daemon's name on the wire.
+// maxNameBytes limits a daemon's name on the wire.
 const maxNameBytes = 128
 
-// Options are a TCP transport's settings; zero durations and sizes take the
-// defaults.
+// Options configures a TCP transport. Zero durations and sizes take the defaults.
 type Options struct {
 	Name   Name
-	Listen string // IP:port; port 0 picks one, see TCP.Addr
-	// Keys are the cluster keys: the first proves this daemon to others, any
-	// of them is accepted from others. Rotation is described in
+	Listen string // IP:port; port 0 selects a free port, see TCP.Addr
+	// Keys are the cluster keys. The first one authenticates this daemon to
+	// others; each of them is accepted from others. Key rotation is described in
 	// docs/operators/membership.md.
 	Keys     [][]byte
 	Registry *metrics.Registry
-	// Overrides are addresses to dial in place of those that membership tells,
-	// for links that pass an address translation or a proxy.
+	// Overrides are addresses to dial instead of those from membership, for
+	// connections through address translation or a proxy.
 	Overrides map[Name]string
 
-	// HandshakeTimeout bounds dialing and authentication, each. Default 2 s.
+	// HandshakeTimeout limits the dial and the authentication, each. The default
+	// is 2 s.
 	HandshakeTimeout time.Duration
-	// PingDelay is how long a message may go without any byte from the peer
-	// before it is asked for a sign of life. Default 300 ms.
+	// PingDelay is how long after a message without any byte received the peer
+	// is pinged. The default is 300 ms.
 	PingDelay time.Duration
-	// PingTimeout is how long after such a ping the connection is given up.
-	// Default 700 ms.
+	// PingTimeout is how long after an unanswered ping the connection is closed.
+	// The default is 700 ms.
 	PingTimeout time.Duration
-	// KeepaliveInterval is the longest quiet time on a connection that was used
-	// within IdleTimeout before it is pinged. Default 1 s.
+	// KeepaliveInterval is the longest time without any byte received before a
+	// connection that was used within IdleTimeout is pinged. The default is 1 s.
 	KeepaliveInterval time.Duration
-	// IdleTimeout closes a connection without messages. Default 30 s.
+	// IdleTimeout is how long a connection without messages stays open. The
+	// default is 30 s.
 	IdleTimeout time.Duration
-	// PingsPerSecond bounds the heartbeats of all connections together, so
-	// that their cost stays constant however many peers there are. Default 10.
+	// PingsPerSecond limits the heartbeats of all connections together, so that
+	// their cost does not grow with the number of peers. The default is 10.
 	PingsPerSecond float64
 
-	// oldest and newest version, for tests of mixed clusters.
+	// Protocol versions, for tests of clusters with mixed versions.
 	oldest, newest uint32
 }
 
 // DefaultPingsPerSecond is the default of Options.PingsPerSecond.
 const DefaultPingsPerSecond = 10
 
-// The other defaults of Options.
+// Other defaults of Options.
 const (
 	defaultHandshakeTimeout  = 2 * time.Second
 	defaultPingDelay         = 300 * time.Millisecond
@@ -69,7 +70,7 @@
 	defaultIdleTimeout       = 30 * time.Second
 )
 
-// withDefaults checks the options and fills in the defaults.
+// withDefaults validates the options and returns them with defaults filled in.
 func (o Options) withDefaults() (Options, error) {
 	if o.Name == "" || len(o.Name) > maxNameBytes {
 		return o, errors.Errorf("peer: name must have 1 to %d bytes", maxNameBytes)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer carries messages between daemons: yamux streams over TCP,
-// protobuf payloads in versioned envelopes, each connection authenticated by a
-// cluster key. It knows nothing of what the messages mean.
+// Package peer sends messages between daemons. It uses yamux streams over TLS
+// and TCP, protobuf payloads in versioned envelopes, and a cluster key to
+// authenticate each connection. It does not interpret payloads.
 package peer
 
 import (
@@ -10,14 +10,14 @@
 	"github.com/pkg/errors"
 )
 
-// Type names what an envelope carries. Numbers are never reused; a daemon
-// answers an unknown type of a Call with ErrUnknownType and drops an unknown
-// one-way message with a counter, so that old and new daemons work together.
+// Type is the type of a message. Numbers are never reused. A daemon answers a
+// Call of unknown type with ErrUnknownType, and drops and counts a one-way message
+// of unknown type, so that daemons of different versions work together.
 type Type uint32
 
-// The message types, grouped by the part that owns them.
+// The message types, grouped by the package that owns them.
 const (
-	TypePing Type = 1 // app-level heartbeat
+	TypePing Type = 1 // heartbeat of a connection
 
 	TypeMemberGossip        Type = 10
 	TypeMemberProbe         Type = 11 // direct probe
@@ -34,32 +34,34 @@
 	TypeConfigPull   Type = 31
 	TypeStatus       Type = 32 // for `lycheekeel status`
 
-	// 40 was each daemon's word to all others on the quotas.
-	TypeSync           Type = 41 // what a daemon that reads the store knows
-	TypeQuotaBatch     Type = 42 // what a daemon let through of the quotas, to its hub
-	TypeQuotaAnswer    Type = 43 // the hub's answer
-	TypeQuotaHubReport Type = 44 // what a hub's daemons let through, to the other hubs
-	// what a daemon saw of a rollout, to the one that decides; its answer is the plan
+	// 40 is retired; it was a broadcast of quota usage.
+	TypeSync           Type = 41 // long poll to a reader, a daemon that reads the store
+	TypeQuotaBatch     Type = 42 // a daemon's quota usage, to its hub
+	TypeQuotaAnswer    Type = 43 // the hub's answer to a TypeQuotaBatch
+	TypeQuotaHubReport Type = 44 // quota usage of a hub's daemons, to the other hubs
+	// a daemon's report on a rollout, to the decider; the answer is the plan
 	TypeRolloutReport Type = 45
 )
 
-// Errors of a Transport; callers test with errors.Is.
+// Errors of a Transport, for use with errors.Is.
 var (
-	// ErrNotConnected: the peer can't be reached now; nothing was sent.
+	// ErrNotConnected means that the peer can't be reached now; nothing was sent.
 	ErrNotConnected = errors.New("peer not connected")
-	// ErrOverloaded: the peer's send queue is full; nothing was sent.
+	// ErrOverloaded means that the send queue to the peer is full and nothing was
+	// sent, or that the peer has too many concurrent calls and ran no handler.
 	ErrOverloaded = errors.New("peer send queue full")
-	// ErrUnknownOutcome: a call's answer did not come.
+	// ErrUnknownOutcome means that a call got no answer. Its handler may have run.
 	ErrUnknownOutcome = errors.New("no answer from peer")
-	// ErrUnknownType: the peer does not know the message type.
+	// ErrUnknownType means that the peer does not know the message type.
 	ErrUnknownType = errors.New("peer does not know the message type")
 )
 
-// Name is a daemon's name as in its settings, unique in the cluster.
+// Name is a daemon's name from its settings. It is unique in the cluster.
 type Name string
 
-// ByAddress names whichever daemon listens at the address (IP:port), for seeds
-// whose names are not known yet. Its messages arrive under its real name.
+// ByAddress returns a Name for the daemon that listens at an address (IP:port).
+// It is used for seeds whose names are not known yet. Messages from that daemon
+// arrive under its own name.
 func ByAddress(address string) Name { return Name(addressPrefix + address) }
 
 // Address returns the address of a name made by ByAddress.
@@ -67,37 +69,38 @@
 	return strings.CutPrefix(string(n), addressPrefix)
 }
 
-// addressPrefix can't begin a daemon's own name.
+// addressPrefix is not allowed at the start of a daemon's own name.
 const addressPrefix = "@"
 
-// RemoteError is what a peer's handler returned for a Call.
+// RemoteError is an error returned by the peer's handler of a Call.
 type RemoteError struct{ Message string }
 
 // Error implements error.
 func (e *RemoteError) Error() string { return "peer: " + e.Message }
 
-// Handler handles one message; payload may be kept. For a Call its result is
-// the answer. It runs on its own goroutine for calls, and in order per peer
-// for one-way messages, which it must not block.
+// Handler handles one message and may keep payload. For a Call, its result is
+// the answer. Calls are handled on their own goroutines. One-way messages are
+// handled in order per peer, so their handlers must not block.
 type Handler func(ctx context.Context, from Name, payload []byte) ([]byte, error)
 
-// Transport sends messages to peers by name. It dials when needed, keeps one
-// live connection per peer, and redials on a new connection when an old one
-// goes silent. Safe for concurrent use.
+// Transport sends messages to peers by name. It dials on demand, keeps one
+// connection per peer in use, and replaces a silent connection by a new one. It
+// is safe for concurrent use.
 type Transport interface {
-	// Self is this daemon's name.
+	// Self returns this daemon's name.
 	Self() Name
-	// Handle registers the handler of a type, before the transport starts.
+	// Handle registers the handler of a type. It must be called before the
+	// transport starts.
 	Handle(t Type, h Handler)
-	// Send queues a one-way message. Messages to one peer arrive in order
-	// while the connection lives; those in flight when it breaks are lost.
-	// onLost in OnDown tells of such a break.
+	// Send queues a one-way message. Messages to a peer arrive in order as long
+	// as the connection lives. Messages in flight are lost when it breaks, which
+	// is reported through OnDown.
 	Send(to Name, t Type, payload []byte) error
-	// Call sends a message and waits for its answer until ctx ends.
+	// Call sends a message and waits for the answer until ctx ends.
 	Call(ctx context.Context, to Name, t Type, payload []byte) ([]byte, error)
-	// SetAddress tells where a peer listens (IP:port); learnt from membership.
+	// SetAddress sets the address (IP:port) of a peer, known from membership.
 	SetAddress(name Name, address string)
-	// OnDown registers a function called when the connection to a peer broke
-	// or went silent, so that sessions on it are opened again.
+	// OnDown registers a function that is called when the connection to a peer
+	// broke or went silent, so that sessions over it can be reopened.
 	OnDown(f func(name Name))
 }
--- a/internal/peer/peertest/network.go
+++ b/internal/peer/peertest/network.go
@@ -1,6 +1,6 @@
-// Package peertest is an in-memory network of peer.Transports for tests: real
-// payload bytes, counters per node, and links that can be cut, delayed or made
-// to lose messages in one direction while a test runs.
+// Package peertest is an in-memory network of peer.Transports for tests. It
+// carries the real payload bytes, counts them per node, and can partition, delay
+// or drop the messages of a link in one direction during a test.
 package peertest
 
 import (
@@ -10,25 +10,25 @@
 	"github.com/lycheekeel/lycheekeel/internal/peer"
 )
 
-// queueLength bounds the messages under way from one node to another; a Send
-// beyond it returns peer.ErrOverloaded, as the real transport does.
+// queueLength limits the messages in flight from one node to another. A Send
+// beyond it returns peer.ErrOverloaded, like the real transport.
 const queueLength = 4096
 
-// Counters counts what a node sent and received, lost messages included on
-// the sender's side only. Bytes are payload bytes without any framing.
+// Counters counts the messages and payload bytes that a node sent and received.
+// Lost messages are counted by the sender only.
 type Counters struct {
 	MessagesOut, MessagesIn uint64
 	BytesOut, BytesIn       uint64
 }
 
-// faults is what a directed link does to messages.
+// faults are the faults injected into a directed link.
 type faults struct {
 	partitioned bool
 	drop        bool
 	delay       time.Duration
 }
 
-// direction is a directed link.
+// direction identifies a directed link.
 type direction struct{ from, to peer.Name }
 
 // Network connects its nodes with each other. It is safe for concurrent use.
@@ -39,7 +39,7 @@
 	links  map[direction]*link
 }
 
-// NewNetwork returns a network in which every link works at once.
+// NewNetwork returns a network without faults.
 func NewNetwork() *Network {
 	return &Network{
 		nodes:  map[peer.Name]*Node{},
@@ -48,8 +48,8 @@
 	}
 }
 
-// Node returns the node of that name, adding it at the first call. A node that
-// was crashed is replaced by a new one without handlers.
+// Node returns the node of a name and adds it if needed. A crashed node is
+// replaced by a new one without handlers.
 func (n *Network) Node(name peer.Name) *Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -61,37 +61,38 @@
 	return d
 }
 
-// Partition breaks the links of two nodes both ways: sends fail at once with
-// peer.ErrNotConnected, and both sides' OnDown functions are called.
+// Partition breaks the links between two nodes in both directions. Sends fail
+// with peer.ErrNotConnected, and the OnDown functions of both nodes are called.
 func (n *Network) Partition(a, b peer.Name) {
 	n.updateFaults(a, b, func(r *faults) { r.partitioned = true })
 	n.updateFaults(b, a, func(r *faults) { r.partitioned = true })
 	n.breakLinks(a, b)
 }
 
-// Drop drops what is sent from one node to the other, without telling either.
-// Answers to the other's calls are dropped with it.
+// Drop drops messages from one node to the other without an error on either
+// side, including answers to the other's calls.
 func (n *Network) Drop(from, to peer.Name) {
 	n.updateFaults(from, to, func(r *faults) { r.drop = true })
 }
 
-// Delay delivers what is sent from one node to the other that much later.
+// Delay delays messages from one node to the other by d.
 func (n *Network) Delay(from, to peer.Name, d time.Duration) {
 	n.updateFaults(from, to, func(r *faults) { r.delay = d })
 }
 
-// Heal takes back Cut, Lose and Delay between two nodes, both ways.
+// Heal removes the effects of Partition, Drop and Delay between two nodes, in
+// both directions.
 func (n *Network) Heal(a, b peer.Name) {
 	n.updateFaults(a, b, func(r *faults) { *r = faults{} })
 	n.updateFaults(b, a, func(r *faults) { *r = faults{} })
 }
 
-// BreakConnection calls both sides' OnDown functions, as when the connection broke and
-// the next message dials a new one. What is under way is lost.
+// BreakConnection calls the OnDown functions of both nodes, as when a connection
+// breaks and the next message dials a new one. Messages in flight are lost.
 func (n *Network) BreakConnection(a, b peer.Name) { n.breakLinks(a, b) }
 
-// Crash removes a node: what it sent and was sent is lost, and its peers'
-// OnDown functions are called. Node(name) starts it again, without handlers.
+// Crash removes a node. Its messages in flight are lost, and its peers' OnDown
+// functions are called. Node(name) restarts it without handlers.
 func (n *Network) Crash(name peer.Name) {
 	n.mu.Lock()
 	delete(n.nodes, name)
@@ -124,7 +125,7 @@
 	n.faults[direction{from, to}] = r
 }
 
-// breakLinks loses what is under way between two nodes and tells them.
+// breakLinks drops the messages in flight between two nodes and notifies both.
 func (n *Network) breakLinks(a, b peer.Name) {
 	n.mu.Lock()
 	used := false
@@ -148,7 +149,7 @@
 	}
 }
 
-// resolveName resolves peer.ByAddress: a node's address is its name here.
+// resolveName resolves peer.ByAddress. The address of a node is its name.
 func resolveName(n peer.Name) peer.Name {
 	if a, ok := n.Address(); ok {
 		return peer.Name(a)
@@ -156,7 +157,8 @@
 	return n
 }
 
-// faults returns the rule in force and the receiving node, nil if it is gone.
+// faultsBetween returns the current faults and the receiving node, which is nil
+// if it has crashed.
 func (n *Network) faultsBetween(from, to peer.Name) (faults, *Node) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -166,7 +168,7 @@
 	return n.faults[direction{from, to}], n.nodes[to]
 }
 
-// link returns the queue of a directed link, starting it at the first use.
+// link returns the queue of a directed link and starts it if needed.
 func (n *Network) link(from, to peer.Name) *link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -205,7 +207,7 @@
 	}
 }
 
-// wait returns after the delay, false if the link broke meanwhile.
+// wait waits until the time, and returns false if the link breaks first.
 func (l *link) wait(until time.Time) bool {
 	d := time.Until(until)
 	if d <= 0 {
--- a/internal/peer/peertest/network_test.go
+++ b/internal/peer/peertest/network_test.go
@@ -39,7 +39,7 @@
 			_, err = a.Call(context.Background(), "b", peer.TypeStatus, nil)
 			So(err, ShouldResemble, &peer.RemoteError{Message: "context canceled"})
 		})
-		Convey("a cut is told and refuses; one-way loss leaves the outcome unknown", func() {
+		Convey("a partition is reported and refuses sends; a dropped answer leaves the outcome unknown", func() {
 			So(a.Send("b", peer.TypePing, []byte("1")), ShouldBeNil)
 			net.Partition("a", "b")
 			So(<-down, ShouldEqual, peer.Name("b"))
@@ -58,7 +58,7 @@
 			_, err := a.Call(ctx, "b", peer.TypePing, []byte("lost"))
 			So(err, ShouldEqual, peer.ErrUnknownOutcome)
 		})
-		Convey("a crashed node can't be reached until it is started again", func() {
+		Convey("a crashed node is unreachable until it is restarted", func() {
 			So(a.Send("b", peer.TypePing, []byte("1")), ShouldBeNil)
 			net.Crash("b")
 			So(<-down, ShouldEqual, peer.Name("b"))
--- a/internal/peer/peertest/node.go
+++ b/internal/peer/peertest/node.go
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 )
 
-// Node is one daemon's end of a Network. It implements peer.Transport and may
-// be used at once; SetAddress has no effect, since names are enough here.
+// Node is one daemon's end of a Network. It implements peer.Transport and needs
+// no start. SetAddress has no effect, since nodes are reached by name.
 type Node struct {
 	net  *Network
 	name peer.Name
@@ -47,7 +47,7 @@
 	d.onDown = append(d.onDown, f)
 }
 
-// Counters returns what the node has sent and received so far.
+// Counters returns the node's counters.
 func (d *Node) Counters() Counters {
 	return Counters{
 		MessagesOut: d.messagesOut.Load(), MessagesIn: d.messagesIn.Load(),
@@ -79,7 +79,7 @@
 	}
 }
 
-// answer is what a handler returned.
+// answer is the result of a handler.
 type answer struct {
 	payload []byte
 	err     error
@@ -107,8 +107,8 @@
 	return nil, peer.ErrUnknownOutcome
 }
 
-// deliverCall takes a call to its handler and the answer back, under the rules
-// that are in force at each moment.
+// deliverCall runs the handler of a call and returns its answer, under the faults
+// that apply at each step.
 func (d *Node) deliverCall(ctx context.Context, l *link, dst *Node, t peer.Type, payload []byte, answers chan<- answer) {
 	r, _ := d.net.faultsBetween(d.name, dst.name)
 	if !l.wait(time.Now().Add(r.delay)) {
@@ -122,7 +122,7 @@
 	}
 	d.countIn(out)
 	if err != nil && !errors.Is(err, peer.ErrUnknownType) {
-		err = &peer.RemoteError{Message: err.Error()} // an error's type doesn't travel
+		err = &peer.RemoteError{Message: err.Error()} // the real transport carries the error's text only
 	}
 	answers <- answer{payload: bytes.Clone(out), err: err}
 }
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -12,9 +12,9 @@
 // session is a yamux session that ends the reads and writes of its streams before it
 // closes its connection.
 //
-// What goes wrong without it: a yamux stream learns of the session's end only after the
-// connection has closed, and until then its Read and Write spin. One notices a daemon
-// that takes a whole core without a system call while a connection closes.
+// Without it, a yamux stream learns of the session's end only after the connection has
+// closed, and its Read and Write spin until then. While a connection closes, the daemon
+// would use a whole core without a system call.
 type session struct {
 	*yamux.Session
 
@@ -23,7 +23,7 @@
 	ended   bool
 }
 
-// newSession runs a session on conn; side is yamux.Client or yamux.Server.
+// newSession starts a session on conn. newMux is yamux.Client or yamux.Server.
 func newSession(conn net.Conn, newMux func(io.ReadWriteCloser, *yamux.Config) (*yamux.Session, error)) (*session, error) {
 	s := &session{streams: map[*yamux.Stream]struct{}{}}
 	mux, err := newMux(&frameWriter{Conn: conn, onClose: s.expireStreams}, yamuxConfig())
@@ -34,7 +34,7 @@
 	return s, nil
 }
 
-// open opens a stream, which is to be closed by closeStream.
+// open opens a stream. The caller closes it with closeStream.
 func (s *session) open() (*yamux.Stream, error) {
 	stream, err := s.OpenStream()
 	if err != nil {
@@ -44,7 +44,7 @@
 	return stream, nil
 }
 
-// accept waits for a stream of the peer, which is to be closed by closeStream.
+// accept waits for a stream of the peer. The caller closes it with closeStream.
 func (s *session) accept() (*yamux.Stream, error) {
 	stream, err := s.AcceptStream()
 	if err != nil {
@@ -58,7 +58,7 @@
 	s.mu.Lock()
 	delete(s.streams, stream)
 	s.mu.Unlock()
-	_ = stream.Close() // it fails where the session has ended, and with it the stream
+	_ = stream.Close() // fails only if the session, and with it the stream, has ended
 }
 
 func (s *session) track(stream *yamux.Stream) {
@@ -70,7 +70,7 @@
 	}
 }
 
-// expireStreams is called when the session has begun to close.
+// expireStreams is called when the session begins to close.
 func (s *session) expireStreams() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,5 +80,5 @@
 	}
 }
 
-// expireStream makes reads and writes that are under way, and all further ones, time out.
+// expireStream makes all current and later reads and writes of a stream time out.
 func expireStream(stream *yamux.Stream) { _ = stream.SetDeadline(time.Unix(1, 0)) }
--- a/internal/peer/session_test.go
+++ b/internal/peer/session_test.go
@@ -9,7 +9,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// stuckConn is a connection whose Close takes until it is released.
+// stuckConn is a connection whose Close blocks until it is released.
 type stuckConn struct {
 	net.Conn
 	closing  chan struct{}
@@ -23,9 +23,9 @@
 	return c.Conn.Close()
 }
 
-// Guards against streams that spin on a core while their session's connection closes.
+// Guards against streams that use a whole core while their session's connection closes.
 func TestClosingSessionEndsReads(t *testing.T) {
-	Convey("Given streams with reads under way, on a connection whose close is stuck", t, func() {
+	Convey("Given streams with pending reads, on a connection whose Close blocks", t, func() {
 		near, far := net.Pipe()
 		stuck := &stuckConn{Conn: near, closing: make(chan struct{}), released: make(chan struct{})}
 		a, err := newSession(stuck, yamux.Client)
@@ -52,13 +52,13 @@
 			close(closed)
 		}()
 		await(stuck.closing)
-		Convey("all end before it has closed", func() {
+		Convey("all reads end before the connection has closed", func() {
 			for range streams {
 				So(await(ended), ShouldNotBeNil)
 			}
 			select {
 			case <-closed:
-				t.Fatal("the connection has closed before it was released")
+				t.Fatal("the connection was closed before it was released")
 			default:
 			}
 			close(stuck.released)
--- a/internal/peer/tcp.go
+++ b/internal/peer/tcp.go
@@ -17,43 +17,44 @@
 	"golang.org/x/time/rate"
 )
 
-// maxHandshakes bounds the accepted connections that are not authenticated
-// yet, and with them what a stranger can make this daemon spend.
+// maxHandshakes limits the accepted connections that are not authenticated yet,
+// and with them the resources that an unauthenticated peer can use.
 const maxHandshakes = 64
 
-// The pause before a peer is dialed again after a failure.
+// Backoff between failed dials of a peer.
 const (
 	minRedialBackoff = 100 * time.Millisecond
 	maxRedialBackoff = 2 * time.Second
-	// minStableDuration is how long a connection must last for its end not to count as
-	// a failed dial.
+	// minStableDuration is the lifetime below which a broken connection counts
+	// as a failed dial.
 	minStableDuration = 500 * time.Millisecond
 )
 
-// Failed handshakes are all counted, but logged only so often.
+// Limits of the log of failed handshakes. All of them are counted.
 const (
 	authLogBurst    = 10
 	authLogInterval = time.Second
 )
 
-// errLinkClosing: the link takes no more messages; take another one.
+// errLinkClosing means that the link accepts no more messages and the caller must
+// use another link.
 var errLinkClosing = errors.New("connection closing")
 
-// peerState is what the transport knows of one name.
+// peerState is the transport's state of one peer name.
 type peerState struct {
 	address string
-	// current carries this daemon's messages to the peer. Others are further
-	// connections, e.g. when both sides dialed at once; they are only read.
+	// current carries this daemon's messages to the peer. others are further
+	// connections, e.g. when both sides dialed at once; they are only read from.
 	current *link
 	others  []*link
-	// replaceNext is set when a connection was given up, until a dial succeeded.
+	// replaceNext is true from the loss of a connection until a dial succeeds.
 	replaceNext bool
 	backoff     *backoff.ExponentialBackOff
-	dialAfter   time.Time // no dial before
+	dialAfter   time.Time // earliest time of the next dial
 }
 
-// TCP is a Transport over TCP, TLS 1.3 and yamux. Register handlers before
-// Start. All methods are safe for concurrent use.
+// TCP is a Transport over TCP, TLS 1.3 and yamux. Handlers must be registered
+// before Start. All methods are safe for concurrent use.
 type TCP struct {
 	opts           Options
 	auth           authenticator
@@ -62,7 +63,7 @@
 	count          *counters
 	start          time.Time
 	pingLimiter    *rate.Limiter
-	authLogLimiter rate.Sometimes // strangers must not fill the log
+	authLogLimiter rate.Sometimes // unauthenticated peers must not fill the log
 	handlers       map[Type]Handler
 	listener       net.Listener
 	handshakeSlots chan struct{}
@@ -80,7 +81,7 @@
 
 var _ Transport = (*TCP)(nil)
 
-// NewTCP checks the options and listens; Start begins to accept and to send.
+// NewTCP validates the options and listens. Start begins to accept connections.
 func NewTCP(opts Options) (*TCP, error) {
 	opts, err := opts.withDefaults()
 	if err != nil {
@@ -92,7 +93,7 @@
 	}
 	var instance [8]byte
 	if _, err := rand.Read(instance[:]); err != nil {
-		return nil, errors.Wrap(err, "peer: instance")
+		return nil, errors.Wrap(err, "peer: generate instance ID")
 	}
 	ln, err := net.Listen("tcp", opts.Listen)
 	if err != nil {
@@ -121,17 +122,17 @@
 	return t, nil
 }
 
-// now is the clock of all deadlines here; Go's monotonic reading counts.
+// now returns the time for all deadlines, with Go's monotonic reading.
 func (t *TCP) now() time.Time { return time.Now() }
 
-// Start begins to accept connections and to watch them.
+// Start begins to accept connections and to send heartbeats.
 func (t *TCP) Start() {
 	t.group.Go(t.acceptLoop)
 	t.group.Go(t.heartbeatLoop)
 }
 
-// Close ends all connections and waits for their goroutines; handlers that
-// run see their context end.
+// Close closes all connections and waits for their goroutines. The context of
+// running handlers ends.
 func (t *TCP) Close() {
 	t.mu.Lock()
 	t.closed = true
@@ -145,7 +146,7 @@
 	t.group.Wait()
 }
 
-// Addr is the address that the transport listens at.
+// Addr returns the address that the transport listens on.
 func (t *TCP) Addr() net.Addr { return t.listener.Addr() }
 
 // Self implements Transport.
@@ -154,8 +155,8 @@
 // Handle implements Transport.
 func (t *TCP) Handle(typ Type, h Handler) { t.handlers[typ] = h }
 
-// OnDown implements Transport. The functions run on the goroutine that found
-// the break and may Send; they must not block.
+// OnDown implements Transport. The functions run on the goroutine that detected
+// the break. They may call Send but must not block.
 func (t *TCP) OnDown(f func(name Name)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -173,7 +174,7 @@
 	}
 }
 
-// Version returns the protocol version agreed on with a peer; false while no
+// Version returns the protocol version agreed with a peer, or false if no
 // connection to it is up.
 func (t *TCP) Version(name Name) (uint32, bool) {
 	t.mu.Lock()
@@ -188,7 +189,7 @@
 // Send implements Transport.
 func (t *TCP) Send(to Name, typ Type, payload []byte) error {
 	if len(payload) > MaxPayloadBytes {
-		return errors.Errorf("peer: payload of %d bytes", len(payload))
+		return errors.Errorf("peer: payload of %d bytes is too large", len(payload))
 	}
 	for {
 		l, err := t.linkTo(to)
@@ -211,7 +212,7 @@
 // Call implements Transport.
 func (t *TCP) Call(ctx context.Context, to Name, typ Type, payload []byte) ([]byte, error) {
 	if len(payload) > MaxPayloadBytes {
-		return nil, errors.Errorf("peer: payload of %d bytes", len(payload))
+		return nil, errors.Errorf("peer: payload of %d bytes is too large", len(payload))
 	}
 	for {
 		l, err := t.linkTo(to)
@@ -227,7 +228,7 @@
 	}
 }
 
-// linkTo returns the link that carries messages to a peer, dialing if needed.
+// linkTo returns the link that carries messages to a peer, and dials if there is none.
 func (t *TCP) linkTo(to Name) (*link, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -257,7 +258,7 @@
 	return l, nil
 }
 
-// stateOf returns a name's state; it needs t.mu.
+// stateOf returns the state of a name and creates it if needed. The caller holds t.mu.
 func (t *TCP) stateOf(name Name) *peerState {
 	p, ok := t.peers[name]
 	if !ok {
@@ -269,7 +270,7 @@
 	return p
 }
 
-// allLinks needs t.mu.
+// allLinks returns all links. The caller holds t.mu.
 func (t *TCP) allLinks() []*link {
 	links := make([]*link, 0, len(t.links))
 	for l := range t.links {
@@ -278,7 +279,7 @@
 	return links
 }
 
-// Connections counts the open connections, those being dialed included.
+// Connections returns the number of connections, including those being dialed.
 func (t *TCP) Connections() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/peer/tcp_test.go
+++ b/internal/peer/tcp_test.go
@@ -13,12 +13,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// waitTimeout bounds every wait for something that must happen.
+// waitTimeout limits every wait of these tests.
 const waitTimeout = 20 * time.Second
 
 var testKey = []byte("0123456789abcdef")
 
-// node is a started transport with what its handlers saw.
+// node is a started transport with the events of its handlers.
 type node struct {
 	*TCP
 	reg      *metrics.Registry
@@ -26,7 +26,7 @@
 	down     chan Name
 }
 
-// startNode starts a daemon's transport; change may alter its options.
+// startNode starts a daemon's transport; configure may change its options.
 func startNode(name Name, configure func(*Options)) *node {
 	n := &node{reg: metrics.New(), received: make(chan string, 1<<14), down: make(chan Name, 64)}
 	o := Options{Name: name, Listen: "127.0.0.1:0", Keys: [][]byte{testKey}, Registry: n.reg}
@@ -69,17 +69,17 @@
 	return string(out), err
 }
 
-// await returns the next value, or fails the test after a long while.
+// await returns the next value, or panics after waitTimeout.
 func await[T any](c <-chan T) T {
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(waitTimeout):
-		panic("nothing arrived")
+		panic("timed out waiting for a value")
 	}
 }
 
-// eventually polls a condition.
+// eventually polls a condition and panics after waitTimeout.
 func eventually(cond func() bool) {
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
@@ -88,7 +88,7 @@
 		select {
 		case <-tick.C:
 		case <-end:
-			panic("condition never held")
+			panic("timed out waiting for a condition")
 		}
 	}
 }
@@ -98,7 +98,7 @@
 		a, b := startNode("a", nil), startNode("b", nil)
 		a.setAddresses(b)
 
-		Convey("one-way messages arrive in order, also back on the same connection", func() {
+		Convey("one-way messages arrive in order, in both directions of one connection", func() {
 			for i := range 1000 {
 				So(a.Send("b", TypePoolEvents, fmt.Append(nil, i)), ShouldBeNil)
 			}
@@ -109,7 +109,7 @@
 			So(await(a.received), ShouldEqual, "b:back")
 			So(a.Connections()+b.Connections(), ShouldEqual, 2)
 		})
-		Convey("calls are answered, large and failing ones too", func() {
+		Convey("calls are answered, including large and failing ones", func() {
 			big := string(bytes.Repeat([]byte("x"), 1<<20))
 			out, err := a.call("b", big)
 			So(err, ShouldBeNil)
@@ -119,17 +119,17 @@
 			So(errors.As(err, &remote), ShouldBeTrue)
 			So(remote.Message, ShouldEqual, "no such object")
 		})
-		Convey("a seed is reached by its address alone, and answers under names", func() {
+		Convey("a seed is reached by its address, and names are used afterwards", func() {
 			So(a.Send(ByAddress(b.Addr().String()), TypePoolEvents, []byte("hi")), ShouldBeNil)
 			So(await(b.received), ShouldEqual, "a:hi")
 			So(b.Send("a", TypePoolEvents, []byte("welcome")), ShouldBeNil)
 			So(await(a.received), ShouldEqual, "b:welcome")
 		})
-		Convey("a peer without an address, and a large payload, are refused", func() {
+		Convey("sending to a peer without address or with too large a payload fails", func() {
 			So(a.Send("nobody", TypePoolEvents, nil), ShouldEqual, ErrNotConnected)
 			So(a.Send("b", TypePoolEvents, make([]byte, MaxPayloadBytes+1)), ShouldNotBeNil)
 		})
-		Convey("a peer that takes nothing leads to ErrOverloaded, not to more memory", func() {
+		Convey("a peer that reads nothing leads to ErrOverloaded once the queue is full", func() {
 			release := make(chan struct{})
 			slow := startNode("slow", nil)
 			slow.handlers[TypeSuspect] = func(context.Context, Name, []byte) ([]byte, error) {
@@ -151,8 +151,8 @@
 }
 
 func TestIdleConnectionIsClosedWithoutLoss(t *testing.T) {
-	// Guards against this: a queue was rebuilt although nothing had failed.
-	Convey("An idle connection is closed by agreement and OnDown is not called", t, func() {
+	// Guards against sessions that are reopened although only an idle connection was closed.
+	Convey("An idle connection is closed gracefully without a call of OnDown", t, func() {
 		shortIdle := func(o *Options) { o.IdleTimeout = 50 * time.Millisecond }
 		a, b := startNode("a", shortIdle), startNode("b", shortIdle)
 		a.setAddresses(b)
@@ -168,7 +168,7 @@
 }
 
 func TestSilentConnection(t *testing.T) {
-	// Guards against this: requests to one owner hang until their deadlines, although the owner is idle and other daemons reach it.
+	// Guards against requests that hang until their deadlines on a silent connection to a healthy owner.
 	for name, direction := range map[string]faultproxy.Direction{
 		"both ways": faultproxy.Both, "to the peer": faultproxy.ToTarget, "from the peer": faultproxy.ToClient,
 	} {
@@ -189,7 +189,7 @@
 			}()
 			So(errors.Is(await(pending), ErrUnknownOutcome), ShouldBeTrue)
 			So(await(a.down), ShouldEqual, Name("b"))
-			// In one direction the peer may notice first; its close arrives then.
+			// In one direction the peer may detect the silence first and close.
 			wantReason := closedSilent
 			if direction == faultproxy.ToTarget && a.count(groupClosed, closedBroken) == 1 {
 				wantReason = closedBroken
@@ -199,7 +199,7 @@
 			out, err := a.call("b", "new")
 			So(err, ShouldBeNil)
 			So(out, ShouldEqual, "re:new")
-			// The other end is told by the new connection, not by the old one.
+			// The other end learns of the break from the new connection.
 			So(await(b.down), ShouldEqual, Name("a"))
 			So(b.Send("a", TypePoolEvents, []byte("back")), ShouldBeNil)
 			So(await(a.received), ShouldEqual, "b:back")
@@ -208,7 +208,7 @@
 }
 
 func TestRestartedPeer(t *testing.T) {
-	// Guards against this: an owner keeps slots for requests of an entry that restarted.
+	// Guards against slots that stay occupied by requests of an entry that has restarted.
 	Convey("A new instance under the same name ends the old connections", t, func() {
 		b := startNode("b", nil)
 		p, err := faultproxy.New("127.0.0.1:0", b.Addr().String())
