--- a/revision/antientropy.go
+++ b/revision/antientropy.go
@@ -11,12 +11,12 @@
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Version, b.Version))
 }
 
-// KindDigest sums up what a member knows of one kind.
+// KindDigest summarizes a member's state of one kind.
 type KindDigest struct {
 	Kind  objectstore.Kind
 	Floor objectstore.Version
 	Hash  uint64
-	// Complete tells whether the kind was ever known whole.
+	// Complete reports whether the member ever held the full kind.
 	Complete bool
 }
 
@@ -29,14 +29,14 @@
 	return out
 }
 
-// digest sums up one kind.
+// digest returns the digest of one kind.
 func (k *kindSet) digest(kind objectstore.Kind) KindDigest {
 	return KindDigest{Kind: kind, Floor: k.floor, Hash: k.hash, Complete: k.complete}
 }
 
-// MergeDigest returns the kinds in which a peer's digest differs. Where a kind is
-// equal, what the peer knows to be complete is complete here too, so its
-// floor is taken over. Kinds that this member does not know are passed over.
+// MergeDigest returns the kinds whose state differs from a peer's digest. Where
+// the hashes are equal, the peer's floor and Complete hold for this set too and
+// are adopted. Kinds unknown to this member are ignored.
 func (s *Set) MergeDigest(digest []KindDigest) (differing []objectstore.Kind) {
 	for _, d := range digest {
 		k, ok := s.kinds[d.Kind]
@@ -63,18 +63,18 @@
 	return out[:]
 }
 
-// BucketList lists the live objects of some buckets of a kind, as of the
-// floor in the kind's digest.
+// BucketList lists the live objects of some buckets of a kind, as of the floor in
+// the digest.
 type BucketList struct {
 	KindDigest
 	Buckets []uint32
 	Headers []Header
-	// Full tells that Headers lists the whole kind instead.
+	// Full reports that Headers lists the whole kind and not only Buckets.
 	Full bool
 }
 
-// ListDiffering lists the buckets whose hash differs from a peer's, or the
-// whole kind where the peer is of a release with another number of buckets.
+// ListDiffering lists the buckets whose hash differs from a peer's. It lists the
+// whole kind if the peer's release uses another number of buckets.
 func (s *Set) ListDiffering(kind objectstore.Kind, hashes []uint64) BucketList {
 	k, ok := s.kinds[kind]
 	if !ok {
@@ -96,10 +96,10 @@
 	return list
 }
 
-// ApplyBuckets compares a peer's bucket list with the set, by the same rule as
-// ApplyList: what the peer lacks and must know is deleted here. It returns the
-// deletions, the headers to fetch from the peer, and the headers that this
-// member knows newer, for the peer.
+// ApplyBuckets merges a peer's bucket list into the set, by the same rule as
+// ApplyList: an object that is not listed is deleted here if its version is at
+// most the peer's floor. It returns the deletions, the headers to fetch from the
+// peer, and the headers that are newer here and that the peer needs.
 func (s *Set) ApplyBuckets(list BucketList) (deleted, wanted, newer []Header) {
 	k, ok := s.kinds[list.Kind]
 	if !ok {
@@ -113,7 +113,8 @@
 		case known != nil && known.Version > h.Version:
 			newer = append(newer, known.header())
 		case known == nil && h.Version <= k.floor:
-			// Deleted since; the tombstone is gone, the floor still tells.
+			// The tombstone has been dropped, but the floor proves that the object was
+			// deleted.
 			newer = append(newer, Header{Kind: list.Kind, Name: h.Name, Version: k.floor, Deleted: true})
 		case s.IsNewer(h) && h.Deleted:
 			s.Apply(deletion(h))
@@ -133,7 +134,7 @@
 	return deleted, wanted, newer
 }
 
-// bucketSet returns the buckets that were listed; nil for all.
+// bucketSet returns the listed buckets; nil means all.
 func (l BucketList) bucketSet() map[uint32]bool {
 	if l.Full {
 		return nil
@@ -145,12 +146,12 @@
 	return out
 }
 
-// deletion returns the record of a deletion's header.
+// deletion returns the record for the header of a deletion.
 func deletion(h Header) Record {
 	return Record{Object: objectstore.Object{Kind: h.Kind, Name: h.Name, Version: h.Version}, Deleted: true}
 }
 
-// IsNewer tells whether a header names something newer than is known.
+// IsNewer reports whether a header is newer than the set's record of its object.
 func (s *Set) IsNewer(h Header) bool {
 	k, ok := s.kinds[h.Kind]
 	if !ok {
@@ -163,11 +164,12 @@
 	return h.Version > known.Version
 }
 
-// maxAnswerBytes bounds the values in one answer; one record always fits.
+// maxAnswerBytes limits the values in one answer, in bytes. An answer holds at
+// least one record.
 const maxAnswerBytes = 512 << 10
 
-// Records returns the records of the headers that the set holds, as many as
-// fit one answer.
+// Records returns the set's records for the headers, up to the size of one
+// answer.
 func (s *Set) Records(headers []Header) []*Record {
 	var out []*Record
 	size := 0
--- a/revision/cluster_test.go
+++ b/revision/cluster_test.go
@@ -20,16 +20,17 @@
 	"github.com/lycheekeel/lycheekeel/workspace/workspacetest"
 )
 
-// testTimeout ends a test that does not get there; no test is decided by it.
+// testTimeout ends a test that does not finish; no result depends on it.
 const testTimeout = 60 * time.Second
 
-// fastTiming makes what takes seconds take milliseconds.
+// fastTiming shortens the intervals from seconds to milliseconds.
 var fastTiming = revision.Timing{
 	GossipInterval: 50 * time.Millisecond, WatchWait: 200 * time.Millisecond, FallbackDelay: 400 * time.Millisecond,
 	RoleCheckInterval: 50 * time.Millisecond, RetryDelay: 20 * time.Millisecond, MaxRetryDelay: 100 * time.Millisecond,
 }
 
-// startCluster starts members on a small configuration.
+// startCluster starts members with a small configuration and waits until it is
+// active.
 func startCluster(t *testing.T, members int) (context.Context, *revisiontest.Cluster, objectstore.Version) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	c := revisiontest.New(revisiontest.Options{Members: members, Regions: 1, Timing: fastTiming})
@@ -53,14 +54,14 @@
 	return v
 }
 
-// addWorkspace writes one more workspace.
+// addWorkspace creates a workspace.
 func addWorkspace(ctx context.Context, c *revisiontest.Cluster, name string) objectstore.Version {
 	value, _ := json.Marshal(workspacetest.Workspace(name, "template-0"))
 	return create(ctx, c, objectstore.Object{Kind: workspace.KindWorkspace, Name: name, Value: value})
 }
 
 func TestSpread(t *testing.T) {
-	Convey("A change is in force on all members, most of which have no watch", t, func() {
+	Convey("A change becomes active on all members, most of which do not watch", t, func() {
 		ctx, c, _ := startCluster(t, 9)
 		for i := range 5 {
 			_, err := revisiontest.AwaitVersion(ctx, addWorkspace(ctx, c, fmt.Sprintf("w-%d", i)), c.Members...)
@@ -75,7 +76,7 @@
 		}
 		So(c.Store.Calls()["list"], ShouldBeLessThanOrEqualTo, revision.WatchersPerRegion*int64(len(workspace.Kinds())))
 
-		Convey("also a deletion, and the creation after it", func() {
+		Convey("and so does a deletion, and a creation after it", func() {
 			o, err := c.Store.Get(ctx, workspace.KindWorkspace, "w-0")
 			So(err, ShouldBeNil)
 			v, err := c.Store.Delete(ctx, workspace.KindWorkspace, "w-0", o.Version)
@@ -98,8 +99,9 @@
 }
 
 func TestMemberStartsDuringStoreOutage(t *testing.T) {
-	// Guards against this: a daemon that was replaced while the platform's store is down refuses every caller, or serves an old configuration.
-	Convey("A member that starts during an outage serves its peers' newest", t, func() {
+	// Guards against a daemon that starts during a store outage and refuses every
+	// caller, or serves an old configuration.
+	Convey("A member that starts during a store outage serves the newest configuration of its peers", t, func() {
 		ctx, c, _ := startCluster(t, 3)
 		v := addWorkspace(ctx, c, "late")
 		_, err := revisiontest.AwaitVersion(ctx, v, c.Members...)
@@ -114,7 +116,7 @@
 		_, ok := restarted.Snapshot.Load().ByKey(workspacetest.Key("late"))
 		So(ok, ShouldBeTrue)
 
-		Convey("and stale reads after it take nothing back", func() {
+		Convey("and later stale reads revert nothing", func() {
 			c.Store.SetFaults(standin.Faults{StaleWrites: 1})
 			restarted.WatchHangs.Store(true)
 			restarted.Stop()
@@ -132,8 +134,9 @@
 }
 
 func TestFallbackWatchers(t *testing.T) {
-	// Guards against this: changes are no longer in force anywhere in a region, though the platform's store works for most of its members.
-	Convey("Others take the watch when the appointed members are cut off", t, func() {
+	// Guards against changes that become active nowhere in a region because its
+	// selected watchers are partitioned from the store.
+	Convey("Other members watch while the selected watchers are partitioned from the store", t, func() {
 		ctx, c, _ := startCluster(t, 6)
 		watchers := revision.Watchers(c.View(), "region-0")
 		So(watchers, ShouldHaveLength, revision.WatchersPerRegion)
@@ -145,7 +148,8 @@
 	})
 }
 
-// randomStep does one random thing to a cluster; writes return their version.
+// randomStep injects or ends one random fault, or writes; a write returns its
+// version.
 func randomStep(ctx context.Context, r *rand.Rand, c *revisiontest.Cluster) objectstore.Version {
 	m := c.Members[r.IntN(len(c.Members))]
 	other := c.Members[r.IntN(len(c.Members))]
@@ -177,9 +181,10 @@
 }
 
 func TestMembersConvergeAfterFailures(t *testing.T) {
-	// Guards against this: a member goes back to an older configuration, or stays behind for good, after a time of several failures at once.
+	// Guards against a member that reverts to an older configuration, or never
+	// catches up, after several simultaneous failures.
 	for seed := range uint64(3) {
-		Convey(fmt.Sprintf("Members neither go back nor stay behind, seed %d", seed), t, func() {
+		Convey(fmt.Sprintf("Members never revert and all converge, seed %d", seed), t, func() {
 			ctx, c, newest := startCluster(t, 5)
 			r := rand.New(rand.NewPCG(seed, 0))
 			for range 60 {
@@ -211,9 +216,9 @@
 	}
 }
 
-// BenchmarkSpread measures one change at several sizes with the default
-// timing: the time until it is in force on the last member, and the bytes and
-// messages that it costs each member.
+// BenchmarkSpread measures one change at several cluster sizes with the default
+// timing: the time until it is active on the last member, and the bytes and
+// messages per member.
 func BenchmarkSpread(b *testing.B) {
 	for _, n := range []int{9, 50, 130, 390} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
--- a/revision/freshness.go
+++ b/revision/freshness.go
@@ -7,33 +7,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// Freshness knows how old the newest proof is that the configuration in force
-// was the store's newest. A proof is a linearizable read that was answered; it
-// counts from the moment at which it was sent. A watch without news, a stale
-// read or a peer's word of what it has are none.
+// Freshness tracks how long ago a linearizable read last confirmed that the
+// active configuration is the store's newest. A confirmation is dated at the time
+// when the read was sent. A watch without events, a stale read and a peer's
+// statement about its own state confirm nothing.
 //
-// What goes wrong without it: a daemon that is cut off from the store, or
-// whose VM was suspended, goes on to accept a key that was withdrawn. One
-// would notice requests of a withdrawn key running long after. The age counts
-// suspended time and does not follow the time of day, which may jump.
+// Without it, a daemon that is partitioned from the store, or whose VM was
+// suspended, would accept revoked keys indefinitely. Ages are measured on the
+// boot clock, which includes suspended time and is not affected by wall-clock
+// steps.
 //
 // It is safe for concurrent use.
 type Freshness struct {
-	confirmedAt atomic.Int64 // on the boot clock; zero: never
+	confirmedAt atomic.Int64 // on the boot clock; 0 means never
 	clock       func() time.Duration
 }
 
-// NewFreshness returns a freshness without a proof.
+// NewFreshness returns a Freshness without a confirmation, on the boot clock.
 func NewFreshness() *Freshness { return NewFreshnessWithClock(SinceBoot) }
 
-// NewFreshnessWithClock returns a Freshness that reads another clock, one that stands
-// still in tests.
+// NewFreshnessWithClock returns a Freshness that uses the given clock.
 func NewFreshnessWithClock(clock func() time.Duration) *Freshness { return &Freshness{clock: clock} }
 
-// Now returns the moment to pass to Prove; take it before the read is sent.
+// Now returns the current time on f's clock. Take it before sending a read and
+// pass it to Confirm.
 func (f *Freshness) Now() time.Duration { return f.clock() }
 
-// Confirm takes a proof as of mark. An older one than the newest changes nothing.
+// Confirm records a confirmation dated at. It has no effect if a newer one is
+// known.
 func (f *Freshness) Confirm(at time.Duration) {
 	for {
 		old := f.confirmedAt.Load()
@@ -43,7 +44,7 @@
 	}
 }
 
-// Age returns the age of the newest proof; false where there was none.
+// Age returns the age of the newest confirmation, or false if there is none.
 func (f *Freshness) Age() (time.Duration, bool) {
 	confirmedAt := f.confirmedAt.Load()
 	if confirmedAt == 0 {
@@ -52,17 +53,17 @@
 	return f.clock() - time.Duration(confirmedAt), true
 }
 
-// Within tells whether the newest proof is at most so old.
+// Within reports whether the newest confirmation is at most maxAge old.
 func (f *Freshness) Within(maxAge time.Duration) bool {
 	age, ok := f.Age()
 	return ok && age <= maxAge
 }
 
-// SinceBoot is the time since the machine started, suspended time included.
+// SinceBoot returns the time since the machine booted, suspended time included.
 func SinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return 0 // no such clock: nothing is ever fresh, which is noticed at once
+		return 0 // without this clock nothing is ever fresh, so the failure shows at once
 	}
 	return time.Duration(ts.Nano())
 }
--- a/revision/freshness_test.go
+++ b/revision/freshness_test.go
@@ -7,26 +7,27 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against this: requests of a withdrawn key run on a VM that was suspended.
+// Guards against requests with a revoked key that are accepted on a VM that was
+// suspended.
 func TestFreshnessAges(t *testing.T) {
-	Convey("A proof counts from its sending, and only a newer one replaces it", t, func() {
+	Convey("A confirmation is dated at the sending of the read, and only a newer one replaces it", t, func() {
 		now := 100 * time.Second
 		f := &Freshness{clock: func() time.Duration { return now }}
 		So(f.Within(time.Hour), ShouldBeFalse)
 		mark := f.Now()
-		now += time.Second // the read takes its time
+		now += time.Second // the duration of the read
 		f.Confirm(mark)
 		age, ok := f.Age()
 		So(ok, ShouldBeTrue)
 		So(age, ShouldEqual, time.Second)
-		f.Confirm(mark - time.Second) // an older read is answered late
+		f.Confirm(mark - time.Second) // the late answer of an older read
 		So(f.Within(time.Second), ShouldBeTrue)
-		now += 10 * time.Second // suspended time counts
+		now += 10 * time.Second // suspended time is included
 		So(f.Within(5*time.Second), ShouldBeFalse)
 	})
-	Convey("The boot clock runs", t, func() {
+	Convey("The boot clock advances", t, func() {
 		So(SinceBoot(), ShouldBeGreaterThan, time.Duration(0))
-		// It is not the time of day, which is far larger and may jump.
+		// The wall clock is far larger and may jump.
 		So(SinceBoot(), ShouldBeLessThan, time.Duration(time.Now().UnixNano())/2)
 	})
 }
--- a/revision/gossip.go
+++ b/revision/gossip.go
@@ -15,19 +15,22 @@
 )
 
 const (
-	// fanout is to how many random members a member pushes a change that it
-	// just learnt. With 4 a push alone reaches 98 in 100 members in about
-	// log4(n) hops; the digests reach the rest.
+	// fanout is the number of random members to which a member pushes a new change.
+	// With 4, pushes alone reach 98% of the members in about log4(n) hops; digests
+	// reach the rest.
 	fanout = 4
-	// maxPushedChanges bounds the changes in one push; a bulk change goes by digest.
+	// maxPushedChanges limits the changes in one push; for a larger batch a digest
+	// is sent.
 	maxPushedChanges = 64
-	// maxPulledRecords bounds the records asked for in one pull.
+	// maxPulledRecords limits the records requested in one pull.
 	maxPulledRecords = 256
-	// maxFetchPeers is how many peers are asked for one record at a time.
+	// maxFetchPeers is the number of peers that are asked for one record
+	// concurrently.
 	maxFetchPeers = 2
-	// initialSyncPeers is how many peers a starting member asks.
+	// initialSyncPeers is the number of peers that a starting member syncs with.
 	initialSyncPeers = 3
-	// initialSyncPollInterval is between two looks for peers at the start.
+	// initialSyncPollInterval is the time between two attempts to find peers at
+	// startup.
 	initialSyncPollInterval = 50 * time.Millisecond
 )
 
@@ -37,7 +40,7 @@
 	digest *configwire.Digest
 }
 
-// jitter returns d, a quarter more or less.
+// jitter returns d varied at random by up to 25%.
 func jitter(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(rand.Int64N(int64(d/2)+1))
 }
@@ -58,9 +61,9 @@
 	return out
 }
 
-// initialSync asks peers for what they know before anything is published, so that a
-// member which restarts during an outage, or reads a stale listing, starts
-// with the newest that any of its peers has.
+// initialSync pulls from peers before anything is published. A member that
+// restarts during a store outage, or reads a stale listing, thus starts with the
+// newest version that any of these peers has.
 func (s *Syncer) initialSync(ctx context.Context) {
 	defer close(s.initialSyncDone)
 	deadline := s.opts.Now().Add(s.opts.Timing.InitialSyncTimeout)
@@ -81,7 +84,7 @@
 	}
 }
 
-// countAnswered counts the peers that answered.
+// countAnswered returns the number of peers that answered.
 func countAnswered(answered map[peer.Name]bool) int {
 	n := 0
 	for _, ok := range answered {
@@ -92,7 +95,8 @@
 	return n
 }
 
-// pullAll brings every kind up to a peer's knowledge.
+// pullAll pulls every kind from a peer. It returns false if the peer did not
+// answer.
 func (s *Syncer) pullAll(ctx context.Context, from peer.Name) bool {
 	for _, kind := range s.opts.Kinds {
 		if !s.pullKind(ctx, from, kind) {
@@ -102,7 +106,7 @@
 	return true
 }
 
-// gossipDigests sends a digest to one random member at each interval.
+// gossipDigests sends a digest to one random member per interval.
 func (s *Syncer) gossipDigests(ctx context.Context) {
 	for wait.For(ctx, jitter(s.opts.Timing.GossipInterval)) {
 		for _, to := range s.randomPeers(1) {
@@ -112,7 +116,7 @@
 	}
 }
 
-// digestMessage returns the message that sums up what is held.
+// digestMessage returns the digest of this member's state.
 func (s *Syncer) digestMessage() *configwire.Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,14 +127,15 @@
 	return m
 }
 
-// sendDigest queues a digest; what is lost is made good by a later one.
+// sendDigest queues a digest. A lost digest needs no retry: a later one replaces
+// it.
 func (s *Syncer) sendDigest(to peer.Name, m *configwire.Digest) {
 	if err := s.opts.Transport.Send(to, peer.TypeConfigDigest, marshal(m)); err != nil {
 		s.counters.countRetry(err)
 	}
 }
 
-// pushChanges tells a few random members of each change as soon as it is known.
+// pushChanges sends each batch of new changes to a few random members.
 func (s *Syncer) pushChanges(ctx context.Context) {
 	for {
 		select {
@@ -147,7 +152,7 @@
 		s.mu.Unlock()
 		message := &configwire.Digest{Changes: toWireHeaders(changes)}
 		if len(changes) > maxPushedChanges {
-			message = s.digestMessage() // constant in size; the peers pull
+			message = s.digestMessage() // constant in size; the peers pull what differs
 		}
 		for _, to := range s.randomPeers(fanout) {
 			s.sendDigest(to, message)
@@ -156,7 +161,7 @@
 	}
 }
 
-// receiveDigest is the handler of digests.
+// receiveDigest is the transport handler for digests.
 func (s *Syncer) receiveDigest(_ context.Context, from peer.Name, payload []byte) ([]byte, error) {
 	m := &configwire.Digest{}
 	if err := proto.Unmarshal(payload, m); err != nil {
@@ -171,7 +176,7 @@
 	return nil, nil
 }
 
-// handleDigests handles received digests.
+// handleDigests processes queued digests until ctx ends.
 func (s *Syncer) handleDigests(ctx context.Context) {
 	for {
 		select {
@@ -183,7 +188,7 @@
 	}
 }
 
-// handleDigest fetches what a peer knows newer.
+// handleDigest fetches what is newer at the peer.
 func (s *Syncer) handleDigest(ctx context.Context, received receivedDigest) {
 	if len(received.digest.GetChanges()) > 0 {
 		s.fetch(ctx, received.from, s.applyHeaders(fromWireHeaders(received.digest.GetChanges())))
@@ -193,7 +198,8 @@
 	}
 }
 
-// applyHeaders applies the deletions among headers and returns what is to be fetched.
+// applyHeaders applies the deletions among the headers and returns the headers to
+// fetch.
 func (s *Syncer) applyHeaders(headers []Header) (wanted []Header) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -216,8 +222,8 @@
 	return wanted
 }
 
-// mergeDigest returns the kinds in which a digest differs, and takes over how
-// fresh the peer's knowledge is where it does not.
+// mergeDigest returns the kinds that differ from a peer's digest. If none differ,
+// the time at which the store last confirmed the peer's state is adopted.
 func (s *Syncer) mergeDigest(m *configwire.Digest) []objectstore.Kind {
 	if len(m.GetKinds()) == 0 {
 		return nil
@@ -233,7 +239,7 @@
 	differing := s.set.MergeDigest(digests)
 	if len(differing) == 0 {
 		s.confirmedAt = later(s.confirmedAt, confirmedAt)
-		s.notifyChanges(nil) // the set may be whole only now
+		s.notifyChanges(nil) // the set may have become complete
 	}
 	return differing
 }
--- a/revision/publisher.go
+++ b/revision/publisher.go
@@ -11,8 +11,8 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Publisher compiles what a Syncer holds into workspace snapshots and
-// puts them in force.
+// Publisher compiles the objects of a Syncer into workspace snapshots and makes
+// them active.
 type Publisher struct {
 	current  *workspace.CurrentSnapshot
 	compiler *workspace.Compiler
@@ -21,7 +21,7 @@
 	logged   map[workspace.Finding]bool
 }
 
-// NewPublisher returns a Configuration that stores snapshots in live.
+// NewPublisher returns a Publisher that stores snapshots in live.
 func NewPublisher(live *workspace.CurrentSnapshot, m *metrics.Registry) *Publisher {
 	p := &Publisher{current: live, compiler: workspace.NewCompiler(), log: logs.For("config")}
 	if m != nil {
@@ -31,7 +31,7 @@
 	return p
 }
 
-// Attach fills in the options by which a Syncer publishes to c.
+// Attach sets the options that make a Syncer publish to p.
 func (p *Publisher) Attach(o Options) Options {
 	o.Kinds = workspace.Kinds()
 	o.Check = Check
@@ -39,20 +39,20 @@
 	return o
 }
 
-// Check tells whether an object by itself may go in force.
+// Check reports whether an object on its own is valid and may become active.
 func Check(o objectstore.Object) bool { return workspace.CheckObject(o).Fatal() == nil }
 
-// Publish compiles the objects and puts the snapshot in force. Call it from
-// one goroutine at a time.
+// Publish compiles the objects and makes the snapshot active. It must not be
+// called concurrently.
 func (p *Publisher) Publish(objects []objectstore.Object, newest objectstore.Version) {
 	snapshot, findings := p.compiler.Compile(objects)
-	snapshot.Version = newest // a deletion's version is in no object
+	snapshot.Version = newest // no object carries the version of a deletion
 	p.current.Store(snapshot)
 	p.findings.Store(&findings)
 	p.logNew(findings)
 }
 
-// logNew logs each finding once, for as long as it stands.
+// logNew logs each finding once, until it is resolved.
 func (p *Publisher) logNew(findings workspace.Findings) {
 	logged := make(map[workspace.Finding]bool, len(findings))
 	for _, f := range findings {
@@ -64,7 +64,8 @@
 	p.logged = logged
 }
 
-// Findings are those of the configuration in force. Safe for concurrent use.
+// Findings returns the findings of the active configuration. It is safe for
+// concurrent use.
 func (p *Publisher) Findings() workspace.Findings {
 	if f := p.findings.Load(); f != nil {
 		return *f
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// activeVersion is the version in force, 0 before there is one.
+// activeVersion returns the active version, or 0 before the first one.
 func (p *Publisher) activeVersion() objectstore.Version {
 	if s := p.current.Load(); s != nil {
 		return s.Version
--- a/revision/pull.go
+++ b/revision/pull.go
@@ -10,7 +10,7 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// answerPull is the handler of pulls.
+// answerPull is the transport handler for pulls.
 func (s *Syncer) answerPull(_ context.Context, _ peer.Name, payload []byte) ([]byte, error) {
 	m := &configwire.Pull{}
 	if err := proto.Unmarshal(payload, m); err != nil {
@@ -29,7 +29,7 @@
 	return marshal(answer), nil
 }
 
-// sendPull sends a pull and returns its answer.
+// sendPull sends a pull and returns the answer, or false if there was none.
 func (s *Syncer) sendPull(ctx context.Context, to peer.Name, m *configwire.Pull) (*configwire.PullAnswer, bool) {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.Timing.CallTimeout)
 	defer cancel()
@@ -47,8 +47,8 @@
 	return answer, true
 }
 
-// pullKind brings one kind up to a peer's knowledge, and tells the peer what
-// is known newer here. False where the peer did not answer.
+// pullKind merges a peer's state of one kind and sends the peer the headers that
+// are newer here. It returns false if the peer did not answer.
 func (s *Syncer) pullKind(ctx context.Context, from peer.Name, kind objectstore.Kind) bool {
 	buckets, started := s.startPull(kind)
 	if !started {
@@ -76,7 +76,8 @@
 	return true
 }
 
-// startPull returns the kind's bucket hashes, unless it is being pulled.
+// startPull returns the kind's bucket hashes, or false if a pull of the kind is
+// in progress.
 func (s *Syncer) startPull(kind objectstore.Kind) ([]uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +94,7 @@
 	delete(s.pulling, kind)
 }
 
-// fetch gets records from a peer until it has no more of them.
+// fetch requests records from a peer until it has no more of them.
 func (s *Syncer) fetch(ctx context.Context, from peer.Name, wanted []Header) {
 	wanted = s.startFetch(wanted)
 	defer s.endFetch(wanted)
@@ -104,14 +105,15 @@
 			return
 		}
 		s.applyRecords(answer.GetRecords())
-		// The peer answers in order and passes over what it holds no more.
+		// The peer answers in order and skips records that it no longer holds.
 		last := answer.GetRecords()[len(answer.GetRecords())-1]
 		remaining = remaining[nextIndex(batch, last):]
 	}
 }
 
-// nextIndex returns the index behind the header that a record answers; the whole
-// batch where it answers none, so that a fetch always ends.
+// nextIndex returns the index after the header that a record answers. It returns
+// the length of the batch if the record answers none, so that a fetch always
+// terminates.
 func nextIndex(batch []Header, r *configwire.Record) int {
 	for i, h := range batch {
 		if string(h.Kind) == r.GetKind() && h.Name == r.GetName() {
@@ -121,7 +123,7 @@
 	return len(batch)
 }
 
-// applyRecords takes in records of a peer.
+// applyRecords applies records received from a peer.
 func (s *Syncer) applyRecords(records []*configwire.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,8 +137,9 @@
 	s.notifyChanges(changed)
 }
 
-// startFetch returns the headers that not enough peers are being asked for. A
-// second peer is asked at once, because the first may be silent.
+// startFetch returns the headers that fewer than maxFetchPeers peers are being
+// asked for. A second peer is asked at once, because the first may be
+// unresponsive.
 func (s *Syncer) startFetch(wanted []Header) []Header {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/revision/record.go
+++ b/revision/record.go
@@ -1,9 +1,8 @@
-// Package revision is a cache of configuration objects that never goes back,
-// and its spread over the daemons: a few watch the object API, the others
-// learn by gossip of digests and by pulls. Each member keeps, per object, the
-// newest version that it ever heard of, deletions included. A stale read, a
-// replayed watch, a restart during an outage or a peer's older copy can't take
-// a change back.
+// Package revision caches configuration objects and distributes them to all
+// daemons. A few daemons watch the object API; the others learn changes by
+// gossiped digests and by pulls. Each member keeps the newest known version of
+// each object, deletions included, so that a stale read, a replayed watch event,
+// a restart during an outage or a peer's older copy cannot revert a change.
 package revision
 
 import (
@@ -15,16 +14,16 @@
 // Record is the newest known state of one object. It is immutable.
 type Record struct {
 	objectstore.Object
-	// Deleted marks a deletion as of Version.
+	// Deleted reports that the object was deleted at Version.
 	Deleted bool
-	// LastGood is the object's last version that passed the check, where this
-	// one does not; nil otherwise, or where none is known.
+	// LastGood is the last valid version of the object if this version is invalid.
+	// It is nil if this version is valid or no valid one is known.
 	LastGood *objectstore.Object
 
-	invalid bool // Object did not pass the check
+	invalid bool // Object failed the check
 }
 
-// Header names one version of an object, or its deletion.
+// Header identifies one version of an object, or its deletion.
 type Header struct {
 	Kind    objectstore.Kind
 	Name    string
@@ -32,21 +31,19 @@
 	Deleted bool
 }
 
-// header returns the record's header.
 func (r *Record) header() Header {
 	return Header{Kind: r.Kind, Name: r.Name, Version: r.Version, Deleted: r.Deleted}
 }
 
-// bucketCount is into how many buckets a kind's names are hashed. At 2,400
-// objects a bucket holds about 19, so that finding one change among them
-// costs about two kilobytes.
+// bucketCount is the number of hash buckets of a kind. At 2,400 objects a bucket
+// holds about 19, so finding one changed object costs about 2 kB.
 const bucketCount = 128
 
 // bucketOf returns the bucket of a name.
 func bucketOf(name string) int { return int(xxhash.Sum64String(name) % bucketCount) }
 
-// hash returns the record's share of its bucket's hash: zero for a deletion,
-// so that members which dropped a tombstone at different times agree.
+// hash returns the record's contribution to its bucket's hash. It is 0 for a
+// deletion, so that members that dropped a tombstone at different times agree.
 func (r *Record) hash() uint64 {
 	if r == nil || r.Deleted {
 		return 0
--- a/revision/report.go
+++ b/revision/report.go
@@ -9,37 +9,37 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// ActiveConfig names the configuration that a member has in force. Members with
-// equal hashes have the same.
+// ActiveConfig identifies the active configuration of a member. Members with
+// equal hashes have the same one.
 type ActiveConfig struct {
-	// Version is the newest version applied.
+	// Version is the newest applied version.
 	Version objectstore.Version
 	Hash    uint64
-	// Floor is the floor: every change up to it is in force.
+	// Floor is the version up to which every change is active.
 	Floor objectstore.Version
 
 	changes uint64
 }
 
-// Report is what a member tells of its configuration.
+// Report describes a member's active configuration.
 type Report struct {
 	Member  string              `json:"member"`
 	Version objectstore.Version `json:"version"`
-	// Floor is the version up to which every change is in force. It may be
-	// larger than Version, since the object API counts all its writes, and
-	// follows a moment after a change on members that do not watch.
+	// Through is the version up to which every change is active. It may be larger
+	// than Version, since the object API counts all its writes. On members that do
+	// not watch it rises shortly after a change.
 	Through objectstore.Version `json:"through"`
-	// Hash is equal on members that have the same configuration in force;
-	// empty before there is one.
+	// Hash is equal on members with the same active configuration. It is empty
+	// before there is one.
 	Hash string `json:"hash"`
-	// ConfirmedMs is how long ago the object API last confirmed it, in
-	// milliseconds; -1 for never.
+	// ConfirmedMs is the time since the object API last confirmed the
+	// configuration, in milliseconds; -1 means never.
 	ConfirmedMs int64 `json:"confirmed_ms"`
-	// Watching tells whether this member watches the object API itself.
+	// Watching reports whether this member itself watches the object API.
 	Watching bool `json:"watching"`
 }
 
-// Report returns what this member has in force.
+// Report returns the report on this member's active configuration.
 func (s *Syncer) Report() Report {
 	r := Report{Member: string(s.opts.Transport.Self()), ConfirmedMs: -1, Watching: s.watching.Load()}
 	if active := s.active.Load(); active != nil {
@@ -51,14 +51,14 @@
 	return r
 }
 
-// lastConfirmed is when the object API last confirmed what is held.
+// lastConfirmed returns when the object API last confirmed this member's state.
 func (s *Syncer) lastConfirmed() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.confirmedAt
 }
 
-// The metric groups.
+// Metric groups.
 const (
 	groupConfig  = "config"
 	groupRetries = "config_retries"
@@ -71,7 +71,8 @@
 	digestsSent, digestsDropped, malformed, watchesReturned *expvar.Int
 }
 
-// newCounters makes the counters; a nil registry gets one of its own.
+// newCounters returns the counters; if r is nil, they are in a registry of their
+// own.
 func newCounters(r *metrics.Registry) counters {
 	if r == nil {
 		r = metrics.New()
@@ -90,5 +91,5 @@
 	}
 }
 
-// countRetry counts an attempt that will be made again, by its reason.
+// countRetry counts a failed attempt that will be retried, by the error's reason.
 func (c counters) countRetry(err error) { c.registry.Counter(groupRetries, errorReason(err)).Add(1) }
--- a/revision/revisiontest/cluster.go
+++ b/revision/revisiontest/cluster.go
@@ -1,6 +1,6 @@
-// Package revisiontest runs many configuration syncers in one process, over
-// an in-memory network with real encoding and the platform stand-in, for tests
-// and for the measuring of capacity.
+// Package revisiontest runs many configuration syncers in one process, over an
+// in-memory network with real encoding and the platform stand-in. It serves tests
+// and capacity measurements.
 package revisiontest
 
 import (
@@ -22,13 +22,13 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Options set up a Cluster.
+// Options configure a Cluster.
 type Options struct {
 	Members, Regions int
 	Timing           revision.Timing
 }
 
-// Cluster is a set of members, all of which know each other.
+// Cluster is a set of members that all know each other.
 type Cluster struct {
 	Store   *standin.Standin
 	Network *peertest.Network
@@ -41,12 +41,12 @@
 // Member is one member of a Cluster.
 type Member struct {
 	Name string
-	// Snapshot is the workspace snapshot in force at the member.
+	// Snapshot holds the member's active workspace snapshot.
 	Snapshot *workspace.CurrentSnapshot
 	Syncer   *revision.Syncer
-	// StoreUnavailable refuses the member's calls of the object API.
+	// StoreUnavailable makes the member's calls to the object API fail.
 	StoreUnavailable atomic.Bool
-	// WatchHangs lets the member's watches see no change.
+	// WatchHangs makes the member's watches hang until they time out.
 	WatchHangs atomic.Bool
 
 	cluster      *Cluster
@@ -57,7 +57,7 @@
 	done         sync.WaitGroup
 }
 
-// New returns a cluster none of whose members runs yet.
+// New returns a cluster whose members are not running yet.
 func New(o Options) *Cluster {
 	c := &Cluster{Store: standin.New(standin.Options{}), Network: peertest.NewNetwork(), timing: o.Timing}
 	var records []member.Member
@@ -70,10 +70,10 @@
 	return c
 }
 
-// View returns the members' view.
+// View returns the view that all members share.
 func (c *Cluster) View() *member.View { return c.view.Load() }
 
-// Start starts a member with nothing known.
+// Start starts a member with an empty state.
 func (m *Member) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	m.stop = cancel
@@ -98,26 +98,27 @@
 	m.done.Go(func() { m.Syncer.Run(ctx) })
 }
 
-// Stop stops a member; what it knew is lost.
+// Stop stops a member and discards its state.
 func (m *Member) Stop() {
 	m.stop()
 	m.done.Wait()
 	m.cluster.Network.Crash(peer.Name(m.Name))
 }
 
-// ActiveVersion is the version up to which changes are in force at the member, 0
-// for none: the newest published, or that which the member is known to be
-// complete through (a deletion from before its start is in no object).
+// ActiveVersion returns the version up to which changes are active at the member,
+// 0 for none: the newest published version, or the member's floor if that is
+// larger. (No object carries the version of a deletion from before the member's
+// start.)
 func (m *Member) ActiveVersion() objectstore.Version {
 	return max(objectstore.Version(m.newest.Load()), m.Syncer.Report().Through)
 }
 
-// FirstVersion is the first version that was in force since the member's start.
+// FirstVersion returns the first active version since the member's start.
 func (m *Member) FirstVersion() objectstore.Version {
 	return objectstore.Version(m.firstVersion.Load())
 }
 
-// Reverts counts how often the version in force went down.
+// Reverts returns how often the active version decreased.
 func (m *Member) Reverts() int64 { return m.reverts.Load() }
 
 // Start starts every member.
@@ -138,20 +139,20 @@
 	c.Network.Close()
 }
 
-// pollInterval is between two looks at the members.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 2 * time.Millisecond
 
-// AwaitVersion waits until a version is in force at the members and returns how long
-// that took.
+// AwaitVersion waits until a version is active at the members and returns how
+// long that took.
 func AwaitVersion(ctx context.Context, version objectstore.Version, members ...*Member) (time.Duration, error) {
 	start := time.Now()
 	err := Until(ctx, func() bool {
 		return !slices.ContainsFunc(members, func(m *Member) bool { return m.ActiveVersion() < version })
 	})
-	return time.Since(start), errors.Wrapf(err, "version %d is not in force everywhere", version)
+	return time.Since(start), errors.Wrapf(err, "version %d is not active on all members", version)
 }
 
-// Until waits until a condition holds, or ctx ends.
+// Until waits until a condition holds, or returns the error of ctx.
 func Until(ctx context.Context, condition func() bool) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// Traffic sums up what the members sent since they started.
+// Traffic sums the members' transport counters.
 func (c *Cluster) Traffic() peertest.Counters {
 	var sum peertest.Counters
 	for _, m := range c.Members {
@@ -178,7 +179,7 @@
 	return sum
 }
 
-// faultyAPI is an object API that can be cut off.
+// faultyAPI is an object API with injected failures.
 type faultyAPI struct {
 	objectstore.ObjectAPI
 	unavailable, watchHangs *atomic.Bool
@@ -187,7 +188,7 @@
 // List implements objectstore.ObjectAPI.
 func (a *faultyAPI) List(ctx context.Context, kind objectstore.Kind, prefix string) (objectstore.List, error) {
 	if a.unavailable.Load() {
-		return objectstore.List{}, errors.Wrap(objectstore.ErrUnavailable, "cut off")
+		return objectstore.List{}, errors.Wrap(objectstore.ErrUnavailable, "store unavailable to this member")
 	}
 	return a.ObjectAPI.List(ctx, kind, prefix)
 }
@@ -195,15 +196,15 @@
 // Watch implements objectstore.ObjectAPI.
 func (a *faultyAPI) Watch(ctx context.Context, kinds []objectstore.Kind, after objectstore.Version, wait time.Duration) ([]objectstore.Event, objectstore.Version, error) {
 	if a.unavailable.Load() {
-		return nil, 0, errors.Wrap(objectstore.ErrUnavailable, "cut off")
+		return nil, 0, errors.Wrap(objectstore.ErrUnavailable, "store unavailable to this member")
 	}
 	if a.watchHangs.Load() {
 		<-ctx.Done()
-		return nil, 0, errors.Wrap(objectstore.ErrUnknownOutcome, "mute")
+		return nil, 0, errors.Wrap(objectstore.ErrUnknownOutcome, "watch hangs")
 	}
 	events, next, err := a.ObjectAPI.Watch(ctx, kinds, after, wait)
 	if a.unavailable.Load() {
-		return nil, 0, errors.Wrap(objectstore.ErrUnknownOutcome, "cut off")
+		return nil, 0, errors.Wrap(objectstore.ErrUnknownOutcome, "store unavailable to this member")
 	}
 	return events, next, err
 }
--- a/revision/revisiontest/measure.go
+++ b/revision/revisiontest/measure.go
@@ -14,27 +14,28 @@
 	"github.com/lycheekeel/lycheekeel/workspace/workspacetest"
 )
 
-// PropagationCost is what the spread of changes costs, by the default timing.
+// PropagationCost is the cost of distributing changes with the default timing.
 type PropagationCost struct {
 	Members, Regions, Changes int
-	// Slowest and Mean are of the times from a write's answer until the
-	// change is in force on the last member.
+	// Slowest and Mean are over the times from the answer to a write until the
+	// change is active on the last member.
 	Slowest, Mean time.Duration
-	// BytesPerChange and MessagesPerChange are sent by each member for one
-	// change, idle traffic taken off.
+	// BytesPerChange and MessagesPerChange are what each member sends for one
+	// change, idle traffic subtracted.
 	BytesPerChange, MessagesPerChange float64
-	// IdleBytesPerSecond and IdleMessagesPerSecond are sent by each member
-	// while nothing changes.
+	// IdleBytesPerSecond and IdleMessagesPerSecond are what each member sends while
+	// nothing changes.
 	IdleBytesPerSecond, IdleMessagesPerSecond float64
-	// StoreCallsPerSecond are all members' calls of the object API while
+	// StoreCallsPerSecond is the rate of all members' calls to the object API while
 	// nothing changes.
 	StoreCallsPerSecond float64
 }
 
-// idlePeriod is how long a cluster is watched while nothing changes.
+// idlePeriod is how long the idle traffic is measured.
 const idlePeriod = 11 * time.Second
 
-// MeasurePropagation starts members in one process and measures some changes.
+// MeasurePropagation starts members in one process and measures a number of
+// changes.
 func MeasurePropagation(ctx context.Context, members, regions, changes int) (PropagationCost, error) {
 	r := PropagationCost{Members: members, Regions: regions, Changes: changes}
 	c := New(Options{Members: members, Regions: regions})
@@ -49,7 +50,7 @@
 	return r, r.measureChanges(ctx, c)
 }
 
-// writeConfiguration writes a small configuration and waits until it is in force.
+// writeConfiguration writes a small configuration and waits until it is active.
 func (c *Cluster) writeConfiguration(ctx context.Context) error {
 	var newest objectstore.Version
 	fleet := workspacetest.Size{Workspaces: 1, Servers: 1, Models: 1, Regions: 1, Templates: 1}
@@ -66,7 +67,7 @@
 
 // measureIdle measures the traffic while nothing changes.
 func (r *PropagationCost) measureIdle(ctx context.Context, c *Cluster) error {
-	if !wait.For(ctx, idlePeriod/5) { // until the last digests agree
+	if !wait.For(ctx, idlePeriod/5) { // until all digests agree
 		return ctx.Err()
 	}
 	traffic, calls := c.Traffic(), c.storeCalls()
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// measureChanges measures changes, one after the other.
+// measureChanges measures changes one after the other.
 func (r *PropagationCost) measureChanges(ctx context.Context, c *Cluster) error {
 	start, traffic := time.Now(), c.Traffic()
 	for i := range r.Changes {
@@ -97,7 +98,7 @@
 		r.Slowest = max(r.Slowest, elapsed)
 		r.Mean += elapsed / time.Duration(r.Changes)
 	}
-	if !wait.For(ctx, time.Second) { // the last pushes
+	if !wait.For(ctx, time.Second) { // until the last pushes are sent
 		return ctx.Err()
 	}
 	after, seconds := c.Traffic(), time.Since(start).Seconds()
@@ -117,7 +118,7 @@
 	return c.Store.Create(ctx, kind, name, value)
 }
 
-// storeCalls sums up the calls of the object API.
+// storeCalls returns the total number of calls to the object API.
 func (c *Cluster) storeCalls() int64 {
 	var sum int64
 	for _, n := range c.Store.Calls() {
--- a/revision/set.go
+++ b/revision/set.go
@@ -6,37 +6,36 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// Set holds the newest known record of each object. It is a pure aggregate:
-// no clock, no goroutines, used by one goroutine at a time.
+// Set holds the newest known record of each object. It uses no clock and no
+// goroutines and is not safe for concurrent use.
 //
-// Each kind has a floor: every change up to that version is known. A record
-// at or under the floor of an object that the set does not hold can therefore
-// only be an old copy of something deleted since, and is refused. That is
-// also the rule for tombstones: one is kept until the floor has passed it,
-// however long that takes, and is not needed after.
+// Each kind has a floor: every change up to that version is known. If the set
+// holds no record of an object, a record at or below the floor is therefore an
+// old copy of a deleted object, and it is rejected. For the same reason a
+// tombstone is kept until the floor has passed it, and is not needed afterwards.
 type Set struct {
 	kinds     map[objectstore.Kind]*kindSet
 	kindOrder []objectstore.Kind
 	check     func(objectstore.Object) bool
-	// newest is the largest version applied.
+	// newest is the largest applied version.
 	newest objectstore.Version
-	// changes counts the records put, so that a reader sees any change.
+	// changes counts stored records, so that a reader can detect any change.
 	changes uint64
 }
 
 // kindSet is the part of a Set for one kind.
 type kindSet struct {
 	floor objectstore.Version
-	// complete tells that the kind was known whole once, as of the floor.
+	// complete reports that the full kind was known once, as of the floor.
 	complete   bool
 	records    map[string]*Record
 	tombstones map[string]struct{}
 	buckets    [bucketCount]uint64
-	hash       uint64 // of all buckets
+	hash       uint64 // XOR of all bucket hashes
 }
 
-// NewSet returns an empty set of the kinds. check tells whether an object by
-// itself may go in force; nil takes all.
+// NewSet returns an empty set of the kinds. check reports whether an object on
+// its own is valid; nil accepts every object.
 func NewSet(kinds []objectstore.Kind, check func(objectstore.Object) bool) *Set {
 	if check == nil {
 		check = func(objectstore.Object) bool { return true }
@@ -48,8 +47,8 @@
 	return s
 }
 
-// Apply takes in a record if it is newer than what is known of its object.
-// It reports whether the set changed.
+// Apply stores a record if it is newer than the known one of its object. It
+// reports whether the set changed.
 func (s *Set) Apply(r Record) bool {
 	k, ok := s.kinds[r.Kind]
 	if !ok {
@@ -57,7 +56,7 @@
 	}
 	known := k.records[r.Name]
 	if known == nil && r.Version <= k.floor {
-		return false // deleted since: see Set
+		return false // an old copy of a deleted object, see Set
 	}
 	if known != nil && r.Version <= known.Version {
 		return known.Version == r.Version && s.adoptLastGood(k, known, r.LastGood)
@@ -69,8 +68,8 @@
 	return true
 }
 
-// validate checks a new record and, where it is bad, finds the version that
-// stays in force. A version from before a deletion never does.
+// validate checks a new record and, if it is invalid, determines the version that
+// stays active. A version from before a deletion is never used.
 func (s *Set) validate(r, known *Record) {
 	if r.Deleted {
 		r.Object.Value, r.LastGood = nil, nil
@@ -93,7 +92,8 @@
 	}
 }
 
-// adoptLastGood takes over a good version that a peer knows of a bad one.
+// adoptLastGood adopts a peer's newer valid version of an object that is invalid
+// here.
 func (s *Set) adoptLastGood(k *kindSet, known *Record, good *objectstore.Object) bool {
 	if !known.invalid || good == nil || (known.LastGood != nil && known.LastGood.Version >= good.Version) {
 		return false
@@ -119,14 +119,14 @@
 	k.records[r.Name] = r
 }
 
-// rehash replaces an old record's share of the hashes by a new one's.
+// rehash replaces the old record's contribution to the hashes by the new one's.
 func (k *kindSet) rehash(old, next *Record) {
 	delta := old.hash() ^ next.hash()
 	k.buckets[bucketOf(next.Name)] ^= delta
 	k.hash ^= delta
 }
 
-// raiseFloor moves the floor up and drops the tombstones that it passed.
+// raiseFloor raises the floor and drops the tombstones at or below it.
 func (k *kindSet) raiseFloor(floor objectstore.Version) {
 	if floor <= k.floor {
 		return
@@ -140,8 +140,9 @@
 	}
 }
 
-// applyAbsence applies that an object did not exist as of a version: it deletes
-// what the set knows of it, unless that is newer. It reports the deletion.
+// applyAbsence applies that an object did not exist as of a version: the object
+// is deleted unless the known version is newer. It returns the deletion, if there
+// was one.
 func (s *Set) applyAbsence(kind objectstore.Kind, name string, asOf objectstore.Version) (Header, bool) {
 	known := s.kinds[kind].records[name]
 	if known == nil || known.Deleted || known.Version > asOf {
@@ -151,13 +152,13 @@
 	return r.header(), s.Apply(r)
 }
 
-// ApplyList takes in a listing of one kind and returns what changed.
+// ApplyList merges a listing of one kind and returns what changed.
 //
-// What goes wrong: a stale listing lacks an object that was created since, or
-// holds one that was deleted since; taken at its word, it would revert both.
-// A listing speaks only for changes up to its version, so an object that it
-// lacks is deleted only if the known version is not newer than the listing,
-// and one that it holds is refused if the floor says that it is gone.
+// A stale listing may lack an object that was created later, or hold one that was
+// deleted later; replacing the set by the listing would revert both changes. A
+// listing covers only changes up to its version. So an object that it lacks is
+// deleted only if the known version is not newer than the listing, and an object
+// that it holds is rejected if the floor shows that it was deleted.
 func (s *Set) ApplyList(kind objectstore.Kind, list objectstore.List) []Header {
 	k, ok := s.kinds[kind]
 	if !ok {
@@ -181,7 +182,8 @@
 	return changed
 }
 
-// unlisted returns the names that are not in listed, of some buckets or all.
+// unlisted returns the known names that are not in listed, within some buckets;
+// nil means all.
 func (k *kindSet) unlisted(listed map[string]struct{}, buckets map[uint32]bool) []string {
 	var out []string
 	for name := range k.records {
@@ -193,10 +195,10 @@
 	return out
 }
 
-// ApplyEvents takes in what a watch of all kinds after a version returned,
-// with the version to continue from, and returns what changed. Replayed and
-// older events have no effect. The floors rise only where nothing between
-// them and the watch's start can have been missed.
+// ApplyEvents applies the result of a watch of all kinds after a version, where
+// next is the version to continue from, and returns what changed. Replayed and
+// older events have no effect. A floor rises only if no change between it and the
+// start of the watch can have been missed.
 func (s *Set) ApplyEvents(events []objectstore.Event, after, next objectstore.Version) []Header {
 	var changed []Header
 	for _, e := range events {
@@ -212,8 +214,8 @@
 	return changed
 }
 
-// Floor is the version up to which every change of every kind is known: where
-// a watch continues, once Complete.
+// Floor returns the version up to which every change of every kind is known. A
+// watch continues from it once the set is Complete.
 func (s *Set) Floor() objectstore.Version {
 	floor := s.kinds[s.kindOrder[0]].floor
 	for _, k := range s.kinds {
@@ -222,8 +224,8 @@
 	return floor
 }
 
-// Complete tells whether every kind was known whole once. Before, an object
-// that is not held may only not have been heard of yet.
+// Complete reports whether every kind was fully known once. Before that, an
+// object that is missing here may exist in the store.
 func (s *Set) Complete() bool {
 	for _, k := range s.kinds {
 		if !k.complete {
@@ -233,13 +235,14 @@
 	return true
 }
 
-// Changes counts what was applied so far: it grows with every change.
+// Changes returns the number of applied changes.
 func (s *Set) Changes() uint64 { return s.changes }
 
-// Newest is the largest version that was applied.
+// Newest returns the largest applied version.
 func (s *Set) Newest() objectstore.Version { return s.newest }
 
-// Hash sums up all live objects: equal on members that hold the same.
+// Hash returns a hash of all live objects. It is equal on members with the same
+// objects.
 func (s *Set) Hash() uint64 {
 	var h uint64
 	for i, kind := range s.kindOrder {
@@ -258,8 +261,8 @@
 	return r, r != nil && !r.Deleted
 }
 
-// Objects returns every live object, and besides a bad one its last good
-// version, in the order of the kinds and by name.
+// Objects returns every live object and the last good version of each invalid
+// one, ordered by kind and name.
 func (s *Set) Objects() []objectstore.Object {
 	var out []objectstore.Object
 	for _, kind := range s.kindOrder {
--- a/revision/set_test.go
+++ b/revision/set_test.go
@@ -12,7 +12,7 @@
 
 var testKinds = []objectstore.Kind{"A", "B"}
 
-// storeHistory is the object API's whole history.
+// storeHistory is the object API's history of writes.
 type storeHistory struct{ events []objectstore.Event }
 
 func (t *storeHistory) version() objectstore.Version { return objectstore.Version(len(t.events)) }
@@ -37,7 +37,7 @@
 	return list
 }
 
-// write creates, changes or deletes an object, as an operator would.
+// write creates, changes or deletes an object.
 func (t *storeHistory) write(kind objectstore.Kind, name string, deleted bool) {
 	o := objectstore.Object{Kind: kind, Name: name, Version: t.version() + 1, Created: t.version() + 1}
 	exists := false
@@ -63,7 +63,8 @@
 	return 0, false
 }
 
-// observedMember is a member with what it has shown of each object so far.
+// observedMember is a member with the newest state of each object that it has
+// shown.
 type observedMember struct {
 	*Set
 	minVersion map[Header]objectstore.Version
@@ -74,8 +75,8 @@
 	return &observedMember{NewSet(testKinds, nil), map[Header]objectstore.Version{}, map[Header]bool{}}
 }
 
-// checkNoRevert fails where an object went back: to an older version, to one from
-// before a deletion that the member has shown, or away without a deletion.
+// checkNoRevert fails if an object went back to an older version or to one from
+// before a deletion that the member has shown, or vanished without a deletion.
 func (o *observedMember) checkNoRevert(t *rapid.T, history *storeHistory, names []string) {
 	for _, kind := range testKinds {
 		for _, name := range names {
@@ -83,13 +84,13 @@
 			r, ok := o.Get(kind, name)
 			if ok {
 				if r.Version < o.minVersion[id] {
-					t.Fatalf("%s/%s went back to %d, at least %d was known", kind, name, r.Version, o.minVersion[id])
+					t.Fatalf("%s/%s reverted to version %d, want at least %d", kind, name, r.Version, o.minVersion[id])
 				}
 				o.minVersion[id] = r.Version
 			} else if o.live[id] {
 				deletedAt, deleted := history.deletedAfter(kind, name, o.minVersion[id])
 				if !deleted {
-					t.Fatalf("%s/%s of version %d vanished, but was not deleted", kind, name, o.minVersion[id])
+					t.Fatalf("%s/%s of version %d vanished without a deletion", kind, name, o.minVersion[id])
 				}
 				o.minVersion[id] = deletedAt + 1
 			}
@@ -98,16 +99,16 @@
 	}
 }
 
-// pullResult is what one member learnt from another; it may be delivered late,
-// twice, or never.
+// pullResult is the answer of a peer to a pull. The test delivers it late,
+// repeatedly or never.
 type pullResult struct {
 	digest  []KindDigest
 	lists   []BucketList
 	records []*Record
 }
 
-// pullFrom makes the answers that peer gives to member now; another release may
-// have another number of buckets.
+// pullFrom returns the answers that peer gives to member now. Another release may
+// use another number of buckets.
 func pullFrom(member, peer *observedMember, otherRelease bool) pullResult {
 	x := pullResult{digest: peer.Digest()}
 	for _, kind := range testKinds {
@@ -125,7 +126,7 @@
 	return x
 }
 
-// applyPull hands answers to a member, which tells the peer what is newer.
+// applyPull applies answers to a member and returns newer deletions to the peer.
 func applyPull(member, peer *observedMember, x pullResult) {
 	for _, list := range x.lists {
 		_, _, newer := member.ApplyBuckets(list)
@@ -142,7 +143,8 @@
 }
 
 func TestObjectsNeverRevert(t *testing.T) {
-	// Guards against this: a change that an operator saw in force is gone again, or a deleted object is back, on some member.
+	// Guards against an active change that is reverted, or a deleted object that
+	// reappears, on some member.
 	rapid.Check(t, func(t *rapid.T) {
 		history := &storeHistory{}
 		names := []string{"x", "y", "z"}
@@ -184,7 +186,7 @@
 			},
 			"deliver": func(t *rapid.T) {
 				if len(inFlight) == 0 {
-					t.Skip("nothing under way")
+					t.Skip("no pull in flight")
 				}
 				x := rapid.SampledFrom(inFlight).Draw(t, "exchange")
 				applyPull(members[x.to], members[x.from], x.pullResult)
@@ -208,16 +210,16 @@
 				list := history.listAt(k, history.version())
 				for _, o := range list.Objects {
 					if r, ok := m.Get(k, o.Name); !ok || r.Version != o.Version || string(r.Value) != string(o.Value) {
-						t.Fatalf("member %d lacks %s/%s of version %d", i, k, o.Name, o.Version)
+						t.Fatalf("member %d does not hold %s/%s at version %d", i, k, o.Name, o.Version)
 					}
 				}
 			}
 			if m.Hash() != members[0].Hash() || m.Floor() != history.version() {
-				t.Fatalf("member %d did not converge: floor %d of %d", i, m.Floor(), history.version())
+				t.Fatalf("member %d did not converge: floor is %d, want %d", i, m.Floor(), history.version())
 			}
 			for _, k := range m.kinds {
 				if len(k.tombstones) != 0 {
-					t.Fatalf("member %d keeps tombstones that its floor has passed", i)
+					t.Fatalf("member %d holds tombstones at or below its floor", i)
 				}
 			}
 		}
@@ -229,7 +231,7 @@
 		return Record{Object: objectstore.Object{Kind: "A", Name: "x", Version: version, Created: created, Value: []byte(value)}}
 	}
 	check := func(o objectstore.Object) bool { return string(o.Value) != "bad" }
-	Convey("The last good version is kept beside a bad one and goes to peers", t, func() {
+	Convey("The last good version is kept beside an invalid one and sent to peers", t, func() {
 		s := NewSet(testKinds, check)
 		s.Apply(object(1, 1, "good"))
 		s.Apply(object(1, 2, "bad"))
@@ -244,11 +246,11 @@
 		So(late.Apply(*r), ShouldBeTrue)
 		So(late.Objects(), ShouldHaveLength, 2)
 
-		Convey("until a good one comes", func() {
+		Convey("until a newer valid version arrives", func() {
 			late.Apply(object(1, 4, "good"))
 			So(late.Objects(), ShouldHaveLength, 1)
 		})
-		Convey("but not past a deletion, even one that went unseen", func() {
+		Convey("but not after a deletion, even if the deletion was missed", func() {
 			late.Apply(object(5, 5, "bad"))
 			So(late.Objects(), ShouldHaveLength, 1)
 		})
--- a/revision/size_test.go
+++ b/revision/size_test.go
@@ -10,7 +10,7 @@
 	"github.com/lycheekeel/lycheekeel/workspace/workspacetest"
 )
 
-// heapMB returns the live heap in MB.
+// heapMB returns the live heap in MiB.
 func heapMB() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -18,8 +18,8 @@
 	return float64(m.HeapAlloc) / (1 << 20)
 }
 
-// targetLists returns a fresh copy of the target's objects by kind, as read from
-// the object API.
+// targetLists returns a new copy of the target size's objects by kind, as listed
+// by the object API.
 func targetLists() map[objectstore.Kind]objectstore.List {
 	lists := map[objectstore.Kind]objectstore.List{}
 	for _, o := range workspacetest.TargetSize.Objects() {
@@ -30,9 +30,9 @@
 	return lists
 }
 
-// BenchmarkTarget measures one member at the target size: a start from
-// nothing, then one changed workspace with its compilation, and the memory
-// that values, records, compiler and snapshot take together.
+// BenchmarkTarget measures one member at the target size: a start with an empty
+// set, one changed workspace including its compilation, and the memory held by
+// values, records, compiler and snapshot.
 func BenchmarkTarget(b *testing.B) {
 	before := heapMB()
 	lists := targetLists()
--- a/revision/syncer.go
+++ b/revision/syncer.go
@@ -18,58 +18,60 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// Options set up a Syncer.
+// Options configure a Syncer.
 type Options struct {
-	// Kinds are what is kept and spread.
+	// Kinds are the object kinds to sync.
 	Kinds []objectstore.Kind
 	API   objectstore.ObjectAPI
-	// Transport carries gossip and pulls. The Syncer registers its handlers,
-	// so make it before the transport starts.
+	// Transport carries gossip and pulls. New registers the Syncer's handlers, so
+	// the transport must not have started yet.
 	Transport peer.Transport
-	// View returns the members in force.
+	// View returns the current member view.
 	View func() *member.View
-	// Check tells whether an object by itself may go in force; nil takes all.
+	// Check reports whether an object on its own is valid; nil accepts every
+	// object.
 	Check func(objectstore.Object) bool
-	// Publish puts a configuration in force; it is called from one goroutine,
-	// with every live object and the newest version applied.
+	// Publish makes a configuration active. It is called from one goroutine, with
+	// every live object and the newest applied version.
 	Publish func(objects []objectstore.Object, newest objectstore.Version)
 	Metrics *metrics.Registry
-	// Timing's zero fields take DefaultTiming's.
+	// Timing's zero fields default to those of DefaultTiming.
 	Timing Timing
-	// Now is the clock; nil is time.Now. Ages are counted on its monotonic
-	// reading, so a step of the wall clock does not matter.
+	// Now is the clock; nil means time.Now. Ages use its monotonic reading, so
+	// wall-clock steps do not matter.
 	Now func() time.Time
 }
 
-// Timing holds the intervals of a Syncer.
+// Timing holds the intervals and timeouts of a Syncer.
 type Timing struct {
-	// GossipInterval is between two digests to a random peer.
+	// GossipInterval is the time between two digests to random peers.
 	GossipInterval time.Duration
-	// BatchDelay is how long changes are gathered before they are pushed and
+	// BatchDelay is how long changes are collected before they are pushed and
 	// published together.
 	BatchDelay time.Duration
 	// WatchWait is how long one watch call waits for a change.
 	WatchWait time.Duration
-	// FallbackDelay is after how long without any member's watch working a member
-	// tries one itself, besides the time that gossip needs to tell of it.
+	// FallbackDelay is the time without a successful watch on any member, beyond
+	// the gossip convergence time, after which a member tries to watch itself.
 	FallbackDelay time.Duration
-	// FallbackDuration is how long such a member goes on.
+	// FallbackDuration is how long a fallback watcher keeps watching.
 	FallbackDuration time.Duration
 	// InitialSyncTimeout is how long a starting member looks for peers before it
-	// publishes what the object API alone told it.
+	// publishes what it has from the object API alone.
 	InitialSyncTimeout time.Duration
-	// CallTimeout bounds a call to a peer, and what the object API may take beyond
-	// WatchWait.
+	// CallTimeout limits a call to a peer, and the time that the object API may
+	// take beyond WatchWait.
 	CallTimeout time.Duration
-	// RetryDelay and MaxRetryDelay are the first and the longest delay between
-	// attempts at the object API; Tick is between looks at whether to watch.
+	// RetryDelay and MaxRetryDelay are the initial and the maximum backoff of calls
+	// to the object API. RoleCheckInterval is the time between two checks of
+	// whether to watch.
 	RetryDelay, MaxRetryDelay, RoleCheckInterval time.Duration
 }
 
-// DefaultTiming is sized for a change in force within 2 s at 9 members and 9 s
-// at 390. WatchWait is short because a connection to the object API can go
-// silent: the watch on it then ends after WatchWait and Call, at the cost of
-// one call for each watcher in WatchWait.
+// DefaultTiming makes a change active within 2 s at 9 members and 9 s at 390.
+// WatchWait is short because a connection to the object API may hang: its watch
+// then ends after WatchWait plus CallTimeout. The price is one call per watcher
+// and WatchWait.
 var DefaultTiming = Timing{
 	GossipInterval: time.Second, BatchDelay: 10 * time.Millisecond,
 	WatchWait: 2 * time.Second, FallbackDelay: 4 * time.Second, FallbackDuration: 2 * time.Minute,
@@ -77,20 +79,20 @@
 	RetryDelay: 200 * time.Millisecond, MaxRetryDelay: 5 * time.Second, RoleCheckInterval: time.Second,
 }
 
-// Syncer keeps one member's Set up to date and publishes it. Its methods are
-// safe for concurrent use.
+// Syncer keeps one member's Set up to date and publishes it. Its methods are safe
+// for concurrent use.
 type Syncer struct {
 	opts     Options
 	log      *logrus.Entry
 	counters counters
 
-	mu          sync.Mutex // guards what follows; never held over a call
+	mu          sync.Mutex // guards the fields below up to fallbackUntil; never held during a call
 	set         *Set
 	pendingPush []Header
 	fetching    map[Header]int
 	pulling     map[objectstore.Kind]bool
-	// confirmedAt is when the object API last confirmed all that is held here;
-	// lastWatchSuccess is when any member's watch last worked, as far as is known.
+	// confirmedAt is when the object API last confirmed this member's whole state;
+	// lastWatchSuccess is the last known time of a successful watch on any member.
 	confirmedAt, lastWatchSuccess time.Time
 	fallbackUntil                 time.Time
 
@@ -103,8 +105,8 @@
 	watching        atomic.Bool
 }
 
-// digestQueueLength bounds the digests that wait to be handled; more are dropped
-// and counted, which the next digest makes good.
+// digestQueueLength limits the digests that wait to be processed. Further ones
+// are dropped and counted; later digests replace them.
 const digestQueueLength = 256
 
 // New returns a Syncer and registers its handlers at the transport.
@@ -126,7 +128,7 @@
 	return s
 }
 
-// withDefaults fills in the zero fields.
+// withDefaults sets the zero fields to their defaults.
 func (t Timing) withDefaults() Timing {
 	d := DefaultTiming
 	for _, f := range []struct{ v, def *time.Duration }{
@@ -141,11 +143,11 @@
 	return t
 }
 
-// digestWorkers handle received digests, so that one silent peer does not
-// hold up the others.
+// digestWorkers is the number of goroutines that process digests. With several,
+// one unresponsive peer does not block the others' digests.
 const digestWorkers = 4
 
-// Run works until ctx ends.
+// Run runs the Syncer until ctx ends.
 func (s *Syncer) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	wg.Go(func() { s.initialSync(ctx) })
@@ -159,11 +161,12 @@
 	wg.Wait()
 }
 
-// Ready is closed once a whole configuration has been published.
+// Ready returns a channel that is closed after the first complete configuration
+// was published.
 func (s *Syncer) Ready() <-chan struct{} { return s.ready }
 
-// notifyChanges notes changes that are to be pushed and published. Call it with mu
-// held.
+// notifyChanges schedules changes to be pushed and published. The caller holds
+// s.mu.
 func (s *Syncer) notifyChanges(changed []Header) {
 	if len(changed) > 0 {
 		s.pendingPush = append(s.pendingPush, changed...)
@@ -172,7 +175,7 @@
 	wake(s.publishSignal)
 }
 
-// wake wakes a loop that is not awake already.
+// wake signals a loop, without blocking if a signal is pending.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -180,9 +183,9 @@
 	}
 }
 
-// publish puts in force what is held, once it is whole. What goes wrong with
-// a part of it: callers whose workspace is not known yet would be told that
-// their key is wrong.
+// publish publishes the set whenever it has changed, once it is complete. With an
+// incomplete set, callers of a workspace that is not known yet would be told that
+// their key is invalid.
 func (s *Syncer) publish(ctx context.Context) {
 	select {
 	case <-s.initialSyncDone:
@@ -206,14 +209,14 @@
 	}
 }
 
-// After a publication the next one waits publishPauseFactor times as long as it took,
-// so that a bulk change costs at most 1 in 40 of a core.
+// After a publication the next one waits publishPauseFactor times its duration,
+// so that a bulk change uses at most 1/40 of a core.
 const (
 	publishPauseFactor = 39
 	maxPublishPause    = time.Second
 )
 
-// publishOnce publishes, unless nothing changed or the set is not whole yet.
+// publishOnce publishes the set unless it is unchanged or incomplete.
 func (s *Syncer) publishOnce() {
 	s.mu.Lock()
 	next := &ActiveConfig{
@@ -226,7 +229,7 @@
 	}
 	if previous != nil && previous.changes == next.changes {
 		s.mu.Unlock()
-		s.active.Store(next) // only Through may have risen
+		s.active.Store(next) // only Floor may have risen
 		return
 	}
 	objects := s.set.Objects()
@@ -235,12 +238,12 @@
 	s.active.Store(next)
 	s.counters.published.Add(1)
 	if previous == nil {
-		s.log.Infof("configuration of version %d in force, %d objects", next.Version, len(objects))
+		s.log.Infof("configuration version %d is active, %d objects", next.Version, len(objects))
 		close(s.ready)
 	}
 }
 
-// errorReason names an error of the object API or a peer for its counter.
+// errorReason returns the metric name of an error of the object API or a peer.
 func errorReason(err error) string {
 	for _, r := range []struct {
 		err  error
--- a/revision/watch.go
+++ b/revision/watch.go
@@ -16,16 +16,17 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// WatchersPerRegion is how many members of a region watch the object API. Two,
-// so that one that dies or is cut off from it costs no time.
+// WatchersPerRegion is the number of members per region that watch the object
+// API. With two, the failure or partition of one causes no delay.
 const WatchersPerRegion = 2
 
-// watcherHashPrefix is what members are ranked by for the watches.
+// watcherHashPrefix is the prefix of the names that are hashed to rank members as
+// watchers.
 const watcherHashPrefix = "config-watch\x00"
 
-// Watchers returns the members that are to watch in a region: those of the
-// highest rendezvous rank among its live members, so that a change of one
-// member moves at most its own watch.
+// Watchers returns the members selected to watch in a region: those with the
+// highest rendezvous hash among its live members. A change of one member moves at
+// most that member's watch.
 func Watchers(view *member.View, regionMembers string) []string {
 	var names []string
 	for _, m := range view.Members {
@@ -46,7 +47,7 @@
 	return names[:min(len(names), WatchersPerRegion)]
 }
 
-// watch keeps a watch while it is this member's turn.
+// watch keeps watching while this member is a selected or fallback watcher.
 func (s *Syncer) watch(ctx context.Context) {
 	delays := backoff.NewExponentialBackOff()
 	delays.InitialInterval, delays.MaxInterval = s.opts.Timing.RetryDelay, s.opts.Timing.MaxRetryDelay
@@ -75,14 +76,14 @@
 	}
 }
 
-// recordFailure counts a failed attempt at the object API.
+// recordFailure counts and logs a failed call to the object API.
 func (s *Syncer) recordFailure(err error) {
 	s.counters.countRetry(err)
-	s.log.Debugf("object API: %v", err)
+	s.log.Debugf("object API call failed: %v", err)
 }
 
-// isSelected tells whether this member is one of its region's watchers. One
-// that is not in its own view knows nobody yet and watches.
+// isSelected reports whether this member is one of its region's watchers. A
+// member that is missing from its own view knows no others yet and watches.
 func (s *Syncer) isSelected() bool {
 	view := s.opts.View()
 	self := string(s.opts.Transport.Self())
@@ -90,13 +91,14 @@
 	return !ok || slices.Contains(Watchers(view, me.Region), self)
 }
 
-// isFallback tells whether this member watches although it is not appointed.
+// isFallback reports whether this member watches although it is not selected.
 //
-// What goes wrong: the appointed watchers of a region may be cut off from the
-// object API while others are not. One sees the age of the configuration grow
-// on every member. Past Timing.Stale each member tries with a chance that
-// makes two attempts a tick and region, so that in an outage of the object API
-// the attempts do not grow with the fleet; one that succeeds goes on a while.
+// The selected watchers of a region may be partitioned from the object API while
+// other members are not; without fallback watchers, the configuration of every
+// member would then grow old. After FallbackDelay each member tries with a
+// probability that gives two attempts per RoleCheckInterval and region. In an
+// outage of the object API the number of attempts thus does not grow with the
+// number of members. A member that succeeds goes on for FallbackDuration.
 func (s *Syncer) isFallback() bool {
 	s.mu.Lock()
 	lastSuccess, until := s.lastWatchSuccess, s.fallbackUntil
@@ -119,14 +121,14 @@
 	return rand.IntN(max(1, regionMembers)) < WatchersPerRegion
 }
 
-// gossipConvergenceTime is how long digests at an interval need to tell nearly every one
-// of n members: about 1.7 log2(n) rounds when each tells one other (Pittel's
-// bound log2(n)+ln(n)), and some more for jitter.
+// gossipConvergenceTime returns the time that digests at an interval need to
+// reach nearly all of n members: about 1.7 log2(n) rounds when each member tells
+// one other (Pittel's bound log2(n)+ln(n)), plus a margin for jitter.
 func gossipConvergenceTime(interval time.Duration, n int) time.Duration {
 	return 2 * interval * time.Duration(bits.Len(uint(n)))
 }
 
-// updateFallback starts or ends this member's time as a volunteer.
+// updateFallback starts or ends this member's period as a fallback watcher.
 func (s *Syncer) updateFallback(succeeded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,7 +141,7 @@
 	}
 }
 
-// watchOnce makes one watch call, or lists where the watch can't continue.
+// watchOnce makes one watch call, or lists all kinds if a watch cannot continue.
 func (s *Syncer) watchOnce(ctx context.Context) error {
 	s.mu.Lock()
 	complete, after := s.set.Complete(), s.set.Floor()
@@ -165,7 +167,7 @@
 	return nil
 }
 
-// listAll reads every kind anew.
+// listAll lists every kind.
 func (s *Syncer) listAll(ctx context.Context) error {
 	for _, kind := range s.opts.Kinds {
 		if err := s.listKind(ctx, kind); err != nil {
@@ -175,10 +177,10 @@
 	return nil
 }
 
-// listTimeout bounds one listing.
+// listTimeout limits one listing.
 const listTimeout = 10 * time.Second
 
-// listKind reads one kind anew.
+// listKind lists one kind and merges the result.
 func (s *Syncer) listKind(ctx context.Context, kind objectstore.Kind) error {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -192,7 +194,8 @@
 	return nil
 }
 
-// storeAnswered notes that the object API answered. Call it with mu held.
+// storeAnswered records a successful answer of the object API and its changes.
+// The caller holds s.mu.
 func (s *Syncer) storeAnswered(changed []Header) {
 	now := s.opts.Now()
 	s.lastWatchSuccess = now
--- a/revision/wire.go
+++ b/revision/wire.go
@@ -9,11 +9,12 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// marshal encodes a message; the messages here always can be.
+// marshal encodes a message. It panics on failure, which these messages cannot
+// cause.
 func marshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
-		panic(err) // only a required field that is missing or invalid UTF-8
+		panic(err) // a missing required field or invalid UTF-8
 	}
 	return b
 }
@@ -86,7 +87,7 @@
 func toWireAnswer(list BucketList) *configwire.PullAnswer {
 	answer := &configwire.PullAnswer{Digest: toWireDigest(list.KindDigest), Buckets: list.Buckets, Whole: list.Full}
 	for _, h := range list.Headers {
-		h.Kind = "" // the digest names it once for all
+		h.Kind = "" // the digest already names the kind
 		answer.Headers = append(answer.Headers, toWireHeader(h))
 	}
 	return answer
@@ -102,7 +103,7 @@
 	}
 }
 
-// toWireAge encodes how long ago a time was; nil for never.
+// toWireAge encodes the age of a time in milliseconds; nil means never.
 func toWireAge(now, t time.Time) *uint64 {
 	if t.IsZero() {
 		return nil
@@ -110,10 +111,10 @@
 	return proto.Uint64(uint64(max(0, now.Sub(t).Milliseconds())))
 }
 
-// maxWireAge bounds an age that a peer tells.
+// maxWireAge limits an age reported by a peer.
 const maxWireAge = 1000 * time.Hour
 
-// fromWireAge decodes an age into a time; zero for never.
+// fromWireAge decodes an age into a time; a zero time means never.
 func fromWireAge(now time.Time, ms *uint64) time.Time {
 	if ms == nil || *ms > uint64(maxWireAge.Milliseconds()) {
 		return time.Time{}
