--- a/workspace/check.go
+++ b/workspace/check.go
@@ -11,21 +11,21 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// Bounds of configuration values.
+// Limits of configuration values.
 const (
 	MaxServerSlots = 4096
 	MaxPoolWaiting = 1 << 20
 	MaxTokens      = 1 << 20
 	MaxBodyBytes   = 64 << 20
-	// MaxTargetMs bounds each target of a tier: a day.
+	// MaxTargetMs limits each target of a tier, in milliseconds (one day).
 	MaxTargetMs = 24 * 60 * 60 * 1000
 )
 
-// namePattern is a DNS label that may hold dots: such names can stand in a
-// URL, a log line and a header without being escaped.
+// namePattern matches DNS-like names, which may contain dots. They need no
+// escaping in a URL, a log line or a header.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// policies are the scheduling policies that a pool may name.
+// policies are the scheduling policies that a pool may use.
 var policies = []string{"", "lycheekeel", "round-robin", "least-outstanding", "fifo"}
 
 // checker collects the findings of one object.
@@ -34,12 +34,11 @@
 	findings Findings
 }
 
-// add adds a finding.
 func (c *checker) add(path, format string, args ...any) {
 	c.findings.Add(c.file, path, format, args...)
 }
 
-// checkName checks a DNS-like name.
+// checkName checks that a value is a DNS-like name.
 func (c *checker) checkName(path, v string) {
 	switch {
 	case v == "":
@@ -49,14 +48,14 @@
 	}
 }
 
-// checkRange checks an integer's bounds, both included.
+// checkRange checks that low <= v <= high.
 func (c *checker) checkRange(path string, v, low, high int64) {
 	if v < low || v > high {
 		c.add(path, "%d is not between %d and %d", v, low, high)
 	}
 }
 
-// checkUnique checks that no name stands twice.
+// checkUnique checks that no name occurs more than once.
 func (c *checker) checkUnique(names []string, path func(i int) string) {
 	seen := make(map[string]bool, len(names))
 	for i, n := range names {
@@ -67,20 +66,21 @@
 	}
 }
 
-// objectLocation is the File of a stored object's findings.
+// objectLocation returns the Finding.File of a stored object.
 func objectLocation(kind objectstore.Kind, name string) string {
 	return fmt.Sprintf("%s/%s", kind, name)
 }
 
-// CheckObject checks one stored object by itself, without the objects that it
-// names. A nil result means that it may go in force.
+// CheckObject checks one stored object on its own, without the objects that it
+// refers to. The object may become active if no finding is fatal.
 func CheckObject(o objectstore.Object) Findings {
 	_, findings := decodeObject(objectLocation(o.Kind, o.Name), o.Kind, o.Name, o.Value)
 	return findings
 }
 
-// decodeObject decodes and checks one object's value; the result is a pointer
-// to the kind's type. name is the object's own name; empty takes the value's.
+// decodeObject decodes and checks one object's value. The result is a pointer to
+// the kind's type. name is the name of the stored object; if it is empty, the
+// name in the value is not checked against it.
 func decodeObject(file string, kind objectstore.Kind, name string, value []byte) (any, Findings) {
 	root, findings := parse(file, value)
 	if findings != nil {
@@ -89,7 +89,7 @@
 	return decodeParsed(file, kind, name, root)
 }
 
-// decodeParsed is decodeObject for a parsed value.
+// decodeParsed is decodeObject for a value that has been parsed.
 func decodeParsed(file string, kind objectstore.Kind, name string, root *node) (any, Findings) {
 	switch kind {
 	case KindTemplate:
@@ -109,7 +109,7 @@
 	}
 }
 
-// decodeAndCheck decodes a value of one type and checks it.
+// decodeAndCheck decodes a value as a T and checks it.
 func decodeAndCheck[T any](file, name string, root *node, nameOf func(*T) string, check func(*checker, *T)) (any, Findings) {
 	out := new(T)
 	findings := decodeNode(file, "", root, out)
@@ -127,7 +127,7 @@
 	return out, c.findings
 }
 
-// checkWorkspace checks a workspace without its template.
+// checkWorkspace checks a workspace on its own, without its template.
 func checkWorkspace(c *checker, w *Workspace) {
 	c.checkName("name", w.Name)
 	c.checkName("template", w.Template)
@@ -147,7 +147,7 @@
 	c.checkUnique(hashes, func(i int) string { return fmt.Sprintf("keys[%d].sha256", i) })
 }
 
-// parseKeyHash reads a key's SHA-256 in hex.
+// parseKeyHash parses a key's SHA-256 in hex.
 func parseKeyHash(s string) (KeyHash, bool) {
 	var h KeyHash
 	if len(s) != hex.EncodedLen(len(h)) {
@@ -157,7 +157,7 @@
 	return h, err == nil
 }
 
-// checkPool checks a pool without its servers.
+// checkPool checks a pool on its own, without its servers.
 func checkPool(c *checker, p *Pool) {
 	c.checkName("name", p.Name)
 	c.checkName("region", p.Region)
@@ -186,7 +186,7 @@
 	c.checkRange("max_waiting", int64(p.MaxWaiting), 0, MaxPoolWaiting)
 }
 
-// checkServer checks a backend server without its pool.
+// checkServer checks a backend server on its own, without its pool.
 func checkServer(c *checker, s *BackendServer) {
 	c.checkName("name", s.Name)
 	c.checkName("region", s.Region)
@@ -202,7 +202,7 @@
 	c.checkRange("slots", int64(s.Slots), 0, MaxServerSlots)
 }
 
-// checkAssignment checks an assignment without its server and pool.
+// checkAssignment checks an assignment on its own, without its server and pool.
 func checkAssignment(c *checker, a *Assignment) {
 	c.checkName("server", a.Server)
 	c.checkName("pool", a.Pool)
--- a/workspace/check_template.go
+++ b/workspace/check_template.go
@@ -10,19 +10,19 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// The types of parameters.
+// Types of parameters.
 const (
 	typeInt    = "int"
 	typeString = "string"
 )
 
-// methods are what a service rule may match.
+// methods are the HTTP methods that a service rule may match.
 var methods = []string{
 	"*", http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-// checkTemplate checks a template by itself.
+// checkTemplate checks a template on its own.
 func checkTemplate(c *checker, t *Template) {
 	c.checkName("name", t.Name)
 	for name, p := range t.Parameters {
@@ -38,7 +38,7 @@
 	checkServices(c, t)
 }
 
-// checkParameter checks a parameter's declaration.
+// checkParameter checks the declaration of a parameter.
 func checkParameter(c *checker, path, name string, p *Parameter) {
 	if name == "" || strings.ContainsAny(name, "${} ") {
 		c.add(path, "%q is not a parameter's name", name)
@@ -66,13 +66,14 @@
 	}
 }
 
-// paramValue is a parameter's value: an integer or a string.
+// paramValue is the value of a parameter: an integer or a string.
 type paramValue struct {
 	number int64
 	text   string
 }
 
-// parseParamValue reads and bounds a value of a parameter.
+// parseParamValue parses a value of a parameter and checks it against the
+// parameter's bounds.
 func parseParamValue(p *Parameter, raw json.RawMessage) (paramValue, error) {
 	var v paramValue
 	if p.Type == typeInt {
@@ -96,16 +97,17 @@
 	return v, nil
 }
 
-// templateChecker checks values that may name a parameter.
+// templateChecker checks values that may refer to a parameter.
 type templateChecker struct {
 	*checker
 	t *Template
 }
 
-// forTemplate returns a checker of t's values.
+// forTemplate returns a checker for t's values.
 func (c *checker) forTemplate(t *Template) templateChecker { return templateChecker{c, t} }
 
-// checkNumber checks a literal's bounds, or that the parameter is a declared int.
+// checkNumber checks the range of a literal, or that a parameter is declared as
+// an int.
 func (c templateChecker) checkNumber(path string, n Number, low, high int64) {
 	if n.Parameter == "" {
 		c.checkRange(path, n.Value, low, high)
@@ -114,7 +116,7 @@
 	c.checkParameterRef(path, n.Parameter, typeInt)
 }
 
-// checkParameterRef checks that a parameter of the type is declared.
+// checkParameterRef checks that a parameter is declared with the wanted type.
 func (c templateChecker) checkParameterRef(path, name, want string) {
 	p, ok := c.t.Parameters[name]
 	switch {
@@ -125,7 +127,8 @@
 	}
 }
 
-// checkTierRef checks that an optional tier name exists.
+// checkTierRef checks that the template has the named tier; an empty name is
+// allowed.
 func (c templateChecker) checkTierRef(path, name string) {
 	if name == "" {
 		return
--- a/workspace/check_test.go
+++ b/workspace/check_test.go
@@ -13,7 +13,7 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// goodTemplate is a template in which the cases below replace one text.
+// goodTemplate is a valid template, in which each case below replaces one text.
 const goodTemplate = `{"kind":"Template","name":"t",
 "parameters":{"d":{"type":"int","default":5000,"min":1000,"max":9000},"v":{"type":"string","enum":["v1","v2"],"default":"v1"}},
 "tiers":[{"name":"a","priority":0,"first_token_ms":1000,"per_token_ms":50,"deadline_ms":"${d}","max_waiting":5},
@@ -48,13 +48,13 @@
 		{`"max_tokens":100`, `"max_tokens":0`, "max_tokens", "not between"},
 		{`"max_tokens":100`, `"max_tokens":null`, "max_tokens", "want an integer"},
 	}
-	Convey("The template is good", t, func() {
+	Convey("The unchanged template has no findings", t, func() {
 		docs, findings := workspace.ParseFile("f.json", []byte(goodTemplate))
 		So(findings, ShouldBeEmpty)
 		So(docs, ShouldHaveLength, 1)
 	})
 	for _, c := range cases {
-		Convey(fmt.Sprintf("%s is found", c.new), t, func() {
+		Convey(fmt.Sprintf("%s is reported", c.new), t, func() {
 			invalid := strings.Replace(goodTemplate, c.old, c.new, 1)
 			So(invalid, ShouldNotEqual, goodTemplate)
 			_, findings := workspace.ParseFile("f.json", []byte(invalid))
@@ -85,27 +85,27 @@
 			"[2].address", "[2].slots", "[3].kind", "[4].kind", "[5]",
 		})
 	})
-	Convey("Broken JSON is one finding with its line", t, func() {
+	Convey("Invalid JSON gives one finding with its line", t, func() {
 		for _, text := range []string{"{\n\"kind\":", "{} {}", "\xff", strings.Repeat("[", 100)} {
 			_, findings := workspace.ParseFile("f.json", []byte(text))
 			So(findings, ShouldHaveLength, 1)
 		}
 	})
 	Convey("An unknown member of a stored object is only a warning", t, func() {
-		// An older daemon must serve what a newer release wrote.
+		// An older daemon must serve objects written by a newer release.
 		o := objectstore.Object{Kind: workspace.KindPool, Name: "p", Value: []byte(`{"name":"p","region":"r","service":"s","since_next":1}`)}
 		findings := workspace.CheckObject(o)
 		So(findings, ShouldHaveLength, 1)
 		So(findings.Fatal(), ShouldBeEmpty)
 	})
-	Convey("A stored object must have its own name", t, func() {
+	Convey("The name in the value must be that of the stored object", t, func() {
 		o := objectstore.Object{Kind: workspace.KindPool, Name: "q", Value: []byte(`{"name":"p","region":"r","service":"s"}`)}
 		So(workspace.CheckObject(o).Fatal(), ShouldHaveLength, 1)
 	})
 }
 
 func TestParseFileSurvivesAnyInput(t *testing.T) {
-	// Guards against this: the tool or every daemon crashes on one stored object.
+	// Guards against a stored object that crashes the CLI or every daemon.
 	rapid.Check(t, func(t *rapid.T) {
 		text := []byte(goodTemplate)
 		for range rapid.IntRange(1, 4).Draw(t, "edits") {
@@ -116,13 +116,13 @@
 		}
 		docs, findings := workspace.ParseFile("f", text)
 		if (len(docs) == 0) != (len(findings) > 0) {
-			t.Fatalf("%d documents, findings %v", len(docs), findings)
+			t.Fatalf("got %d documents with findings %v, want either documents or findings", len(docs), findings)
 		}
 		for _, d := range docs {
 			value, err := d.Value()
 			o := objectstore.Object{Kind: d.Kind, Name: d.Name, Version: 1, Value: value}
 			if err != nil || workspace.CheckObject(o) != nil {
-				t.Fatalf("accepted, but its stored form has findings: %v %v", err, workspace.CheckObject(o))
+				t.Fatalf("document was accepted, but its stored form is not valid: error %v, findings %v", err, workspace.CheckObject(o))
 			}
 			user := objectstore.Object{Kind: workspace.KindWorkspace, Name: "w", Version: 2, Value: []byte(
 				`{"name":"w","template":"` + d.Name + `","keys":[{"id":"k","sha256":"` + strings.Repeat("0", 64) + `"}]}`)}
--- a/workspace/compile.go
+++ b/workspace/compile.go
@@ -7,63 +7,64 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// Compile checks and resolves a whole configuration at once. See Compiler.
+// Compile checks and resolves a whole configuration. See Compiler.
 func Compile(objects []objectstore.Object) (*Snapshot, Findings) {
 	return NewCompiler().Compile(objects)
 }
 
-// Compiler resolves successive configurations into snapshots and keeps what
-// did not change between them, so that one change costs one decode and not
-// one of every object. It is not safe for concurrent use.
+// Compiler resolves successive configurations into snapshots. It keeps unchanged
+// parts between them, so that one change costs the decoding of one object and not
+// of all. It is not safe for concurrent use.
 type Compiler struct {
-	// decodedObject holds each object version's decoding.
+	// cache holds the decoding of each object version.
 	cache map[objectVersion]*decodedObject
-	// active is the last good version of each object that still exists.
+	// active holds the last good version of each existing object.
 	active map[objectID]*decodedObject
-	// resolutions is each workspace's resolution in force.
+	// resolutions holds the active resolution of each workspace.
 	resolutions map[string]*resolution
-	// keyOwners is which workspace each key belonged to.
+	// keyOwners holds the workspace that each key belongs to.
 	keyOwners map[KeyHash]string
 }
 
-// objectID names an object.
+// objectID identifies an object.
 type objectID struct {
 	kind objectstore.Kind
 	name string
 }
 
-// objectVersion names one version of an object.
+// objectVersion identifies one version of an object.
 type objectVersion struct {
 	objectID
 	version objectstore.Version
 }
 
-// decodedObject is one checked version of an object.
+// decodedObject is one decoded and checked version of an object.
 type decodedObject struct {
 	id        objectID
 	version   objectstore.Version
 	created   objectstore.Version
-	value     any // *Template and so on; nil where the version is bad
+	value     any // *Template and so on; nil if the version is invalid
 	findings  Findings
-	nextOlder *decodedObject // the next older listed version of the same object
+	nextOlder *decodedObject // the next older version of the same object in the listing
 }
 
-// resolution is a workspace resolved from one version of it and its template.
+// resolution is a workspace resolved from one version of it and one of its
+// template.
 type resolution struct {
 	workspace, template *decodedObject
 	key                 resolutionKey
 	resolved            *ResolvedWorkspace
-	findings            Findings // what did not fit, where out is without it
+	findings            Findings // why the workspace does not fit its template; resolved then omits these parts
 }
 
-// resolutionKey names what a resolution is made of, but for the workspace's name:
-// workspaces of equal keys share their tiers, models and services in memory.
+// resolutionKey identifies the input of a resolution except the workspace's name.
+// Workspaces with equal keys share their tiers, models and services in memory.
 type resolutionKey struct {
 	template   *decodedObject
 	parameters string
 }
 
-// NewCompiler returns a Compiler with nothing in force.
+// NewCompiler returns a Compiler without active objects.
 func NewCompiler() *Compiler {
 	return &Compiler{
 		cache:       map[objectVersion]*decodedObject{},
@@ -73,23 +74,22 @@
 	}
 }
 
-// compilation is the state of one Compile.
+// compilation is the state of one call of Compile.
 type compilation struct {
 	*Compiler
 	findings Findings
-	// byKind holds the versions to put in force, sorted by name.
+	// byKind holds the versions to make active, sorted by name.
 	byKind      map[objectstore.Kind][]*decodedObject
 	sharedByKey map[resolutionKey]*ResolvedWorkspace
 	snapshot    *Snapshot
 }
 
 // Compile resolves the objects into a snapshot. An object may be listed in
-// several versions: the newest good one counts. A bad object stays at its
-// last good version, listed or known from an earlier Compile, and is
-// reported; the rest goes in force. All findings come back together.
-//
-// What goes wrong otherwise: one operator's mistake would take every
-// workspace out of force, or take out its own until somebody notices.
+// several versions; the newest valid one is used. If the newest version of an
+// object is invalid, it is reported and the last good version, listed or known
+// from an earlier Compile, stays active. All other objects become active, so that
+// one operator's mistake neither deactivates every workspace nor the one that it
+// concerns. Compile returns all findings together.
 func (c *Compiler) Compile(objects []objectstore.Object) (*Snapshot, Findings) {
 	run := &compilation{
 		Compiler:    c,
@@ -112,7 +112,7 @@
 	return run.snapshot, run.findings
 }
 
-// decodeObjects decodes what is new and picks each object's version in force.
+// decodeObjects decodes new versions and selects each object's active version.
 func (run *compilation) decodeObjects(objects []objectstore.Object) {
 	versions := make(map[objectID]*decodedObject, len(objects))
 	cache := make(map[objectVersion]*decodedObject, len(objects))
@@ -141,10 +141,11 @@
 	}
 }
 
-// location is the File of the object's findings.
+// location returns the Finding.File of the object.
 func (d *decodedObject) location() string { return objectLocation(d.id.kind, d.id.name) }
 
-// insertInto puts d into a list of one object's versions, newest first.
+// insertInto inserts d into a list of one object's versions, newest first, and
+// returns the new head.
 func (d *decodedObject) insertInto(list *decodedObject) *decodedObject {
 	if list != nil && list.version > d.version {
 		list.nextOlder = d.insertInto(list.nextOlder)
@@ -154,8 +155,8 @@
 	return d
 }
 
-// selectVersion reports the newest version's findings and returns the newest good
-// version, or nil.
+// selectVersion reports the newest version's findings and returns the newest
+// valid version: a listed one, else the one active before, or nil.
 func (run *compilation) selectVersion(id objectID, newest *decodedObject) *decodedObject {
 	run.findings = append(run.findings, newest.findings...)
 	for d := newest; d != nil; d = d.nextOlder {
@@ -166,7 +167,7 @@
 	return run.active[id]
 }
 
-// addPools puts the pools in force, still without servers.
+// addPools adds the pools to the snapshot, without servers.
 func (run *compilation) addPools() {
 	for _, d := range run.byKind[KindPool] {
 		p := d.value.(*Pool)
@@ -179,11 +180,11 @@
 	}
 }
 
-// addServers puts each server in the pool that it serves now.
+// addServers adds each server to the pool that it serves now.
 func (run *compilation) addServers() {
 	assigned := run.warmAssignments()
 	servers := slices.Clone(run.byKind[KindBackendServer])
-	// The oldest first: a new server never displaces one that serves.
+	// Oldest first, so that a new server never displaces an existing one.
 	slices.SortFunc(servers, func(a, b *decodedObject) int {
 		return cmp.Or(cmp.Compare(a.created, b.created), cmp.Compare(a.id.name, b.id.name))
 	})
@@ -202,7 +203,7 @@
 	}
 }
 
-// warmAssignments returns the pools that warm servers are assigned to.
+// warmAssignments returns the assigned pool of each warm server.
 func (run *compilation) warmAssignments() map[string]string {
 	out := make(map[string]string)
 	for _, d := range run.byKind[KindAssignment] {
@@ -217,7 +218,8 @@
 	return out
 }
 
-// placeServer adds a server to its pool: the one assigned, else its own.
+// placeServer adds a server to its assigned pool or, if that is not possible, to
+// its own.
 func (run *compilation) placeServer(d *decodedObject, s BackendServer, assigned string) {
 	if assigned != "" {
 		if reason := run.placementError(s, assigned); reason == "" {
@@ -234,7 +236,7 @@
 	p.Servers = append(p.Servers, s)
 }
 
-// placementError says why a server can't be in a pool; empty where it can.
+// placementError returns why a server cannot be in a pool, or "" if it can.
 func (run *compilation) placementError(s BackendServer, pool string) string {
 	p, ok := run.snapshot.Pools[pool]
 	switch {
--- a/workspace/compile_references.go
+++ b/workspace/compile_references.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// checkReferences warns of names that nothing carries yet. They do not keep an
-// object out of force, because its counterpart may come a moment later.
+// checkReferences warns of references to models and pools that do not exist. Such
+// an object still becomes active, because what it refers to may be added a moment
+// later.
 func (run *compilation) checkReferences() {
 	servedVersions := make(map[string]bool, len(run.snapshot.ModelPools))
 	for key := range run.snapshot.ModelPools {
@@ -29,8 +30,8 @@
 	run.checkModelParameters(servedVersions)
 }
 
-// checkModelParameters warns of versions named by parameters that no pool serves,
-// once for each template and version.
+// checkModelParameters warns of versions given by parameters that no pool serves,
+// once per template and version.
 func (run *compilation) checkModelParameters(servedVersions map[string]bool) {
 	warned := make(map[resolutionKey]bool)
 	for _, name := range slices.Sorted(maps.Keys(run.resolutions)) {
--- a/workspace/compile_test.go
+++ b/workspace/compile_test.go
@@ -14,7 +14,7 @@
 
 var small = workspacetest.Size{Workspaces: 3, Servers: 4, Models: 1, Regions: 1, Templates: 1}
 
-// withObject returns the objects with one replaced or added as their newest.
+// withObject returns the objects with one replaced or added as the newest.
 func withObject(objects []objectstore.Object, kind objectstore.Kind, name, value string) []objectstore.Object {
 	next := objectstore.Object{Kind: kind, Name: name, Version: 1, Created: 1, Value: []byte(value)}
 	out := []objectstore.Object{}
@@ -33,8 +33,9 @@
 }
 
 func TestInvalidObjectKeepsLastGoodVersion(t *testing.T) {
-	// Guards against this: after an operator's mistake callers of one or all workspaces are refused.
-	Convey("A bad object stays at its last good version and the rest goes on", t, func() {
+	// Guards against an operator's mistake after which callers of one or all
+	// workspaces are refused.
+	Convey("An invalid object keeps its last good version and all others are updated", t, func() {
 		objects := small.Objects()
 		c := workspace.NewCompiler()
 		first, findings := c.Compile(objects)
@@ -52,7 +53,7 @@
 			So(w.Tiers, ShouldHaveLength, 4)
 		}
 
-		Convey("also on a daemon that starts with both versions from a peer", func() {
+		Convey("also on a daemon that starts and gets both versions from a peer", func() {
 			restarted, _ := workspace.Compile(append(invalid, objects...))
 			w, ok := restarted.ByKey("new")
 			So(ok, ShouldBeTrue)
@@ -60,7 +61,7 @@
 		})
 	})
 
-	Convey("A workspace that no longer fits its changed template stays as it was", t, func() {
+	Convey("A workspace whose parameters do not fit its template keeps its last resolution", t, func() {
 		objects := small.Objects()
 		c := workspace.NewCompiler()
 		c.Compile(objects)
@@ -74,7 +75,7 @@
 		_, ok := snapshot.ByKey(workspacetest.Key("workspace-1"))
 		So(ok, ShouldBeTrue)
 
-		Convey("and is served with what fits by a daemon that starts later, which reports it each time", func() {
+		Convey("and a daemon that starts later serves it with the parameters that fit and reports it each time", func() {
 			late := workspace.NewCompiler()
 			for range 2 {
 				snapshot, findings := late.Compile(changed)
@@ -88,8 +89,9 @@
 }
 
 func TestKeyStaysWithItsWorkspace(t *testing.T) {
-	// Guards against this: a customer's requests run under another customer's workspace.
-	Convey("A key stays with the workspace that has it", t, func() {
+	// Guards against a customer's requests that run under another customer's
+	// workspace.
+	Convey("A key stays with the workspace that it belongs to", t, func() {
 		objects := small.Objects()
 		c := workspace.NewCompiler()
 		c.Compile(objects)
@@ -119,7 +121,7 @@
 		}
 		return names
 	}
-	Convey("An assignment moves a warm server; a cold one stays", t, func() {
+	Convey("An assignment moves a server that is warm and no other", t, func() {
 		for _, warm := range []bool{true, false} {
 			a := workspace.Assignment{Server: "server-16", Pool: "pool-0", Warm: warm}
 			s, findings := workspace.Compile(append(objects, workspacetest.StoredObject(workspace.KindAssignment, "server-16", 900, a)))
@@ -127,13 +129,13 @@
 			So(len(servers(s, "pool-0")), ShouldEqual, map[bool]int{true: 17, false: 16}[warm])
 		}
 	})
-	Convey("A leaving server stays listed, marked", t, func() {
+	Convey("A leaving server stays listed and is marked", t, func() {
 		s, findings := workspace.Compile(withObject(objects, workspace.KindBackendServer, "server-16",
 			`{"name":"server-16","address":"10.9.9.9:1","region":"region-0","availability_zone":"a","pool":"pool-1","leaving":true}`))
 		So(findings, ShouldBeEmpty)
 		So(s.Pools["pool-1"].Servers[0].Leaving, ShouldBeTrue)
 	})
-	Convey("Wrong servers are reported and serve nowhere", t, func() {
+	Convey("Invalid servers are reported and placed in no pool", t, func() {
 		cases := map[string]string{
 			"no pool":        `{"name":"x","address":"10.9.9.9:1","region":"region-0","availability_zone":"a","pool":"none"}`,
 			"is in region":   `{"name":"x","address":"10.9.9.9:1","region":"other","availability_zone":"a","pool":"pool-1"}`,
@@ -146,7 +148,7 @@
 			So(servers(s, "pool-1"), ShouldResemble, []string{"server-16"})
 		}
 	})
-	Convey("A full pool takes no more and loses none of its old servers", t, func() {
+	Convey("A full pool accepts no further server and keeps its existing ones", t, func() {
 		full := objects
 		for i := range workspace.MaxPoolServers {
 			s := workspacetest.Server(100+i, workspace.Pool{Name: "pool-1", Region: "region-0"})
@@ -158,7 +160,7 @@
 		So(servers(s, "pool-1"), ShouldHaveLength, workspace.MaxPoolServers)
 		So(servers(s, "pool-1"), ShouldContain, "server-16")
 	})
-	Convey("Every policy of the scheduler is accepted", t, func() {
+	Convey("Every scheduling policy is accepted", t, func() {
 		for _, p := range []pool.Policy{pool.PolicyLycheekeel, pool.PolicyRoundRobin, pool.PolicyLeastOutstanding, pool.PolicyFIFO} {
 			v := workspace.Pool{Name: "p", Region: "r", Service: "s", Policy: string(p)}
 			So(workspace.CheckObject(workspacetest.StoredObject(workspace.KindPool, "p", 1, v)), ShouldBeEmpty)
@@ -166,8 +168,8 @@
 	})
 }
 
-// BenchmarkCompile measures one workspace's change at the target size, and
-// reports the memory that the compiler with a snapshot keeps.
+// BenchmarkCompile measures a change of one workspace at the target size and
+// reports the memory held by the compiler with a snapshot.
 func BenchmarkCompile(b *testing.B) {
 	objects := workspacetest.TargetSize.Objects()
 	c := workspace.NewCompiler()
--- a/workspace/compile_workspace.go
+++ b/workspace/compile_workspace.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// quote quotes a name in a finding.
+// quote quotes a name for a finding.
 func quote(s string) string { return strconv.Quote(s) }
 
 // indexedPath returns the JSON path list[i].member.
@@ -16,7 +16,7 @@
 	return fmt.Sprintf("%s[%d].%s", list, i, member)
 }
 
-// addWorkspaces resolves every workspace and hands out the keys.
+// addWorkspaces resolves every workspace and assigns the keys.
 func (run *compilation) addWorkspaces() {
 	previous, previousOwners := run.resolutions, run.keyOwners
 	run.resolutions = make(map[string]*resolution, len(previous))
@@ -32,8 +32,8 @@
 	}
 }
 
-// resolveWorkspace returns the workspace's resolution, the one in force where neither
-// it nor its template changed; nil where it is bad.
+// resolveWorkspace returns the workspace's resolution: the active one if neither
+// the workspace nor its template changed, and nil if the workspace is invalid.
 func (run *compilation) resolveWorkspace(d *decodedObject, previous *resolution) *resolution {
 	w := d.value.(*Workspace)
 	t := run.active[objectID{KindTemplate, w.Template}]
@@ -63,7 +63,8 @@
 	return next
 }
 
-// recordResolution reports a resolution's findings, or shares it where it has none.
+// recordResolution reports a resolution's findings, or shares the resolution if
+// it has none.
 func (run *compilation) recordResolution(r *resolution) {
 	run.findings = append(run.findings, r.findings...)
 	if len(r.findings) == 0 {
@@ -71,17 +72,17 @@
 	}
 }
 
-// parametersKey returns a workspace's parameters as one text.
+// parametersKey returns a workspace's parameters as a string.
 func parametersKey(w *Workspace) string {
 	if len(w.Parameters) == 0 {
 		return ""
 	}
-	b, _ := json.Marshal(w.Parameters) // sorted; valid JSON by its decoding
+	b, _ := json.Marshal(w.Parameters) // keys are sorted; the values are valid JSON, as they were decoded from it
 	return string(b)
 }
 
-// keepPrevious keeps a workspace whose newest version is bad at the resolution
-// that was in force.
+// keepPrevious keeps the previous resolution of a workspace whose newest version
+// is invalid.
 func (run *compilation) keepPrevious(previous *resolution, previousOwners map[KeyHash]string, claims map[KeyHash]map[string]bool) {
 	if previous == nil {
 		return
@@ -97,7 +98,7 @@
 	run.claimKeys(previous, previousOwners, claims)
 }
 
-// listedKeys returns which workspaces list each key.
+// listedKeys returns the workspaces that list each key.
 func listedKeys(list []*decodedObject) map[KeyHash]map[string]bool {
 	out := make(map[KeyHash]map[string]bool, len(list))
 	for _, d := range list {
@@ -112,10 +113,10 @@
 	return out
 }
 
-// claimKeys puts a resolution in force under its keys, or reports those that
-// another workspace holds. A key stays with the workspace that had it; else
-// it goes to the older version. What goes wrong otherwise: by listing
-// another's key, a workspace would get that customer's requests.
+// claimKeys makes a resolution active under its keys, or reports the keys that
+// belong to another workspace. A key stays with the workspace that had it; a new
+// key goes to the workspace with the older version. Otherwise a workspace could
+// receive another customer's requests by listing that customer's key.
 func (run *compilation) claimKeys(r *resolution, previousOwners map[KeyHash]string, claims map[KeyHash]map[string]bool) bool {
 	name := r.workspace.id.name
 	keys := r.workspace.value.(*Workspace).Keys
--- a/workspace/decode.go
+++ b/workspace/decode.go
@@ -10,11 +10,11 @@
 	"unicode/utf8"
 )
 
-// Decode reads one object strictly. What goes wrong with a lax decoder: a
-// mistyped member is silently ignored and the operator's limit is not in
-// force; of two members of one name the last one wins. Every such member is a
-// finding with its JSON path, and all findings come back together. An unknown
-// member alone is only a Warning, because a newer release may have written it.
+// Decode decodes one object strictly. With a lax decoder a misspelled member
+// would be ignored silently, so that the operator's limit would have no effect,
+// and of two members with one name the last one would win. Each such member is a
+// finding with its JSON path, and all findings are returned together. An unknown
+// member is only a Warning, because a newer release may have written it.
 func Decode[T any](file string, value []byte) (T, Findings) {
 	var out T
 	root, findings := parse(file, value)
@@ -24,7 +24,8 @@
 	return out, decodeNode(file, "", root, &out)
 }
 
-// decodeNode verifies a parsed value against the type of out and fills out.
+// decodeNode checks a parsed value against the type of out and decodes it into
+// out.
 func decodeNode(file, path string, n *node, out any) Findings {
 	tc := typeChecker{file: file}
 	tc.check(path, n, reflect.TypeOf(out).Elem())
@@ -40,7 +41,7 @@
 // nodeKind is the kind of a JSON value.
 type nodeKind string
 
-// The kinds of JSON values, as shown in findings.
+// The kinds of JSON values, as named in findings.
 const (
 	kindObject nodeKind = "an object"
 	kindArray  nodeKind = "a list"
@@ -64,7 +65,7 @@
 	value *node
 }
 
-// get returns an object's first member of the name.
+// get returns an object's first member with the name.
 func (n *node) get(name string) (*node, bool) {
 	for _, m := range n.members {
 		if m.name == name {
@@ -74,10 +75,10 @@
 	return nil, false
 }
 
-// maxDepth bounds how deeply values may nest.
+// maxDepth limits the nesting of values.
 const maxDepth = 32
 
-// parse reads one JSON value and nothing after it.
+// parse parses exactly one JSON value.
 func parse(file string, data []byte) (*node, Findings) {
 	var f Findings
 	if !utf8.Valid(data) {
@@ -129,7 +130,8 @@
 	}
 }
 
-// parseContainer parses the rest of an object or a list that starts at start.
+// parseContainer parses the rest of an object or a list that begins at offset
+// start.
 func (p *parser) parseContainer(open json.Delim, start, depth int) (*node, error) {
 	n := &node{kind: kindArray}
 	if open == '{' {
@@ -161,7 +163,7 @@
 	return n, nil
 }
 
-// typeChecker checks a node against a Go type.
+// typeChecker checks nodes against Go types.
 type typeChecker struct {
 	file     string
 	findings Findings
@@ -169,7 +171,7 @@
 
 var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 
-// check adds a finding for each thing in n that t does not hold.
+// check adds a finding for each part of n that does not fit t.
 func (tc *typeChecker) check(path string, n *node, t reflect.Type) {
 	if reflect.PointerTo(t).Implements(unmarshalerType) {
 		target := reflect.New(t).Interface().(json.Unmarshaler)
@@ -200,7 +202,7 @@
 	}
 }
 
-// expectKind reports whether the node is of the kind.
+// expectKind reports whether the node is of kind k, and adds a finding if not.
 func (tc *typeChecker) expectKind(path string, n *node, k nodeKind) bool {
 	if n.kind != k {
 		tc.findings.Add(tc.file, path, "want %s, not %s", k, n.kind)
@@ -208,7 +210,7 @@
 	return n.kind == k
 }
 
-// checkInteger checks an integer and its size.
+// checkInteger checks that the node is an integer within the range of t.
 func (tc *typeChecker) checkInteger(path string, n *node, t reflect.Type) {
 	if !tc.expectKind(path, n, kindNumber) {
 		return
@@ -249,7 +251,7 @@
 	}
 }
 
-// checkDuplicates reports members that stand twice.
+// checkDuplicates reports members that occur more than once.
 func (tc *typeChecker) checkDuplicates(path string, n *node) {
 	seen := make(map[string]bool, len(n.members))
 	for _, m := range n.members {
@@ -260,8 +262,8 @@
 	}
 }
 
-// fieldByName finds a struct's field by its JSON name; exact is false where
-// only the case differs, which encoding/json would take.
+// fieldByName returns the type of a struct's field by its JSON name. exact is
+// false if only the case differs, which encoding/json would accept.
 func fieldByName(t reflect.Type, name string) (field reflect.Type, exact, ok bool) {
 	for i := range t.NumField() {
 		tag, _, _ := strings.Cut(t.Field(i).Tag.Get("json"), ",")
--- a/workspace/document.go
+++ b/workspace/document.go
@@ -11,18 +11,18 @@
 // Document is one object in a configuration file.
 type Document struct {
 	File string
-	// Path is the object's JSON path in the file; empty where it is the file.
+	// Path is the object's JSON path in the file; empty if it is the whole file.
 	Path string
 	Kind objectstore.Kind
 	Name string
-	// ExpectVersion is the stored version that the file's author saw; zero where
-	// the file does not say.
+	// ExpectVersion is the stored version that the file's author saw; 0 if the file
+	// does not name one.
 	ExpectVersion objectstore.Version
 	// Object is a *Template, *Workspace, *Pool or *BackendServer.
 	Object any
 }
 
-// The members of a file's object that are not the stored object's own.
+// Members of an object in a file that are not part of the stored object.
 const (
 	memberKind          = "kind"
 	memberExpectVersion = "expect_version"
@@ -33,12 +33,13 @@
 	KindTemplate: true, KindWorkspace: true, KindPool: true, KindBackendServer: true,
 }
 
-// Value returns the object as it is stored: JSON with fixed member order.
+// Value returns the stored form of the object: JSON with a fixed order of
+// members.
 func (d Document) Value() ([]byte, error) { return json.Marshal(d.Object) }
 
-// ParseFile reads a configuration file: one object or a list of objects,
-// {"kind": "Template", ...}. It returns the good documents and every finding;
-// unlike in a stored object, an unknown member is fatal here.
+// ParseFile parses a configuration file: one object or a list of objects,
+// {"kind": "Template", ...}. It returns the documents without findings, and every
+// finding. Unlike in a stored object, an unknown member is fatal.
 func ParseFile(file string, data []byte) ([]Document, Findings) {
 	root, findings := parse(file, data)
 	if findings != nil {
@@ -57,7 +58,7 @@
 	return out, findings
 }
 
-// appendValid appends a document that has no findings.
+// appendValid appends a document if it has no findings.
 func appendValid(list []Document, d Document, f Findings) []Document {
 	if f != nil {
 		return list
@@ -65,7 +66,7 @@
 	return append(list, d)
 }
 
-// parseDocument reads one object of a file.
+// parseDocument parses one object of a file.
 func parseDocument(file, path string, n *node) (Document, Findings) {
 	d := Document{File: file, Path: path}
 	var findings Findings
@@ -102,7 +103,7 @@
 	return d, nil
 }
 
-// nestedPath returns a finding's path inside a document's path.
+// nestedPath returns the path of a finding within the file.
 func nestedPath(path, inner string) string {
 	if inner == "" {
 		return path
@@ -110,7 +111,8 @@
 	return joinPath(path, inner)
 }
 
-// withoutFileMembers returns the object without the members that are the file's.
+// withoutFileMembers returns the object without the members that belong to the
+// file only.
 func withoutFileMembers(n *node) *node {
 	out := *n
 	out.members = nil
@@ -138,10 +140,10 @@
 	}
 }
 
-// CheckDocuments checks documents together with what is stored already, as
-// Compile would after they were all written. Findings of documents name their
-// file and path. Findings about stored objects that no document touches are
-// returned too, because the documents may be what breaks them.
+// CheckDocuments checks documents together with the stored objects, as Compile
+// would after all of them are written. Findings about documents name their file
+// and path. Findings about other stored objects are returned too, because the
+// documents may be their cause.
 func CheckDocuments(docs []Document, stored []objectstore.Object) Findings {
 	merged, docByLocation, findings := merge(docs, stored)
 	_, compiled := Compile(merged)
@@ -154,8 +156,8 @@
 	return findings
 }
 
-// merge lays documents over the stored objects. places maps a stored object's
-// name in findings to its document.
+// merge replaces stored objects by their documents and adds the new ones.
+// docByLocation maps the File of a stored object's findings to its document.
 func merge(docs []Document, stored []objectstore.Object) ([]objectstore.Object, map[string]Document, Findings) {
 	var findings Findings
 	var newest objectstore.Version
--- a/workspace/finding.go
+++ b/workspace/finding.go
@@ -5,18 +5,20 @@
 	"strings"
 )
 
-// Finding is one thing wrong with a configuration, with its place.
+// Finding is one problem of a configuration, with its location.
 type Finding struct {
-	// File is the file or, for a stored object, "Kind/name".
+	// File is the file's path or, for a stored object, "Kind/name".
 	File string `json:"file"`
 	// Path is the JSON path in it, e.g. "tiers[1].first_token_ms".
 	Path   string `json:"path"`
 	Reason string `json:"reason"`
-	// Warning marks a finding that does not keep the object out of force.
+	// Warning marks a finding that does not prevent the object from becoming
+	// active.
 	Warning bool `json:"warning,omitempty"`
 }
 
-// String returns "file: path: reason".
+// String returns "file: path: reason", with "warning: " before the reason of a
+// warning.
 func (f Finding) String() string {
 	s := f.File + ": "
 	if f.Path != "" {
@@ -28,8 +30,7 @@
 	return s + f.Reason
 }
 
-// Findings are all findings of one check, reported together. A non-empty
-// Findings is an error.
+// Findings are all findings of one check. As an error it lists them one per line.
 type Findings []Finding
 
 // Error implements error.
@@ -46,12 +47,12 @@
 	*f = append(*f, Finding{File: file, Path: path, Reason: fmt.Sprintf(format, args...)})
 }
 
-// Warn appends a finding that does not keep the object out of force.
+// Warn appends a finding that does not prevent the object from becoming active.
 func (f *Findings) Warn(file, path, format string, args ...any) {
 	*f = append(*f, Finding{File: file, Path: path, Reason: fmt.Sprintf(format, args...), Warning: true})
 }
 
-// Err returns f as an error, or nil where there are none.
+// Err returns f as an error, or nil if it is empty.
 func (f Findings) Err() error {
 	if len(f) == 0 {
 		return nil
@@ -59,8 +60,8 @@
 	return f
 }
 
-// Fatal returns the findings that keep an object out of force; nil where
-// there are only warnings.
+// Fatal returns the findings that prevent an object from becoming active, or nil
+// if there are only warnings.
 func (f Findings) Fatal() Findings {
 	var out Findings
 	for _, x := range f {
--- a/workspace/number.go
+++ b/workspace/number.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// UnmarshalJSON takes an integer or the string "${parameter}".
+// UnmarshalJSON accepts an integer or the string "${parameter}".
 func (n *Number) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err == nil {
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// MarshalJSON writes what UnmarshalJSON reads.
+// MarshalJSON writes the form that UnmarshalJSON reads.
 func (n Number) MarshalJSON() ([]byte, error) {
 	if n.Parameter != "" {
 		return json.Marshal("${" + n.Parameter + "}")
--- a/workspace/objects.go
+++ b/workspace/objects.go
@@ -1,7 +1,7 @@
-// Package workspace is the aggregate of the configuration: templates for each
-// kind of service, workspaces that instantiate them with parameters, pools and
-// backend servers. It checks them, reports every finding with its place, and
-// resolves them into immutable snapshots that a request reads without locks.
+// Package workspace holds the configuration model: templates for kinds of
+// services, workspaces that instantiate templates with parameters, pools and
+// backend servers. It checks them, reports every finding with its location, and
+// resolves them into immutable snapshots that requests read without locks.
 package workspace
 
 import (
@@ -10,18 +10,18 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// The kinds of configuration objects in the object API.
+// Kinds of configuration objects in the object API.
 const (
 	KindTemplate      objectstore.Kind = "Template"
 	KindWorkspace     objectstore.Kind = "Workspace"
 	KindPool          objectstore.Kind = "Pool"
 	KindBackendServer objectstore.Kind = "BackendServer"
-	// KindAssignment is written by the placement controller, not by
-	// operators: which pool a backend server serves now.
+	// KindAssignment is written by the placement controller, not by operators. It
+	// names the pool that a backend server serves now.
 	KindAssignment objectstore.Kind = "Assignment"
 )
 
-// Kinds returns every kind that a daemon must know to serve.
+// Kinds returns every kind that a daemon needs in order to serve.
 func Kinds() []objectstore.Kind {
 	return []objectstore.Kind{KindTemplate, KindWorkspace, KindPool, KindBackendServer, KindAssignment}
 }
@@ -29,7 +29,7 @@
 // Number is an integer in a template: a literal, or "${parameter}".
 type Number struct {
 	Value     int64
-	Parameter string // set where the value is a parameter's
+	Parameter string // set if the value is that of a parameter
 }
 
 // Template describes one kind of service.
@@ -37,7 +37,7 @@
 	Name       string               `json:"name"`
 	Parameters map[string]Parameter `json:"parameters,omitempty"`
 	Tiers      []TierSpec           `json:"tiers"`
-	// DefaultTier names the tier of a request that names none.
+	// DefaultTier is the tier of requests that do not name one.
 	DefaultTier         string        `json:"default_tier"`
 	AllowTierHeader     bool          `json:"allow_tier_header,omitempty"`
 	AllowDeadlineHeader bool          `json:"allow_deadline_header,omitempty"`
@@ -64,23 +64,23 @@
 	FirstTokenMs Number `json:"first_token_ms"`
 	PerTokenMs   Number `json:"per_token_ms"`
 	DeadlineMs   Number `json:"deadline_ms"`
-	// MaxWaiting bounds how many requests one workspace may have waiting in
-	// this tier of one pool; 0 means the daemon's default.
+	// MaxWaiting limits the waiting requests of one workspace in this tier of one
+	// pool; 0 means the daemon's default.
 	MaxWaiting Number `json:"max_waiting"`
 }
 
-// ModelSpec names a model, the version that serves it, and its rules.
+// ModelSpec names a model, the version that serves it, and its default tier.
 type ModelSpec struct {
 	Name    string `json:"name"`
 	Version string `json:"version"` // may be "${parameter}"
 	Tier    string `json:"tier,omitempty"`
-	// NonIdempotent marks a model whose requests may not be repeated.
+	// NonIdempotent marks a model whose requests must not be retried.
 	NonIdempotent bool `json:"non_idempotent,omitempty"`
 }
 
-// ServiceSpec names a plain service, the pool that serves it, and which of
-// its calls may not be repeated. The first rule that matches decides; a call
-// that matches none is idempotent only if its method is GET or HEAD.
+// ServiceSpec names a plain service, the pool that serves it, and which of its
+// calls are idempotent. The first matching rule decides; a call that matches none
+// is idempotent only if its method is GET or HEAD.
 type ServiceSpec struct {
 	Name  string        `json:"name"`
 	Pool  string        `json:"pool"`
@@ -97,7 +97,7 @@
 	Tier       string `json:"tier,omitempty"`
 }
 
-// Workspace is one client organisation's instance of a template.
+// Workspace is one customer's instance of a template.
 type Workspace struct {
 	Name       string                     `json:"name"`
 	Template   string                     `json:"template"`
@@ -105,7 +105,7 @@
 	Keys       []Key                      `json:"keys"`
 }
 
-// Key is a caller's bearer key; only its SHA-256 is kept, in hex.
+// Key is a caller's bearer key, of which only the SHA-256 is kept, in hex.
 type Key struct {
 	ID     string `json:"id"`
 	SHA256 string `json:"sha256"`
@@ -123,11 +123,11 @@
 	Policy     string `json:"policy,omitempty"`
 	MinServers int    `json:"min_servers,omitempty"`
 	MaxServers int    `json:"max_servers,omitempty"`
-	// MaxWaiting bounds the pool's queue; 0 means the daemon's default.
+	// MaxWaiting limits the pool's queue; 0 means the daemon's default.
 	MaxWaiting int `json:"max_waiting,omitempty"`
 }
 
-// MaxPoolServers bounds a pool, and so the cost of one scheduling decision.
+// MaxPoolServers limits a pool, and with it the cost of a scheduling decision.
 const MaxPoolServers = 32
 
 // BackendServer is one model engine or one server of a plain service.
@@ -137,17 +137,18 @@
 	Region           string `json:"region"`
 	AvailabilityZone string `json:"availability_zone"`
 	Generation       string `json:"generation,omitempty"`
-	// Pool is where the server serves unless an Assignment says otherwise.
+	// Pool is the pool of the server unless an Assignment names another.
 	Pool string `json:"pool"`
-	// Slots is how many requests it may run at once at the most; the limit
-	// adapts below it. 0 means the daemon's default.
+	// Slots is the maximum number of concurrent requests; the adaptive limit stays
+	// at or below it. 0 means the daemon's default.
 	Slots int `json:"slots,omitempty"`
-	// ChecksTokens tells whether it refuses orders with old fencing tokens.
+	// ChecksTokens reports whether the server rejects orders with old fencing
+	// tokens.
 	ChecksTokens bool `json:"checks_tokens,omitempty"`
-	// Leaving is the operator's order to give it no new work.
+	// Leaving is set by the operator to give the server no new work.
 	Leaving bool `json:"leaving,omitempty"`
-	// Incarnation changes when the server starts again, where its registration
-	// tells; no operator sets it.
+	// Incarnation changes when the server restarts, if its registration reports
+	// that. Operators do not set it.
 	Incarnation string `json:"-"`
 }
 
@@ -156,7 +157,7 @@
 	Server string `json:"server"`
 	Pool   string `json:"pool"`
 	Role   string `json:"role,omitempty"`
-	// Warm is true once the server confirmed that it holds the model.
+	// Warm is true once the server has confirmed that it has loaded the model.
 	Warm  bool   `json:"warm"`
 	Token uint64 `json:"token"` // fencing token of the controller's lease
 }
--- a/workspace/resolve.go
+++ b/workspace/resolve.go
@@ -9,28 +9,28 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// resolver puts a workspace's parameters into its template.
+// resolver substitutes a workspace's parameters into its template.
 type resolver struct {
 	checker
 	template *Template
 	values   map[string]paramValue
 }
 
-// resolve returns template × parameters. Findings name the workspace's
-// parameters.
+// resolve returns the template with the workspace's parameters substituted.
+// Findings name the parameters.
 func resolve(file string, t *Template, w *Workspace) (*ResolvedWorkspace, Findings) {
 	r := &resolver{checker: checker{file: file}, template: t, values: make(map[string]paramValue)}
 	r.bindParameters(w.Parameters)
 	return r.finish(w)
 }
 
-// resolveLenient resolves a workspace without those of its parameters that do
-// not fit the template; nil where that does not help either.
+// resolveLenient resolves a workspace without the parameters that do not fit the
+// template. It returns nil if that is not possible either.
 //
-// What goes wrong: two operators change a template and one of its workspaces
-// at once, and the two no longer fit. Members that had an earlier resolution
-// keep it, but one that starts later has none: callers would be told by some
-// entries that their key is wrong. With the defaults they are served.
+// If two operators change a template and one of its workspaces at the same time,
+// the two may not fit. Members with an earlier resolution keep it, but a member
+// that starts later has none, and its callers would be told that their key is
+// invalid. With the template's defaults they are served.
 func resolveLenient(t *Template, w *Workspace) *ResolvedWorkspace {
 	valid := make(map[string]json.RawMessage, len(w.Parameters))
 	for name, raw := range w.Parameters {
@@ -46,7 +46,7 @@
 	return out
 }
 
-// finish returns the resolution, or the findings.
+// finish returns the resolution, or the findings if there are any.
 func (r *resolver) finish(w *Workspace) (*ResolvedWorkspace, Findings) {
 	if r.findings != nil {
 		return nil, r.findings
@@ -58,7 +58,7 @@
 	return out, nil
 }
 
-// bindParameters sets each parameter from the workspace's or its default.
+// bindParameters sets each parameter to the workspace's value or its default.
 func (r *resolver) bindParameters(parameters map[string]json.RawMessage) {
 	for name := range parameters {
 		if _, ok := r.template.Parameters[name]; !ok {
@@ -82,8 +82,8 @@
 	}
 }
 
-// resolveNumber returns a template's number and checks its bounds again, because a
-// parameter's own bounds may be wider.
+// resolveNumber returns a number of the template. It checks the range of a
+// parameter's value again, because the parameter's own bounds may be wider.
 func (r *resolver) resolveNumber(path string, n Number, low, high int64) int64 {
 	if n.Parameter == "" {
 		return n.Value
@@ -96,7 +96,7 @@
 	return v
 }
 
-// build resolves everything; findings are added to r.
+// build resolves the whole template and adds findings to r.
 func (r *resolver) build(name string) *ResolvedWorkspace {
 	t := r.template
 	out := &ResolvedWorkspace{
@@ -144,7 +144,7 @@
 	}
 }
 
-// tierOrDefault returns a named tier, or the default one.
+// tierOrDefault returns the named tier, or the default one if there is none.
 func (r *ResolvedWorkspace) tierOrDefault(name string) *ResolvedTier {
 	if t, ok := r.TierByName[name]; ok {
 		return t
--- a/workspace/snapshot.go
+++ b/workspace/snapshot.go
@@ -12,20 +12,20 @@
 // KeyHash is the SHA-256 of a bearer key.
 type KeyHash [sha256.Size]byte
 
-// Snapshot is one immutable, resolved view of the whole configuration. A
-// request takes one snapshot for its whole life.
+// Snapshot is an immutable, resolved view of the whole configuration. A request
+// uses one snapshot throughout.
 type Snapshot struct {
 	// Version is the largest object version in the snapshot.
 	Version objectstore.Version
-	// Workspaces by the hash of each of their keys.
+	// Workspaces maps the hash of each key to its workspace.
 	Workspaces map[KeyHash]*ResolvedWorkspace
-	// Pools by name; ModelPools by model, version and region; ServicePools
-	// are looked up by name.
+	// Pools are by name, ModelPools by model, version and region. The pool of a
+	// plain service is found by its name.
 	Pools      map[string]*ResolvedPool
 	ModelPools map[ModelRegion][]*ResolvedPool
 }
 
-// ModelRegion is a model's version in a region.
+// ModelRegion identifies a version of a model in a region.
 type ModelRegion struct{ Model, Version, Region string }
 
 // ResolvedPool is a pool with the backend servers that serve it now.
@@ -34,11 +34,11 @@
 	Servers []BackendServer // sorted by name
 }
 
-// ResolvedWorkspace is a workspace: its template with its parameters put in.
+// ResolvedWorkspace is a template with a workspace's parameters substituted.
 type ResolvedWorkspace struct {
 	Workspace           string
 	Template            string
-	Tiers               []ResolvedTier // by priority
+	Tiers               []ResolvedTier // sorted by priority
 	TierByName          map[string]*ResolvedTier
 	DefaultTier         *ResolvedTier
 	AllowTierHeader     bool
@@ -75,23 +75,23 @@
 type ResolvedRule struct {
 	Method, Path string
 	Idempotent   bool
-	Tier         *ResolvedTier // nil: the service's
+	Tier         *ResolvedTier // nil means the tier of the service
 }
 
-// ByKey returns the workspace of a bearer key.
+// ByKey returns the workspace that a bearer key belongs to.
 func (s *Snapshot) ByKey(bearer string) (*ResolvedWorkspace, bool) {
 	w, ok := s.Workspaces[sha256.Sum256([]byte(bearer))]
 	return w, ok
 }
 
-// Milliseconds converts a checked configuration value.
+// Milliseconds converts a configuration value in milliseconds to a duration.
 func Milliseconds(v int64) time.Duration { return time.Duration(v) * time.Millisecond }
 
-// CurrentSnapshot holds the snapshot in force. Load is one atomic read.
+// CurrentSnapshot holds the active snapshot. Load is one atomic read.
 type CurrentSnapshot struct{ p atomic.Pointer[Snapshot] }
 
-// Load returns the snapshot in force, or nil before the first one.
+// Load returns the active snapshot, or nil before the first Store.
 func (c *CurrentSnapshot) Load() *Snapshot { return c.p.Load() }
 
-// Store puts a snapshot in force for every request that comes after.
+// Store makes a snapshot active for all later requests.
 func (c *CurrentSnapshot) Store(s *Snapshot) { c.p.Store(s) }
--- a/workspace/workspacetest/size.go
+++ b/workspace/workspacetest/size.go
@@ -1,5 +1,5 @@
-// Package workspacetest makes configurations of any size, for tests,
-// benchmarks and the measuring of capacity.
+// Package workspacetest generates configurations of any size for tests,
+// benchmarks and capacity measurements.
 package workspacetest
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Size says how large a configuration is.
+// Size is the number of objects of each kind in a configuration.
 type Size struct {
 	Workspaces, Servers, Models, Regions, Templates int
 }
@@ -20,7 +20,7 @@
 // TargetSize is the size that the system is designed for.
 var TargetSize = Size{Workspaces: 2400, Servers: 1300, Models: 22, Regions: 6, Templates: 40}
 
-// serversPerPool leaves room under workspace.MaxPoolServers.
+// serversPerPool is below workspace.MaxPoolServers.
 const serversPerPool = 16
 
 // Key returns the bearer key of a workspace.
@@ -32,7 +32,7 @@
 	return hex.EncodeToString(h[:])
 }
 
-// Objects returns the fleet's objects with versions from 1 on.
+// Objects returns a configuration of the size, with versions from 1 on.
 func (size Size) Objects() []objectstore.Object {
 	var out []objectstore.Object
 	add := func(kind objectstore.Kind, name string, v any) {
@@ -50,7 +50,7 @@
 	return out
 }
 
-// addPools adds the pools, one or more a model and region, and their servers.
+// addPools adds the pools, one or more per model and region, and their servers.
 func (size Size) addPools(add func(objectstore.Kind, string, any)) {
 	for first := 0; first < size.Servers; first += serversPerPool {
 		i := first / serversPerPool
@@ -66,7 +66,8 @@
 	}
 }
 
-// Server returns a backend server of a pool; number makes its address.
+// Server returns a backend server of a pool. Its name and address are derived
+// from number.
 func Server(number int, p workspace.Pool) workspace.BackendServer {
 	return workspace.BackendServer{
 		Name: fmt.Sprintf("server-%d", number), Address: fmt.Sprintf("10.1.%d.%d:8000", number/250, number%250+1),
@@ -74,7 +75,8 @@
 	}
 }
 
-// Template returns a template of four tiers and the models, with parameters.
+// Template returns a template with four tiers, the given number of models, and
+// parameters.
 func Template(name string, models int) workspace.Template {
 	low, high := int64(1), int64(100000)
 	t := workspace.Template{
@@ -106,8 +108,8 @@
 	}
 }
 
-// StoredObject returns a value as a stored object. It panics where the value has no
-// JSON, which the configuration's types always have.
+// StoredObject returns v as a stored object. It panics if v cannot be encoded as
+// JSON, which does not happen with configuration types.
 func StoredObject(kind objectstore.Kind, name string, version objectstore.Version, v any) objectstore.Object {
 	value, err := json.Marshal(v)
 	if err != nil {
