--- a/internal/configwire/configwire.go
+++ b/internal/configwire/configwire.go
@@ -1,4 +1,4 @@
-// Package configwire holds the protobuf messages by which daemons spread
-// configuration. The generated code is committed; `make generate` makes it
-// anew from config.proto.
+// Package configwire holds the protobuf messages that distribute configuration
+// between daemons. The generated code is committed; `make generate` recreates it
+// from config.proto.
 package configwire
