--- a/internal/apply/apply.go
+++ b/internal/apply/apply.go
@@ -1,6 +1,7 @@
-// Package apply brings configuration files into the object API: it reads and
-// checks them all, works out the difference to what is stored, and writes each
-// object conditionally on the version that the operator was shown.
+// Package apply writes configuration files to the object API. It parses and
+// checks all files, computes the difference to the stored objects, and writes
+// each object on the condition that it still has the version shown to the
+// operator.
 package apply
 
 import (
@@ -18,12 +19,12 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// fileSuffix is of the files that are read from a directory.
+// fileSuffix is the suffix of the files that are read from a directory.
 const fileSuffix = ".json"
 
 // Load reads configuration files, and all JSON files under directories. It
-// returns every good document and every finding; the error is of a path that
-// can't be read.
+// returns the documents without findings, and every finding. The error is about a
+// path that cannot be read.
 func Load(paths []string) ([]workspace.Document, workspace.Findings, error) {
 	var docs []workspace.Document
 	var findings workspace.Findings
@@ -42,7 +43,7 @@
 	return docs, findings, nil
 }
 
-// findFiles replaces directories by the JSON files under them, sorted.
+// findFiles replaces each directory by the JSON files under it, in lexical order.
 func findFiles(paths []string) ([]string, error) {
 	var out []string
 	for _, path := range paths {
@@ -57,13 +58,13 @@
 			return nil, errors.Wrap(err, "read configuration")
 		}
 		if len(out) == before {
-			return nil, errors.Errorf("%s holds no %s file", path, fileSuffix)
+			return nil, errors.Errorf("%s contains no %s files", path, fileSuffix)
 		}
 	}
 	return out, nil
 }
 
-// Read returns all stored configuration, assignments included.
+// Read returns all stored configuration objects, assignments included.
 func Read(ctx context.Context, api objectstore.ObjectAPI) ([]objectstore.Object, error) {
 	var out []objectstore.Object
 	for _, kind := range workspace.Kinds() {
@@ -76,10 +77,10 @@
 	return out, nil
 }
 
-// Action is what a Change does.
+// Action is the operation of a Change.
 type Action string
 
-// The actions.
+// Actions of a Change.
 const (
 	Create    Action = "create"
 	Update    Action = "update"
@@ -87,32 +88,34 @@
 	Unchanged Action = "unchanged"
 )
 
-// Change is the difference of one object to what is stored.
+// Change is the difference between the wanted and the stored version of an
+// object.
 type Change struct {
 	Kind   objectstore.Kind `json:"kind"`
 	Name   string           `json:"name"`
 	Action Action           `json:"action"`
-	// Version is the stored version that the difference is to; 0 for none.
+	// Version is the stored version that the change was computed from; 0 means
+	// none.
 	Version objectstore.Version `json:"version"`
 	Fields  []FieldChange       `json:"fields,omitempty"`
 
 	oldValue, newValue []byte
 }
 
-// Ref names an object.
+// Ref identifies an object.
 type Ref struct {
 	Kind objectstore.Kind
 	Name string
 }
 
-// writeOrder puts what others name before those that name it.
+// writeOrder orders kinds so that an object is written after those it refers to.
 var writeOrder = map[objectstore.Kind]int{
 	workspace.KindPool: 0, workspace.KindBackendServer: 1, workspace.KindTemplate: 2, workspace.KindWorkspace: 3,
 }
 
-// Plan works out the changes that documents and deletions make, in the order
-// in which to write them. A document whose expected version is not the stored
-// one gives a *ConflictError.
+// Plan returns the changes that documents and deletions make, in the order in
+// which to write them. It returns a *ConflictError if a document expects another
+// version than the stored one.
 func Plan(docs []workspace.Document, deletions []Ref, stored []objectstore.Object) ([]Change, error) {
 	storedByRef := make(map[Ref]objectstore.Object, len(stored))
 	for _, o := range stored {
@@ -142,8 +145,8 @@
 	return changes, nil
 }
 
-// planDocument compares a document with the stored object, whose version is 0
-// where there is none.
+// planDocument compares a document with the stored object, whose version is 0 if
+// there is none.
 func planDocument(d workspace.Document, stored objectstore.Object) (Change, error) {
 	value, err := d.Value()
 	if err != nil {
@@ -166,7 +169,7 @@
 	return c, nil
 }
 
-// Check checks documents and deletions against what is stored.
+// Check checks documents and deletions against the stored objects.
 func Check(docs []workspace.Document, deletions []Ref, stored []objectstore.Object) workspace.Findings {
 	remaining := slices.DeleteFunc(slices.Clone(stored), func(o objectstore.Object) bool {
 		return slices.Contains(deletions, Ref{o.Kind, o.Name})
@@ -174,7 +177,7 @@
 	findings := workspace.CheckDocuments(docs, remaining)
 	_, before := workspace.Compile(stored)
 	for i, f := range findings {
-		// What is wrong already does not stop a change of something else.
+		// Problems that exist already do not block an unrelated change.
 		if slices.Contains(before, f) {
 			findings[i].Warning = true
 		}
@@ -182,12 +185,13 @@
 	return findings
 }
 
-// Recheck reads what is stored after an apply and returns the fatal findings
-// that were not there before it.
+// Recheck reads the stored objects after an apply and returns the fatal findings
+// that did not exist before.
 //
-// What goes wrong: each write is conditional on its own object alone, so two
-// operators who change a template and one of its workspaces at once both
-// succeed, and the two may not fit together. Neither would be told.
+// Each write is conditional only on its own object. If two operators change a
+// template and one of its workspaces at the same time, both writes succeed
+// although the results may not fit together. Without Recheck neither operator
+// would be told.
 func Recheck(ctx context.Context, api objectstore.ObjectAPI, before []objectstore.Object) (workspace.Findings, error) {
 	now, err := Read(ctx, api)
 	if err != nil {
--- a/internal/apply/apply_test.go
+++ b/internal/apply/apply_test.go
@@ -19,7 +19,7 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// poolDocument returns a document of a pool with a bound on its queue.
+// poolDocument returns a document of a pool with a queue limit.
 func poolDocument(name, waiting string) workspace.Document {
 	docs, findings := workspace.ParseFile(name+".json",
 		[]byte(`{"kind":"Pool","name":"`+name+`","region":"r","service":"s","max_waiting":`+waiting+`}`))
@@ -27,7 +27,7 @@
 	return docs[0]
 }
 
-// planChanges plans a document against what the store holds now.
+// planChanges plans documents against the stored objects.
 func planChanges(ctx context.Context, store *standin.Standin, docs ...workspace.Document) []Change {
 	stored, err := Read(ctx, store)
 	So(err, ShouldBeNil)
@@ -38,8 +38,9 @@
 }
 
 func TestConcurrentWritesConflict(t *testing.T) {
-	// Guards against this: an operator's accepted change is gone, and nobody was told.
-	Convey("The second of two operators gets the first one's change shown", t, func() {
+	// Guards against an operator's accepted change that is overwritten without
+	// notice.
+	Convey("The second of two operators is shown the first one's change", t, func() {
 		ctx := context.Background()
 		store := standin.New(standin.Options{})
 		_, err := Write(ctx, store, planChanges(ctx, store, poolDocument("p", "1"))[0])
@@ -58,14 +59,14 @@
 		o, _ := store.Get(ctx, workspace.KindPool, "p")
 		So(o.Version, ShouldEqual, v)
 
-		Convey("also where the file names the version that it was made from", func() {
+		Convey("also if the file names the version that it is based on", func() {
 			d := poolDocument("p", "4")
 			d.ExpectVersion = mine.Version
 			stored, _ := Read(ctx, store)
 			_, err := Plan([]workspace.Document{d}, nil, stored)
 			So(errors.As(err, &conflict), ShouldBeTrue)
 		})
-		Convey("and where the first one deleted it", func() {
+		Convey("and if the first one deleted the object", func() {
 			_, err := Write(ctx, store, Change{Kind: workspace.KindPool, Name: "p", Action: Delete, Version: v})
 			So(err, ShouldBeNil)
 			_, err = Write(ctx, store, mine)
@@ -76,8 +77,10 @@
 }
 
 func TestLostAnswers(t *testing.T) {
-	// Guards against this: apply reports a failure or a conflict, but the change is in force; or a repeated write goes over somebody else's change.
-	Convey("A lost answer is settled by reading back", t, func() {
+	// Guards against an apply that reports a failure or a conflict although the
+	// change was written, and against a retry that overwrites another operator's
+	// change.
+	Convey("After a lost answer the outcome is determined by reading back", t, func() {
 		ctx := context.Background()
 		store := standin.New(standin.Options{})
 		loseNextAnswer := func() { store.SetFaults(standin.Faults{LoseNext: 1}) }
@@ -89,7 +92,7 @@
 		v, err = Write(ctx, store, planChanges(ctx, store, poolDocument("p", "2"))[0])
 		So(err, ShouldBeNil)
 		So(v, ShouldEqual, 2)
-		Convey("also when the reads are stale and the write is tried again", func() {
+		Convey("also if reads are stale and the write is retried", func() {
 			change := planChanges(ctx, store, poolDocument("p", "3"))[0]
 			store.SetFaults(standin.Faults{LoseNext: 1, StaleWrites: 1})
 			reads := &staleFirstRead{Standin: store}
@@ -98,7 +101,7 @@
 			So(v, ShouldEqual, 3)
 			So(reads.gets, ShouldBeGreaterThan, 1)
 		})
-		Convey("also a deletion's", func() {
+		Convey("also for a deletion", func() {
 			loseNextAnswer()
 			_, err = Write(ctx, store, Change{Kind: workspace.KindPool, Name: "p", Action: Delete, Version: v})
 			So(err, ShouldBeNil)
@@ -106,7 +109,7 @@
 			So(errors.Is(err, objectstore.ErrNotFound), ShouldBeTrue)
 		})
 	})
-	Convey("A write that the store refused is told as not written", t, func() {
+	Convey("A write that fails because the store is unavailable is reported as not written", t, func() {
 		ctx := context.Background()
 		store := standin.New(standin.Options{})
 		change := planChanges(ctx, store, poolDocument("p", "1"))[0]
@@ -117,8 +120,8 @@
 }
 
 func TestNoLostUpdate(t *testing.T) {
-	// Guards against this: one of several operators' changes of one template is missing.
-	Convey("Every accepted change of one template is in the last version", t, func() {
+	// Guards against a lost update when several operators change one template.
+	Convey("The last version of a template contains every accepted change", t, func() {
 		ctx := context.Background()
 		store := standin.New(standin.Options{Seed: 7})
 		_, err := store.Create(ctx, workspace.KindTemplate, "t", []byte(`{"name":"t"}`))
@@ -151,7 +154,7 @@
 	})
 }
 
-// addParameter adds a parameter to the template.
+// addParameter adds a parameter to the stored template.
 func addParameter(ctx context.Context, store *standin.Standin, name string) error {
 	o, err := store.Get(ctx, workspace.KindTemplate, "t")
 	if err != nil {
@@ -173,8 +176,10 @@
 }
 
 func TestRecheck(t *testing.T) {
-	// Guards against this: a workspace is served as it was, or by some entries only, though both operators were told that their changes were written.
-	Convey("What came in between and does not fit is found after the write", t, func() {
+	// Guards against concurrent changes that do not fit together, of which neither
+	// operator is told; the workspace would keep its old form, or be served by some
+	// daemons only.
+	Convey("A concurrent change that does not fit is found after the write", t, func() {
 		ctx := context.Background()
 		store := standin.New(standin.Options{})
 		v, err := Write(ctx, store, planChanges(ctx, store, poolDocument("p", "1"))[0])
@@ -195,7 +200,8 @@
 	})
 }
 
-// staleFirstRead makes the first read stale and heals the store after it.
+// staleFirstRead serves a stale first read and clears the store's faults after
+// it.
 type staleFirstRead struct {
 	*standin.Standin
 	gets int
@@ -210,7 +216,7 @@
 }
 
 func TestCheckAll(t *testing.T) {
-	Convey("The findings of all files come together, each with its place", t, func() {
+	Convey("The findings of all files are returned together", t, func() {
 		dir := t.TempDir()
 		for name, text := range map[string]string{
 			"a.json": `{"kind":"Pool","name":"p","region":"r"}`,
@@ -225,7 +231,7 @@
 		_, _, err = Load([]string{filepath.Join(dir, "none.json")})
 		So(err, ShouldNotBeNil)
 	})
-	Convey("A deletion that leaves a server without its pool is a finding; what was wrong before is a warning", t, func() {
+	Convey("A deletion that leaves a server without its pool is a finding; an earlier problem is a warning", t, func() {
 		stored := []objectstore.Object{
 			{Kind: workspace.KindPool, Name: "p", Version: 1, Value: []byte(`{"name":"p","region":"r","service":"s"}`)},
 			{Kind: workspace.KindBackendServer, Name: "s", Version: 2, Value: []byte(`{"name":"s","address":"10.0.0.1:1","region":"r","availability_zone":"z","pool":"p"}`)},
@@ -240,7 +246,7 @@
 }
 
 func TestDiff(t *testing.T) {
-	Convey("List members are matched by name, others by their whole value", t, func() {
+	Convey("Named list members are compared by name, other lists as a whole", t, func() {
 		old := `{"tiers":[{"name":"a","x":1},{"name":"b","x":2}],"n":[1,2],"gone":true}`
 		next := `{"tiers":[{"name":"c","x":0},{"name":"b","x":3},{"name":"a","x":1}],"n":[1],"id":9007199254740993}`
 		var lines []string
--- a/internal/apply/diff.go
+++ b/internal/apply/diff.go
@@ -9,15 +9,15 @@
 
 // FieldChange is one difference between two versions of an object.
 type FieldChange struct {
-	// Path is the JSON path; list members that have a name or an id are shown
-	// by it, as in tiers[report].deadline_ms.
+	// Path is the JSON path. List members with a name or an id are shown by it, as
+	// in tiers[report].deadline_ms.
 	Path string `json:"path"`
-	// Old and New are JSON; nil where the field is absent.
+	// Old and New are JSON, or nil if the field is absent.
 	Old json.RawMessage `json:"old,omitempty"`
 	New json.RawMessage `json:"new,omitempty"`
 }
 
-// String returns "path: old -> new".
+// String returns "+ path: new", "- path: old" or "~ path: old -> new".
 func (f FieldChange) String() string {
 	switch {
 	case f.Old == nil:
@@ -29,15 +29,15 @@
 	}
 }
 
-// Diff compares two JSON values field by field. An old value that is absent
-// or no JSON counts as an empty object.
+// Diff compares two JSON values field by field. An absent or invalid value counts
+// as an empty object.
 func Diff(old, next []byte) []FieldChange {
 	var out []FieldChange
 	diffValues("", decodeValue(old), decodeValue(next), &out)
 	return out
 }
 
-// decodeValue decodes JSON, keeping numbers as they are written.
+// decodeValue decodes JSON and keeps numbers in their written form.
 func decodeValue(b []byte) any {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.UseNumber()
@@ -48,7 +48,7 @@
 	return v
 }
 
-// diffValues adds the differences of two values.
+// diffValues appends the differences between two values to out.
 func diffValues(path string, a, b any, out *[]FieldChange) {
 	ma, aOK := a.(map[string]any)
 	mb, bOK := b.(map[string]any)
@@ -78,7 +78,7 @@
 	}
 }
 
-// joinPath returns the path of a member.
+// joinPath returns the path of an object's or a list's member.
 func joinPath(path, name string, inList bool) string {
 	switch {
 	case inList:
@@ -90,9 +90,9 @@
 	}
 }
 
-// namedMembers returns two lists of objects as maps by their names, so that a
-// member put in front does not make all others differ; false where they are
-// no such lists.
+// namedMembers returns two lists of objects as maps by name, so that an inserted
+// member does not make all following ones differ. It returns false if a value is
+// not a list of uniquely named objects.
 func namedMembers(a, b any) (map[string]any, map[string]any, bool) {
 	la, aOK := a.([]any)
 	lb, bOK := b.([]any)
@@ -104,8 +104,8 @@
 	return ma, mb, aNamed && bNamed
 }
 
-// byName maps a list's objects by their name or id; false where one has none
-// or two have the same.
+// byName maps a list's objects by their name or id. It returns false if one has
+// neither or two have the same.
 func byName(list []any) (map[string]any, bool) {
 	out := make(map[string]any, len(list))
 	for _, item := range list {
@@ -122,7 +122,7 @@
 	return out, true
 }
 
-// unionKeys returns the names in either map, sorted.
+// unionKeys returns the keys of both maps, sorted.
 func unionKeys(a, b map[string]any) []string {
 	var out []string
 	for k := range a {
@@ -137,7 +137,7 @@
 	return out
 }
 
-// encodeValue encodes a decoded value; nil for none.
+// encodeValue encodes a decoded value as compact JSON; nil becomes null.
 func encodeValue(v any) json.RawMessage {
 	if v == nil {
 		return json.RawMessage("null")
--- a/internal/apply/write.go
+++ b/internal/apply/write.go
@@ -13,13 +13,13 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// ConflictError tells that an object is not at the version that the operator
-// saw: somebody else changed it. Nothing of theirs was overwritten.
+// ConflictError reports that another operator has changed or deleted the object
+// since this operator saw it. Nothing was overwritten.
 type ConflictError struct {
 	Ref             Ref
 	Expected, Found objectstore.Version
-	// Theirs is the other's change; for a version named in a file, the
-	// difference from the file to what is stored.
+	// Theirs is the other operator's change. If a file names the expected version,
+	// it is the difference from the file to the stored object.
 	Theirs []FieldChange
 }
 
@@ -31,21 +31,23 @@
 	return fmt.Sprintf("%s/%s: was changed by somebody else: version %d, you saw %d", e.Ref.Kind, e.Ref.Name, e.Found, e.Expected)
 }
 
-// Attempts at one write whose outcome is unknown, and the delays between.
+// Attempts of a write whose outcome is unknown, and the initial backoff between
+// them.
 const (
 	maxWriteAttempts  = 6
 	initialRetryDelay = 100 * time.Millisecond
 )
 
-// Write writes one change, conditionally on its version, and returns the
-// object's new version. Errors: *ConflictError, objectstore.ErrUnavailable (not
-// written), objectstore.ErrUnknownOutcome (could not be settled).
+// Write writes one change on the condition that the object still has c.Version,
+// and returns the object's new version. Errors: *ConflictError,
+// objectstore.ErrUnavailable (not written), objectstore.ErrUnknownOutcome (may
+// have been written).
 //
-// What goes wrong: the answer to a write is lost after it took effect; told
-// as a failure, the operator would write again over a change made since. So
-// an unknown outcome is settled by reading back; where the old version still
-// stands, the write may yet arrive, so it is tried again on the same version,
-// which the object API lets through only once.
+// The answer to a write may be lost after the write took effect. If this were
+// reported as a failure, the operator would write again and overwrite a change
+// made in the meantime. Write therefore reads the object back after an unknown
+// outcome. If the old version is still stored, the write may yet arrive; it is
+// retried on the same version, for which the object API accepts only one write.
 func Write(ctx context.Context, api objectstore.ObjectAPI, c Change) (objectstore.Version, error) {
 	delays := backoff.NewExponentialBackOff()
 	delays.InitialInterval = initialRetryDelay
@@ -74,7 +76,7 @@
 	return 0, errors.Wrapf(objectstore.ErrUnknownOutcome, "%s/%s: last error: %v", c.Kind, c.Name, err)
 }
 
-// attemptWrite makes one attempt.
+// attemptWrite sends the write once.
 func attemptWrite(ctx context.Context, api objectstore.ObjectAPI, c Change) (objectstore.Version, error) {
 	switch c.Action {
 	case Create:
@@ -86,7 +88,7 @@
 	}
 }
 
-// readBack tells whether a write whose answer was lost took effect.
+// readBack reports whether a write whose answer was lost has taken effect.
 func readBack(ctx context.Context, api objectstore.ObjectAPI, c Change) (objectstore.Version, bool) {
 	o, err := api.Get(ctx, c.Kind, c.Name)
 	if c.Action == Delete {
@@ -95,9 +97,9 @@
 	return o.Version, err == nil && o.Version > c.Version && bytes.Equal(o.Value, c.newValue)
 }
 
-// resolveConflict tells a conflict with somebody else from one with this write's own
-// earlier attempt. A read that still shows the version written on is stale and
-// is made again.
+// resolveConflict determines whether a conflict is with another operator or with
+// an earlier attempt of this write. A read that still returns c.Version is stale
+// and is retried.
 func resolveConflict(ctx context.Context, api objectstore.ObjectAPI, c Change, outcomeUnknown bool) (objectstore.Version, error) {
 	delays := backoff.NewExponentialBackOff()
 	delays.InitialInterval = initialRetryDelay
@@ -117,5 +119,5 @@
 			break
 		}
 	}
-	return 0, errors.Wrapf(objectstore.ErrConflict, "%s/%s: its newest version can't be read: %v", c.Kind, c.Name, err)
+	return 0, errors.Wrapf(objectstore.ErrConflict, "%s/%s: cannot read its newest version: %v", c.Kind, c.Name, err)
 }
