--- a/revision/freshness.go
+++ b/revision/freshness.go
@@ -33,7 +33,7 @@
 // pass it to Confirm.
 func (f *Freshness) Now() time.Duration { return f.clock() }
 
-// Confirm records a confirmation dated at. It has no effect if a newer one is
+// Confirm records a confirmation as of time at. It has no effect if a newer one is
 // known.
 func (f *Freshness) Confirm(at time.Duration) {
 	for {
--- a/revision/syncer.go
+++ b/revision/syncer.go
@@ -68,10 +68,10 @@
 	RetryDelay, MaxRetryDelay, RoleCheckInterval time.Duration
 }
 
-// DefaultTiming makes a change active within 2 s at 9 members and 9 s at 390.
-// WatchWait is short because a connection to the object API may hang: its watch
-// then ends after WatchWait plus CallTimeout. The price is one call per watcher
-// and WatchWait.
+// DefaultTiming is sized to make a change active within 2 s at 9 members and 9 s
+// at 390. WatchWait is short because a connection to the object API may hang: its
+// watch then ends after WatchWait plus CallTimeout. This costs one call per
+// watcher in each WatchWait.
 var DefaultTiming = Timing{
 	GossipInterval: time.Second, BatchDelay: 10 * time.Millisecond,
 	WatchWait: 2 * time.Second, FallbackDelay: 4 * time.Second, FallbackDuration: 2 * time.Minute,
--- a/workspace/workspacetest/size.go
+++ b/workspace/workspacetest/size.go
@@ -20,7 +20,7 @@
 // TargetSize is the size that the system is designed for.
 var TargetSize = Size{Workspaces: 2400, Servers: 1300, Models: 22, Regions: 6, Templates: 40}
 
-// serversPerPool is below workspace.MaxPoolServers.
+// serversPerPool leaves room for more servers, up to workspace.MaxPoolServers.
 const serversPerPool = 16
 
 // Key returns the bearer key of a workspace.
