--- a/internal/daemon/claims.go
+++ b/internal/daemon/claims.go
@@ -8,28 +8,29 @@
 	"github.com/lycheekeel/lycheekeel/lease"
 )
 
-// The leases' times: how long one lasts without renewal, how far a clock's
-// rate may be off, and how much longer a new holder waits.
+// Parameters of the leases.
 const (
-	LeaseDuration = 15 * time.Second
-	leaseMaxDrift = 0.01
-	leaseMargin   = 2 * time.Second
+	LeaseDuration = 15 * time.Second // validity of a lease without renewal
+	leaseMaxDrift = 0.01             // maximum rate error of a clock, as a fraction
+	leaseMargin   = 2 * time.Second  // additional wait of a new holder
 )
 
-// collectInterval is the time between two passes over the old claims.
+// collectInterval is the interval between two passes that delete old claims.
 const collectInterval = 10 * time.Minute
 
-// collectorLeaseName is the lease whose holder collects old claims.
+// collectorLeaseName names the lease whose holder deletes old claims.
 const collectorLeaseName = "claim-collector"
 
-// ledgerCloseTimeout bounds how long a stopping daemon records claims' outcomes.
+// ledgerCloseTimeout limits how long a stopping daemon waits for the store to
+// record the outcomes of claims.
 const ledgerCloseTimeout = 10 * time.Second
 
-// collectClaims deletes old claims while this daemon holds the lease for it.
+// collectClaims deletes old claims whenever this daemon holds the collector
+// lease, until ctx ends.
 func (d *Daemon) collectClaims(ctx context.Context) {
 	elector, err := d.newElector(collectorLeaseName)
 	if err != nil {
-		d.log.WithError(err).Error("old claims are not collected")
+		d.log.WithError(err).Error("can't take part in the deletion of old claims")
 		return
 	}
 	collector := claim.NewCollector(d.platform, claim.CollectorOptions{Options: claim.Options{Metrics: d.metrics}})
@@ -42,7 +43,7 @@
 	}
 }
 
-// collectUnderLease collects until the lease is lost or ctx ends.
+// collectUnderLease runs the collector until the lease is lost or ctx ends.
 func (d *Daemon) collectUnderLease(ctx context.Context, held *lease.Lease, c *claim.Collector) {
 	defer func() {
 		releaseCtx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -58,7 +59,7 @@
 	for {
 		n, err := c.Pass(ctx, checkLease)
 		if n > 0 || err != nil {
-			d.log.WithError(err).WithField("deleted", n).Info("collected old claims")
+			d.log.WithError(err).WithField("deleted", n).Info("deleted old claims")
 		}
 		select {
 		case <-tick.C:
@@ -70,11 +71,11 @@
 	}
 }
 
-// closeLedger records the outcomes that still wait for the store.
+// closeLedger writes the outcomes of claims that are not yet stored.
 func (d *Daemon) closeLedger() {
 	ctx, cancel := context.WithTimeout(context.Background(), ledgerCloseTimeout)
 	defer cancel()
 	if err := d.ledger.Close(ctx); err != nil {
-		d.log.WithError(err).Warn("some claims' outcomes were not recorded and read unknown")
+		d.log.WithError(err).Warn("the outcomes of some claims were not stored; they will be reported as unknown")
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts the parts of lycheekeeld together: it reads the
-// settings, wires the parts, starts them in order, and stops them so that no
+// Package daemon assembles lycheekeeld: it reads the settings, connects the
+// components, starts them in order, and shuts them down gracefully so that no
 // request is cut off.
 package daemon
 
@@ -31,7 +31,7 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Daemon is one lycheekeeld. Run it once.
+// Daemon is one instance of lycheekeeld. Run may be called once.
 type Daemon struct {
 	settings Settings
 	log      *logrus.Entry
@@ -50,19 +50,19 @@
 	findings  func() workspace.Findings
 	host      *poolhost.Host
 	broker    *broker.Entry
-	placement *placement.Controller // nil: not wanted
+	placement *placement.Controller // nil if disabled by the settings
 	entry     *entry.Entry
 	admin     *admin.Server
 
-	state          atomic.Uint32 // of type state
+	state          atomic.Uint32 // holds a state
 	drainRequested chan struct{} // closed by Drain
 	drainOnce      sync.Once
 }
 
-// state is a daemon's place in its life.
+// state is the lifecycle state of a daemon.
 type state uint32
 
-// The states.
+// The lifecycle states, in order.
 const (
 	stateStarting state = iota
 	stateServing
@@ -74,8 +74,8 @@
 	return [...]string{"starting", "serving", "draining", "stopped"}[s]
 }
 
-// New wires a daemon and opens its listeners, so that an address in use is
-// told before anything runs.
+// New returns a daemon with its listeners open, so that an address in use is
+// reported before any component runs.
 func New(s Settings) (*Daemon, error) {
 	d := &Daemon{
 		settings:       s,
@@ -122,8 +122,8 @@
 	}
 }
 
-// wire makes the parts. Those that register handlers at the transport must be
-// made before it starts.
+// wire creates the components. Those that register handlers with the transport
+// must be created before it starts.
 func (d *Daemon) wire() error {
 	s := &d.settings
 	d.platform = httpobjectstore.New(httpobjectstore.Options{
@@ -160,7 +160,8 @@
 	return nil
 }
 
-// components returns what runs beside the servers, until its context ends.
+// components returns the background tasks, which run beside the servers until
+// their context ends.
 func (d *Daemon) components() []func(context.Context) {
 	components := []func(context.Context){d.syncer.Run, d.host.Run, d.broker.Run, d.vms.Run, d.collectClaims}
 	if d.placement != nil {
@@ -169,21 +170,22 @@
 	return components
 }
 
-// Address and AdminAddress are where the daemon listens.
+// Address returns the address on which the daemon listens for callers.
 func (d *Daemon) Address() net.Addr { return d.listener.Addr() }
 
-// AdminAddress is where the admin port listens.
+// AdminAddress returns the address of the admin port.
 func (d *Daemon) AdminAddress() net.Addr { return d.adminListener.Addr() }
 
-// Configured is closed once a configuration is in force.
+// Configured returns a channel that is closed once a configuration is active.
 func (d *Daemon) Configured() <-chan struct{} { return d.syncer.Ready() }
 
-// Drain begins to stop, as the end of Run's context does. It returns at once.
+// Drain starts a graceful shutdown, as the end of Run's context does. It returns
+// immediately.
 func (d *Daemon) Drain() { d.drainOnce.Do(func() { close(d.drainRequested) }) }
 
-// Run serves until ctx ends or Drain is called, and then until no request is
-// left. It returns an error where a part failed, or where requests were cut
-// off because they took longer than the settings allow.
+// Run serves until ctx ends or Drain is called, and then until all requests have
+// ended. It returns an error if a component failed, or if requests were cut off
+// because they took longer than the settings allow.
 func (d *Daemon) Run(ctx context.Context) error {
 	componentsCtx, stopComponents := context.WithCancel(context.Background())
 	defer stopComponents()
@@ -212,7 +214,8 @@
 	return err
 }
 
-// awaitStop waits until the daemon is to stop.
+// awaitStop waits until the daemon is told to stop or a server fails. Meanwhile
+// it marks the daemon ready once it is configured and has joined the cluster.
 func (d *Daemon) awaitStop(ctx context.Context, serverErrs <-chan error) error {
 	configured, joined := d.Configured(), d.members.Joined()
 	for {
@@ -222,13 +225,13 @@
 		select {
 		case <-configured:
 			configured = nil
-			d.log.Info("configuration in force")
+			d.log.Info("configuration active")
 		case <-joined:
 			joined = nil
-			d.log.WithField("members", len(d.view.Load().Members)).Info("members met")
+			d.log.WithField("members", len(d.view.Load().Members)).Info("joined the cluster")
 		case err := <-serverErrs:
 			d.closeListeners()
-			return errors.WithMessage(err, "server ended")
+			return errors.WithMessage(err, "server failed")
 		case <-ctx.Done():
 			return nil
 		case <-d.drainRequested:
--- a/internal/daemon/entry_bench_test.go
+++ b/internal/daemon/entry_bench_test.go
@@ -30,8 +30,8 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// The measurements of one entry: real processes, the daemon on four
-// processors, engines whose own time is small. Run them with
+// Benchmarks of one entry. They run real processes: the daemon with GOMAXPROCS=4
+// and stand-in engines that take little time of their own. Run them with
 //
 //	go test -run '^$' -bench Entry -benchtime 3000x ./internal/daemon
 const (
@@ -45,7 +45,7 @@
 	benchModel   = "writer"
 )
 
-// benchCluster is a running system.
+// benchCluster is a running platform with engines and one daemon.
 type benchCluster struct {
 	b       *testing.B
 	dir     string
@@ -55,7 +55,7 @@
 	pid     int
 }
 
-// newBenchCluster builds the programs, and starts a platform, engines and a daemon.
+// newBenchCluster builds the programs and starts a platform, engines and a daemon.
 func newBenchCluster(b *testing.B, engineOptions string, slots int, policy pool.Policy) *benchCluster {
 	bc := &benchCluster{b: b, dir: b.TempDir()}
 	build := exec.Command("go", "build", "-o", bc.dir+string(filepath.Separator), "../../cmd/lycheekeeld", "../../cmd/lycheekeel")
@@ -167,7 +167,7 @@
 		select {
 		case <-tick.C:
 		case <-timeout:
-			bc.b.Fatalf("not within %v: %s", benchTimeout, what)
+			bc.b.Fatalf("timeout after %v: %s", benchTimeout, what)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	})
 }
 
-// client is one kept-alive connection.
+// client is one keep-alive connection.
 type client struct {
 	b    *testing.B
 	conn net.Conn
@@ -219,8 +219,8 @@
 	return string(body)
 }
 
-// firstByte sends a request for a stream and returns the time to the first
-// line with the mark; it reads the stream to its end.
+// firstByte sends a request for a stream and returns the time to the first line
+// that contains the marker. It reads the stream to its end.
 func (c *client) firstByte(request []byte, marker string) time.Duration {
 	sent := time.Now()
 	c.send(request)
@@ -260,7 +260,7 @@
 		benchModel, stream, text), "Authorization: Bearer "+benchKey)
 }
 
-// engineRequest is the same request as an engine takes it.
+// engineRequest returns the same request in the engines' own format.
 func (bc *benchCluster) engineRequest(id int, text string) []byte {
 	return post("/engine/run", fmt.Sprintf(`{"request_id":"direct-%d","model":%q,"version":"v1","prompt":%q,"last":%q,"prompt_tokens":8,"max_tokens":64}`,
 		id, benchModel, text, text))
@@ -271,7 +271,8 @@
 	return float64(d[len(d)/2].Microseconds()) / 1000
 }
 
-// BenchmarkEntryFirstByte alternates between the entry and a direct call.
+// BenchmarkEntryFirstByte measures the latency that the entry adds. It alternates
+// between requests to the entry and requests sent directly to an engine.
 func BenchmarkEntryFirstByte(b *testing.B) {
 	bc := newBenchCluster(b, fastEngine, engineSlots, pool.PolicyLycheekeel)
 	entryConn, directConn := bc.dial(bc.entry), bc.dial(bc.engines[0])
@@ -290,8 +291,9 @@
 	b.ReportMetric(median(entry)-median(direct), "added_p50_ms")
 }
 
-// BenchmarkEntryRequests sends small plain requests over kept-alive
-// connections, each as soon as the last was answered.
+// BenchmarkEntryRequests measures throughput with small requests without
+// streaming. Each of its keep-alive connections sends the next request as soon as
+// the previous one was answered.
 func BenchmarkEntryRequests(b *testing.B) {
 	const connections = 128
 	bc := newBenchCluster(b, fastEngine, engineSlots, pool.PolicyLycheekeel)
@@ -318,8 +320,8 @@
 	b.ReportMetric((cpuSeconds(b, bc.pid)-before)/b.Elapsed().Seconds(), "daemon_cores")
 }
 
-// BenchmarkEntryMemory measures what an idle connection, an open stream and a
-// waiting request cost the daemon in resident memory.
+// BenchmarkEntryMemory measures the daemon's resident memory per idle connection,
+// open stream and waiting request.
 func BenchmarkEntryMemory(b *testing.B) {
 	const idle, streams, waiting = 10_000, 2_000, 4_000
 	longText := "echo:" + strings.Repeat("cracked tile; ", 400)
@@ -327,13 +329,13 @@
 		gauge  string
 		n      int
 		slots  int  // of each engine
-		full   bool // the slots are filled before the n that are measured
+		full   bool // all slots are filled before the n measured requests are sent
 		stream bool
 		policy pool.Policy
 	}{
 		{"connections", idle, 1, false, false, pool.PolicyLycheekeel},
-		// A baseline policy fills the slots at once, without finding the
-		// engines' limits first.
+		// A baseline policy fills the slots at once, while the default policy
+		// first has to find the engines' concurrency limits.
 		{"open_streams", streams, streams / engineCount, false, true, pool.PolicyLeastOutstanding},
 		{"waiting", waiting, 1, true, false, pool.PolicyLycheekeel},
 	} {
@@ -355,14 +357,15 @@
 			bc.waitUntil(fmt.Sprintf("%d %s", c.n, c.gauge), func() bool { return bc.gauge(c.gauge) >= c.n })
 			b.ReportMetric((residentKB(b, bc.pid)-before)/float64(c.n), "KB/each")
 			if !c.full && !c.stream {
-				bc.warmUp() // with so many idle connections, a request is answered
+				bc.warmUp() // a request is answered beside so many idle connections
 			}
 			b.ReportMetric(float64(len(request))/1024, "KB/request")
 		})
 	}
 }
 
-// openAndHold opens a connection until the benchmark's end and sends a request on it.
+// openAndHold opens a connection that stays open until the benchmark's end and
+// sends a request on it, unless request is nil.
 func (bc *benchCluster) openAndHold(request []byte) {
 	c := bc.dial(bc.entry)
 	bc.b.Cleanup(c.close)
@@ -403,13 +406,13 @@
 	return kb
 }
 
-// cpuSeconds returns the processor time that a process has used.
+// cpuSeconds returns the CPU time that a process has used, in seconds.
 func cpuSeconds(b *testing.B, pid int) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		b.Skipf("no /proc: %v", err)
 	}
-	const user, system, ticks = 11, 12, 100 // after the name; USER_HZ
+	const user, system, ticks = 11, 12, 100 // indexes of the fields after the name; ticks per second (USER_HZ)
 	_, rest, _ := strings.Cut(string(data), ") ")
 	f := strings.Fields(rest)
 	u, _ := strconv.ParseFloat(f[user], 64)
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -12,10 +12,12 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// roleEntry is the role in the platform's VM list of VMs that run this daemon.
+// roleEntry is the role, in the platform's VM list, of the VMs that run this
+// daemon.
 const roleEntry = "entry"
 
-// wireMembers makes the membership; it registers handlers at the transport.
+// wireMembers creates the membership protocol's runner, which registers handlers
+// with the transport.
 func (d *Daemon) wireMembers() error {
 	var err error
 	d.members, err = member.NewRunner(member.Config{
@@ -31,7 +33,7 @@
 	return errors.Wrap(err, "membership")
 }
 
-// peerAddress is where other daemons reach this one.
+// peerAddress returns the address at which other daemons reach this one.
 func (d *Daemon) peerAddress() string {
 	a := d.settings.Peer.Address
 	if p, err := netip.ParseAddrPort(a); err == nil && p.Port() == 0 {
@@ -40,8 +42,9 @@
 	return a
 }
 
-// peerCandidates returns where daemons may listen by the platform's VM list: on
-// the VMs of their role, at the port that this daemon uses.
+// peerCandidates returns addresses at which other daemons may listen: the live
+// VMs with the daemon's role in the platform's VM list, with this daemon's own
+// peer port.
 func (d *Daemon) peerCandidates(ctx context.Context) ([]string, error) {
 	self, err := netip.ParseAddrPort(d.peerAddress())
 	if err != nil {
--- a/internal/daemon/placement.go
+++ b/internal/daemon/placement.go
@@ -11,12 +11,12 @@
 	"github.com/lycheekeel/lycheekeel/placement"
 )
 
-// placementLeasePrefix with a region's name is the lease of its placement
-// controller.
+// placementLeasePrefix followed by the region's name is the name of the lease
+// of the region's placement controller.
 const placementLeasePrefix = "placement-"
 
 // newPlacement returns the controller that places models in this daemon's
-// region while it holds the region's lease.
+// region while this daemon holds the region's placement lease.
 func (d *Daemon) newPlacement(engines engine.Dialer) (*placement.Controller, error) {
 	elector, err := d.newElector(placementLeasePrefix + d.settings.Region)
 	if err != nil {
@@ -28,7 +28,7 @@
 	}), nil
 }
 
-// newElector returns this daemon's candidacy for a lease.
+// newElector returns an elector by which this daemon competes for a lease.
 func (d *Daemon) newElector(name string) (*lease.Elector, error) {
 	return lease.NewElector(d.platform, lease.Options{
 		Name: name, Holder: d.settings.Name, Duration: LeaseDuration, PollEvery: LeaseDuration,
@@ -36,8 +36,8 @@
 	})
 }
 
-// regionDemand asks the region's members what waits and runs at the pools that
-// they own.
+// regionDemand collects the waiting and running requests of the region's pools
+// from the members that own them.
 func (d *Daemon) regionDemand(ctx context.Context) map[string]placement.Demand {
 	var names []string
 	for _, m := range d.view.Load().Members {
@@ -57,6 +57,6 @@
 // runPlacement runs the controller until ctx ends.
 func (d *Daemon) runPlacement(ctx context.Context) {
 	if err := d.placement.Run(ctx); err != nil && ctx.Err() == nil {
-		d.log.WithError(err).Error("placement ended")
+		d.log.WithError(err).Error("placement controller failed")
 	}
 }
--- a/internal/daemon/report.go
+++ b/internal/daemon/report.go
@@ -13,18 +13,18 @@
 	"github.com/lycheekeel/lycheekeel/revision"
 )
 
-// reportTimeout bounds asking the members for their reports.
+// reportTimeout limits how long members may take to send their reports.
 const reportTimeout = time.Second
 
-// memberReport is what a daemon tells another one of itself, for operators
-// and for the placement controller. It travels as JSON: it is asked for
-// rarely, and its fields are for people's eyes.
+// memberReport is a daemon's answer to a status request from a peer, for
+// operators and for the placement controller. It is encoded as JSON, since it is
+// requested rarely and its fields are meant to be read by people.
 type memberReport struct {
 	Configuration revision.Report `json:"configuration"`
 	Owned         []pool.Summary  `json:"owned"`
 }
 
-// reportResult is a member's report, or why there is none.
+// reportResult is a member's report, or the error in fetching it.
 type reportResult struct {
 	report memberReport
 	err    error
@@ -34,13 +34,13 @@
 	return memberReport{Configuration: d.syncer.Report(), Owned: d.host.Summaries()}
 }
 
-// handleStatus answers a peer with this daemon's report.
+// handleStatus serves a peer's request for this daemon's report.
 func (d *Daemon) handleStatus(context.Context, peer.Name, []byte) ([]byte, error) {
 	return json.Marshal(d.ownReport())
 }
 
-// fetchReports asks members for their reports, all at once; the answers are in
-// the order of the names.
+// fetchReports fetches the reports of the named members concurrently and returns
+// them in the order of names.
 func (d *Daemon) fetchReports(ctx context.Context, names []string) []reportResult {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -23,7 +23,7 @@
 }`
 
 func TestSettings(t *testing.T) {
-	Convey("Good settings are read, with defaults for what is left out", t, func() {
+	Convey("Valid settings are read, with defaults for omitted fields", t, func() {
 		file := filepath.Join(t.TempDir(), "entry-1.json")
 		So(os.WriteFile(file, []byte(goodSettings), 0o600), ShouldBeNil)
 		s, err := LoadSettings(file)
@@ -33,7 +33,7 @@
 		So(orDefault(s.Timeouts.DrainMs, DefaultDrainDelay), ShouldEqual, 1500*time.Millisecond)
 		So(orDefault(s.Timeouts.StopMs, DefaultStopTimeout), ShouldEqual, DefaultStopTimeout)
 	})
-	Convey("Every finding comes back at once, with its place", t, func() {
+	Convey("All findings are returned at once, each with its path", t, func() {
 		_, err := settings.Parse[Settings]("bad.json", []byte(`{
 		  "name": "Entry 1", "region": 5, "listen": "localhost:8080", "admin": "127.0.0.1:8081", "colour": "red",
 		  "peer": {"listen": "127.0.0.1:7946", "seeds": ["127.0.0.2:7946", "nowhere"], "cluster_keys": ["short"]},
@@ -55,7 +55,7 @@
 		}
 		So(len(reportedPaths), ShouldEqual, 12)
 	})
-	Convey("An unknown field alone is enough to refuse a file", t, func() {
+	Convey("An unknown field alone makes a file invalid", t, func() {
 		_, err := settings.Parse[Settings]("odd.json", []byte(strings.Replace(goodSettings, `"region"`, `"colour": 1, "region"`, 1)))
 		findings, ok := err.(workspace.Findings)
 		So(ok, ShouldBeTrue)
@@ -63,7 +63,7 @@
 		So(findings[0].Path, ShouldEqual, "colour")
 		So(findings[0].Warning, ShouldBeFalse)
 	})
-	Convey("What is not JSON is one finding", t, func() {
+	Convey("A file that is not JSON has one finding", t, func() {
 		_, err := settings.Parse[Settings]("bad.json", []byte(`{"name": `))
 		findings, ok := err.(workspace.Findings)
 		So(ok, ShouldBeTrue)
@@ -72,7 +72,7 @@
 }
 
 func TestSettingsPageListsEverySetting(t *testing.T) {
-	Convey("The page names each setting", t, func() {
+	Convey("The settings page names each setting", t, func() {
 		page, err := os.ReadFile("../../docs/operators/settings.md")
 		So(err, ShouldBeNil)
 		var paths func(prefix string, t reflect.Type) []string
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -13,7 +13,8 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Status is what a daemon tells of itself and of what it knows.
+// Status is a daemon's report of its own state, the configuration, the members
+// and the pools.
 type Status struct {
 	Name             string             `json:"name"`
 	Region           string             `json:"region"`
@@ -28,10 +29,10 @@
 	Owned []OwnedPool `json:"owned"`
 }
 
-// OwnedPool is a pool's standing, as its owner counts it.
+// OwnedPool is the state of a pool, as reported by its owner.
 type OwnedPool struct {
 	Pool string `json:"pool"`
-	// Waiting and ExpectedWaitMs are by tier, the most urgent first.
+	// Waiting and ExpectedWaitMs are indexed by tier, the most urgent first.
 	Waiting        []int         `json:"waiting"`
 	ExpectedWaitMs []int64       `json:"expected_wait_ms"`
 	Running        int           `json:"running"`
@@ -39,7 +40,7 @@
 	Servers        []OwnedServer `json:"servers"`
 }
 
-// OwnedServer is a backend server's standing in an OwnedPool.
+// OwnedServer is the state of a backend server in an OwnedPool.
 type OwnedServer struct {
 	Name      string `json:"name"`
 	Health    string `json:"health"`
@@ -48,8 +49,9 @@
 	Straggler bool   `json:"straggler"`
 }
 
-// MemberStatus is what is known of a member. Configuration is set where the
-// member was asked; Error says why it did not answer.
+// MemberStatus is the state of a member, as this daemon sees it. Configuration
+// is set if the member was queried and answered; Error says why it did not
+// answer.
 type MemberStatus struct {
 	Name             string           `json:"name"`
 	Address          string           `json:"address"`
@@ -61,7 +63,8 @@
 	Error            string           `json:"error,omitempty"`
 }
 
-// PoolStatus names a pool's owner, as this daemon sees it; empty: none.
+// PoolStatus names the owner of a pool, as this daemon sees it. Owner is empty
+// if the pool has none.
 type PoolStatus struct {
 	Pool    string `json:"pool"`
 	Region  string `json:"region"`
@@ -111,7 +114,8 @@
 	return out
 }
 
-// fetchConfigurations asks the members which configuration they have in force.
+// fetchConfigurations sets the active configuration of each member, as reported
+// by the member itself.
 func (d *Daemon) fetchConfigurations(ctx context.Context, members []MemberStatus) {
 	names := make([]string, len(members))
 	for i, m := range members {
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -7,16 +7,16 @@
 	"github.com/pkg/errors"
 )
 
-// adminShutdownTimeout bounds the end of the admin port.
+// adminShutdownTimeout limits the shutdown of the admin port.
 const adminShutdownTimeout = time.Second
 
-// gracefulStop ends the serving of callers without cutting one off.
+// gracefulStop stops serving callers without cutting off a request.
 //
-// What goes wrong with a plain exit: the balancer sends callers here until its
-// next check, and they find a closed port; those that wait or run here lose
-// their answers. So: not ready at once, the pools move to other members, the
-// listener stays open until the balancer has noticed, and then every request
-// gets its whole answer.
+// A plain exit would lose requests: the load balancer sends connections to the
+// closed port until its next check, and requests that wait or run here lose
+// their answers. Therefore the daemon reports not ready at once and hands its
+// pools to other members, keeps the listener open until the load balancer has
+// noticed, and then waits until every request has its whole answer.
 func (d *Daemon) gracefulStop() error {
 	d.state.Store(uint32(stateDraining))
 	d.members.Leave()
@@ -35,6 +35,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), adminShutdownTimeout)
 	defer cancel()
 	if err := d.admin.Shutdown(ctx); err != nil {
-		d.log.WithError(err).Debug("admin port")
+		d.log.WithError(err).Debug("can't shut down the admin port")
 	}
 }
--- a/internal/daemon/vms.go
+++ b/internal/daemon/vms.go
@@ -13,12 +13,14 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// VMListInterval is how often a daemon that owns pools asks for the VM list. A
-// leaving backend server must get no new work within seconds.
+// VMListInterval is the interval at which a daemon that owns pools fetches the VM
+// list. It is short because a leaving backend server must stop getting new work
+// within seconds.
 const VMListInterval = 1500 * time.Millisecond
 
-// leavingVMs knows which VMs the platform's list shows as leaving. Daemons
-// that own no pool don't ask: each call counts against the platform's rates.
+// leavingVMs holds the VMs that the platform's list shows as leaving. Only
+// daemons that own a pool fetch the list, because each call counts against the
+// platform's rate limits.
 type leavingVMs struct {
 	list      objectstore.VMList
 	ownsPools func() bool
@@ -30,7 +32,7 @@
 	return &leavingVMs{list: list, ownsPools: ownsPools, log: logs.For("vms")}
 }
 
-// Run asks until ctx ends.
+// Run refreshes the set periodically until ctx ends.
 func (l *leavingVMs) Run(ctx context.Context) {
 	tick := time.NewTicker(VMListInterval)
 	defer tick.Stop()
@@ -46,14 +48,14 @@
 	}
 }
 
-// refresh keeps the last list where the platform does not answer: a VM that was
-// leaving does not come back.
+// refresh fetches the VM list. If the platform does not answer, the last list
+// stays valid: a VM that is leaving does not come back.
 func (l *leavingVMs) refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, VMListInterval)
 	defer cancel()
 	vms, err := l.list.VMs(ctx)
 	if err != nil {
-		l.log.WithError(err).Debug("no VM list")
+		l.log.WithError(err).Debug("can't fetch the VM list")
 		return
 	}
 	ips := map[string]bool{}
@@ -65,7 +67,7 @@
 	l.ips.Store(&ips)
 }
 
-// isLeaving tells whether a backend server's VM is leaving.
+// isLeaving reports whether a backend server's VM is leaving.
 func (l *leavingVMs) isLeaving(s workspace.BackendServer) bool {
 	ips := l.ips.Load()
 	if ips == nil || len(*ips) == 0 {
--- a/internal/daemon/vms_test.go
+++ b/internal/daemon/vms_test.go
@@ -11,9 +11,9 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Guards against this: a backend server gets new work until its VM is gone.
+// Guards against: a backend server gets new work until its VM is gone.
 func TestServerOnLeavingVMIsLeaving(t *testing.T) {
-	Convey("A server whose VM leaves is leaving, also while the list has an outage", t, func() {
+	Convey("A server on a leaving VM counts as leaving, also while the VM list is unavailable", t, func() {
 		platform := standin.New(standin.Options{})
 		vms := newLeavingVMs(platform, func() bool { return true })
 		leaving := workspace.BackendServer{Address: "10.0.0.1:8000"}
