--- a/internal/explain/classes.go
+++ b/internal/explain/classes.go
@@ -8,18 +8,18 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Class counts the ends of the requests of a route and tier.
+// Class counts the answered and refused requests of one route and tier.
 type Class struct {
 	Route             string
-	Tier              int // -1: not known at their end
+	Tier              int // -1 if not known when the request ended
 	Answered, Refused int
 }
 
-// Served is the part of the ended requests that was answered.
+// Served returns the share of the ended requests that were answered, from 0 to 1.
 func (c Class) Served() float64 { return float64(c.Answered) / float64(max(1, c.Answered+c.Refused)) }
 
-// PoolSecond is what pools granted and refused in a second, by tier, and for how long
-// the runs that ended held their slots.
+// PoolSecond counts what all pools together granted and refused in one second, by
+// tier. SlotMs is the total time for which the runs that ended held their slots.
 type PoolSecond struct {
 	At                                          time.Time
 	Granted, GrantedLate, Shed, Expired, SlotMs [request.MaxTiers]int
@@ -52,7 +52,7 @@
 	row := c.poolSeconds[at]
 	if row == nil {
 		if len(c.poolSeconds) >= maxRows {
-			return // days of seconds
+			return // the logs cover more than maxRows seconds with refusals
 		}
 		row = &PoolSecond{At: at}
 		c.poolSeconds[at] = row
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,7 @@
-// Package explain tells one request's story from the logs of many VMs: its
-// own lines in order, and what the VMs that took part learned around that
-// time.
+// Package explain analyzes the logs of many VMs. For one request it collects a
+// timeline: the request's own lines in order, and the general lines that the VMs
+// involved wrote around that time. For all requests it sums up refusals and
+// losses.
 package explain
 
 import (
@@ -15,13 +16,13 @@
 	"github.com/pkg/errors"
 )
 
-// The window around a request in which other lines are told.
+// The time before and after a request in which general lines are included.
 const (
 	windowBefore = 5 * time.Second
 	windowAfter  = time.Second
 )
 
-// maxLineBytes bounds a line of a log, in bytes.
+// maxLineBytes is the maximum length of a log line; a longer one is an error.
 const maxLineBytes = 1 << 20
 
 // Line is one line of a daemon's log.
@@ -30,36 +31,37 @@
 	Time    time.Time
 	Part    string
 	Message string
-	// Fields are the others, as the log has them.
+	// Fields are the remaining fields except the level, as decoded from JSON.
 	Fields map[string]any
 }
 
-// Timeline is what the logs say of a request.
+// Timeline is what the logs contain about one request.
 type Timeline struct {
 	ID string
-	// Lines are the request's own, in order; around are lines of the VMs that
-	// took part which say what they learned, in order.
+	// Lines are the request's own lines, Around the general lines of the VMs
+	// involved that were written about the same time. Both are ordered by time.
 	Lines  []Line
 	Around []Line
-	// Read is how many lines were read, Skipped how many were no log lines.
+	// Read is the number of lines read, Skipped of those that are no log lines.
 	Read, Skipped int
 }
 
-// Collector reads logs. It is not safe for concurrent use.
+// Collector reads logs and collects one request's lines. It is not safe for
+// concurrent use.
 type Collector struct {
 	timeline     Timeline
 	generalLines []Line
-	Progress     func(lines int) // called now and then; may be nil
+	Progress     func(lines int) // called every linesPerProgress lines; may be nil
 }
 
-// linesPerProgress is how many lines lie between two calls of Progress.
+// linesPerProgress is the number of lines between two calls of Progress.
 const linesPerProgress = 1_000_000
 
-// NewCollector returns a collector for the request with the id.
+// NewCollector returns a collector for the request with the given id.
 func NewCollector(id string) *Collector { return &Collector{timeline: Timeline{ID: id}} }
 
-// Read reads one log. Lines may have a prefix that ends with the VM's name;
-// otherwise the file's name stands for it.
+// Read reads one log. Lines may have a prefix whose last word is the VM's name;
+// without a prefix, the base name of the file is taken as the VM's name.
 func (c *Collector) Read(file string, r io.Reader) error {
 	return scan(file, r, func(l Line, ok bool) {
 		c.timeline.Read++
@@ -70,7 +72,8 @@
 	})
 }
 
-// scan reads a log line by line; take is told false where one is none of a log.
+// scan reads a log and calls handle for each line, with ok false if the line is
+// no log line.
 func scan(file string, r io.Reader, handle func(l Line, ok bool)) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
@@ -92,7 +95,7 @@
 	}
 }
 
-// parseLine reads a line; false where it is none of a log.
+// parseLine parses a line and reports whether it is a log line.
 func parseLine(vm, text string) (Line, bool) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
@@ -116,14 +119,15 @@
 	return l, true
 }
 
-// popString takes a text out of the fields; empty where there is none.
+// popString removes a field and returns its value, or "" if it is no string.
 func popString(fields map[string]any, name string) string {
 	s, _ := fields[name].(string)
 	delete(fields, name)
 	return s
 }
 
-// Timeline returns the request's story; its Lines are empty where no log has it.
+// Timeline returns the request's timeline. Its Lines are empty if no log contains
+// the request.
 func (c *Collector) Timeline() Timeline {
 	t := c.timeline
 	byTime := func(a, b Line) int { return a.Time.Compare(b.Time) }
@@ -142,13 +146,13 @@
 	return t
 }
 
-// startTime is when the request came, by its line.
+// startTime returns when the request arrived, computed from one of its lines.
 func startTime(l Line) time.Time {
 	ms, _ := l.Fields["total_ms"].(float64)
 	return l.Time.Add(-time.Duration(ms) * time.Millisecond)
 }
 
-// participants is who took part in a request.
+// participants are the VMs, pool owners and servers involved in a request.
 type participants struct{ vms, owners, servers map[string]bool }
 
 func participantsOf(lines []Line) participants {
@@ -172,8 +176,10 @@
 	return c
 }
 
-// concernedBy tells whether a line may matter: what the request's own VM learned,
-// but for other servers, and what its owner learned of its pools and peers.
+// concernedBy reports whether a general line may matter for the request. It must be
+// written by the request's VM or by its pool's owner. If it names a server or a
+// peer (field "of"), these must be involved, too. Other lines of the owner count
+// unless they are about the configuration (part "sync").
 func (c participants) concernedBy(l Line) bool {
 	if server, ok := l.Fields["server"].(string); ok {
 		return c.servers[server] && (c.vms[l.VM] || c.owners[l.VM])
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestTimelineOfRecordedLog(t *testing.T) {
-	Convey("A request's lines come in order, with what its VM and its owner learned", t, func() {
+	Convey("A request's lines are in order, with general lines of its VM and its pool's owner", t, func() {
 		s := timelineOf(t, "aaaa")
 		So(len(s.Lines), ShouldEqual, 2)
 		So(s.Lines[0].Message, ShouldEqual, "Send failed.")
@@ -35,17 +35,17 @@
 		}
 		So(around, ShouldResemble, []string{"vm-1: Server is gone.", "vm-2: Gave the pool up."})
 	})
-	Convey("Ends of every kind are told", t, func() {
+	Convey("Each kind of end is recognized", t, func() {
 		So(timelineOf(t, "bbbb").Cause(), ShouldContainSubstring, "answered with status 200")
 		So(timelineOf(t, "cccc").Cause(), ShouldContainSubstring, "cut after 3 events")
 		So(timelineOf(t, "dddd").Cause(), ShouldContainSubstring, "no log has")
 		So(timelineOf(t, "eeee").Cause(), ShouldContainSubstring, "not in these logs")
 	})
-	Convey("Lines of other kinds are counted, not taken", t, func() {
+	Convey("Lines that are no log lines are counted and skipped", t, func() {
 		s := timelineOf(t, "aaaa")
 		So(s.Skipped, ShouldEqual, 2)
 	})
-	Convey("A file's name stands for a VM without a prefix", t, func() {
+	Convey("Without a prefix the file's name is taken as the VM's name", t, func() {
 		c := NewCollector("x")
 		err := c.Read("logs/vm-7.log", strings.NewReader(`{"msg":"Refused.","part":"forward","time":"2026-01-01T00:00:00Z","request":"x","reason":"shed"}`))
 		So(err, ShouldBeNil)
@@ -54,7 +54,7 @@
 }
 
 func TestEveryForwardingReasonIsExplained(t *testing.T) {
-	Convey("A reason that the forwarding path uses has its sentence", t, func() {
+	Convey("Each reason of the forwarding path has an explanation", t, func() {
 		for _, r := range []request.Reason{
 			request.ReasonShed, request.ReasonWorkspaceLimit, request.ReasonExpired, request.ReasonNoConfiguration,
 			request.ReasonStoreUnavailable, request.ReasonUnauthorized, request.ReasonUnknownPath, request.ReasonEngineLost,
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -10,14 +10,16 @@
 )
 
 const (
-	// maxRows bounds the rows of each table of Losses, so that logs of any length
-	// take a bounded amount of memory; what is beyond counts in the row "others".
+	// maxRows limits the rows of each table of Losses, so that logs of any length
+	// take a bounded amount of memory. Refusals, classes and failed sends beyond it
+	// are counted in the row "others".
 	maxRows = 20_000
-	// othersRow names that row.
+	// othersRow is the name of that row.
 	othersRow = "others"
-	// maxRetryAfterMs is the longest told time to come back that is told apart, in ms.
+	// maxRetryAfterMs is the end of the histogram of retry-after times, in
+	// milliseconds; longer times count as this one.
 	maxRetryAfterMs = 60_000
-	// retryAfterDigits is the precision of its histogram.
+	// retryAfterDigits is the number of significant digits of that histogram.
 	retryAfterDigits = 2
 )
 
@@ -25,35 +27,36 @@
 type Losses struct {
 	Read, Skipped int
 	Answered, Cut int
-	// Unended are the requests that ran for long and have no end in the logs, oldest
-	// first: their daemons were killed, or the logs end before.
+	// Unended are the long-running requests whose end is not in the logs, oldest
+	// first: their daemons were killed, or the logs end before they did.
 	Unended []Unended
-	// Classes are what became of requests by route and tier, least served first.
+	// Classes count answers and refusals by route and tier, least served first.
 	Classes []Class
-	// RefusalRow are by reason, tier, route and workspace, most first.
+	// Refusals are counted by reason, tier, route and workspace, most frequent
+	// first.
 	Refusals []RefusalRow
-	// Seconds are the refusals of each second by reason, oldest first.
+	// Seconds are the refusals by second and reason, oldest first.
 	Seconds []RefusalSecond
-	// Servers are the failed sends by server and cause, most first.
+	// Servers are the failed sends by server and cause, most frequent first.
 	Servers []ServerFailures
-	// Starts are by VM, oldest first.
+	// Starts are the starts of daemons, in the order in which they were read.
 	Starts []Start
-	// Crowds are what pools told of themselves while they refused requests, oldest
-	// first.
+	// Crowds are the states that pools logged while they refused requests, in the
+	// order in which they were read.
 	Crowds []PoolOverload
-	// PoolSeconds are what all pools together did in each second in which one of them
-	// refused requests, oldest first.
+	// PoolSeconds count what all pools together granted and refused in each second
+	// in which one of them refused requests, oldest first.
 	PoolSeconds []PoolSecond
 }
 
-// RefusalRow counts those of one kind.
+// RefusalRow counts the refusals with the same reason, route, workspace and tier.
 type RefusalRow struct {
 	Reason, Route, Workspace string
-	Tier                     int // -1: not known when it was refused
+	Tier                     int // -1 if not known when the request was refused
 	Count                    int
-	// Held is the mean time from the request to its refusal, RetryAfter are the
-	// 10th, 50th and 90th percentiles of the time that the callers were told to
-	// come back after; milliseconds.
+	// HeldMs is the mean time from the request to its refusal, RetryAfterMs are the
+	// 10th, 50th and 90th percentiles of the retry-after times sent to callers, in
+	// milliseconds.
 	HeldMs       float64
 	RetryAfterMs [3]int64
 
@@ -61,32 +64,33 @@
 	retryAfter *hdrhistogram.Histogram
 }
 
-// RefusalSecond counts the refusals that a second had, by reason.
+// RefusalSecond counts the refusals within one second by reason.
 type RefusalSecond struct {
 	At      time.Time
 	Reasons map[string]int
 }
 
-// ServerFailures counts the sends to a server that failed for one cause.
+// ServerFailures counts the sends to one server that failed with one cause.
 type ServerFailures struct {
 	Server, Cause string
 	Count         int
 }
 
-// Unended is a request without an end.
+// Unended is a request whose end is not in the logs.
 type Unended struct {
-	At                  time.Time // of the line that it still runs
+	At                  time.Time // time of its last line "Still running."
 	VM, Request, Server string
 }
 
-// Start tells how long a VM took from its start to its first whole answer.
+// Start is the start of a daemon and the time until its first complete answer.
 type Start struct {
 	VM      string
 	At      time.Time
-	FirstMs int64 // -1: it gave none
+	FirstMs int64 // milliseconds; -1 if it gave no answer
 }
 
-// PoolOverload is a pool's standing when it refused requests.
+// PoolOverload is the state of a pool when it refused requests. Lost is the number
+// of its lost runs.
 type PoolOverload struct {
 	At                        time.Time
 	Pool                      string
@@ -100,7 +104,7 @@
 
 type failureKey struct{ server, cause string }
 
-// LossCollector sums up logs. It is not safe for concurrent use.
+// LossCollector reads logs and sums up losses. It is not safe for concurrent use.
 type LossCollector struct {
 	losses           Losses
 	refusals         map[refusalKey]*RefusalRow
@@ -108,8 +112,8 @@
 	failures         map[failureKey]int
 	classes          map[classKey]*Class
 	poolSeconds      map[time.Time]*PoolSecond
-	unended          map[string]Unended // by VM and request
-	unansweredStarts map[string]int     // by VM: its newest entry in Starts without an answer
+	unended          map[string]Unended // keyed by VM and request id
+	unansweredStarts map[string]int     // by VM: index in losses.Starts of a start without an answer yet
 }
 
 // NewLossCollector returns a collector that has read nothing.
@@ -121,7 +125,7 @@
 	}
 }
 
-// Read reads one log, whose lines are as those of Collector.Read.
+// Read reads one log; its lines have the same form as for Collector.Read.
 func (c *LossCollector) Read(file string, r io.Reader) error {
 	return scan(file, r, func(l Line, ok bool) {
 		c.losses.Read++
@@ -163,7 +167,7 @@
 	}
 }
 
-// trackRunning notes which requests run on, and which of those have ended.
+// trackRunning keeps the set of long-running requests that have not ended.
 func (c *LossCollector) trackRunning(l Line) {
 	id := stringField(l, "request")
 	key := l.VM + " " + id
@@ -200,7 +204,7 @@
 	}
 	r.Count++
 	r.heldMsSum += float64(intField(l, "total_ms"))
-	// A value within the range can't fail.
+	// RecordValue fails only for a value out of range.
 	_ = r.retryAfter.RecordValue(int64(min(intField(l, "retry_after_ms"), maxRetryAfterMs)))
 	c.addToSecond(l.Time.Truncate(time.Second), k.reason)
 }
@@ -208,7 +212,7 @@
 func (c *LossCollector) addToSecond(at time.Time, reason string) {
 	if c.seconds[at] == nil {
 		if len(c.seconds) >= maxRows {
-			return // days of seconds; Refusals has them
+			return // more than maxRows seconds; Refusals still counts it
 		}
 		c.seconds[at] = map[string]int{}
 	}
@@ -223,7 +227,7 @@
 	c.failures[k]++
 }
 
-// Losses returns what was read so far.
+// Losses returns the summary of the lines read so far.
 func (c *LossCollector) Losses() Losses {
 	out := c.losses
 	for _, r := range c.refusals {
@@ -257,12 +261,13 @@
 	return out
 }
 
-// stringField and number return a field; empty and 0 where there is none of that type.
+// stringField returns a field's value, or "" if it is no string.
 func stringField(l Line, name string) string {
 	s, _ := l.Fields[name].(string)
 	return s
 }
 
+// intField returns a field's value, or 0 if it is no number.
 func intField(l Line, name string) int {
 	n, _ := l.Fields[name].(float64)
 	return int(n)
--- a/internal/explain/losses_test.go
+++ b/internal/explain/losses_test.go
@@ -9,14 +9,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// refusalLine is a line of a log.
+// refusalLine returns the log line of a refusal.
 func refusalLine(second int, reason, workspace string, tier, retryAfterMs int) string {
 	return fmt.Sprintf(`vm-1 {"msg":"Refused.","part":"forward","time":"2026-01-01T00:00:%02d.5Z","reason":%q,"route":"r","workspace":%q,"tier":%d,"total_ms":20,"retry_after_ms":%d}`+"\n",
 		second, reason, workspace, tier, retryAfterMs)
 }
 
 func TestLossesOfARecordedLog(t *testing.T) {
-	Convey("Answers, cuts, refusals, failed sends and starts are summed up", t, func() {
+	Convey("Answers, cut streams, refusals, failed sends and starts are counted", t, func() {
 		f, err := os.Open("testdata/day.log")
 		So(err, ShouldBeNil)
 		defer f.Close()
@@ -31,7 +31,7 @@
 		So(losses.Starts, ShouldHaveLength, 1)
 		So(losses.Starts[0].FirstMs, ShouldEqual, 10_000)
 	})
-	Convey("Refusals are told by kind and by second, with what the callers were told", t, func() {
+	Convey("Refusals are counted by kind and by second, with percentiles of retry-after times", t, func() {
 		c := NewLossCollector()
 		log := refusalLine(1, "shed", "a", 2, 500) + refusalLine(1, "shed", "a", 2, 700) + refusalLine(3, "workspace_limit", "b", 1, 50)
 		So(c.Read("x.log", strings.NewReader(log)), ShouldBeNil)
@@ -43,7 +43,7 @@
 		So(losses.Seconds, ShouldHaveLength, 2)
 		So(losses.Seconds[0].Reasons, ShouldResemble, map[string]int{"shed": 2})
 	})
-	Convey("Classes are told by how much of them was answered, least first", t, func() {
+	Convey("Classes are sorted by the share of answered requests, smallest first", t, func() {
 		answer := `vm-1 {"msg":"Answered.","part":"forward","time":"2026-01-01T00:00:01Z","route":"r","tier":1}` + "\n"
 		c := NewLossCollector()
 		So(c.Read("x.log", strings.NewReader(refusalLine(1, "shed", "a", 2, 500)+answer+answer+refusalLine(1, "shed", "a", 1, 500))), ShouldBeNil)
@@ -51,7 +51,7 @@
 		So(losses.Classes, ShouldResemble, []Class{{Route: "r", Tier: 2, Refused: 1}, {Route: "r", Tier: 1, Answered: 2, Refused: 1}})
 		So(losses.Classes[1].Served(), ShouldAlmostEqual, 2.0/3)
 	})
-	Convey("What pools granted and refused in a second is added up by tier", t, func() {
+	Convey("Grants and refusals of all pools within a second are added up by tier", t, func() {
 		line := func(pool string, second int) string {
 			return fmt.Sprintf(`vm-1 {"msg":"Pool is crowded.","part":"poolhost","time":"2026-01-01T00:00:%02d.2Z","pool":%q,"tier_granted":[3,1],"tier_granted_late":[1,0],"tier_shed":[0,5],"tier_expired":[0,1],"tier_slot_ms":[900,40]}`+"\n", second, pool)
 		}
@@ -65,7 +65,7 @@
 		So(losses.PoolSeconds[0].Expired[:2], ShouldResemble, []int{0, 2})
 		So(losses.PoolSeconds[1].SlotMs[:2], ShouldResemble, []int{900, 40})
 	})
-	Convey("Requests that ran on and have no end are told, by VM", t, func() {
+	Convey("Long-running requests without an end are listed by VM", t, func() {
 		line := func(vm, message, id string) string {
 			return fmt.Sprintf(`%s {"msg":%q,"part":"forward","time":"2026-01-01T00:00:01Z","request":%q,"server":"i-1"}`+"\n", vm, message, id)
 		}
@@ -77,7 +77,7 @@
 		So(losses.Unended, ShouldHaveLength, 1)
 		So([]string{losses.Unended[0].VM, losses.Unended[0].Request, losses.Unended[0].Server}, ShouldResemble, []string{"vm-1", "a", "i-1"})
 	})
-	Convey("Any number of kinds takes a bounded number of rows", t, func() {
+	Convey("The number of rows is bounded for any number of kinds", t, func() {
 		c := NewLossCollector()
 		for i := range maxRows + 10 {
 			So(c.Read("x.log", strings.NewReader(refusalLine(1, "shed", fmt.Sprint(i), 2, 500))), ShouldBeNil)
