--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -19,7 +19,7 @@
 	register(addDiff)
 }
 
-// configTimeout bounds a command that reads or writes configuration.
+// configTimeout limits a command that reads or writes configuration.
 const configTimeout = 2 * time.Minute
 
 // applyFlags are the flags of apply and diff.
@@ -34,26 +34,26 @@
 // addApply adds the command apply.
 func addApply(app *kingpin.Application, g *globals) {
 	f := &applyFlags{}
-	cmd := app.Command("apply", "Check configuration files, show the difference and write it.")
+	cmd := app.Command("apply", "Check configuration files, show the differences to the stored objects and write them.")
 	f.register(cmd)
-	cmd.Flag("dry-run", "Only check and show the difference.").BoolVar(&f.dryRun)
+	cmd.Flag("dry-run", "Only check the files and show the differences.").BoolVar(&f.dryRun)
 	cmd.Action(action(func() error { return g.apply(f) }))
 }
 
 // addDiff adds the command diff.
 func addDiff(app *kingpin.Application, g *globals) {
 	f := &applyFlags{dryRun: true}
-	cmd := app.Command("diff", "Check configuration files and show the difference to what is stored.")
+	cmd := app.Command("diff", "Check configuration files and show the differences to the stored objects.")
 	f.register(cmd)
 	cmd.Action(action(func() error { return g.apply(f) }))
 }
 
-// register adds the flags to a command.
+// register adds the common flags of apply and diff to a command.
 func (f *applyFlags) register(cmd *kingpin.CmdClause) {
 	f.platform = platformFlag(cmd)
 	cmd.Flag("file", "A configuration file or a directory of them; may be repeated.").Short('f').StringsVar(&f.paths)
 	cmd.Flag("delete", "Delete KIND/NAME; may be repeated.").PlaceHolder("KIND/NAME").StringsVar(&f.deletes)
-	cmd.Flag("expect-version", "The stored version that you saw, for a single object.").Uint64Var(&f.expectVersion)
+	cmd.Flag("expect-version", "Write only if the stored object still has this version; for a single object.").Uint64Var(&f.expectVersion)
 }
 
 // applyResult is what apply prints as JSON.
@@ -63,14 +63,14 @@
 	Written  []writtenObject    `json:"written,omitempty"`
 }
 
-// writtenObject is one object that was written.
+// writtenObject is one object that was created, updated or deleted.
 type writtenObject struct {
 	Kind    objectstore.Kind    `json:"kind"`
 	Name    string              `json:"name"`
-	Version objectstore.Version `json:"version,omitempty"` // none for a deletion
+	Version objectstore.Version `json:"version,omitempty"` // zero for a deletion
 }
 
-// apply runs apply and diff.
+// apply runs the commands apply and diff.
 func (g *globals) apply(f *applyFlags) error {
 	ctx, cancel := context.WithTimeout(g.ctx, configTimeout)
 	defer cancel()
@@ -83,7 +83,7 @@
 		return withExit(ExitUsage, err)
 	}
 	if f.expectVersion != 0 && len(docs) != 1 {
-		return withExit(ExitUsage, errors.Errorf("--expect-version is for a single object, the files hold %d", len(docs)))
+		return withExit(ExitUsage, errors.Errorf("--expect-version is for a single object, but the files contain %d", len(docs)))
 	}
 	for i := range docs {
 		docs[i].ExpectVersion = max(docs[i].ExpectVersion, objectstore.Version(f.expectVersion))
@@ -103,17 +103,19 @@
 	return g.writeAndReport(ctx, api, f, stored, out, err)
 }
 
-// failUnchecked shows the findings of the files where the rest can't be checked.
+// failUnchecked prints the findings of the files if the check against the stored
+// objects failed with err, and returns err.
 func (g *globals) failUnchecked(findings workspace.Findings, err error) error {
 	g.printFindings(findings)
 	return err
 }
 
-// writeAndReport shows what was found and writes the changes.
+// writeAndReport prints the findings and changes, writes the changes unless there
+// are fatal findings or it is a dry run, and prints the result.
 func (g *globals) writeAndReport(ctx context.Context, api objectstore.ObjectAPI, f *applyFlags, stored []objectstore.Object, out applyResult, err error) error {
 	g.printFindings(out.Findings)
 	if n := len(out.Findings.Fatal()); n > 0 {
-		err = withExit(ExitFindings, errors.Errorf("%d findings, nothing was written", n))
+		err = withExit(ExitFindings, errors.Errorf("%d fatal findings; nothing was written", n))
 	}
 	g.printChanges(out.Changes)
 	if err == nil && !f.dryRun {
@@ -140,7 +142,7 @@
 		v, err := apply.Write(ctx, api, c)
 		if err != nil {
 			if remaining := len(changes) - i - 1; remaining > 0 {
-				fmt.Fprintf(g.stderr, "lycheekeel: stopped at %s/%s, %d objects after it were not written\n", c.Kind, c.Name, remaining)
+				fmt.Fprintf(g.stderr, "lycheekeel: stopped at %s/%s; the %d objects after it were not written\n", c.Kind, c.Name, remaining)
 			}
 			return written, err
 		}
@@ -150,12 +152,12 @@
 	return written, nil
 }
 
-// recheck tells of another operator's change that came in between and does not
-// fit with what was written.
+// recheck reads the stored objects again and reports findings that arise when
+// another operator made a conflicting change at the same time.
 func (g *globals) recheck(ctx context.Context, api objectstore.ObjectAPI, stored []objectstore.Object, out *applyResult) error {
 	findings, err := apply.Recheck(ctx, api, stored)
 	if err != nil {
-		g.printText("written, but not checked again: %v", err)
+		g.printText("written, but the check after writing failed: %v", err)
 		return nil
 	}
 	if len(findings) == 0 {
@@ -163,18 +165,19 @@
 	}
 	g.printFindings(findings)
 	out.Findings = append(out.Findings, findings...)
-	return withExit(ExitConflict, errors.New("written, but it does not fit with a change that somebody else made at the same time; see the findings"))
+	return withExit(ExitConflict, errors.New("written, but it conflicts with another change made at the same time; see the findings"))
 }
 
-// applyError shows a conflict and gives an error its exit code.
+// applyError prints the other change of a conflict and gives an error its exit
+// code.
 func (g *globals) applyError(err error) error {
 	var conflict *apply.ConflictError
 	if errors.As(err, &conflict) {
-		fmt.Fprintln(g.stderr, "lycheekeel: the other's change:")
+		fmt.Fprintln(g.stderr, "lycheekeel: the conflicting change:")
 		for _, c := range conflict.Theirs {
 			fmt.Fprintf(g.stderr, "  %s\n", c)
 		}
-		return withExit(ExitConflict, errors.WithMessage(err, "not overwritten; take over the change and apply again"))
+		return withExit(ExitConflict, errors.WithMessage(err, "not overwritten; merge the other change into the file and apply again"))
 	}
 	if errors.Is(err, objectstore.ErrConflict) {
 		return withExit(ExitConflict, err)
@@ -182,16 +185,16 @@
 	return withPlatformExit(err)
 }
 
-// parseDeletes reads the flags --delete.
+// parseDeletes parses the values of --delete.
 func (f *applyFlags) parseDeletes() ([]apply.Ref, error) {
 	if len(f.paths) == 0 && len(f.deletes) == 0 {
-		return nil, withExit(ExitUsage, errors.New("say what to apply, by -f FILE or --delete KIND/NAME"))
+		return nil, withExit(ExitUsage, errors.New("nothing to apply: give -f FILE or --delete KIND/NAME"))
 	}
 	var out []apply.Ref
 	for _, s := range f.deletes {
 		kind, name, ok := strings.Cut(s, "/")
 		if !ok {
-			return nil, withExit(ExitUsage, errors.Errorf("--delete: want KIND/NAME, not %q", s))
+			return nil, withExit(ExitUsage, errors.Errorf("--delete: %q is not KIND/NAME", s))
 		}
 		k, err := parseKind(kind)
 		if err != nil {
@@ -202,7 +205,7 @@
 	return out, nil
 }
 
-// printFindings prints every finding on stderr.
+// printFindings prints the findings on stderr, unless the output is JSON.
 func (g *globals) printFindings(findings workspace.Findings) {
 	if g.output == outputJSON {
 		return
@@ -212,7 +215,7 @@
 	}
 }
 
-// printChanges prints the difference of each object.
+// printChanges prints what changes in each object.
 func (g *globals) printChanges(changes []apply.Change) {
 	unchanged := 0
 	for _, c := range changes {
--- a/internal/cli/apply_test.go
+++ b/internal/cli/apply_test.go
@@ -16,7 +16,7 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// servePlatform serves a stand-in and returns it with its address.
+// servePlatform serves a stand-in platform and returns it and its address.
 func servePlatform(t *testing.T) (*standin.Standin, string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	So(err, ShouldBeNil)
@@ -31,7 +31,7 @@
 	return store, ln.Addr().String()
 }
 
-// runTool runs the command-line tool.
+// runTool runs the command-line tool with the given arguments.
 func runTool(args ...string) (code ExitCode, stdout, stderr string) {
 	var out, errs bytes.Buffer
 	code = ExitCode(Main(args, &out, &errs))
@@ -43,18 +43,18 @@
 		store, address := servePlatform(t)
 		examples := filepath.Join("..", "..", "examples", "punchline")
 
-		Convey("apply without files, platform or with a bad one is wrong usage", func() {
+		Convey("a missing file, a missing or invalid platform address, and an unknown kind are usage errors", func() {
 			for _, args := range [][]string{{"apply"}, {"apply", "-f", examples}, {"apply", "-f", examples, "--platform", "store:1"}, {"get", "Thing", "--platform", address}} {
 				code, _, stderr := runTool(args...)
 				So(code, ShouldEqual, ExitUsage)
 				So(stderr, ShouldNotBeEmpty)
 			}
 		})
-		Convey("a platform that can't be reached has its own exit code", func() {
+		Convey("an unreachable platform has its own exit code", func() {
 			code, _, _ := runTool("apply", "-f", examples, "--platform", "127.0.0.1:1")
 			So(code, ShouldEqual, ExitUnreachable)
 		})
-		Convey("an example is shown, applied, and then unchanged", func() {
+		Convey("an example is shown by a dry run, then applied, and is unchanged afterwards", func() {
 			code, stdout, stderr := runTool("apply", "-f", examples, "--dry-run", "--platform", address)
 			So([]any{code, stderr}, ShouldResemble, []any{ExitOK, ""})
 			So(stdout, ShouldContainSubstring, "create Template/handover")
@@ -64,7 +64,7 @@
 			_, stdout, _ = runTool("diff", "-f", examples, "--platform", address)
 			So(stdout, ShouldEqual, "34 objects unchanged\n")
 
-			Convey("what get prints can be edited and applied, once", func() {
+			Convey("the output of get can be edited and applied once; a second time is a conflict", func() {
 				code, stdout, _ := runTool("get", "templates", "handover", "-o", "json", "--platform", address)
 				So(code, ShouldEqual, ExitOK)
 				file := filepath.Join(t.TempDir(), "t.json")
@@ -77,7 +77,7 @@
 				So(code, ShouldEqual, ExitConflict)
 				So(stderr, ShouldContainSubstring, "was changed by somebody else")
 			})
-			Convey("what others need is not deleted", func() {
+			Convey("an object that others refer to is not deleted", func() {
 				code, _, stderr := runTool("apply", "--delete", "template/handover", "--platform", address)
 				So(code, ShouldEqual, ExitFindings)
 				So(strings.Count(stderr, `no template "handover"`), ShouldEqual, 5)
@@ -93,7 +93,7 @@
 				So(strings.Count(stdout, string(workspace.KindWorkspace)), ShouldEqual, 5)
 			})
 		})
-		Convey("findings of all files come in one go and nothing is written", func() {
+		Convey("the findings of all files are reported together and nothing is written", func() {
 			dir := t.TempDir()
 			for name, text := range map[string]string{
 				"a.json": `{"kind":"Pool","name":"p","region":"r"}`,
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -13,13 +13,13 @@
 
 // addCapacity adds "capacity measure" and "capacity page".
 func addCapacity(app *kingpin.Application, g *globals) {
-	cmd := app.Command("capacity", "Measure what the parts cost, and work out a deployment from it.")
+	cmd := app.Command("capacity", "Measure the resource costs of the components and derive the size of a deployment.")
 	addCapacityPage(cmd)
 	var out string
 	var only []string
-	measure := cmd.Command("measure", "Measure the slopes on this machine; takes a few minutes.")
+	measure := cmd.Command("measure", "Measure costs per unit of load (slopes) on this machine; takes a few minutes.")
 	measure.Flag("out", "File to write, in JSON.").Required().StringVar(&out)
-	measure.Flag("only", "Measure this group again and keep the rest of the file; may be repeated.").
+	measure.Flag("only", "Measure only this group again and keep the rest of the file; may be repeated.").
 		EnumsVar(&only, capacity.Groups()...)
 	measure.Action(action(func() error {
 		m := &capacity.Measured{}
@@ -36,12 +36,12 @@
 	}))
 }
 
-// addCapacityPage adds the command that puts a measured file's tables into the
-// capacity page.
+// addCapacityPage adds the command that renders the tables of a measured file into
+// the capacity page.
 func addCapacityPage(parent *kingpin.CmdClause) {
-	cmd := parent.Command("page", "Put the tables of a measured file into a page between its marks.")
+	cmd := parent.Command("page", "Replace the tables between the markers of a page by those of a measured file.")
 	measured := cmd.Flag("measured", "File that \"capacity measure\" wrote.").Required().String()
-	page := cmd.Flag("page", "Page to rewrite.").Required().String()
+	page := cmd.Flag("page", "Page to update.").Required().String()
 	cmd.Action(action(func() error {
 		m, err := capacity.ReadFile(*measured)
 		if err != nil {
@@ -49,12 +49,12 @@
 		}
 		old, err := os.ReadFile(*page)
 		if err != nil {
-			return errors.Wrap(err, "page")
+			return errors.Wrap(err, "read page")
 		}
 		text, err := capacity.Render(string(old), m)
 		if err != nil {
 			return err
 		}
-		return errors.Wrap(os.WriteFile(*page, []byte(text), 0o644), "page")
+		return errors.Wrap(os.WriteFile(*page, []byte(text), 0o644), "write page")
 	}))
 }
--- a/internal/cli/configstatus.go
+++ b/internal/cli/configstatus.go
@@ -11,9 +11,9 @@
 	"github.com/lycheekeel/lycheekeel/revision"
 )
 
-// printConfigStatus shows which configuration every member has in force. It
-// fails where two members differ or one did not answer, so that a script can
-// wait until an accepted change is in force everywhere.
+// printConfigStatus prints the active configuration of every member. It returns an
+// error if two members differ or one did not answer, so that a script can wait
+// until an accepted change is active everywhere.
 func (g *globals) printConfigStatus(s daemon.Status) error {
 	if g.output == outputJSON {
 		if err := g.printJSON(s.Members); err != nil {
@@ -29,12 +29,12 @@
 		return err
 	}
 	for _, f := range s.Findings {
-		fmt.Fprintf(g.stderr, "lycheekeel: not in force as written: %s\n", f)
+		fmt.Fprintf(g.stderr, "lycheekeel: not active as stored: %s\n", f)
 	}
 	return checkSameConfiguration(s.Members)
 }
 
-// configRow is one member's line.
+// configRow returns the table row of one member.
 func configRow(m daemon.MemberStatus) []string {
 	r := m.Configuration
 	switch {
@@ -49,7 +49,7 @@
 	}
 }
 
-// confirmedAge tells how long ago the object API confirmed the configuration.
+// confirmedAge formats how long ago the object API confirmed the configuration.
 func confirmedAge(r *revision.Report) string {
 	if r.ConfirmedMs < 0 {
 		return "never"
@@ -57,7 +57,8 @@
 	return (time.Duration(r.ConfirmedMs) * time.Millisecond).Round(100*time.Millisecond).String() + " ago"
 }
 
-// checkSameConfiguration returns an error where the members' configurations differ.
+// checkSameConfiguration returns an error if the members' configurations differ or
+// a member did not answer.
 func checkSameConfiguration(members []daemon.MemberStatus) error {
 	hashes := make(map[string]int)
 	unanswered := 0
@@ -72,7 +73,7 @@
 	case unanswered > 0:
 		return errors.Errorf("%d of %d members did not answer", unanswered, len(members))
 	case len(hashes) > 1:
-		return errors.Errorf("the %d members have %d configurations in force; ask again in some seconds", len(members), len(hashes))
+		return errors.Errorf("the %d members have %d different active configurations; check again in a few seconds", len(members), len(hashes))
 	default:
 		return nil
 	}
--- a/internal/cli/configstatus_test.go
+++ b/internal/cli/configstatus_test.go
@@ -14,7 +14,7 @@
 	member := func(name, hash string) daemon.MemberStatus {
 		return daemon.MemberStatus{Name: name, Region: "r", Configuration: &revision.Report{Version: 7, Hash: hash, ConfirmedMs: 1234}}
 	}
-	Convey("Members that agree are listed; others or silent ones are a failure", t, func() {
+	Convey("Members are listed; a different configuration or a missing answer is an error", t, func() {
 		var out bytes.Buffer
 		g := &globals{stdout: &out, stderr: &out, output: outputTable}
 		So(g.printConfigStatus(daemon.Status{Members: []daemon.MemberStatus{member("a", "01"), member("b", "01")}}), ShouldBeNil)
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -14,17 +14,17 @@
 
 // addDemo adds the command demo.
 func addDemo(app *kingpin.Application, g *globals) {
-	cmd := app.Command("demo", "Run a whole small system in this process, to try it out.")
+	cmd := app.Command("demo", "Run a small but complete system in this process, to try it out.")
 	var o demo.Options
-	cmd.Flag("listen", "Where callers connect (IP:port).").Default("127.0.0.1:8080").StringVar(&o.Listen)
-	cmd.Flag("admin", "Where the admin port is (IP:port).").Default("127.0.0.1:8081").StringVar(&o.Admin)
+	cmd.Flag("listen", "Address for callers (IP:port).").Default("127.0.0.1:8080").StringVar(&o.Listen)
+	cmd.Flag("admin", "Address of the admin port (IP:port).").Default("127.0.0.1:8081").StringVar(&o.Admin)
 	asJSON := cmd.Flag("json", "When ready, print addresses and keys as one line of JSON.").Bool()
 	cmd.Action(action(func() error {
 		return demo.Run(g.ctx, o, func(info demo.Info) { g.printDemo(info, *asJSON) })
 	}))
 }
 
-// printDemo tells how to use a demonstration.
+// printDemo prints the addresses and keys of a demonstration and an example call.
 func (g *globals) printDemo(info demo.Info, asJSON bool) {
 	if asJSON {
 		_ = json.NewEncoder(g.stdout).Encode(info)
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -13,14 +13,14 @@
 
 func init() { register(addDrain) }
 
-// drainPollInterval is how often the draining daemon is looked at.
+// drainPollInterval is the interval at which a draining daemon's status is polled.
 const drainPollInterval = 250 * time.Millisecond
 
 // addDrain adds the command drain.
 func addDrain(app *kingpin.Application, g *globals) {
-	cmd := app.Command("drain", "Stop a daemon without cutting off a request, as SIGTERM does.")
+	cmd := app.Command("drain", "Stop a daemon gracefully, without cutting off a request, as SIGTERM does.")
 	address := adminFlag(cmd)
-	wait := cmd.Flag("wait", "Wait until it has stopped, for so long.").Default("0s").Duration()
+	wait := cmd.Flag("wait", "Maximum time to wait until it has stopped; 0 does not wait.").Default("0s").Duration()
 	cmd.Action(action(func() error {
 		if _, err := adminCall(g.ctx, fasthttp.MethodPost, *address, admin.PathDrain); err != nil {
 			return err
@@ -33,7 +33,7 @@
 	}))
 }
 
-// awaitStopped waits until a draining daemon's admin port is gone.
+// awaitStopped waits until a draining daemon's admin port no longer answers.
 func (g *globals) awaitStopped(address string, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
@@ -47,5 +47,5 @@
 			return g.ctx.Err()
 		}
 	}
-	return errors.Errorf("%s still had requests after %v; it goes on draining", address, timeout)
+	return errors.Errorf("%s still had requests after %v; it continues to drain", address, timeout)
 }
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -17,12 +17,12 @@
 	ExitUsage ExitCode = 2
 	// ExitFindings: the input was checked and has findings; nothing was done.
 	ExitFindings ExitCode = 3
-	// ExitConflict: somebody else's change came first; nothing was
-	// overwritten.
+	// ExitConflict: another change came first and was not overwritten.
 	ExitConflict ExitCode = 4
-	// ExitUnreachable: the platform or the daemon did not take the call.
+	// ExitUnreachable: the platform or the daemon could not be reached, or the
+	// daemon did not answer.
 	ExitUnreachable ExitCode = 5
-	// ExitUnknown: the call may or may not have had effect.
+	// ExitUnknown: no answer came; the call may or may not have taken effect.
 	ExitUnknown ExitCode = 6
 )
 
@@ -43,8 +43,7 @@
 	return &exitError{code: code, err: err}
 }
 
-// withDefaultExit gives an error of a command's own run the code ExitFailure, unless
-// it has a code already.
+// withDefaultExit gives an error the code ExitFailure unless it has a code already.
 func withDefaultExit(err error) error {
 	var e *exitError
 	if err == nil || errors.As(err, &e) {
@@ -53,13 +52,14 @@
 	return withExit(ExitFailure, err)
 }
 
-// action wraps a command's work for kingpin. It gives the work's errors an exit
-// code, so that only errors of the command line itself have none.
+// action wraps a command's function for kingpin. It gives each of its errors an
+// exit code, so that only errors in parsing the command line have none.
 func action(f func() error) kingpin.Action {
 	return func(*kingpin.ParseContext) error { return withDefaultExit(f()) }
 }
 
-// exitCode returns an error's exit code.
+// exitCode returns an error's exit code. An error without one comes from parsing
+// the command line.
 func exitCode(err error) ExitCode {
 	var e *exitError
 	if errors.As(err, &e) {
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -16,7 +16,7 @@
 	"github.com/lycheekeel/lycheekeel/scenarios"
 )
 
-// Names of the files that experiment writes.
+// Names of the files that the command experiment writes.
 const (
 	experimentReportFile = "experiment.json"
 	experimentPlotFile   = "experiment.png"
@@ -42,14 +42,14 @@
 // addExperiment adds the command experiment.
 func addExperiment(app *kingpin.Application, g *globals) {
 	var f experimentFlags
-	cmd := app.Command("experiment", "Compare scheduling policies: the product's own code over stand-in engines, the same arrivals for each, in real time.")
-	cmd.Flag("scenario", "Scenario file (JSON), or the name of a shipped one: "+strings.Join(scenarios.Names(), ", ")+".").Required().StringVar(&f.scenario)
+	cmd := app.Command("experiment", "Compare scheduling policies in real time: the production code with stand-in engines, and the same arrivals for each policy.")
+	cmd.Flag("scenario", "Scenario file (JSON), or the name of a built-in scenario: "+strings.Join(scenarios.Names(), ", ")+".").Required().StringVar(&f.scenario)
 	cmd.Flag("policies", "Policies to compare, separated by commas.").Default(joinPolicies()).StringVar(&f.policies)
 	cmd.Flag("seed", "The same seed gives the same arrivals.").Default("1").Uint64Var(&f.seed)
-	cmd.Flag("out", "Directory for the table, "+experimentReportFile+" and "+experimentPlotFile+"; without it none is written.").StringVar(&f.out)
+	cmd.Flag("out", "Directory for the table, "+experimentReportFile+" and "+experimentPlotFile+"; without it no file is written.").StringVar(&f.out)
 	cmd.Flag("json", "Print the outcome as JSON, as -o json does.").BoolVar(&f.json)
-	cmd.Flag("long", "Run for the scenario's long duration, where it has one.").BoolVar(&f.long)
-	cmd.Flag("without-faults", "Leave the scenario's timed faults out, for a run to compare with.").BoolVar(&f.withoutFaults)
+	cmd.Flag("long", "Run for the scenario's long duration, if it has one.").BoolVar(&f.long)
+	cmd.Flag("without-faults", "Omit the scenario's timed faults, for a baseline run.").BoolVar(&f.withoutFaults)
 	cmd.Action(action(func() error { return f.run(g) }))
 }
 
@@ -85,7 +85,7 @@
 	return f.write(g, out)
 }
 
-// options checks the flags.
+// options checks the flags and returns the experiment's options.
 func (f *experimentFlags) options() (experiment.Options, error) {
 	o := experiment.Options{Seed: f.seed, Long: f.long, Sound: f.withoutFaults}
 	file, data, err := readFileOrShipped(f.scenario, scenarios.Scenario)
@@ -132,14 +132,14 @@
 	}
 	table, err := os.Create(filepath.Join(f.out, experimentTableFile))
 	if err != nil {
-		return errors.Wrap(err, "table")
+		return errors.Wrap(err, "create table")
 	}
 	if err := out.Print(table); err != nil {
 		_ = table.Close()
-		return errors.Wrap(err, "table")
+		return errors.Wrap(err, "write table")
 	}
 	if err := table.Close(); err != nil {
-		return errors.Wrap(err, "table")
+		return errors.Wrap(err, "close table")
 	}
 	if err := writeJSON(filepath.Join(f.out, experimentReportFile), out); err != nil {
 		return err
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -15,17 +15,17 @@
 
 func init() { register(addExplain) }
 
-// clockFormat is how a line's time of day is shown.
+// clockFormat is the format of a line's time of day.
 const clockFormat = "15:04:05.000"
 
-// stdinName stands for standard input among the files.
+// stdinName is the file argument that means standard input.
 const stdinName = "-"
 
 // addExplain adds the command explain.
 func addExplain(app *kingpin.Application, g *globals) {
-	cmd := app.Command("explain", "Tell one request's story from the logs of many VMs.")
+	cmd := app.Command("explain", "Show one request's timeline and its outcome from the logs of many VMs.")
 	id := cmd.Arg("id", "The request's id, as its caller sent it.").Required().String()
-	files := cmd.Arg("file", "Logs; - or none reads standard input.").Strings()
+	files := cmd.Arg("file", "Log files; - or none reads standard input.").Strings()
 	cmd.Action(action(func() error {
 		c := explain.NewCollector(*id)
 		c.Progress = func(lines int) { fmt.Fprintf(g.stderr, "lycheekeel: %d lines read\n", lines) }
@@ -36,7 +36,7 @@
 	}))
 }
 
-// readLogs reads the named logs; - or none is standard input.
+// readLogs reads the named logs. The name "-" or no name means standard input.
 func readLogs(read func(file string, r io.Reader) error, files []string) error {
 	if len(files) == 0 {
 		files = []string{stdinName}
@@ -66,9 +66,9 @@
 		return g.printJSON(s)
 	}
 	fmt.Fprintf(g.stdout, "request %s: %s\n", s.ID, s.Cause())
-	printLines(g.stdout, "its own lines", s.Lines)
-	printLines(g.stdout, "what its VM and its owner learned around then", s.Around)
-	fmt.Fprintf(g.stdout, "%d lines read, %d of another kind\n", s.Read, s.Skipped)
+	printLines(g.stdout, "lines of the request", s.Lines)
+	printLines(g.stdout, "other lines of its VM and its owner about that time", s.Around)
+	fmt.Fprintf(g.stdout, "%d lines read, %d of them no log lines\n", s.Read, s.Skipped)
 	if len(s.Lines) == 0 {
 		return errors.Errorf("no line of request %s in %d lines", s.ID, s.Read)
 	}
--- a/internal/cli/get.go
+++ b/internal/cli/get.go
@@ -16,10 +16,10 @@
 
 // addGet adds the command get.
 func addGet(app *kingpin.Application, g *globals) {
-	cmd := app.Command("get", "Show stored configuration; -o json prints what apply reads.")
+	cmd := app.Command("get", "Show stored configuration; -o json prints it in the form that apply reads.")
 	address := platformFlag(cmd)
 	kind := cmd.Arg("kind", "Template, Workspace, Pool, BackendServer or Assignment.").Required().String()
-	name := cmd.Arg("name", "One object's name; all of the kind without.").String()
+	name := cmd.Arg("name", "Name of one object; without it, all objects of the kind.").String()
 	cmd.Action(action(func() error {
 		k, err := parseKind(*kind)
 		if err != nil {
@@ -42,7 +42,7 @@
 	}))
 }
 
-// fetchObjects reads one object, or all of a kind.
+// fetchObjects fetches the named object, or all objects of a kind if name is empty.
 func fetchObjects(ctx context.Context, api objectstore.ObjectAPI, kind objectstore.Kind, name string) ([]objectstore.Object, error) {
 	if name == "" {
 		list, err := api.List(ctx, kind, "")
@@ -55,9 +55,8 @@
 	return []objectstore.Object{o}, err
 }
 
-// printObjects prints objects as files that apply reads. Their expect_version
-// makes an apply of the edited file a conflict where somebody changed the
-// object meanwhile.
+// printObjects prints objects in the form that apply reads. Their expect_version
+// makes it a conflict to apply the edited file after the stored object was changed.
 func (g *globals) printObjects(objects []objectstore.Object, single bool) error {
 	documents := make([]json.RawMessage, 0, len(objects))
 	for _, o := range objects {
@@ -73,7 +72,7 @@
 	return g.printJSON(documents)
 }
 
-// objectDocument returns a stored object as a file's object.
+// objectDocument returns a stored object in the form of a configuration file.
 func objectDocument(o objectstore.Object) (json.RawMessage, error) {
 	header, err := json.Marshal(struct {
 		Kind   objectstore.Kind    `json:"kind"`
@@ -91,7 +90,7 @@
 	return fmt.Appendf(nil, "%s,%s", header[:len(header)-1], o.Value[1:]), nil
 }
 
-// printObjectTable prints objects by name, version and size.
+// printObjectTable prints a table of the objects' names, versions and sizes.
 func (g *globals) printObjectTable(objects []objectstore.Object) error {
 	rows := make([][]string, 0, len(objects))
 	for _, o := range objects {
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -18,13 +18,13 @@
 	"github.com/lycheekeel/lycheekeel/scenarios"
 )
 
-// Names of the files that load writes.
+// Names of the files that the command load writes.
 const (
 	loadReportFile = "load.json"
 	loadPlotFile   = "load.png"
 )
 
-// progressInterval is how often the progress line is drawn.
+// progressInterval is the interval at which the progress line is redrawn.
 const progressInterval = 250 * time.Millisecond
 
 // loadFlags are the flags of the command load.
@@ -43,14 +43,14 @@
 // addLoad adds the command load.
 func addLoad(app *kingpin.Application, g *globals) {
 	var f loadFlags
-	cmd := app.Command("load", "Offer requests to entries by the clock, check every answer, report goodput by tier.")
-	cmd.Flag("target", "Entries, http://HOST:PORT, separated by commas.").Required().StringVar(&f.targets)
-	cmd.Flag("mix", "Mix file (JSON), or the name of a shipped mix: "+strings.Join(scenarios.Mixes(), ", ")+".").Required().StringVar(&f.mix)
+	cmd := app.Command("load", "Send requests to entries at scheduled times (open loop), check every answer and report goodput by tier.")
+	cmd.Flag("target", "Addresses of entries, http://HOST:PORT, separated by commas.").Required().StringVar(&f.targets)
+	cmd.Flag("mix", "Mix of request classes: a JSON file, or the name of a built-in mix: "+strings.Join(scenarios.Mixes(), ", ")+".").Required().StringVar(&f.mix)
 	cmd.Flag("keys", "Bearer keys by workspace: a JSON object, a file with one, or the output of 'lycheekeel demo --json'.").Required().StringVar(&f.keys)
-	cmd.Flag("rate", "Requests a second over all classes, outside bursts; 0 takes the mix's own.").Float64Var(&f.rate)
-	cmd.Flag("duration", "How long to send.").Default("10s").DurationVar(&f.duration)
+	cmd.Flag("rate", "Requests per second of all classes together, outside bursts; 0 takes the rate of the mix.").Float64Var(&f.rate)
+	cmd.Flag("duration", "How long to send requests.").Default("10s").DurationVar(&f.duration)
 	cmd.Flag("seed", "The same seed gives the same arrivals.").Default("1").Uint64Var(&f.seed)
-	cmd.Flag("out", "Directory for "+loadReportFile+" and "+loadPlotFile+"; without it none is written.").StringVar(&f.out)
+	cmd.Flag("out", "Directory for "+loadReportFile+" and "+loadPlotFile+"; without it no file is written.").StringVar(&f.out)
 	cmd.Action(action(func() error { return f.run(g) }))
 }
 
@@ -75,10 +75,10 @@
 	return nil
 }
 
-// prepare checks the flags and makes the run.
+// prepare checks the flags and returns the run.
 func (f *loadFlags) prepare() (*load.Run, error) {
 	if f.duration <= 0 || f.rate < 0 {
-		return nil, withExit(ExitUsage, errors.New("--duration must be above 0 and --rate not negative"))
+		return nil, withExit(ExitUsage, errors.New("--duration must be above 0 and --rate must not be negative"))
 	}
 	file, data, err := readFileOrShipped(f.mix, scenarios.Mix)
 	if err != nil {
@@ -121,17 +121,18 @@
 	return report.Print(g.stdout)
 }
 
-// readFileOrShipped reads a file, or what is shipped under the name.
+// readFileOrShipped returns the built-in data of that name, or else the contents
+// of the file.
 func readFileOrShipped(name string, shipped func(string) ([]byte, bool)) (file string, data []byte, err error) {
 	if data, ok := shipped(name); ok {
 		return name, data, nil
 	}
 	data, err = os.ReadFile(name)
-	return name, data, errors.Wrapf(err, "%s is no shipped name and can't be read", name)
+	return name, data, errors.Wrapf(err, "%s is not a built-in name and can't be read as a file", name)
 }
 
-// readKeys takes the keys from a JSON text or a file that holds it. The object
-// is either the keys themselves or has them as its member "keys".
+// readKeys reads the keys from JSON text or from a file that contains it. The JSON
+// object either maps workspaces to keys or has such a map in its member "keys".
 func readKeys(arg string) (map[string]string, error) {
 	data := []byte(arg)
 	if !strings.HasPrefix(strings.TrimSpace(arg), "{") {
@@ -153,7 +154,7 @@
 	return keys, nil
 }
 
-// parseTargets returns the host:port of each URL.
+// parseTargets returns the host:port of each URL in a comma-separated list.
 func parseTargets(urls string) ([]string, error) {
 	var out []string
 	for _, u := range strings.Split(urls, ",") {
@@ -171,11 +172,11 @@
 	if err != nil {
 		return errors.Wrap(err, path)
 	}
-	return errors.Wrap(os.WriteFile(path, append(data, '\n'), 0o644), "write")
+	return errors.Wrap(os.WriteFile(path, append(data, '\n'), 0o644), "write file")
 }
 
-// showProgress draws a line again and again while out is a terminal, and
-// draws nothing elsewhere. The function it returns ends that.
+// showProgress redraws a progress line periodically if out is a terminal, and does
+// nothing otherwise. The returned function stops it and clears the line.
 func showProgress(out io.Writer, line func() string) (stop func()) {
 	file, ok := out.(*os.File)
 	if !ok || !isTerminal(file) {
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -23,7 +23,7 @@
 // openPlatform returns the object API at an address.
 func openPlatform(address string) (objectstore.ObjectAPI, error) {
 	if address == "" {
-		return nil, withExit(ExitUsage, errors.Errorf("say where the object API is, by --platform or %s", envPlatform))
+		return nil, withExit(ExitUsage, errors.Errorf("no address of the object API: set --platform or %s", envPlatform))
 	}
 	address = strings.TrimSuffix(strings.TrimPrefix(address, "http://"), "/")
 	if _, err := netip.ParseAddrPort(address); err != nil {
@@ -32,23 +32,24 @@
 	return httpobjectstore.New(httpobjectstore.Options{Addr: address}), nil
 }
 
-// withPlatformExit gives an error of the object API its exit code and says what
-// to do about it.
+// withPlatformExit gives an error of the object API its exit code and adds what to
+// do about it.
 func withPlatformExit(err error) error {
 	switch {
 	case errors.Is(err, objectstore.ErrUnknownOutcome):
-		return withExit(ExitUnknown, errors.WithMessage(err, "the object API did not answer; look with \"lycheekeel get\" before you try again"))
+		return withExit(ExitUnknown, errors.WithMessage(err, "the object API did not answer; check with \"lycheekeel get\" before trying again"))
 	case errors.Is(err, objectstore.ErrUnavailable):
-		return withExit(ExitUnreachable, errors.WithMessage(err, "the object API can't be reached, nothing was written by this call; check --platform and try again"))
+		return withExit(ExitUnreachable, errors.WithMessage(err, "can't reach the object API, this call wrote nothing; check --platform and try again"))
 	default:
 		return withDefaultExit(err)
 	}
 }
 
-// operatorKinds are the kinds that operators read, in the order of listings.
+// operatorKinds returns the kinds of objects that operators manage, in the order
+// of listings.
 func operatorKinds() []objectstore.Kind { return workspace.Kinds() }
 
-// parseKind reads a kind as operators write it: any case, singular or plural.
+// parseKind parses a kind in any case, singular or plural.
 func parseKind(s string) (objectstore.Kind, error) {
 	var known []string
 	for _, k := range operatorKinds() {
--- a/internal/cli/rollouts.go
+++ b/internal/cli/rollouts.go
@@ -26,19 +26,19 @@
 // addRollouts adds the command rollouts.
 func addRollouts(app *kingpin.Application, g *globals) {
 	var f rolloutFlags
-	cmd := app.Command("rollouts", "Play simulated rollouts of good and bad versions through the product's own decider, and tell what becomes of them.")
-	cmd.Flag("rate", "Requests a second of the service; may be given several times.").Default("10", "100", "600").IntsVar(&f.rates)
-	cmd.Flag("within", "How long a rollout may take.").Default("12s").DurationVar(&f.duration)
-	cmd.Flag("share", "The part of the requests that a bad version may get.").Default("0.1").Float64Var(&f.setting.Bounds.Share)
-	cmd.Flag("slack", "How many requests more it may get.").Default("50").Float64Var(&f.setting.Bounds.Slack)
-	cmd.Flag("stable-fails", "The part of the stable version's answers that fail.").Default("0.01").Float64Var(&f.setting.StableFails)
-	cmd.Flag("servers", "How many servers each version has.").Default("20").IntVar(&f.setting.Servers)
-	cmd.Flag("played", "How many rollouts are played of each case.").Default("500").IntVar(&f.runsPerCase)
+	cmd := app.Command("rollouts", "Simulate rollouts of good and bad versions with the production decider and print their outcomes.")
+	cmd.Flag("rate", "Requests per second of the service; may be repeated.").Default("10", "100", "600").IntsVar(&f.rates)
+	cmd.Flag("within", "Maximum duration of a rollout.").Default("12s").DurationVar(&f.duration)
+	cmd.Flag("share", "Maximum share of the requests that a bad version may get, from 0 to 1.").Default("0.1").Float64Var(&f.setting.Bounds.Share)
+	cmd.Flag("slack", "Number of requests that it may get beyond the share.").Default("50").Float64Var(&f.setting.Bounds.Slack)
+	cmd.Flag("stable-fails", "Share of the stable version's answers that fail, from 0 to 1.").Default("0.01").Float64Var(&f.setting.StableFails)
+	cmd.Flag("servers", "Number of servers of each version.").Default("20").IntVar(&f.setting.Servers)
+	cmd.Flag("played", "Number of rollouts simulated per case.").Default("500").IntVar(&f.runsPerCase)
 	cmd.Flag("seed", "The same seed gives the same rollouts.").Default("1").Uint64Var(&f.seed)
 	cmd.Action(action(func() error { return f.run(g) }))
 }
 
-// check returns what is wrong with the flags, all together.
+// check returns one error that lists all invalid flags.
 func (f *rolloutFlags) check() error {
 	b := f.setting.Bounds
 	var problems []string
@@ -46,13 +46,13 @@
 		wrong  bool
 		reason string
 	}{
-		{slices.ContainsFunc(f.rates, func(n int) bool { return n < 1 }), "--rate is below 1"},
-		{f.duration <= 0, "--within is not above 0"},
-		{!(b.Share > 0 && b.Share <= 1), "--share is no part of 1"},
-		{!(b.Slack >= 0), "--slack is below 0"},
-		{!(f.setting.StableFails >= 0 && f.setting.StableFails < 1), "--stable-fails is no part of 1"},
-		{f.setting.Servers < 1, "--servers is below 1"},
-		{f.runsPerCase < 1, "--played is below 1"},
+		{slices.ContainsFunc(f.rates, func(n int) bool { return n < 1 }), "--rate must be at least 1"},
+		{f.duration <= 0, "--within must be above 0"},
+		{!(b.Share > 0 && b.Share <= 1), "--share must be above 0 and at most 1"},
+		{!(b.Slack >= 0), "--slack must not be negative"},
+		{!(f.setting.StableFails >= 0 && f.setting.StableFails < 1), "--stable-fails must be at least 0 and below 1"},
+		{f.setting.Servers < 1, "--servers must be at least 1"},
+		{f.runsPerCase < 1, "--played must be at least 1"},
 	} {
 		if x.wrong {
 			problems = append(problems, x.reason)
--- a/internal/cli/rollouts_test.go
+++ b/internal/cli/rollouts_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestRolloutFlagsAreChecked(t *testing.T) {
-	Convey("What is wrong with the flags is told all together", t, func() {
+	Convey("All invalid flags are reported together", t, func() {
 		valid := rolloutFlags{
 			duration: time.Second, rates: []int{10}, runsPerCase: 1,
 			setting: experiment.RolloutSetting{Bounds: rollout.Bounds{Share: 0.1}, Servers: 1},
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -1,5 +1,5 @@
-// Package cli is the command-line tool lycheekeel. Each command has a file of
-// its own, which registers the command; this file holds what they share.
+// Package cli implements the command-line tool lycheekeel. Each command has its own
+// file, which registers the command; this file contains what they share.
 package cli
 
 import (
@@ -15,14 +15,15 @@
 	"github.com/lycheekeel/lycheekeel/internal/logs"
 )
 
-// appHelp opens the tool's help.
-const appHelp = "lycheekeel: operate a request scheduler for unlike engines.\n\n" +
+// appHelp is the first part of the tool's help.
+const appHelp = "lycheekeel: operate a request scheduler for heterogeneous engines.\n\n" +
 	"Exit codes: 0 done, 1 failed, 2 wrong usage, 3 findings in the input, " +
 	"4 conflict with another change, 5 platform or daemon unreachable, 6 outcome unknown."
 
-// globals are what every command shares: its streams and the global flags.
+// globals are shared by all commands: the context, the output streams and the
+// global flags.
 type globals struct {
-	// ctx ends at SIGINT or SIGTERM.
+	// ctx is canceled by SIGINT or SIGTERM.
 	ctx    context.Context
 	stdout io.Writer
 	stderr io.Writer
@@ -31,7 +32,7 @@
 	logLevel string
 }
 
-// The values of the flag -o.
+// Values of the flag -o.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
@@ -40,7 +41,7 @@
 // registration adds a command to the application.
 type registration func(app *kingpin.Application, g *globals)
 
-// registrations are filled by the commands' files.
+// registrations is filled by the init functions of the commands' files.
 var registrations []registration
 
 // register adds a command; call it from the init function of its file.
--- a/internal/cli/root_test.go
+++ b/internal/cli/root_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestExitCodes(t *testing.T) {
-	Convey("Each end of a command has its exit code", t, func() {
+	Convey("Each outcome of a command has its exit code", t, func() {
 		var out, errs bytes.Buffer
 		Convey("done", func() {
 			So(Main([]string{"-o", "json", "version"}, &out, &errs), ShouldEqual, int(ExitOK))
@@ -28,7 +28,7 @@
 			}
 			So(errs.String(), ShouldContainSubstring, "--help")
 		})
-		Convey("nobody there, with what to look at", func() {
+		Convey("daemon unreachable, with a hint at the flag to check", func() {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			So(err, ShouldBeNil)
 			address := ln.Addr().String()
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -17,14 +17,14 @@
 
 func init() { register(addStatus) }
 
-// adminTimeout bounds a call to a daemon's admin port.
+// adminTimeout limits a call to a daemon's admin port.
 const adminTimeout = 5 * time.Second
 
 // addStatus adds the command status.
 func addStatus(app *kingpin.Application, g *globals) {
-	cmd := app.Command("status", "Show a daemon, its pools and the members that it knows.")
+	cmd := app.Command("status", "Show the state of a daemon, its members and its pools.")
 	address := adminFlag(cmd)
-	config := cmd.Flag("config", "Ask every member which configuration it has in force.").Bool()
+	config := cmd.Flag("config", "Show each member's active configuration, as the member itself reports it.").Bool()
 	cmd.Action(action(func() error {
 		s, err := fetchStatus(g.ctx, *address, *config)
 		if err != nil {
@@ -38,7 +38,7 @@
 }
 
 func adminFlag(cmd *kingpin.CmdClause) *string {
-	return cmd.Flag("admin", "A daemon's admin port (IP:port).").
+	return cmd.Flag("admin", "Address of a daemon's admin port (IP:port).").
 		Envar("LYCHEEKEEL_ADMIN").Default("127.0.0.1:8081").String()
 }
 
