--- a/internal/logs/async.go
+++ b/internal/logs/async.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// The bounds of an Async writer.
+// Limits of an Async writer.
 const (
-	// maxPendingBytes is how many bytes may wait to be written.
+	// maxPendingBytes limits the bytes that wait to be written.
 	maxPendingBytes = 256 << 10
-	// maxBytesPerSecond bounds the bytes of a second: a daemon's busiest second
-	// in bursts to twice the capacity had 46 and 54 KB, the median 7 and 8.
+	// maxBytesPerSecond limits the bytes accepted per second. During bursts of
+	// twice the capacity a daemon logs 7 to 8 KB in the median second and 46 to
+	// 54 KB in the busiest.
 	maxBytesPerSecond = 96 << 10
-	// flushInterval is how long lines are gathered before they are written: a
-	// write and a wake-up for each line would cost more than the line.
+	// flushInterval is the time for which lines are batched before they are
+	// written. A write and a wake-up per line would cost more than the line itself.
 	flushInterval = 100 * time.Millisecond
 )
 
-// Async is a writer that never blocks its callers. What can't be kept is
-// dropped, counted, and told in the log itself.
+// Async is a writer that never blocks its callers. It drops lines beyond its limits
+// and reports their number in the log.
 //
-// What goes wrong without it: whoever reads the log stops reading, the pipe is
-// full, and every request waits for its line to be written. One would notice
-// a daemon that stands still without a cause of its own.
+// Without it, a log reader that stops reading would fill the pipe and block every
+// request that writes a log line: the daemon would stall with no visible cause.
 type Async struct {
 	out io.Writer
 	now func() time.Time
@@ -32,21 +32,22 @@
 	mu          sync.Mutex
 	pending     []byte
 	dropped     int
-	windowStart time.Time // for which written counts
+	windowStart time.Time // start of the second in which windowBytes are counted
 	windowBytes int
 	wake        chan struct{}
 	done        chan struct{}
 	closed      bool
 }
 
-// NewAsync returns a writer to out and starts its goroutine; Close ends it.
+// NewAsync returns a writer to out and starts its goroutine, which Close ends.
 func NewAsync(out io.Writer) *Async {
 	a := &Async{out: out, now: time.Now, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go a.run()
 	return a
 }
 
-// Write implements io.Writer; it keeps a copy of the line, or drops it.
+// Write implements io.Writer. It queues a copy of the line or drops it, and never
+// returns an error.
 func (a *Async) Write(line []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -66,7 +67,8 @@
 	return len(line), nil
 }
 
-// Close writes what is left, unless the reader takes none, and ends the writer.
+// Close writes the pending lines and ends the writer. It waits for this at most for
+// the timeout.
 func (a *Async) Close(timeout time.Duration) {
 	a.mu.Lock()
 	a.closed = true
@@ -81,7 +83,7 @@
 	}
 }
 
-// Dropped returns how many lines were dropped and not yet told in the log.
+// Dropped returns the number of dropped lines that are not yet reported in the log.
 func (a *Async) Dropped() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -93,7 +95,7 @@
 	for range a.wake {
 		batch, closed := a.takeBatch()
 		if len(batch) > 0 {
-			_, _ = a.out.Write(batch) // there is nowhere to tell it
+			_, _ = a.out.Write(batch) // there is nowhere to report an error
 		}
 		if closed {
 			return
@@ -102,7 +104,8 @@
 	}
 }
 
-// takeBatch returns what waits, with a line about what was dropped.
+// takeBatch removes and returns the pending lines, with a line that reports the
+// dropped ones, and whether the writer is closed.
 func (a *Async) takeBatch() ([]byte, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/logs/async_test.go
+++ b/internal/logs/async_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// blockedWriter is a reader that takes nothing until it is let go.
+// blockedWriter blocks every write until release is closed.
 type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -30,14 +30,14 @@
 	return s.buf.String()
 }
 
-// Guards against this: requests stand still.
+// Guards against: requests stall because the reader of the log stopped reading.
 func TestAsyncNeverBlocks(t *testing.T) {
-	Convey("Lines beyond the bound are dropped, and told when the reader goes on", t, func() {
+	Convey("Lines beyond the limit are dropped, and reported when the reader continues", t, func() {
 		out := &blockedWriter{release: make(chan struct{})}
 		a := NewAsync(out)
 		line := []byte(strings.Repeat("x", 1023) + "\n")
 		for range 1000 {
-			n, err := a.Write(line) // the test hangs here where it blocks
+			n, err := a.Write(line) // a blocking Write would hang the test here
 			So(err, ShouldBeNil)
 			So(n, ShouldEqual, len(line))
 		}
@@ -47,7 +47,7 @@
 		So(out.String(), ShouldContainSubstring, `"msg":"Log lines dropped."`)
 		So(out.String(), ShouldContainSubstring, string(line))
 	})
-	Convey("What waits for a reader that stopped is bounded, however long it has stopped", t, func() {
+	Convey("The pending bytes are limited, however long the reader has stopped", t, func() {
 		now := time.Unix(1000, 0)
 		a := &Async{out: &bytes.Buffer{}, now: func() time.Time { return now }, wake: make(chan struct{}, 1), done: make(chan struct{})}
 		line := []byte(strings.Repeat("z", maxBytesPerSecond))
@@ -58,7 +58,7 @@
 		So(len(a.pending), ShouldBeLessThanOrEqualTo, maxPendingBytes)
 		So(a.Dropped(), ShouldEqual, 10-maxPendingBytes/maxBytesPerSecond)
 	})
-	Convey("The bytes of a second are bounded, and the next second has its own", t, func() {
+	Convey("The bytes per second are limited, and each second has its own limit", t, func() {
 		var out bytes.Buffer
 		now := time.Unix(1000, 0)
 		a := &Async{out: &out, now: func() time.Time { return now }, wake: make(chan struct{}, 1), done: make(chan struct{})}
--- a/internal/logs/limiter.go
+++ b/internal/logs/limiter.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Limiter bounds how many lines of one kind are written in a second. It is safe for
+// Limiter limits the rate at which lines of one kind are written. It is safe for
 // concurrent use.
 type Limiter struct {
 	perSecond int
 
 	mu          sync.Mutex
-	windowStart time.Time // for which taken counts
+	windowStart time.Time // start of the second in which allowed lines are counted
 	allowed     int
 	omitted     int
 }
 
-// NewLimiter returns a limiter to so many lines a second.
+// NewLimiter returns a limiter that allows perSecond lines per second.
 func NewLimiter(perSecond int) *Limiter { return &Limiter{perSecond: perSecond} }
 
-// Allow reports whether a line may be written at a time, and how many were not since
-// the last one that was.
+// Allow reports whether a line may be written at the time now. If so, omitted is the
+// number of lines refused since the last one that was allowed.
 func (l *Limiter) Allow(now time.Time) (omitted int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/logs/limiter_test.go
+++ b/internal/logs/limiter_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestLimiter(t *testing.T) {
-	Convey("A second has so many lines; the next one tells how many were omitted", t, func() {
+	Convey("The lines per second are limited; the next allowed line gets the number omitted", t, func() {
 		l, now := NewLimiter(2), time.Unix(1000, 0)
 		allow := func(at time.Duration) (int, bool) { return l.Allow(now.Add(at)) }
 		for range 2 {
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs gives each part of a program its logger: logrus with a fixed
-// prefix per part, as text or JSON.
+// Package logs provides the loggers of the program's parts: logrus with a fixed
+// prefix per part, in text or JSON format.
 package logs
 
 import (
@@ -9,28 +9,30 @@
 	"github.com/sirupsen/logrus"
 )
 
-// base is shared by all parts, so that Configure reaches loggers made before.
+// base is shared by all parts, so that Configure also affects loggers that exist
+// already.
 var base = logrus.New()
 
-// fieldPart and fieldRequest are the fixed field names of every log line.
+// Names of the common log fields.
 const (
 	fieldPart    = "part"
 	fieldRequest = "request"
 )
 
-// jsonTimeLayout has the microseconds by which lines of many VMs are put in order.
+// jsonTimeLayout is RFC 3339 with microseconds, so that the lines of many VMs can be
+// put in order.
 const jsonTimeLayout = "2006-01-02T15:04:05.000000Z07:00"
 
 // For returns the logger of a part. It is safe for concurrent use.
 func For(part string) *logrus.Entry { return base.WithField(fieldPart, part) }
 
-// WithRequest adds a request's id to a part's logger.
+// WithRequest returns a logger that adds a request's id to each line.
 func WithRequest(l *logrus.Entry, id string) *logrus.Entry {
 	return l.WithField(fieldRequest, id)
 }
 
-// Configure sets where logs go, their level ("debug", "info", "warning",
-// "error") and whether they are JSON. Call it before the parts start.
+// Configure sets the output of the log, its level ("debug", "info", "warning",
+// "error") and its format, JSON or text. Call it before the parts start.
 func Configure(out io.Writer, level string, json bool) error {
 	lv, err := logrus.ParseLevel(level)
 	if err != nil {
