--- a/internal/metrics/histogram.go
+++ b/internal/metrics/histogram.go
@@ -12,31 +12,32 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range of a Histogram: from a tenth of a millisecond to five minutes.
+// Range and precision of a Histogram.
 const (
-	histogramUnit   = 100 * time.Microsecond
+	histogramUnit   = 100 * time.Microsecond // resolution and lower end
 	histogramMax    = 5 * time.Minute
-	histogramDigits = 2
+	histogramDigits = 2 // significant decimal digits
 )
 
-// Histogram counts durations. It is safe for concurrent use.
+// Histogram records the distribution of durations. It is safe for concurrent use.
 type Histogram struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram
 }
 
-// percentiles are shown of each histogram.
+// percentiles are the percentiles that are reported of each histogram.
 var percentiles = []float64{50, 90, 99, 99.9}
 
-// Observe counts one duration; one beyond the range counts as its end.
+// Observe records a duration. One out of range counts as the nearest end of the
+// range.
 func (h *Histogram) Observe(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// A value within the range can't fail.
+	// RecordValue fails only for a value out of range.
 	_ = h.h.RecordValue(min(max(int64(d/histogramUnit), 1), int64(histogramMax/histogramUnit)))
 }
 
-// summary are a histogram's, in milliseconds.
+// histogramSummary is the exported form of a histogram, in milliseconds.
 type histogramSummary struct {
 	Count     int64              `json:"count"`
 	MeanMs    float64            `json:"mean_ms"`
@@ -58,12 +59,12 @@
 func (h *Histogram) String() string {
 	b, err := json.Marshal(h.summary())
 	if err != nil {
-		return "null" // numbers that are finite can't fail
+		return "null" // not reached: finite numbers can be encoded
 	}
 	return string(b)
 }
 
-// Histogram returns a histogram of a group, creating it at the first call.
+// Histogram returns a histogram of a group. The first call creates it.
 func (r *Registry) Histogram(group, name string) *Histogram {
 	g := r.Group(group)
 	r.mu.Lock()
@@ -76,8 +77,9 @@
 	return v
 }
 
-// WriteText writes every counter, gauge and histogram as a line of text: its
-// group, its name, and its value.
+// WriteText writes all metrics as text. A counter or gauge has one line with its
+// group, name and value; a histogram has one for its count, its mean and each
+// percentile.
 func (r *Registry) WriteText(w io.Writer) {
 	r.mu.Lock()
 	names := make([]string, 0, len(r.groups))
--- a/internal/metrics/histogram_test.go
+++ b/internal/metrics/histogram_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestHistogramsAndText(t *testing.T) {
-	Convey("Durations are counted and shown with the counters", t, func() {
+	Convey("Durations are recorded and written together with the counters", t, func() {
 		r := New()
 		r.Counter("refusals", "shed").Add(3)
 		h := r.Histogram("latency", "first_event")
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,6 @@
-// Package metrics is the one registry of the program's expvar metrics.
-// expvar's names are global to a process; every part gets its counters from
-// a Registry, so that tests and several daemons in one process can keep them
-// apart and only one of them publishes.
+// Package metrics provides registries of expvar metrics. The names of expvar are
+// global to a process. With a Registry each, tests and several daemons in one
+// process have separate metrics, and only one of them publishes its own.
 package metrics
 
 import (
@@ -9,8 +8,8 @@
 	"sync"
 )
 
-// Registry holds counters by group and name, e.g. group "refusals", name
-// "shed". It is safe for concurrent use; a counter's Add is one atomic.
+// Registry holds metrics by group and name, such as group "refusals", name "shed".
+// It is safe for concurrent use. Adding to a counter is one atomic operation.
 type Registry struct {
 	root   expvar.Map
 	mu     sync.Mutex
@@ -24,11 +23,11 @@
 	return r
 }
 
-// Publish makes the registry visible at /debug/vars under the name. It
-// panics, as expvar does, when the name is taken in this process.
+// Publish publishes the registry under the name at /debug/vars. Like expvar, it
+// panics if the name is already used in this process.
 func (r *Registry) Publish(name string) { expvar.Publish(name, &r.root) }
 
-// Group returns the group's map, creating it at the first call.
+// Group returns the map of a group. The first call creates it.
 func (r *Registry) Group(name string) *expvar.Map {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -41,8 +40,8 @@
 	return g
 }
 
-// Counter returns one counter of a group, creating it at zero, so that a
-// reason that never happened still shows.
+// Counter returns a counter of a group. The first call creates it with value zero,
+// so that a counter that was never increased is still shown.
 func (r *Registry) Counter(group, name string) *expvar.Int {
 	g := r.Group(group)
 	r.mu.Lock()
@@ -55,7 +54,7 @@
 	return v
 }
 
-// Gauge shows a value that is computed when it is read.
+// Gauge adds a metric whose value is computed by read each time it is shown.
 func (r *Registry) Gauge(group, name string, read func() any) {
 	r.Group(group).Set(name, expvar.Func(read))
 }
