--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,5 @@
-// Package admin serves a daemon's admin port: health, readiness, metrics,
-// status, and the order to drain. It is for operators and the balancer, never
-// for callers.
+// Package admin serves a daemon's admin port: health, readiness, metrics, status
+// and drain. It is for operators and the load balancer, never for callers.
 package admin
 
 import (
@@ -19,34 +18,35 @@
 
 // Paths of the admin port.
 const (
-	PathHealth = "/healthz"    // GET: 200 while the process works
-	PathReady  = "/readyz"     // GET: 200 while new callers may come
+	PathHealth = "/healthz"    // GET: 200 while the process is alive
+	PathReady  = "/readyz"     // GET: 200 while the daemon accepts new callers
 	PathVars   = "/debug/vars" // GET: expvar metrics
-	PathStatus = "/status"     // GET: Status as JSON; ?cluster=true asks every member
-	PathDrain  = "/drain"      // POST: stop as on SIGTERM
+	PathStatus = "/status"     // GET: status as JSON; ?cluster=true queries every member
+	PathDrain  = "/drain"      // POST: graceful shutdown, as on SIGTERM
 )
 
-// QueryCluster is the query argument of PathStatus that asks every member.
+// QueryCluster is the query argument by which PathStatus queries every member.
 const QueryCluster = "cluster"
 
-// MetricsName is the name of the program's metrics under PathVars.
+// MetricsName is the key of the daemon's metrics in the JSON at PathVars.
 const MetricsName = "lycheekeel"
 
-// Limits of the admin port: it must not be a way to use up a small VM.
+// Limits of the admin port, so that its clients can't exhaust a small VM.
 const (
 	timeout        = 10 * time.Second
 	maxConnections = 256
 	maxBodyBytes   = 4 << 10
 )
 
-// Daemon is what the admin port shows and steers.
+// Daemon is the daemon that the admin port reports on and controls.
 type Daemon interface {
-	// Ready returns why new callers should not come, or nil.
+	// Ready returns nil if the daemon accepts new callers, otherwise the reason why
+	// not.
 	Ready() error
-	// Status returns a value to be shown as JSON; with cluster it asks the
-	// other members too.
+	// Status returns a value to be encoded as JSON. With cluster, it also queries
+	// the other members.
 	Status(ctx context.Context, cluster bool) any
-	// Drain begins to stop; it returns at once.
+	// Drain starts a graceful shutdown and returns immediately.
 	Drain()
 }
 
@@ -55,7 +55,7 @@
 	app *fiber.App
 }
 
-// New returns a server that does not listen yet.
+// New returns a server for d and its metrics; Serve starts it.
 func New(d Daemon, m *metrics.Registry) *Server {
 	app := fiber.New(fiber.Config{
 		ReadTimeout: timeout, WriteTimeout: timeout, IdleTimeout: timeout,
@@ -82,18 +82,20 @@
 	return &Server{app: app}
 }
 
-// Serve serves ln until Shutdown.
+// Serve serves connections from ln until Shutdown is called.
 func (s *Server) Serve(ln net.Listener) error {
 	return errors.Wrap(s.app.Listener(ln, fiber.ListenConfig{DisableStartupMessage: true}), "serve admin")
 }
 
-// Shutdown stops the server; requests that go on when ctx ends are cut off.
+// Shutdown stops the server gracefully. Requests that still run when ctx ends are
+// cut off.
 func (s *Server) Shutdown(ctx context.Context) error {
 	return errors.Wrap(s.app.ShutdownWithContext(ctx), "shut down admin")
 }
 
-// varsJSON returns the process's expvar variables with the daemon's own metrics,
-// which need not be published: a process may run several daemons.
+// varsJSON returns the process's expvar variables as JSON, with the daemon's own
+// metrics under MetricsName. These need not be published, because a process may run
+// several daemons.
 func varsJSON(m *metrics.Registry) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "{\n%q: %s", MetricsName, m.JSON())
