--- a/cmd/lycheekeel/main.go
+++ b/cmd/lycheekeel/main.go
@@ -1,5 +1,6 @@
 // Command lycheekeel is the operators' tool: it applies configuration, shows
-// the state of a cluster, drains daemons, and runs demonstrations and loads.
+// the state of a cluster, drains daemons, analyzes logs, and runs demonstrations,
+// load tests and experiments.
 package main
 
 import (
--- a/cmd/lycheekeeld/gateway.go
+++ b/cmd/lycheekeeld/gateway.go
@@ -13,19 +13,20 @@
 	"github.com/lycheekeel/lycheekeel/platform"
 )
 
-// logCloseTimeout is how long the end of the process waits for the log's reader.
+// logCloseTimeout limits how long the exit waits for the log to be written.
 const logCloseTimeout = 200 * time.Millisecond
 
-// runGateway runs the daemon in front of the platform's backend servers.
+// runGateway runs the gateway, which forwards requests to the platform's backend
+// servers.
 func runGateway(ctx context.Context, s gateway.Settings) error {
 	out := logs.NewAsync(os.Stdout)
 	defer out.Close(logCloseTimeout)
 	if err := logs.Configure(out, s.LogLevel, true); err != nil {
 		return err
 	}
-	// Settings are read at the start alone, and the defaults of what changes
-	// in them (the seeds) are only needed then; without this, SIGHUP would end
-	// the process.
+	// SIGHUP would end the process. There is nothing to reload: settings are read
+	// only at the start, and those that may change later (the seeds) are only
+	// needed then.
 	signal.Ignore(syscall.SIGHUP)
 	m := metrics.New()
 	g, err := gateway.New(s, platform.New(s.Store, m), m)
--- a/cmd/lycheekeeld/main.go
+++ b/cmd/lycheekeeld/main.go
@@ -18,8 +18,8 @@
 
 // Exit codes.
 const (
-	exitFailure  = 1 // a part failed, or requests had to be cut off
-	exitSettings = 3 // the settings have findings
+	exitFailure  = 1 // a component failed, or requests had to be cut off
+	exitSettings = 3 // the settings are invalid
 )
 
 func main() {
@@ -28,7 +28,7 @@
 	app.Version(version.Get().Version)
 	file := app.Flag("settings", "Settings file (JSON).").Required().PlaceHolder("FILE").ExistingFile()
 	checkOnly := app.Flag("check-settings", "Only check the settings file.").Bool()
-	app.Command("serve", "Serve model engines by the system's own interface.").Default()
+	app.Command("serve", "Schedule requests to model engines that implement the system's own interface.").Default()
 	gatewayCmd := app.Command("gateway", "Forward requests to the backend servers of the platform's store.")
 
 	prepare := prepareServe
@@ -41,7 +41,7 @@
 		os.Exit(exitSettings)
 	}
 	if *checkOnly {
-		fmt.Println("settings are good")
+		fmt.Println("settings are valid")
 		return
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -52,7 +52,7 @@
 	}
 }
 
-// startFunc runs a daemon whose settings are good.
+// startFunc runs a daemon with settings that were checked.
 type startFunc func(ctx context.Context) error
 
 func prepareServe(file string) (startFunc, error) {
