--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -11,11 +11,12 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// dnsLabel is what a DNS name's label may look like.
+// dnsLabel matches one label of a DNS name.
 var dnsLabel = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
 
-// validate checks values by their fields' tags. Beside the library's there are
-// ipport (an IP number with a port) and dnsname (a label of a DNS name).
+// validate checks values by the validate tags of their fields. Besides the library's
+// tags it knows ipport (an IP address with a port) and dnsname (one label of a DNS
+// name).
 var validate = newValidator()
 
 func newValidator() *validator.Validate {
@@ -36,17 +37,17 @@
 
 func mustRegister(v *validator.Validate, tag string, f validator.Func) {
 	if err := v.RegisterValidation(tag, f); err != nil {
-		panic(err) // the tags are constants
+		panic(err) // not reached: the tags are valid constants
 	}
 }
 
-// check returns what is wrong with the values, but for the places that have a
-// finding already: those values were not read.
+// check returns findings for invalid values. It skips paths that have a finding
+// already, because their values were not decoded.
 func check(file string, s any, known workspace.Findings) workspace.Findings {
 	reported := map[string]bool{}
 	for _, f := range known {
 		if f.Path == "" {
-			return nil // not JSON: nothing was read
+			return nil // not JSON: nothing was decoded
 		}
 		reported[f.Path] = true
 	}
@@ -64,17 +65,17 @@
 	return out
 }
 
-// requirement says what a value must be.
+// requirement describes which values the failed tag allows.
 func requirement(e validator.FieldError) string {
 	switch e.Tag() {
 	case "required":
 		return "must be set"
 	case "ipport":
-		return "must be an IP number with a port, such as 10.0.0.1:8080"
+		return "must be an IP address with a port, such as 10.0.0.1:8080"
 	case "hostname_port":
-		return "must be a host or an IP number with a port, such as 10.0.0.1:8080"
+		return "must be a host or an IP address with a port, such as 10.0.0.1:8080"
 	case "dnsname":
-		return "must be lower-case letters, digits and inner hyphens"
+		return "must consist of lower-case letters, digits and inner hyphens"
 	case "gt":
 		return "must be more than " + e.Param()
 	case "oneof":
@@ -88,6 +89,7 @@
 	}
 }
 
+// lengthUnit returns the unit of a limit on a string's length, and "" for numbers.
 func lengthUnit(e validator.FieldError) string {
 	if e.Kind() == reflect.String {
 		return " characters long"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings files of the daemons: JSON whose fields
-// are checked by their types and their validate tags.
+// Package settings reads the settings files of the daemons. They are JSON; fields
+// are checked by their types and validate tags.
 package settings
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Load reads and checks a file. The error holds all findings together
-// (workspace.Findings), or tells why the file can't be read.
+// Load reads and checks a file. The error contains all findings
+// (workspace.Findings), or says why the file can't be read.
 func Load[T any](file string) (T, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -22,13 +22,13 @@
 	return Parse[T](file, data)
 }
 
-// Parse reads and checks settings; file only names them in findings. An
-// unknown field is a finding like any other: a mistyped name would otherwise
-// leave the default in force without a word.
+// Parse decodes and checks settings; file is the file name used in findings. An
+// unknown field is an error, not a warning: otherwise a mistyped name would
+// silently leave the default in effect.
 func Parse[T any](file string, data []byte) (T, error) {
 	s, findings := workspace.Decode[T](file, data)
 	if findings != nil {
-		_ = json.Unmarshal(data, &s) // reads what it can, for the checks of values
+		_ = json.Unmarshal(data, &s) // decodes as much as possible, so that these values are checked, too
 	}
 	for i := range findings {
 		findings[i].Warning = false
