--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,15 +1,16 @@
-// Package version tells which build of the programs runs.
+// Package version identifies the build of the running program.
 package version
 
 import "runtime/debug"
 
-// Info is what is known of a build.
+// Info identifies a build: the version of the module or its VCS revision, and the
+// version of Go.
 type Info struct {
 	Version string `json:"version"`
 	Go      string `json:"go"`
 }
 
-// Get returns the running program's build, as the Go toolchain recorded it.
+// Get returns the running program's build, as recorded by the Go toolchain.
 func Get() Info {
 	info := Info{Version: "unknown"}
 	b, ok := debug.ReadBuildInfo()
