--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds the one way to let time pass that a context can end.
+// Package wait provides a sleep that a context can end.
 package wait
 
 import (
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// For waits for d by the monotonic clock. It returns true where the time has
-// passed, false where ctx ended first; a time that is not positive has passed.
+// For waits for d by the monotonic clock. It returns true if the time has passed and
+// false if ctx ended first. If d is not positive, it returns at once, with false if
+// ctx has ended.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
