--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -66,9 +66,9 @@
 		return g.printJSON(s)
 	}
 	fmt.Fprintf(g.stdout, "request %s: %s\n", s.ID, s.Cause())
-	printLines(g.stdout, "lines of the request", s.Lines)
-	printLines(g.stdout, "other lines of its VM and its owner about that time", s.Around)
-	fmt.Fprintf(g.stdout, "%d lines read, %d of them no log lines\n", s.Read, s.Skipped)
+	printLines(g.stdout, "its own lines", s.Lines)
+	printLines(g.stdout, "what its VM and its owner learned around then", s.Around)
+	fmt.Fprintf(g.stdout, "%d lines read, %d of another kind\n", s.Read, s.Skipped)
 	if len(s.Lines) == 0 {
 		return errors.Errorf("no line of request %s in %d lines", s.ID, s.Read)
 	}
--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -31,18 +31,18 @@
 }
 
 func (g *globals) printLosses(losses explain.Losses, rows int) error {
-	fmt.Fprintf(g.stdout, "%d answered, %d streams cut, %d without an end; %d lines read, %d of them no log lines\n", losses.Answered, losses.Cut, len(losses.Unended), losses.Read, losses.Skipped)
+	fmt.Fprintf(g.stdout, "%d answered, %d streams cut, %d without an end; %d lines read, %d of another kind\n", losses.Answered, losses.Cut, len(losses.Unended), losses.Read, losses.Skipped)
 	for _, table := range []struct {
 		title  string
 		header []string
 		rows   [][]string
 	}{
 		{"classes", []string{"served", "route", "tier", "answered", "refused"}, classRows(losses)},
-		{"refusals", []string{"count", "reason", "tier", "route", "workspace", "held ms", "retry after ms, p10 p50 p90"}, refusalRows(losses)},
+		{"refusals", []string{"count", "reason", "tier", "route", "workspace", "held ms", "told to come back after ms, p10 p50 p90"}, refusalRows(losses)},
 		{"refusals by second", []string{"second", "reasons"}, secondRows(losses)},
 		{"pools by second", []string{"second", "tiers: granted, granted late, shed, expired, slot ms"}, poolSecondRows(losses)},
 		{"failed sends", []string{"count", "server", "cause"}, failureRows(losses)},
-		{"long-running requests without an end", []string{"at", "vm", "request", "server"}, unendedRows(losses)},
+		{"ran on without an end", []string{"at", "vm", "request", "server"}, unendedRows(losses)},
 		{"starts", []string{"at", "vm", "first answer after ms"}, startRows(losses)},
 		{"pools that shed", []string{"at", "pool", "shed", "running", "free", "lost runs"}, overloadRows(losses)},
 	} {
