--- a/test/burst_test.go
+++ b/test/burst_test.go
@@ -11,30 +11,30 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// holderTokens makes an answer that outlasts every test: its caller leaves.
-const holderTokens = 4000
+// occupyingTokens makes an answer that outlasts every test: its caller leaves.
+const occupyingTokens = 4000
 
-// startHolders takes slots with answers that stream until their callers
+// occupySlots takes slots with answers that stream until their callers
 // leave, which cancel does.
-func (c *cluster) startHolders(n int) (s *streams, cancel context.CancelFunc) {
+func (c *cluster) occupySlots(n int) (s *streams, cancel context.CancelFunc) {
 	c.t.Helper()
 	s = &streams{}
 	ctx, cancel := context.WithCancel(c.t.Context())
 	for i := range n {
-		s.lanes.Go(func() {
-			hold := call{text: fmt.Sprintf("%s%d holder %d", engine.PrefixGenerate, holderTokens, i), stream: true, max: holderTokens, tier: "handover"}
-			hold.onFirst = func() { s.begun.Add(1) }
-			s.add(hold, chat(ctx, c.nodes[i%len(c.nodes)].callers.proxy.Addr(), hold))
+		s.wg.Go(func() {
+			req := call{prompt: fmt.Sprintf("%s%d holder %d", engine.PrefixGenerate, occupyingTokens, i), stream: true, maxTokens: occupyingTokens, tier: "handover"}
+			req.onFirstText = func() { s.started.Add(1) }
+			s.add(req, chat(ctx, c.nodes[i%len(c.nodes)].callerLink.proxy.Addr(), req))
 		})
 	}
-	c.t.Cleanup(func() { cancel(); s.lanes.Wait() })
-	eventually(c.t, "every slot is taken", func() bool { return int(s.begun.Load()) == n })
+	c.t.Cleanup(func() { cancel(); s.wg.Wait() })
+	eventually(c.t, "every slot is taken", func() bool { return int(s.started.Load()) == n })
 	return s, cancel
 }
 
-// waiting returns how many requests wait at the pool's owner; tests use it to
+// waitingRequests returns how many requests wait at the pool's owner; tests use it to
 // order their steps, never for a verdict.
-func (c *cluster) waiting(pool string) int {
+func (c *cluster) waitingRequests(pool string) int {
 	sum := 0
 	for _, n := range c.nodes {
 		for _, s := range c.status(n).Owned {
@@ -48,15 +48,15 @@
 	return sum
 }
 
-// sendAll sends a number of requests of one tier at the same time, one from
+// sendConcurrently sends a number of requests of one tier at the same time, one from
 // each of as many callers.
-func (c *cluster) sendAll(ctx context.Context, tier string, lane, n int) *streams {
+func (c *cluster) sendConcurrently(ctx context.Context, tier string, caller, n int) *streams {
 	s := &streams{}
 	for i := range n {
-		s.lanes.Go(func() {
-			r, _ := echoCall(lane, i, 3)
+		s.wg.Go(func() {
+			r, _ := echoCall(caller, i, 3)
 			r.tier = tier
-			s.add(r, chat(ctx, c.nodes[i%len(c.nodes)].callers.proxy.Addr(), r))
+			s.add(r, chat(ctx, c.nodes[i%len(c.nodes)].callerLink.proxy.Addr(), r))
 		})
 	}
 	return s
@@ -67,22 +67,22 @@
 // The check is sound from outside: slots are held until every refusal has
 // come, and all low-tier requests waited before the burst began. So one that
 // runs after all was waiting while a higher one was refused.
-func TestABurstAtDawn(t *testing.T) {
+func TestBurstShedsLowestTierFirst(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, plan{nodes: 3, engines: 1, options: slowEngine, slots: burstSlots})
+	c := newCluster(t, clusterSpec{nodes: 3, engines: 1, options: slowEngine, slots: burstSlots})
 	Convey("no higher tier is shed while a lower one waits", t, func() {
 		urgent, tags := c.burst("")
-		So(urgent.whole, ShouldEqual, burstQueue)
+		So(urgent.complete, ShouldEqual, burstQueue)
 		So(urgent.refused, ShouldResemble, map[string]int{"shed": burstSize - burstQueue})
-		So(tags.whole, ShouldEqual, 0)
+		So(tags.complete, ShouldEqual, 0)
 		So(tags.refused, ShouldResemble, map[string]int{"shed": burstQueue})
 	})
 	// Guards against this: an accepted change of a pool's policy changes nothing.
 	Convey("a changed policy is in force: who came first keeps its place", t, func() {
 		urgent, tags := c.burst("fifo")
-		So(tags.whole, ShouldEqual, burstQueue)
+		So(tags.complete, ShouldEqual, burstQueue)
 		So(tags.refused, ShouldBeEmpty)
-		So(urgent.whole, ShouldEqual, 0)
+		So(urgent.complete, ShouldEqual, 0)
 		So(urgent.refused, ShouldResemble, map[string]int{"shed": burstSize})
 	})
 }
@@ -91,8 +91,8 @@
 
 // outcome is what callers got.
 type outcome struct {
-	whole   int
-	refused map[string]int
+	complete int
+	refused  map[string]int
 }
 
 // burst fills the queue with tags while every slot is held, sends a burst of
@@ -102,49 +102,49 @@
 	c.awaitVersion(uint64(c.put(workspace.KindPool, testPool, workspace.Pool{
 		Name: testPool, Region: testRegion, Model: testModel, Version: "v1", MaxWaiting: burstQueue, Policy: policy,
 	})))
-	_, leave := c.startHolders(burstSlots)
+	_, cancel := c.occupySlots(burstSlots)
 	before := len(c.runs())
-	low := c.sendAll(c.t.Context(), "tag", 1, burstQueue)
-	eventually(c.t, "the queue is full of tags", func() bool { return c.waiting(testPool) == burstQueue })
-	high := c.sendAll(c.t.Context(), "handover", 2, burstSize)
+	low := c.sendConcurrently(c.t.Context(), "tag", 1, burstQueue)
+	eventually(c.t, "the queue is full of tags", func() bool { return c.waitingRequests(testPool) == burstQueue })
+	high := c.sendConcurrently(c.t.Context(), "handover", 2, burstSize)
 	eventually(c.t, "what finds no place is refused", func() bool { return low.count()+high.count() >= burstSize })
 	So(len(c.runs()), ShouldEqual, before) // every slot was held all the time
-	leave()
-	low.lanes.Wait()
-	high.lanes.Wait()
+	cancel()
+	low.wg.Wait()
+	high.wg.Wait()
 	for _, r := range append(high.all(), low.all()...) {
-		So(r.answer.whole || r.answer.notRun == true, ShouldBeTrue)
+		So(r.answer.complete || r.answer.notRun == true, ShouldBeTrue)
 	}
 	return c.outcomeOf(high), c.outcomeOf(low)
 }
 
 func (c *cluster) outcomeOf(s *streams) outcome {
-	whole, refused, broken := checkAnswers(c.t, c, s.all())
-	So(broken, ShouldEqual, 0)
-	return outcome{whole, refused}
+	complete, refused, failed := checkAnswers(c.t, c, s.all())
+	So(failed, ShouldEqual, 0)
+	return outcome{complete, refused}
 }
 
 // Guards against this: some answers take ten times as long as the others.
-func TestAStragglerWithLateAndMissingReports(t *testing.T) {
+func TestStragglerWithLateAndMissingReports(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, plan{nodes: 3, engines: 3, options: slowEngine, slots: 6})
+	c := newCluster(t, clusterSpec{nodes: 3, engines: 3, options: slowEngine, slots: 6})
 	Convey("its share falls, and every caller gets its own whole answer", t, func() {
 		for i, e := range c.engines {
 			c.engineFaults(e, fmt.Sprintf(`{"report_lag_ms": 1500, "drop_events": %d}`, i+1))
 		}
-		l := startLoad(t.Context(), 16, 10, through(c.nodes))
+		l := startLoad(t.Context(), 16, 10, roundRobin(c.nodes))
 		eventually(t, "traffic flows", func() bool { return l.count() >= 100 })
 		slow := c.engines[0]
 		c.engineFaults(slow, `{"speed": 0.1}`)
-		at, ran, all := l.count(), len(c.runsOf(slow)), len(c.runs())
-		eventually(t, "traffic goes on", func() bool { return l.count() >= at+300 })
+		before, ran, all := l.count(), len(c.runsOf(slow)), len(c.runs())
+		eventually(t, "traffic goes on", func() bool { return l.count() >= before+300 })
 		share := float64(len(c.runsOf(slow))-ran) / float64(len(c.runs())-all)
 		results := l.stop()
-		whole, refused, broken := checkAnswers(t, c, results)
+		complete, refused, failed := checkAnswers(t, c, results)
 		t.Logf("the straggler's share of the runs: %.3f", share)
 		So(refused, ShouldBeEmpty)
-		So(broken, ShouldEqual, 0)
-		So(whole, ShouldEqual, len(results))
+		So(failed, ShouldEqual, 0)
+		So(complete, ShouldEqual, len(results))
 		So(share, ShouldBeLessThan, 0.2) // a third before; by speed it would be 0.05
 	})
 }
--- a/test/caller_test.go
+++ b/test/caller_test.go
@@ -17,40 +17,40 @@
 
 // answer is what one caller received.
 type answer struct {
-	status    int
-	requestID string
-	text      string
-	whole     bool // the end of a whole answer was seen
-	code      string
-	notRun    any // true, false or "unknown", of a refusal
-	err       error
-	firstAt   time.Time // of the first text
-	endAt     time.Time
-	onFirst   func()
+	status      int
+	requestID   string
+	text        string
+	complete    bool // the end of a whole answer was seen
+	code        string
+	notRun      any // true, false or "unknown", of a refusal
+	err         error
+	firstAt     time.Time // of the first text
+	endAt       time.Time
+	onFirstText func()
 }
 
 // call is one request of a caller.
 type call struct {
-	text   string // the prompt
-	tier   string
-	stream bool
-	max    int
-	header map[string]string
-	// onFirst is called at the first text, where set.
-	onFirst func()
+	prompt    string // the prompt
+	tier      string
+	stream    bool
+	maxTokens int
+	header    map[string]string
+	// onFirstText is called at the first text, where set.
+	onFirstText func()
 }
 
-// client opens a connection for every request, as callers behind a balancer
+// newClient opens a connection for every request, as callers behind a balancer
 // do, and never repeats one by itself.
-func client() *http.Client {
+func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
 // chat sends one request to an address and reads its whole answer.
 func chat(ctx context.Context, address string, c call) answer {
 	body, _ := json.Marshal(map[string]any{
-		"model": testModel, "stream": c.stream, "max_tokens": max(c.max, 16),
-		"messages": []map[string]string{{"role": "user", "content": c.text}},
+		"model": testModel, "stream": c.stream, "max_tokens": max(c.maxTokens, 16),
+		"messages": []map[string]string{{"role": "user", "content": c.prompt}},
 	})
 	return send(ctx, address, "/v1/chat/completions", body, c)
 }
@@ -70,12 +70,12 @@
 	for k, v := range c.header {
 		req.Header.Set(k, v)
 	}
-	resp, err := client().Do(req)
+	resp, err := newClient().Do(req)
 	if err != nil {
 		return answer{err: err, endAt: time.Now()}
 	}
 	defer resp.Body.Close()
-	a := answer{status: resp.StatusCode, requestID: resp.Header.Get("X-Request-Id"), onFirst: c.onFirst}
+	a := answer{status: resp.StatusCode, requestID: resp.Header.Get("X-Request-Id"), onFirstText: c.onFirstText}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
 		a.readEvents(resp.Body)
 	} else {
@@ -85,8 +85,8 @@
 	return a
 }
 
-// wire is the part of OpenAI's answers, chunks and errors that tests read.
-type wire struct {
+// apiResponse is the part of OpenAI's answers, chunks and errors that tests read.
+type apiResponse struct {
 	Choices []struct {
 		Message      struct{ Content string }
 		Delta        struct{ Content string }
@@ -101,10 +101,10 @@
 func (a *answer) readPlain(r io.Reader) {
 	data, err := io.ReadAll(r)
 	a.err = err
-	var w wire
+	var w apiResponse
 	if err == nil && json.Unmarshal(data, &w) == nil {
-		a.take(w)
-		a.whole = a.status == http.StatusOK && a.code == ""
+		a.apply(w)
+		a.complete = a.status == http.StatusOK && a.code == ""
 	}
 	if a.text == "" && a.code == "" {
 		a.text = string(data)
@@ -120,22 +120,22 @@
 			continue
 		}
 		if data == "[DONE]" {
-			a.whole = a.code == ""
+			a.complete = a.code == ""
 			continue
 		}
-		var w wire
+		var w apiResponse
 		if err := json.Unmarshal([]byte(data), &w); err != nil {
 			a.err = err
 			return
 		}
-		a.take(w)
+		a.apply(w)
 	}
 	if a.err == nil {
 		a.err = lines.Err()
 	}
 }
 
-func (a *answer) take(w wire) {
+func (a *answer) apply(w apiResponse) {
 	if w.Error != nil {
 		a.code, a.notRun = w.Error.Code, w.Error.NotRun
 	}
@@ -143,8 +143,8 @@
 		text := c.Message.Content + c.Delta.Content
 		if text != "" && a.firstAt.IsZero() {
 			a.firstAt = time.Now()
-			if a.onFirst != nil {
-				a.onFirst()
+			if a.onFirstText != nil {
+				a.onFirstText()
 			}
 		}
 		a.text += text
@@ -159,17 +159,17 @@
 
 // echoCall returns a call whose answer is known: a text that no other call
 // of the test has, streamed every second time.
-func echoCall(lane, n, words int) (call, string) {
-	text := fmt.Sprintf("lane %d call %d%s.", lane, n, strings.Repeat(" snag list", words))
+func echoCall(caller, n, words int) (call, string) {
+	text := fmt.Sprintf("lane %d call %d%s.", caller, n, strings.Repeat(" snag list", words))
 	tiers := []string{"handover", "report", "summary", "tag"}
-	return call{text: "echo:" + text, stream: n%2 == 0, tier: tiers[n%len(tiers)], max: 4096}, text
+	return call{prompt: "echo:" + text, stream: n%2 == 0, tier: tiers[n%len(tiers)], maxTokens: 4096}, text
 }
 
 // checkAnswers fails the test where a caller got another's answer or a part
 // of its own, where a refusal "not run" is false, or where a request stands in
 // the engines' run logs twice. It returns the counts of whole answers, of
 // refusals by code, and of answers that broke off.
-func checkAnswers(t testing.TB, c *cluster, results []result) (whole int, refused map[string]int, broken int) {
+func checkAnswers(t testing.TB, c *cluster, results []result) (complete int, refused map[string]int, failed int) {
 	t.Helper()
 	runs := map[string]int{}
 	for _, r := range c.runs() {
@@ -181,24 +181,24 @@
 	refused = map[string]int{}
 	for _, r := range results {
 		a := r.answer
-		want := strings.TrimPrefix(r.call.text, engine.PrefixEcho)
+		want := strings.TrimPrefix(r.call.prompt, engine.PrefixEcho)
 		switch {
-		case a.whole && a.text != want:
+		case a.complete && a.text != want:
 			t.Errorf("a caller got a wrong answer as whole: want %q, got %q", want, a.text)
-		case a.whole:
-			whole++
+		case a.complete:
+			complete++
 		case a.code != "":
 			refused[a.code]++
 			if a.notRun == true && runs[a.requestID] != 0 {
 				t.Errorf("request %s was refused as not run (%s), but ran", a.requestID, a.code)
 			}
 		default:
-			broken++
+			failed++
 			t.Logf("broken: request %q, status %d, error %v, got %q of %q", a.requestID, a.status, a.err, a.text, want)
 			if !strings.HasPrefix(want, a.text) {
 				t.Errorf("a caller got another's text: want a part of %q, got %q", want, a.text)
 			}
 		}
 	}
-	return whole, refused, broken
+	return complete, refused, failed
 }
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -48,15 +48,15 @@
 // node is one lycheekeeld with the links that lead to it.
 type node struct {
 	*process
-	settings daemon.Settings
-	file     string
-	callers  *link // callers to the daemon
-	peers    *link // the other daemons to this one
-	store    *link // the daemon to the platform
+	settings     daemon.Settings
+	settingsFile string
+	callerLink   *link // callerLink to the daemon
+	peerLink     *link // the other daemons to this one
+	platformLink *link // the daemon to the platform
 }
 
-// engineNode is one engine stand-in behind its link.
-type engineNode struct {
+// backend is one engine stand-in behind its link.
+type backend struct {
 	*process
 	name string
 	link *link
@@ -64,18 +64,18 @@
 
 // cluster is everything that a test runs.
 type cluster struct {
-	t        testing.TB
-	plan     plan
-	platform *process
-	store    string // the platform's own address, without a proxy
-	api      objectstore.Platform
-	engines  []*engineNode
-	service  *engineNode // the plain service
-	nodes    []*node
+	t            testing.TB
+	spec         clusterSpec
+	platform     *process
+	platformAddr string // the platform's own address, without a proxy
+	api          objectstore.Platform
+	engines      []*backend
+	service      *backend // the plain service
+	nodes        []*node
 }
 
-// plan says what a cluster consists of. Zero fields take small defaults.
-type plan struct {
+// clusterSpec says what a cluster consists of. Zero fields take small defaults.
+type clusterSpec struct {
 	nodes, engines int
 	options        engine.Options // of every engine
 	slots          int            // a server's bound in the configuration
@@ -85,26 +85,26 @@
 }
 
 // engineIP returns the IP at which daemons find an engine.
-func (p plan) engineIP(number int) string {
+func (p clusterSpec) engineIP(number int) string {
 	if !p.ownIPs {
 		return "127.0.0.1"
 	}
 	return fmt.Sprintf("127.0.1.%d", number+1)
 }
 
-// places bounds the clusters that run at the same time.
-var places = make(chan struct{}, 3)
+// clusterSlots bounds the clusters that run at the same time.
+var clusterSlots = make(chan struct{}, 3)
 
 // newCluster starts a cluster and waits until every daemon is ready. It waits
 // for a place first: a test uses one cluster only.
-func newCluster(t testing.TB, p plan) *cluster {
+func newCluster(t testing.TB, p clusterSpec) *cluster {
 	t.Helper()
-	places <- struct{}{}
-	t.Cleanup(func() { <-places })
-	c := &cluster{t: t, plan: p, store: freeAddress(t)}
-	c.platform = start(t, "platform", "lycheekeel", "standin", "platform", "--listen", c.store)
-	c.api = httpobjectstore.New(httpobjectstore.Options{Addr: c.store})
-	c.awaitHTTP(c.store, "/standin/calls")
+	clusterSlots <- struct{}{}
+	t.Cleanup(func() { <-clusterSlots })
+	c := &cluster{t: t, spec: p, platformAddr: freeAddress(t)}
+	c.platform = start(t, "platform", "lycheekeel", "standin", "platform", "--listen", c.platformAddr)
+	c.api = httpobjectstore.New(httpobjectstore.Options{Addr: c.platformAddr})
+	c.awaitHTTP(c.platformAddr, "/standin/calls")
 	for i := range p.engines {
 		c.addEngine(fmt.Sprintf("engine-%d", i), p.engineIP(i), p.options)
 	}
@@ -120,14 +120,14 @@
 	return c
 }
 
-func (c *cluster) addEngine(name, ip string, o engine.Options) *engineNode {
+func (c *cluster) addEngine(name, ip string, o engine.Options) *backend {
 	c.t.Helper()
 	options, err := json.Marshal(o)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	address := freeAddress(c.t)
-	e := &engineNode{name: name, link: newLinkAt(c.t, ip, address)}
+	e := &backend{name: name, link: newLinkAt(c.t, ip, address)}
 	e.process = start(c.t, name, "lycheekeel", "standin", "engine", "--listen", address, "--options", string(options))
 	c.engines = append(c.engines, e)
 	c.awaitHTTP(address, engine.PathHealth)
@@ -137,7 +137,7 @@
 func (c *cluster) addService() {
 	c.t.Helper()
 	address := freeAddress(c.t)
-	c.service = &engineNode{name: "crew-0", link: newLink(c.t, address)}
+	c.service = &backend{name: "crew-0", link: newLink(c.t, address)}
 	c.service.process = start(c.t, "service", "lycheekeel", "standin", "service", "--listen", address)
 	c.awaitHTTP(address, "/standin/calls")
 }
@@ -154,23 +154,23 @@
 func (c *cluster) prepareNode(name string) *node {
 	c.t.Helper()
 	n := &node{
-		callers: newLink(c.t, freeAddress(c.t)),
-		peers:   newLink(c.t, freeAddress(c.t)),
-		store:   newLink(c.t, c.store),
-		file:    filepath.Join(c.t.TempDir(), name+".json"),
+		callerLink:   newLink(c.t, freeAddress(c.t)),
+		peerLink:     newLink(c.t, freeAddress(c.t)),
+		platformLink: newLink(c.t, c.platformAddr),
+		settingsFile: filepath.Join(c.t.TempDir(), name+".json"),
 	}
 	n.settings = daemon.Settings{
 		Name: name, Region: testRegion, AvailabilityZone: fmt.Sprintf("hall-%d", len(c.nodes)%3),
-		Listen: n.callers.target, Admin: freeAddress(c.t),
+		Listen: n.callerLink.target, Admin: freeAddress(c.t),
 		Peer: daemon.PeerSettings{
-			Listen: n.peers.target, Address: n.peers.proxy.Addr(), Seeds: []string{}, ClusterKeys: []string{clusterKey},
+			Listen: n.peerLink.target, Address: n.peerLink.proxy.Addr(), Seeds: []string{}, ClusterKeys: []string{clusterKey},
 		},
-		Platform: daemon.PlatformSettings{Address: n.store.proxy.Addr()},
-		Log:      daemon.LogSettings{Level: "info"}, Placement: c.plan.placement,
+		Platform: daemon.PlatformSettings{Address: n.platformLink.proxy.Addr()},
+		Log:      daemon.LogSettings{Level: "info"}, Placement: c.spec.placement,
 		Timeouts: daemon.TimeoutSettings{DrainMs: 1500},
 	}
 	for _, other := range c.nodes {
-		n.settings.Peer.Seeds = append(n.settings.Peer.Seeds, other.peers.proxy.Addr())
+		n.settings.Peer.Seeds = append(n.settings.Peer.Seeds, other.peerLink.proxy.Addr())
 	}
 	c.nodes = append(c.nodes, n)
 	return n
@@ -183,10 +183,10 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	if err := os.WriteFile(n.file, data, 0o600); err != nil {
+	if err := os.WriteFile(n.settingsFile, data, 0o600); err != nil {
 		c.t.Fatal(err)
 	}
-	n.process = start(c.t, n.settings.Name, "lycheekeeld", "--settings", n.file)
+	n.process = start(c.t, n.settings.Name, "lycheekeeld", "--settings", n.settingsFile)
 }
 
 func (c *cluster) awaitReady(n *node) {
@@ -199,7 +199,7 @@
 	c.t.Helper()
 	eventually(c.t, "every daemon sees all others alive", func() bool {
 		for _, n := range c.nodes {
-			if c.aliveAt(n) != len(c.nodes) {
+			if c.countAlive(n) != len(c.nodes) {
 				return false
 			}
 		}
@@ -207,8 +207,8 @@
 	})
 }
 
-// aliveAt counts the members that a daemon sees alive.
-func (c *cluster) aliveAt(n *node) int {
+// countAlive counts the members that a daemon sees alive.
+func (c *cluster) countAlive(n *node) int {
 	alive := 0
 	for _, m := range c.status(n).Members {
 		if m.State == "alive" {
@@ -257,14 +257,14 @@
 	return all
 }
 
-func (c *cluster) runsOf(e *engineNode) []engine.RunRecord {
+func (c *cluster) runsOf(e *backend) []engine.RunRecord {
 	var runs []engine.RunRecord
 	c.getJSON(e.link.target, engine.PathRuns, &runs)
 	return runs
 }
 
 // engineFaults changes an engine's faults; only the named fields change.
-func (c *cluster) engineFaults(e *engineNode, faults string) {
+func (c *cluster) engineFaults(e *backend, faults string) {
 	c.t.Helper()
 	c.post(e.link.target, engine.PathFaults, faults)
 }
@@ -276,5 +276,5 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.post(c.store, standin.PathFaults, string(data))
+	c.post(c.platformAddr, standin.PathFaults, string(data))
 }
--- a/test/config_change_test.go
+++ b/test/config_change_test.go
@@ -32,7 +32,7 @@
 	if err := os.WriteFile(file, data, 0o600); err != nil {
 		c.t.Fatal(err)
 	}
-	cmd := exec.Command(filepath.Join(binaries, "lycheekeel"), "apply", "--platform", c.store, "-f", file, "--expect-version", expect)
+	cmd := exec.Command(filepath.Join(binDir, "lycheekeel"), "apply", "--platform", c.platformAddr, "-f", file, "--expect-version", expect)
 	out, err := cmd.CombinedOutput()
 	if err != nil && cmd.ProcessState == nil {
 		c.t.Fatal(err)
@@ -41,9 +41,9 @@
 }
 
 // Guards against this: an operator's accepted change is gone, and nobody was told.
-func TestOperatorsRaceOnOneTemplate(t *testing.T) {
+func TestConcurrentApplyOfOneTemplate(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, plan{nodes: 3, engines: 1})
+	c := newCluster(t, clusterSpec{nodes: 3, engines: 1})
 	Convey("one wins, the others are told of a conflict, and the winner's is in force", t, func() {
 		stored, err := c.api.Get(t.Context(), workspace.KindTemplate, "snagging")
 		So(err, ShouldBeNil)
@@ -79,9 +79,9 @@
 }
 
 // Guards against this: a daemon that was replaced during an outage of the store serves nobody, or serves an old configuration.
-func TestADaemonStartsWhileTheStoreIsDownOrStale(t *testing.T) {
+func TestDaemonStartsWhileStoreIsDownOrStale(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, plan{nodes: 3, engines: 1})
+	c := newCluster(t, clusterSpec{nodes: 3, engines: 1})
 	Convey("it gets the newest configuration from its peers and never goes back", t, func() {
 		var version uint64
 		for i := range 4 {
@@ -93,11 +93,11 @@
 		c.storeFaults(standin.Faults{Down: true})
 		n := c.nodes[0]
 		n.kill()
-		n.settings.Peer.Seeds = []string{c.nodes[1].peers.proxy.Addr(), c.nodes[2].peers.proxy.Addr()}
+		n.settings.Peer.Seeds = []string{c.nodes[1].peerLink.proxy.Addr(), c.nodes[2].peerLink.proxy.Addr()}
 		c.startNode(n)
 		c.awaitReady(n)
 		So(uint64(c.status(n).Configuration.Version), ShouldEqual, version)
-		So(chat(t.Context(), n.callers.proxy.Addr(), call{text: "echo:served in the outage"}).text, ShouldEqual, "served in the outage")
+		So(chat(t.Context(), n.callerLink.proxy.Addr(), call{prompt: "echo:served in the outage"}).text, ShouldEqual, "served in the outage")
 
 		c.storeFaults(standin.Faults{StaleWrites: 3})
 		c.nodes[1].kill()
@@ -112,19 +112,19 @@
 }
 
 // Guards against this: a process that does not belong to the cluster gets requests or grants.
-func TestADaemonWithAnotherClusterKeyStaysOutside(t *testing.T) {
+func TestDaemonWithAnotherClusterKeyIsNotAMember(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, plan{nodes: 2, engines: 1})
+	c := newCluster(t, clusterSpec{nodes: 2, engines: 1})
 	Convey("the members never see it, and it can't see them", t, func() {
-		inside := append([]*node(nil), c.nodes...)
+		members := append([]*node(nil), c.nodes...)
 		stranger := c.prepareNode("stranger")
 		stranger.settings.Peer.ClusterKeys = []string{"another-key-of-the-same-length"}
 		c.startNode(stranger)
 		c.awaitReady(stranger)
-		a := chat(t.Context(), stranger.callers.proxy.Addr(), call{text: "echo:alone"})
+		a := chat(t.Context(), stranger.callerLink.proxy.Addr(), call{prompt: "echo:alone"})
 		So(a.text, ShouldEqual, "alone")
-		So(c.aliveAt(stranger), ShouldEqual, 1)
-		for _, n := range inside {
+		So(c.countAlive(stranger), ShouldEqual, 1)
+		for _, n := range members {
 			for _, m := range c.status(n).Members {
 				So(m.Name, ShouldNotEqual, "stranger")
 			}
--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -12,7 +12,7 @@
 
 // crashes counts the runs of all engines that a crash ended and that carry
 // one of the request ids.
-func (c *cluster) runsNamed(ids map[string]bool) int {
+func (c *cluster) runsWithIDs(ids map[string]bool) int {
 	n := 0
 	for _, r := range c.runs() {
 		if ids[r.RequestID] {
@@ -23,39 +23,39 @@
 }
 
 // Guards against this: one engine after the other crashes, and everybody's answers on them are lost.
-func TestARequestThatCrashesEnginesIsConvicted(t *testing.T) {
+func TestRequestThatCrashesEnginesIsRefused(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, plan{nodes: 3, engines: 4, options: engine.Options{StepMs: 10, RestartMs: 400}})
+	c := newCluster(t, clusterSpec{nodes: 3, engines: 4, options: engine.Options{StepMs: 10, RestartMs: 400}})
 	Convey("it is refused as convicted after few crashes, and innocents are served", t, func() {
 		for _, e := range c.engines {
 			c.engineFaults(e, `{"crash_text": "deadly snag"}`)
 		}
-		l := startLoad(t.Context(), 6, 10, through(c.nodes))
+		l := startLoad(t.Context(), 6, 10, roundRobin(c.nodes))
 		eventually(t, "traffic flows", func() bool { return l.count() >= 30 })
 		ids := map[string]bool{}
 		sent, started := 0, time.Now()
 		eventually(t, "the request is convicted", func() bool {
-			a := chat(t.Context(), c.nodes[sent%3].callers.proxy.Addr(), call{text: "a deadly snag list", tier: "handover"})
+			a := chat(t.Context(), c.nodes[sent%3].callerLink.proxy.Addr(), call{prompt: "a deadly snag list", tier: "handover"})
 			sent++
 			t.Logf("sending %d: %d %s after %v, not_run %v, %v", sent, a.status, a.code, time.Since(started), a.notRun, a.err)
 			ids[a.requestID] = true
 			return a.code == "convicted"
 		})
-		crashes := c.runsNamed(ids)
+		crashes := c.runsWithIDs(ids)
 		for _, n := range c.nodes {
 			eventually(t, "every entry refuses it", func() bool {
-				a := chat(t.Context(), n.callers.proxy.Addr(), call{text: "a deadly snag list", tier: "handover"})
+				a := chat(t.Context(), n.callerLink.proxy.Addr(), call{prompt: "a deadly snag list", tier: "handover"})
 				return a.code == "convicted" && a.notRun == true && a.status == http.StatusUnprocessableEntity
 			})
 		}
-		at := l.count()
-		eventually(t, "innocents are served", func() bool { return l.count() >= at+60 })
+		before := l.count()
+		eventually(t, "innocents are served", func() bool { return l.count() >= before+60 })
 		results := l.stop()
-		whole, refused, broken := checkAnswers(t, c, results)
+		complete, refused, failed := checkAnswers(t, c, results)
 		t.Logf("crashes before the conviction: %d, sent %d times; others: %d whole, %v refused, %d broken",
-			crashes, sent, whole, refused, broken)
+			crashes, sent, complete, refused, failed)
 		So(crashes, ShouldBeBetweenOrEqual, 2, 3)
 		So(refused["convicted"], ShouldEqual, 0)
-		So(whole, ShouldBeGreaterThan, len(results)-20)
+		So(complete, ShouldBeGreaterThan, len(results)-20)
 	})
 }
--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -30,13 +30,13 @@
 	ready atomic.Pointer[[]*node]
 }
 
-func (b *balancer) pick(lane, n int) string {
-	ready := *b.ready.Load()
-	return ready[(lane+n)%len(ready)].callers.proxy.Addr()
+func (lb *balancer) pick(caller, n int) string {
+	ready := *lb.ready.Load()
+	return ready[(caller+n)%len(ready)].callerLink.proxy.Addr()
 }
 
-// check looks once which nodes are ready. It keeps the last ones where none is.
-func (b *balancer) check(nodes []*node) {
+// refresh looks once which nodes are ready. It keeps the last ones where none is.
+func (lb *balancer) refresh(nodes []*node) {
 	var ready []*node
 	for _, n := range nodes {
 		resp, err := http.Get("http://" + n.settings.Admin + "/readyz")
@@ -49,22 +49,22 @@
 		}
 	}
 	if len(ready) > 0 {
-		b.ready.Store(&ready)
+		lb.ready.Store(&ready)
 	}
 }
 
 // Guards against this: callers get resets and errors while operators roll out a release.
-func TestARollingRestartUnderLoad(t *testing.T) {
+func TestRollingRestartUnderLoad(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, plan{nodes: 3, engines: 2, options: slowEngine, slots: 6})
+	c := newCluster(t, clusterSpec{nodes: 3, engines: 2, options: slowEngine, slots: 6})
 	Convey("no caller notices", t, func() {
-		b := &balancer{}
-		b.check(c.nodes)
+		lb := &balancer{}
+		lb.refresh(c.nodes)
 		nodes := append([]*node(nil), c.nodes...)
-		l := startLoad(t.Context(), 16, 10, b.pick)
+		l := startLoad(t.Context(), 16, 10, lb.pick)
 		for _, n := range nodes {
-			at := l.count()
-			eventually(t, "traffic flows", func() bool { return l.count() >= at+32 })
+			before := l.count()
+			eventually(t, "traffic flows", func() bool { return l.count() >= before+32 })
 			stopped := make(chan error, 1)
 			p := n.process
 			go func() { stopped <- p.stop() }()
@@ -74,43 +74,43 @@
 					So(err, ShouldBeNil)
 					waiting = false
 				case <-time.After(100 * time.Millisecond):
-					b.check(nodes)
+					lb.refresh(nodes)
 				}
 			}
 			c.startNode(n)
 			c.awaitReady(n)
 			c.awaitMembers()
-			b.check(nodes)
+			lb.refresh(nodes)
 		}
 		results := l.stop()
-		whole, refused, broken := checkAnswers(t, c, results)
+		complete, refused, failed := checkAnswers(t, c, results)
 		So(refused, ShouldBeEmpty)
-		So(broken, ShouldEqual, 0)
-		So(whole, ShouldEqual, len(results))
+		So(failed, ShouldEqual, 0)
+		So(complete, ShouldEqual, len(results))
 	})
 }
 
 // Guards against this: requests are sent to a backend server that is about to go.
-func TestABackendServerLeavesInMidStream(t *testing.T) {
+func TestBackendServerDrainsMidStream(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, plan{nodes: 3, engines: 3, options: slowEngine, slots: 6})
+	c := newCluster(t, clusterSpec{nodes: 3, engines: 3, options: slowEngine, slots: 6})
 	Convey("its streams end whole and it gets nothing new after the change is in force", t, func() {
-		l := startLoad(t.Context(), 16, 20, through(c.nodes))
+		l := startLoad(t.Context(), 16, 20, roundRobin(c.nodes))
 		eventually(t, "traffic flows", func() bool { return l.count() >= 48 })
 		leaving := c.engines[0]
-		s := c.backendServer(leaving, 0, plan{slots: 6})
+		s := c.backendServer(leaving, 0, clusterSpec{slots: 6})
 		s.Leaving = true
 		c.awaitVersion(uint64(c.put(workspace.KindBackendServer, leaving.name, s)))
-		noticed := time.Now()
-		at := l.count()
-		eventually(t, "traffic goes on", func() bool { return l.count() >= at+150 })
+		activeAt := time.Now()
+		before := l.count()
+		eventually(t, "traffic goes on", func() bool { return l.count() >= before+150 })
 		results := l.stop()
-		whole, refused, broken := checkAnswers(t, c, results)
+		complete, refused, failed := checkAnswers(t, c, results)
 		So(refused, ShouldBeEmpty)
-		So(broken, ShouldEqual, 0)
-		So(whole, ShouldEqual, len(results))
+		So(failed, ShouldEqual, 0)
+		So(complete, ShouldEqual, len(results))
 		for _, r := range c.runsOf(leaving) {
-			So(r.StartedAt, ShouldHappenBefore, noticed.Add(3*time.Second))
+			So(r.StartedAt, ShouldHappenBefore, activeAt.Add(3*time.Second))
 		}
 	})
 }
--- a/test/pairs_test.go
+++ b/test/fault_pairs_test.go
@@ -21,9 +21,9 @@
 	begin, end func(c *cluster, victim *node)
 }
 
-func nothing(*cluster, *node) {}
+func noop(*cluster, *node) {}
 
-func silence(links func(c *cluster) []*link) func(*cluster, *node) {
+func silenceLinks(links func(c *cluster) []*link) func(*cluster, *node) {
 	return func(c *cluster, _ *node) {
 		for _, l := range links(c) {
 			l.proxy.Silence(faultproxy.Both)
@@ -40,40 +40,40 @@
 
 func peerLinks(c *cluster) (links []*link) {
 	for _, n := range c.nodes {
-		links = append(links, n.peers)
+		links = append(links, n.peerLink)
 	}
 	return links
 }
 
-func store(f standin.Faults) fault {
+func storeFault(f standin.Faults) fault {
 	return fault{
 		begin: func(c *cluster, _ *node) { c.storeFaults(f) },
 		end:   func(c *cluster, _ *node) { c.storeFaults(standin.Faults{}) },
 	}
 }
 
-func startAgain(c *cluster, victim *node) {
+func restart(c *cluster, victim *node) {
 	c.startNode(victim)
 	c.awaitReady(victim)
 }
 
 // faults are the failures by name.
 var faults = map[string]fault{
-	"owner dies": {func(_ *cluster, v *node) { v.kill() }, startAgain},
+	"owner dies": {func(_ *cluster, v *node) { v.kill() }, restart},
 	"owner paused": {
 		func(_ *cluster, v *node) { v.signal(syscall.SIGSTOP) },
 		func(_ *cluster, v *node) { v.signal(syscall.SIGCONT) },
 	},
-	"owner restarted": {func(c *cluster, v *node) { So(v.stop(), ShouldBeNil) }, startAgain},
+	"owner restarted": {func(c *cluster, v *node) { So(v.stop(), ShouldBeNil) }, restart},
 	"owner unreachable": {
-		func(_ *cluster, v *node) { v.peers.proxy.Cut() },
-		func(_ *cluster, v *node) { v.peers.proxy.Pass() },
+		func(_ *cluster, v *node) { v.peerLink.proxy.Cut() },
+		func(_ *cluster, v *node) { v.peerLink.proxy.Pass() },
 	},
-	"store loses answers":  store(standin.Faults{LoseFraction: 0.3}),
-	"store down":           store(standin.Faults{Down: true}),
-	"store slow and stale": store(standin.Faults{SlowMs: 300, StaleWrites: 3}),
-	"engines silent":       {silence(engineLinks), nothing},
-	"peers silent":         {silence(peerLinks), nothing},
+	"store loses answers":  storeFault(standin.Faults{LoseFraction: 0.3}),
+	"store down":           storeFault(standin.Faults{Down: true}),
+	"store slow and stale": storeFault(standin.Faults{SlowMs: 300, StaleWrites: 3}),
+	"engines silent":       {silenceLinks(engineLinks), noop},
+	"peers silent":         {silenceLinks(peerLinks), noop},
 	"straggler": {
 		func(c *cluster, _ *node) { c.engineFaults(c.engines[0], `{"speed": 0.2}`) },
 		func(c *cluster, _ *node) { c.engineFaults(c.engines[0], `{"speed": 1}`) },
@@ -84,16 +84,16 @@
 				c.engineFaults(e, `{"crash_text": "deadly snag"}`)
 			}
 			for i, n := range c.others(v)[:2] {
-				chat(c.t.Context(), n.callers.proxy.Addr(), call{text: fmt.Sprintf("a deadly snag %d", i), tier: "handover"})
+				chat(c.t.Context(), n.callerLink.proxy.Addr(), call{prompt: fmt.Sprintf("a deadly snag %d", i), tier: "handover"})
 			}
 		},
-		nothing,
+		noop,
 	},
 }
 
-// pairs are the combinations. The seed decides how far the first has come when
+// faultPairs are the combinations. The seed decides how far the first has come when
 // the second one begins.
-var pairs = []struct {
+var faultPairs = []struct {
 	seed          uint64
 	first, second string
 }{
@@ -107,55 +107,55 @@
 }
 
 // Guards against this: the system stands one failure, but not two at once.
-func TestTwoFailuresAtOnce(t *testing.T) {
-	for _, p := range pairs {
+func TestConcurrentFaults(t *testing.T) {
+	for _, p := range faultPairs {
 		t.Run(fmt.Sprintf("%d: %s, %s", p.seed, p.first, p.second), func(t *testing.T) {
 			t.Parallel()
-			c := newCluster(t, plan{nodes: 4, engines: 3, options: slowEngine, slots: 6})
+			c := newCluster(t, clusterSpec{nodes: 4, engines: 3, options: slowEngine, slots: 6})
 			Convey("no request is lost, doubled or misreported", t, func() {
-				random := rand.New(rand.NewPCG(p.seed, 0))
+				rng := rand.New(rand.NewPCG(p.seed, 0))
 				victim := c.owner(testPool)
-				l := startLoad(t.Context(), 20, 8, through(c.others(victim)))
-				confirmations := c.startConfirmations(c.others(victim))
+				l := startLoad(t.Context(), 20, 8, roundRobin(c.others(victim)))
+				nonIdempotent := c.startNonIdempotentLoad(c.others(victim))
 				eventually(t, "traffic flows", func() bool { return l.count() >= 60 })
 				first, second := faults[p.first], faults[p.second]
 				first.begin(c, victim)
-				at := l.count() + random.IntN(30)
-				eventually(t, "traffic goes on under the first", func() bool { return l.count() >= at })
+				before := l.count() + rng.IntN(30)
+				eventually(t, "traffic goes on under the first", func() bool { return l.count() >= before })
 				second.begin(c, victim)
-				at = l.count()
-				eventually(t, "traffic goes on under both", func() bool { return l.count() >= at+100 })
+				before = l.count()
+				eventually(t, "traffic goes on under both", func() bool { return l.count() >= before+100 })
 				first.end(c, victim)
 				second.end(c, victim)
-				at = l.count()
-				eventually(t, "traffic goes on after both", func() bool { return l.count() >= at+100 })
+				before = l.count()
+				eventually(t, "traffic goes on after both", func() bool { return l.count() >= before+100 })
 				results := l.stop()
-				confirmations.check()
-				whole, refused, broken := checkAnswers(t, c, results)
-				t.Logf("%d whole, %v refused, %d broken", whole, refused, broken)
+				nonIdempotent.check()
+				complete, refused, failed := checkAnswers(t, c, results)
+				t.Logf("%d whole, %v refused, %d broken", complete, refused, failed)
 				if p.first == "crashing request" {
-					So(whole, ShouldBeGreaterThan, len(results)*3/4) // innocents run beside it
+					So(complete, ShouldBeGreaterThan, len(results)*3/4) // innocents run beside it
 					return
 				}
 				lost := 0
 				if p.first == "engines silent" || p.second == "engines silent" {
-					lost = lostOnTheWay(c, results)
+					lost = lostInTransit(c, results)
 					delete(refused, "engine_lost")
 				}
 				So(refused, ShouldBeEmpty)
-				So(broken, ShouldEqual, 0)
-				So(whole, ShouldEqual, len(results)-lost)
+				So(failed, ShouldEqual, 0)
+				So(complete, ShouldEqual, len(results)-lost)
 			})
 		})
 	}
 }
 
-// lostOnTheWay counts the requests that were on their way to an engine when
+// lostInTransit counts the requests that were on their way to an engine when
 // its connections went silent: no engine ever got them, and their callers were
 // told that the outcome is unknown. Nothing can bring them back: to send one
 // again would be a second dispatch. One that an engine did get must be whole,
 // so an engine_lost refusal of such a one is not counted and fails the test.
-func lostOnTheWay(c *cluster, results []result) int {
+func lostInTransit(c *cluster, results []result) int {
 	ran := map[string]bool{}
 	for _, r := range c.runs() {
 		ran[r.RequestID] = true
@@ -169,19 +169,19 @@
 	return lost
 }
 
-// confirmations are calls that may not be repeated, each sent to one entry
+// nonIdempotentLoad are calls that may not be repeated, each sent to one entry
 // and then again to another.
-type confirmations struct {
+type nonIdempotentLoad struct {
 	c     *cluster
 	stop  chan struct{}
-	lane  conc.WaitGroup
+	wg    conc.WaitGroup
 	mu    sync.Mutex
 	byKey map[string][]answer
 }
 
-func (c *cluster) startConfirmations(nodes []*node) *confirmations {
-	s := &confirmations{c: c, stop: make(chan struct{}), byKey: map[string][]answer{}}
-	s.lane.Go(func() {
+func (c *cluster) startNonIdempotentLoad(nodes []*node) *nonIdempotentLoad {
+	s := &nonIdempotentLoad{c: c, stop: make(chan struct{}), byKey: map[string][]answer{}}
+	s.wg.Go(func() {
 		for n := 0; ; n++ {
 			select {
 			case <-s.stop:
@@ -190,7 +190,7 @@
 			}
 			key := fmt.Sprintf("pair-%d", n)
 			for i := range 2 {
-				a := send(c.t.Context(), nodes[(n+i)%len(nodes)].callers.proxy.Addr(), "/services/"+testService+"/dispatch/"+key,
+				a := send(c.t.Context(), nodes[(n+i)%len(nodes)].callerLink.proxy.Addr(), "/services/"+testService+"/dispatch/"+key,
 					[]byte(key), call{header: map[string]string{"Idempotency-Key": key, "X-Lycheekeel-Deadline-Ms": "8000"}})
 				s.mu.Lock()
 				s.byKey[key] = append(s.byKey[key], a)
@@ -202,28 +202,28 @@
 }
 
 // check compares what callers were told with the calls that the service got.
-func (s *confirmations) check() {
+func (s *nonIdempotentLoad) check() {
 	close(s.stop)
-	s.lane.Wait()
+	s.wg.Wait()
 	var calls []service.CallCount
 	s.c.getJSON(s.c.service.link.target, service.PathCalls, &calls)
 	ran := map[string]int{}
 	for _, k := range calls {
 		ran[k.Path] += k.Count
 	}
-	done := 0
+	total := 0
 	for key, answers := range s.byKey {
 		n := ran["/dispatch/"+key]
-		said, notRun := false, true
+		succeeded, notRun := false, true
 		for _, a := range answers {
-			said = said || a.status == 200
+			succeeded = succeeded || a.status == 200
 			notRun = notRun && a.notRun == true
 		}
-		if n > 1 || said && n == 0 || notRun && n > 0 {
+		if n > 1 || succeeded && n == 0 || notRun && n > 0 {
 			s.c.t.Errorf("confirmation %s ran %d times; its callers were told %+v", key, n, answers)
 		}
-		done += n
+		total += n
 	}
-	s.c.t.Logf("%d confirmations, %d ran", len(s.byKey), done)
-	So(done, ShouldBeGreaterThan, 0)
+	s.c.t.Logf("%d confirmations, %d ran", len(s.byKey), total)
+	So(total, ShouldBeGreaterThan, 0)
 }
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -17,12 +17,12 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// measureVariable switches the measurement on.
-const measureVariable = "LYCHEEKEEL_MEASURE"
+// measureEnv switches the measurement on.
+const measureEnv = "LYCHEEKEEL_MEASURE"
 
 const (
 	measureRate    = 120 // requests a second
-	measureLanes   = 120
+	measureCallers = 120
 	measureWindow  = 15 * time.Second
 	measureChanges = 10
 	measureKills   = 3
@@ -32,12 +32,12 @@
 // TestMeasureCluster measures real daemons of the same load at several sizes;
 // it judges nothing. Its figures are in docs/measurements/cluster.md.
 func TestMeasureCluster(t *testing.T) {
-	if os.Getenv(measureVariable) == "" {
-		t.Skip("a measurement; set " + measureVariable)
+	if os.Getenv(measureEnv) == "" {
+		t.Skip("a measurement; set " + measureEnv)
 	}
 	for _, size := range []int{3, 5, 9} {
 		t.Run(strconv.Itoa(size), func(t *testing.T) {
-			c := newCluster(t, plan{nodes: size, engines: 4, options: engine.Options{StepMs: 10}, slots: 16})
+			c := newCluster(t, clusterSpec{nodes: size, engines: 4, options: engine.Options{StepMs: 10}, slots: 16})
 			c.measureSteady()
 			c.measureChanges()
 			for range measureKills {
@@ -47,17 +47,17 @@
 	}
 }
 
-// measuredLoad offers requests at a steady rate to some nodes.
-func (c *cluster) measuredLoad(nodes []*node) *load {
+// startMeasuredLoad offers requests at a steady rate to some nodes.
+func (c *cluster) startMeasuredLoad(nodes []*node) *load {
 	l := &load{}
-	going, cancel := context.WithCancel(c.t.Context())
+	sendCtx, cancel := context.WithCancel(c.t.Context())
 	l.cancel = cancel
 	limiter := rate.NewLimiter(measureRate, 1)
-	for lane := range measureLanes {
-		l.lanes.Go(func() {
-			for n := 0; limiter.Wait(going) == nil; n++ {
-				r, _ := echoCall(lane, n, 5)
-				l.add(r, chat(c.t.Context(), through(nodes)(lane, n), r))
+	for caller := range measureCallers {
+		l.wg.Go(func() {
+			for n := 0; limiter.Wait(sendCtx) == nil; n++ {
+				r, _ := echoCall(caller, n, 5)
+				l.add(r, chat(c.t.Context(), roundRobin(nodes)(caller, n), r))
 			}
 		})
 	}
@@ -96,7 +96,7 @@
 
 func (c *cluster) storeCalls() (sum int64) {
 	calls := map[string]int64{}
-	c.getJSON(c.store, standin.PathCalls, &calls)
+	c.getJSON(c.platformAddr, standin.PathCalls, &calls)
 	for _, n := range calls {
 		sum += n
 	}
@@ -108,7 +108,7 @@
 	for _, loaded := range []bool{false, true} {
 		var l *load
 		if loaded {
-			l = c.measuredLoad(c.nodes)
+			l = c.startMeasuredLoad(c.nodes)
 		}
 		var before, after []usage
 		calls, answers, from := c.storeCalls(), 0, time.Now()
@@ -134,8 +134,8 @@
 			len(c.nodes), loaded, float64(c.storeCalls()-calls)/seconds, cpu[len(cpu)/2], cpu[len(cpu)-1], bytes[len(bytes)/2], bytes[len(bytes)-1])
 		if loaded {
 			rate := float64(l.count()-answers) / seconds
-			whole, refused, broken := checkAnswers(c.t, c, l.stop())
-			c.t.Logf("%d daemons: %.0f answers/s; %d whole, %v refused, %d broken", len(c.nodes), rate, whole, refused, broken)
+			complete, refused, failed := checkAnswers(c.t, c, l.stop())
+			c.t.Logf("%d daemons: %.0f answers/s; %d whole, %v refused, %d broken", len(c.nodes), rate, complete, refused, failed)
 		}
 	}
 }
@@ -159,12 +159,12 @@
 // the end of the longest pause in the engines' run logs, since the kill.
 func (c *cluster) measureOwnerKill() {
 	owner := c.owner(testPool)
-	l := c.measuredLoad(c.others(owner))
-	at := l.count()
+	l := c.startMeasuredLoad(c.others(owner))
+	before := l.count()
 	killed := time.Now()
 	owner.kill()
-	eventually(c.t, "traffic flows again", func() bool { return l.count() >= at+5*measureRate })
-	whole, refused, broken := checkAnswers(c.t, c, l.stop())
+	eventually(c.t, "traffic flows again", func() bool { return l.count() >= before+5*measureRate })
+	complete, refused, failed := checkAnswers(c.t, c, l.stop())
 	var starts []time.Time
 	for _, r := range c.runs() {
 		if r.StartedAt.After(killed.Add(-100 * time.Millisecond)) {
@@ -180,7 +180,7 @@
 		}
 	}
 	c.t.Logf("%d daemons: first grant %v after the owner's kill, longest pause %v; %d whole, %v refused, %d broken",
-		len(c.nodes), first.Sub(killed).Round(time.Millisecond), longest.Round(time.Millisecond), whole, refused, broken)
+		len(c.nodes), first.Sub(killed).Round(time.Millisecond), longest.Round(time.Millisecond), complete, refused, failed)
 	c.startNode(owner)
 	c.awaitReady(owner)
 	c.awaitMembers()
--- a/test/objects_test.go
+++ b/test/objects_test.go
@@ -68,7 +68,7 @@
 }
 
 // configure writes the test's configuration.
-func (c *cluster) configure(p plan) {
+func (c *cluster) configure(p clusterSpec) {
 	c.t.Helper()
 	c.put(workspace.KindTemplate, "snagging", testTemplate())
 	c.put(workspace.KindPool, testPool, workspace.Pool{Name: testPool, Region: testRegion, Model: testModel, Version: "v1"})
@@ -84,7 +84,7 @@
 }
 
 // backendServer returns the configuration of an engine.
-func (c *cluster) backendServer(e *engineNode, number int, p plan) workspace.BackendServer {
+func (c *cluster) backendServer(e *backend, number int, p clusterSpec) workspace.BackendServer {
 	return workspace.BackendServer{
 		Name: e.name, Address: e.link.proxy.Addr(), Region: testRegion, Generation: "g1",
 		AvailabilityZone: fmt.Sprintf("hall-%d", number%3), Pool: testPool, Slots: p.slots,
--- /dev/null
+++ b/test/partition_test.go
@@ -0,0 +1,94 @@
+package test
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	engine "github.com/lycheekeel/lycheekeel/internal/standin/engine"
+)
+
+// maxConcurrent returns the most runs that an engine had at the same time, by its
+// run log.
+func maxConcurrent(runs []engine.RunRecord) int {
+	type edge struct {
+		at   time.Time
+		step int
+	}
+	var changes []edge
+	for _, r := range runs {
+		changes = append(changes, edge{r.StartedAt, 1})
+		if r.Ended != nil {
+			changes = append(changes, edge{*r.Ended, -1})
+		}
+	}
+	slices.SortStableFunc(changes, func(a, b edge) int { return a.at.Compare(b.at) })
+	now, peak := 0, 0
+	for _, e := range changes {
+		now += e.step
+		peak = max(peak, now)
+	}
+	return peak
+}
+
+// degradedEntries adds up how often daemons served from their own share; tests log
+// it, verdicts don't rest on it.
+func (c *cluster) degradedEntries() (sum int) {
+	for _, n := range c.nodes {
+		var vars struct {
+			Lycheekeel struct {
+				Broker struct {
+					Entered int `json:"degraded_entered"`
+				}
+			}
+		}
+		c.getJSON(n.settings.Admin, "/debug/vars", &vars)
+		sum += vars.Lycheekeel.Broker.Entered
+	}
+	return sum
+}
+
+// Guards against this: callers of some entries wait in vain, or servers are overrun, while the network between daemons fails.
+func TestPartitionBetweenDaemons(t *testing.T) {
+	t.Parallel()
+	const slots, nodes = 4, 3
+	c := newCluster(t, clusterSpec{nodes: nodes, engines: 2, options: slowEngine, slots: slots})
+	Convey("every entry goes on, nothing is lost or doubled, and they find together again", t, func() {
+		l := startLoad(t.Context(), 18, 5, roundRobin(c.nodes))
+		awaitAnswers := func(n int) {
+			before := l.count()
+			eventually(t, "traffic flows", func() bool { return l.count() >= before+n })
+		}
+		awaitAnswers(50)
+		owner := c.owner(testPool)
+		owner.peerLink.proxy.Cut()
+		awaitAnswers(120)
+		t.Logf("owner cut off: %d times degraded", c.degradedEntries())
+		for _, n := range c.nodes {
+			n.peerLink.proxy.Cut()
+		}
+		eventually(t, "every daemon is alone", func() bool {
+			return !slices.ContainsFunc(c.nodes, func(n *node) bool { return c.countAlive(n) > 1 })
+		})
+		awaitAnswers(120)
+		t.Logf("all cut off: %d times degraded", c.degradedEntries())
+		for _, n := range c.nodes {
+			n.peerLink.proxy.Pass()
+		}
+		c.awaitMembers()
+		c.owner(testPool)
+		awaitAnswers(120)
+		results := l.stop()
+		complete, refused, failed := checkAnswers(t, c, results)
+		So(refused, ShouldBeEmpty)
+		So(failed, ShouldEqual, 0)
+		So(complete, ShouldEqual, len(results))
+		for _, e := range c.engines {
+			peak := maxConcurrent(c.runsOf(e))
+			t.Logf("%s: at most %d runs at once, %d slots", e.name, peak, slots)
+			So(peak, ShouldBeLessThanOrEqualTo, nodes*slots) // an owner each
+		}
+	})
+}
--- a/test/placement_test.go
+++ b/test/placement_test.go
@@ -16,14 +16,14 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-func (c *cluster) ordersOf(e *engineNode) []engine.OrderRecord {
+func (c *cluster) ordersOf(e *backend) []engine.OrderRecord {
 	var orders []engine.OrderRecord
 	c.getJSON(e.link.target, engine.PathOrders, &orders)
 	return orders
 }
 
-// holds tells whether an engine has a version of the test's model loaded.
-func (c *cluster) holds(e *engineNode, version string) bool {
+// hasLoaded tells whether an engine has a version of the test's model loaded.
+func (c *cluster) hasLoaded(e *backend, version string) bool {
 	var load enginewire.Load
 	c.getJSON(e.link.target, enginewire.PathLoad, &load)
 	return slices.ContainsFunc(load.Models, func(m enginewire.Model) bool { return m.Model == testModel && m.Version == version })
@@ -47,52 +47,52 @@
 	return nil
 }
 
-// firstToken returns the token of the first order of an engine that satisfies
+// firstOrderToken returns the token of the first order of an engine that satisfies
 // a condition, zero where there is none.
-func (c *cluster) firstToken(e *engineNode, holds func(engine.OrderRecord) bool) uint64 {
+func (c *cluster) firstOrderToken(e *backend, cond func(engine.OrderRecord) bool) uint64 {
 	for _, o := range c.ordersOf(e) {
-		if holds(o) {
+		if cond(o) {
 			return o.Token
 		}
 	}
 	return 0
 }
 
-// controlled is what a daemon's placement controller did; the test waits by
+// controllerStats is what a daemon's placement controller did; the test waits by
 // it and judges by the engines' order logs.
-type controlled struct {
-	Rounds int
-	Lost   int `json:"lease_lost"`
+type controllerStats struct {
+	Rounds    int
+	LeaseLost int `json:"lease_lost"`
 }
 
-func (c *cluster) placementOf(n *node) controlled {
+func (c *cluster) controllerStatsOf(n *node) controllerStats {
 	var vars struct {
-		Lycheekeel struct{ Placement controlled }
+		Lycheekeel struct{ Placement controllerStats }
 	}
 	c.getJSON(n.settings.Admin, "/debug/vars", &vars)
 	return vars.Lycheekeel.Placement
 }
 
 // Guards against this: engines load and unload models in turns, or lose their model.
-func TestThePlacementLeaseLapsesWhileItsHolderIsPaused(t *testing.T) {
+func TestPlacementLeaseExpiresWhileHolderIsPaused(t *testing.T) {
 	t.Parallel()
 	options := slowEngine
 	options.Models = []enginewire.Model{{Model: testModel, Version: "v1"}}
-	c := newCluster(t, plan{nodes: 3, engines: 3, options: options, placement: true, checksTokens: true})
+	c := newCluster(t, clusterSpec{nodes: 3, engines: 3, options: options, placement: true, checksTokens: true})
 	Convey("no old order has effect where tokens are checked; elsewhere the levels converge", t, func() {
-		checking, trusting := c.engines[0], c.engines[1]
-		s := c.backendServer(trusting, 1, plan{})
+		fenced, unfenced := c.engines[0], c.engines[1]
+		s := c.backendServer(unfenced, 1, clusterSpec{})
 		s.ChecksTokens = false
-		c.put(workspace.KindBackendServer, trusting.name, s)
-		c.engineFaults(trusting, `{"ignore_fencing": true}`)
-		var old uint64
+		c.put(workspace.KindBackendServer, unfenced.name, s)
+		c.engineFaults(unfenced, `{"ignore_fencing": true}`)
+		var oldToken uint64
 		eventually(t, "the controller gives an order", func() bool {
-			old = c.firstToken(checking, func(engine.OrderRecord) bool { return true })
-			return old != 0
+			oldToken = c.firstOrderToken(fenced, func(engine.OrderRecord) bool { return true })
+			return oldToken != 0
 		})
 		paused := c.controller()
 		So(paused, ShouldNotBeNil)
-		was := c.placementOf(paused)
+		before := c.controllerStatsOf(paused)
 		paused.signal(syscall.SIGSTOP)
 		c.put(workspace.KindPool, "reports-v2", workspace.Pool{
 			Name: "reports-v2", Region: testRegion, Model: testModel, Version: "v2", MinServers: 1,
@@ -100,59 +100,59 @@
 		template := testTemplate()
 		template.Models[0].Version = "v2"
 		c.put(workspace.KindTemplate, "snagging", template)
-		var moved *engineNode
+		var upgraded *backend
 		eventually(t, "a new controller rolls the version out", func() bool {
 			for _, e := range c.engines {
-				if c.holds(e, "v2") {
-					moved = e
+				if c.hasLoaded(e, "v2") {
+					upgraded = e
 				}
 			}
-			return moved != nil && c.firstToken(checking, func(o engine.OrderRecord) bool { return o.Token > old }) != 0
+			return upgraded != nil && c.firstOrderToken(fenced, func(o engine.OrderRecord) bool { return o.Token > oldToken }) != 0
 		})
 		paused.signal(syscall.SIGCONT)
 		c.awaitMembers()
 		eventually(t, "the lapsed holder has noticed, or goes on regardless", func() bool {
-			now := c.placementOf(paused)
-			return now.Lost > was.Lost || now.Rounds >= was.Rounds+2
+			now := c.controllerStatsOf(paused)
+			return now.LeaseLost > before.LeaseLost || now.Rounds >= before.Rounds+2
 		})
-		entry := c.others(paused)[0]
+		otherNode := c.others(paused)[0]
 		eventually(t, "the new version serves callers", func() bool {
-			return chat(t.Context(), entry.callers.proxy.Addr(), call{text: "echo:v2"}).text == "v2"
+			return chat(t.Context(), otherNode.callerLink.proxy.Addr(), call{prompt: "echo:v2"}).text == "v2"
 		})
 
-		late, _ := json.Marshal(enginewire.Order{Kind: port.OrderUnloadModel, Model: testModel, Version: "v1", Token: old})
-		late2, _ := json.Marshal(enginewire.Order{Kind: port.OrderLoadModel, Model: testModel, Version: "v0", Token: old})
+		lateUnload, _ := json.Marshal(enginewire.Order{Kind: port.OrderUnloadModel, Model: testModel, Version: "v1", Token: oldToken})
+		lateLoad, _ := json.Marshal(enginewire.Order{Kind: port.OrderLoadModel, Model: testModel, Version: "v0", Token: oldToken})
 		for _, e := range c.engines[:2] {
-			c.lateOrder(e, late)
-			c.lateOrder(e, late2)
+			c.sendOrder(e, lateUnload)
+			c.sendOrder(e, lateLoad)
 		}
 		eventually(t, "every engine serves a version that is wanted there", func() bool {
 			for _, e := range c.engines {
-				if !c.holds(e, "v1") && !c.holds(e, "v2") {
+				if !c.hasLoaded(e, "v1") && !c.hasLoaded(e, "v2") {
 					return false
 				}
 			}
 			return true
 		})
-		So(c.holds(checking, "v0"), ShouldBeFalse)
+		So(c.hasLoaded(fenced, "v0"), ShouldBeFalse)
 		for _, e := range c.engines {
-			newer := false
+			sawNewer := false
 			for i, o := range c.ordersOf(e) {
-				newer = newer || o.Token > old
-				forged := o.Version == "v0" || o.Kind == port.OrderUnloadModel && o.Token == old
-				if newer && o.Token <= old && !forged {
+				sawNewer = sawNewer || o.Token > oldToken
+				injected := o.Version == "v0" || o.Kind == port.OrderUnloadModel && o.Token == oldToken
+				if sawNewer && o.Token <= oldToken && !injected {
 					t.Errorf("%s: order %d came from the lapsed holder: %+v", e.name, i, o)
 				}
-				So(newer && o.Token <= old && !o.Refused && e != trusting, ShouldBeFalse)
+				So(sawNewer && o.Token <= oldToken && !o.Refused && e != unfenced, ShouldBeFalse)
 			}
 		}
 	})
 }
 
-// lateOrder gives an engine an order; a refusal is no failure of the test.
-func (c *cluster) lateOrder(e *engineNode, order []byte) {
+// sendOrder gives an engine an order; a refusal is no failure of the test.
+func (c *cluster) sendOrder(e *backend, order []byte) {
 	c.t.Helper()
-	resp, err := client().Post("http://"+e.link.target+enginewire.PathOrder, "application/json", bytes.NewReader(order))
+	resp, err := newClient().Post("http://"+e.link.target+enginewire.PathOrder, "application/json", bytes.NewReader(order))
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -15,12 +15,12 @@
 	"github.com/lycheekeel/lycheekeel/internal/testwait"
 )
 
-// limit is how long a test waits for something that must come; only a fault
+// waitTimeout is how long a test waits for something that must come; only a fault
 // of the product, or a machine that stands still, makes a test wait so long.
-const limit = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
-// binaries is the directory of the programs under test.
-var binaries string
+// binDir is the directory of the programs under test.
+var binDir string
 
 func TestMain(m *testing.M) {
 	code := 1
@@ -37,7 +37,7 @@
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
 		return
 	}
-	binaries = dir
+	binDir = dir
 	code = m.Run()
 }
 
@@ -56,7 +56,7 @@
 func start(t testing.TB, name, program string, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, done: make(chan struct{})}
-	p.cmd = exec.Command(filepath.Join(binaries, program), args...)
+	p.cmd = exec.Command(filepath.Join(binDir, program), args...)
 	p.cmd.Stdout, p.cmd.Stderr = &p.output, &p.output
 	p.cmd.Env = append(os.Environ(), "GORACE=halt_on_error=1", "GOMAXPROCS=2")
 	if err := p.cmd.Start(); err != nil {
@@ -66,11 +66,11 @@
 		p.err = p.cmd.Wait()
 		close(p.done)
 	}()
-	t.Cleanup(p.cleanUp)
+	t.Cleanup(p.cleanup)
 	return p
 }
 
-func (p *process) cleanUp() {
+func (p *process) cleanup() {
 	p.signal(syscall.SIGCONT)
 	p.kill()
 	if p.t.Failed() {
@@ -102,8 +102,8 @@
 	select {
 	case <-p.done:
 		return p.err
-	case <-time.After(limit):
-		return fmt.Errorf("%s did not stop within %v", p.name, limit)
+	case <-time.After(waitTimeout):
+		return fmt.Errorf("%s did not stop within %v", p.name, waitTimeout)
 	}
 }
 
@@ -145,7 +145,7 @@
 
 // eventually waits until the condition holds, and fails the test where it
 // does not within the limit.
-func eventually(t testing.TB, what string, holds func() bool) {
+func eventually(t testing.TB, what string, cond func() bool) {
 	t.Helper()
-	testwait.Until(t, limit, what, holds)
+	testwait.Until(t, waitTimeout, what, cond)
 }
--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -14,12 +14,12 @@
 
 // call is one request as its caller saw it.
 type call struct {
-	id, path, key string
-	node          *node
-	sent, ended   time.Time
-	status        int // 0: no answer
-	whole         bool
-	body          string
+	id, path, apiKey string
+	node             *node
+	sentAt, endedAt  time.Time
+	status           int // 0: no answer
+	complete         bool
+	body             string
 }
 
 // callers send requests until the context ends, over connections that they
@@ -36,22 +36,22 @@
 	var conn net.Conn
 	var r *bufio.Reader
 	for i := 0; ctx.Err() == nil; i++ {
-		x := &call{id: fmt.Sprintf("%s-%d", name, i), path: paths[i%len(paths)], key: fmt.Sprintf("k%d", 1+i%3), node: n}
+		x := &call{id: fmt.Sprintf("%s-%d", name, i), path: paths[i%len(paths)], apiKey: fmt.Sprintf("k%d", 1+i%3), node: n}
 		if conn == nil {
 			var err error
-			if conn, err = net.DialTimeout("tcp", n.front.Addr(), time.Second); err != nil {
+			if conn, err = net.DialTimeout("tcp", n.callerProxy.Addr(), time.Second); err != nil {
 				sleep(ctx, 50*time.Millisecond)
 				continue
 			}
 			r = bufio.NewReader(conn)
 		}
-		x.sent = time.Now()
-		keep := x.exchange(conn, r)
-		x.ended = time.Now()
+		x.sentAt = time.Now()
+		reusable := x.exchange(conn, r)
+		x.endedAt = time.Now()
 		c.mu.Lock()
 		c.all = append(c.all, x)
 		c.mu.Unlock()
-		if !keep {
+		if !reusable {
 			_ = conn.Close()
 			conn = nil
 			sleep(ctx, 20*time.Millisecond)
@@ -68,7 +68,7 @@
 	_ = conn.SetDeadline(time.Now().Add(8 * time.Second))
 	body := "body of " + x.id
 	_, err := fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: %s\r\nAuthorization: Bearer %s\r\nX-Deadline-Ms: 7000\r\nContent-Length: %d\r\n\r\n%s",
-		x.path, x.id, x.key, len(body), body)
+		x.path, x.id, x.apiKey, len(body), body)
 	if err != nil {
 		return false
 	}
@@ -79,8 +79,8 @@
 	defer resp.Body.Close()
 	x.status = resp.StatusCode
 	b, err := io.ReadAll(resp.Body)
-	x.body, x.whole = string(b), err == nil
-	return x.whole && !resp.Close
+	x.body, x.complete = string(b), err == nil
+	return x.complete && !resp.Close
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -92,11 +92,11 @@
 	}
 }
 
-// mayRepeat tells whether the path's requests may run twice.
-func (x *call) mayRepeat() bool { return x.path == "/s/resume/" || x.path == "/again/" }
+// mayRetry tells whether the path's requests may run twice.
+func (x *call) mayRetry() bool { return x.path == "/s/resume/" || x.path == "/again/" }
 
-// wrong says what of an answer breaks a promise; empty: nothing.
-func (x *call) wrong() string {
+// violation says what of an answer breaks a promise; empty: nothing.
+func (x *call) violation() string {
 	switch {
 	case x.status == http.StatusOK && strings.HasPrefix(x.path, "/s/"):
 		want := 0
@@ -108,14 +108,14 @@
 				}
 			}
 		}
-		if x.whole && want != 30 {
+		if x.complete && want != 30 {
 			return fmt.Sprintf("whole with %d events", want)
 		}
-	case x.status == http.StatusOK && x.whole && !strings.HasSuffix(x.body, " body of "+x.id):
+	case x.status == http.StatusOK && x.complete && !strings.HasSuffix(x.body, " body of "+x.id):
 		return fmt.Sprintf("answered with %q", x.body)
 	case x.status == http.StatusNotFound, x.status == http.StatusForbidden, x.status == http.StatusBadRequest:
 		return fmt.Sprintf("denied with %d", x.status)
-	case x.status == http.StatusUnauthorized && x.key != "k3":
+	case x.status == http.StatusUnauthorized && x.apiKey != "k3":
 		return "its key was denied"
 	}
 	return ""
--- a/test/soak/killed_test.go
+++ b/test/soak/crash_test.go
@@ -14,12 +14,12 @@
 )
 
 // Guards against this: a caller asks what became of a request, and no log has its id.
-func TestARequestThatDiesWithItsProcessLeavesATrace(t *testing.T) {
+func TestRequestLostWithItsProcessIsLogged(t *testing.T) {
 	// The stream outlasts whatever the test waits for.
-	f := newFleetOf(t, waitLimit/5, 10*waitLimit)
+	f := newFleetWith(t, waitLimit/5, 10*waitLimit)
 	n := f.nodes[0]
 	f.eventually("the node is ready", n.ready)
-	id, ranAt, sent := "", "", 0
+	id, serverID, sent := "", "", 0
 	// A node that has just started may refuse the first requests.
 	f.eventually("a server runs a request", func() bool {
 		conn, err := net.Dial("tcp", n.settings.Listen)
@@ -36,27 +36,27 @@
 	})
 	for _, s := range f.servers {
 		if s.Runs(id) > 0 {
-			ranAt = s.ID
+			serverID = s.ID
 		}
 	}
-	log := filepath.Join(f.dir, n.name+".log")
+	logFile := filepath.Join(f.dir, n.name+".log")
 	f.eventually("the log tells that it still runs", func() bool {
-		written, err := os.ReadFile(log)
+		written, err := os.ReadFile(logFile)
 		return err == nil && bytes.Contains(written, []byte("Still running.")) && bytes.Contains(written, []byte(id))
 	})
 	n.kill()
 
-	written, err := os.Open(log)
+	written, err := os.Open(logFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer written.Close()
 	c := explain.NewLossCollector()
-	if err := c.Read(log, written); err != nil {
+	if err := c.Read(logFile, written); err != nil {
 		t.Fatal(err)
 	}
 	lost := c.Losses().Unended
-	if len(lost) != 1 || lost[0].Request != id || lost[0].Server != ranAt || lost[0].VM != n.name {
-		t.Errorf("the logs tell %+v, want %s on %s at %s", lost, id, n.name, ranAt)
+	if len(lost) != 1 || lost[0].Request != id || lost[0].Server != serverID || lost[0].VM != n.name {
+		t.Errorf("the logs tell %+v, want %s on %s at %s", lost, id, n.name, serverID)
 	}
 }
--- a/test/soak/doc.go
+++ b/test/soak/doc.go
@@ -4,5 +4,5 @@
 // one way or silenced, the store misbehaves, keys are withdrawn, servers come
 // and go. What callers and servers saw is then held against the promises.
 //
-//	go test ./test/soak -args -soak.seeds=50 -soak.from=1
+//	go test ./test/soak -args -soak.seedCount=50 -soak.firstSeed=1
 package soak
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -11,8 +11,8 @@
 
 // fault is one thing that is done to the fleet; undo, where not nil, ends it.
 type fault struct {
-	name string
-	do   func(f *fleet, r *rand.Rand) (undo func())
+	name   string
+	inject func(f *fleet, r *rand.Rand) (undo func())
 }
 
 func pick[T any](r *rand.Rand, all []T) T { return all[r.IntN(len(all))] }
@@ -21,15 +21,15 @@
 var faults = []fault{
 	{"terminate and restart", func(f *fleet, r *rand.Rand) func() {
 		n := pick(r, f.nodes)
-		again := n.restarter()
+		restart := n.restarter()
 		n.signal(syscall.SIGTERM)
-		return again
+		return restart
 	}},
 	{"kill and restart", func(f *fleet, r *rand.Rand) func() {
 		n := pick(r, f.nodes)
-		again := n.restarter()
+		restart := n.restarter()
 		n.kill()
-		return again
+		return restart
 	}},
 	{"pause", func(f *fleet, r *rand.Rand) func() {
 		n := pick(r, f.nodes)
@@ -39,9 +39,9 @@
 	{"hang up", func(f *fleet, r *rand.Rand) func() { pick(r, f.nodes).signal(syscall.SIGHUP); return nil }},
 	{"harm a link", func(f *fleet, r *rand.Rand) func() {
 		n := pick(r, f.nodes)
-		return harm(pick(r, []*faultproxy.Proxy{n.front, n.peer, n.store}), r)
+		return disturbLink(pick(r, []*faultproxy.Proxy{n.callerProxy, n.peerProxy, n.storeProxy}), r)
 	}},
-	{"harm a server's link", func(f *fleet, r *rand.Rand) func() { return harm(pick(r, f.servers).proxy, r) }},
+	{"harm a server's link", func(f *fleet, r *rand.Rand) func() { return disturbLink(pick(r, f.servers).proxy, r) }},
 	{"store misbehaves", func(f *fleet, r *rand.Rand) func() {
 		f.store.SetFaults(pick(r, []standin.Faults{{Busy: true}, {Silent: true}, {LoseWriteAnswers: true}, {StallWatches: true}}))
 		return func() { f.store.SetFaults(standin.Faults{}) }
@@ -61,25 +61,25 @@
 	}},
 	{"server leaves, another comes", func(f *fleet, r *rand.Rand) func() {
 		s := pick(r, f.servers)
-		if s.left.IsZero() {
+		if s.drainingSince.IsZero() {
 			f.addServer(s.service)
-			s.left = time.Now()
-			f.enter(s, "draining")
+			s.drainingSince = time.Now()
+			f.putServer(s, "draining")
 		}
 		return nil
 	}},
 	{"bad version is rolled out", func(f *fleet, _ *rand.Rand) func() { f.rollOutBadVersion(); return nil }},
 	{"key is withdrawn", func(f *fleet, _ *rand.Rand) func() {
-		if _, gone := f.revoked["k3"]; !gone {
+		if _, revoked := f.revokedAt["k3"]; !revoked {
 			f.putKeys("k1", "k2")
-			f.revoked["k3"] = time.Now()
+			f.revokedAt["k3"] = time.Now()
 		}
 		return nil
 	}},
 }
 
-// harm does something to a link.
-func harm(p *faultproxy.Proxy, r *rand.Rand) func() {
+// disturbLink does something to a link.
+func disturbLink(p *faultproxy.Proxy, r *rand.Rand) func() {
 	switch r.IntN(5) {
 	case 0:
 		p.Delay(time.Duration(20+r.IntN(400)) * time.Millisecond)
@@ -95,42 +95,42 @@
 	return p.Pass
 }
 
-// torment injects faults, in series and overlapping, for the span; then it
+// injectFaults injects faults, in series and overlapping, for the span; then it
 // ends them all.
-func (f *fleet) torment(r *rand.Rand, only func(name string) bool) {
+func (f *fleet) injectFaults(r *rand.Rand, include func(name string) bool) {
 	type ending struct {
 		at   time.Time
 		undo func()
 	}
-	var open []ending
+	var pending []ending
 	allowed := make([]fault, 0, len(faults))
 	for _, x := range faults {
-		if only(x.name) {
+		if include(x.name) {
 			allowed = append(allowed, x)
 		}
 	}
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	next := time.Now()
-	for end := next.Add(*span); time.Now().Before(end); <-tick.C {
+	for deadline := next.Add(*faultDuration); time.Now().Before(deadline); <-tick.C {
 		now := time.Now()
 		if now.After(next) {
 			x := pick(r, allowed)
 			f.t.Logf("%s", x.name)
-			if undo := x.do(f, r); undo != nil {
-				open = append(open, ending{now.Add(time.Duration(100+r.IntN(2500)) * time.Millisecond), undo})
+			if undo := x.inject(f, r); undo != nil {
+				pending = append(pending, ending{now.Add(time.Duration(100+r.IntN(2500)) * time.Millisecond), undo})
 			}
 			next = now.Add(time.Duration(50+r.IntN(600)) * time.Millisecond)
 		}
-		for i := 0; i < len(open); i++ {
-			if now.After(open[i].at) {
-				open[i].undo()
-				open = append(open[:i], open[i+1:]...)
+		for i := 0; i < len(pending); i++ {
+			if now.After(pending[i].at) {
+				pending[i].undo()
+				pending = append(pending[:i], pending[i+1:]...)
 				i--
 			}
 		}
 	}
-	for _, o := range open {
+	for _, o := range pending {
 		o.undo()
 	}
 	f.restarts.Wait()
--- a/test/soak/fleet_test.go
+++ b/test/soak/fleet_test.go
@@ -25,23 +25,23 @@
 )
 
 var (
-	seeds = flag.Int("soak.seeds", 2, "how many seeds to run")
-	from  = flag.Int64("soak.from", 1, "the first seed")
-	nodes = flag.Int("soak.nodes", 4, "how many gateways run")
-	span  = flag.Duration("soak.span", 6*time.Second, "how long faults are injected")
+	seedCount     = flag.Int("soak.seeds", 2, "how many seeds to run")
+	firstSeed     = flag.Int64("soak.from", 1, "the first seed")
+	nodeCount     = flag.Int("soak.nodes", 4, "how many gateways run")
+	faultDuration = flag.Duration("soak.span", 6*time.Second, "how long faults are injected")
 )
 
 // The promises' bounds that the processes are given.
 const (
-	revokeAfter = 3 * time.Second
-	grace       = 8 * time.Second
+	revokeBound = 3 * time.Second
+	gracePeriod = 8 * time.Second
 	// A bad version may get so much of its service's requests.
 	canaryShare, canarySlack = 0.1, 50
 	// waitLimit is how long recovery may take on a machine that is busy.
 	waitLimit = 60 * time.Second
 )
 
-var program string
+var gatewayBinary string
 
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -50,10 +50,10 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	program = filepath.Join(dir, "lycheekeeld")
+	gatewayBinary = filepath.Join(dir, "lycheekeeld")
 	code := 1
-	if out, err := exec.Command("go", "build", "-o", program, "../../cmd/lycheekeeld").CombinedOutput(); err != nil {
-		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
+	if logFile, err := exec.Command("go", "build", "-o", gatewayBinary, "../../cmd/lycheekeeld").CombinedOutput(); err != nil {
+		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, logFile)
 	} else {
 		code = m.Run()
 	}
@@ -63,50 +63,50 @@
 
 // fleet is everything of one run.
 type fleet struct {
-	t       *testing.T
-	dir     string
-	store   *standin.Store
-	storeAt string
-	config  *standin.Configuration
-	nodes   []*node
-	servers []*server
-	made    int // servers, ever
-	// eventEvery is between two events of a stream.
-	eventEvery time.Duration
-	revoked    map[string]time.Time
-	// bad are the servers of the version that fails all it runs; nil: none was rolled out.
-	bad []*server
+	t              *testing.T
+	dir            string
+	store          *standin.Store
+	storeAddr      string
+	config         *standin.Configuration
+	nodes          []*node
+	servers        []*server
+	serversCreated int // servers, ever
+	// eventInterval is between two events of a stream.
+	eventInterval time.Duration
+	revokedAt     map[string]time.Time
+	// badServers are the servers of the version that fails all it runs; nil: none was rolled out.
+	badServers []*server
 	// restarts are under way: a node starts again when its process has ended.
 	restarts conc.WaitGroup
 }
 
 // node is one gateway process with the proxies before and behind it.
 type node struct {
-	fleet              *fleet
-	name               string
-	front, peer, store *faultproxy.Proxy
-	settings           gateway.Settings
-	mu                 sync.Mutex
-	cmd                *exec.Cmd
-	ended              chan struct{} // closed when cmd has ended
+	fleet                              *fleet
+	name                               string
+	callerProxy, peerProxy, storeProxy *faultproxy.Proxy
+	settings                           gateway.Settings
+	mu                                 sync.Mutex
+	cmd                                *exec.Cmd
+	exited                             chan struct{} // closed when cmd has ended
 }
 
 // server is one life of a backend server behind its proxy.
 type server struct {
 	*standin.Server
-	service string
-	proxy   *faultproxy.Proxy
-	stop    context.CancelFunc
-	left    time.Time // zero: it serves
+	service       string
+	proxy         *faultproxy.Proxy
+	stop          context.CancelFunc
+	drainingSince time.Time // zero: it serves
 }
 
-func newFleet(t *testing.T) *fleet { return newFleetOf(t, 5*time.Millisecond, 8*time.Second) }
+func newFleet(t *testing.T) *fleet { return newFleetWith(t, 5*time.Millisecond, 8*time.Second) }
 
-// newFleetOf returns a fleet whose streams have an event at each such interval, and
+// newFleetWith returns a fleet whose streams have an event at each such interval, and
 // that long to end.
-func newFleetOf(t *testing.T, eventEvery, onceTimeout time.Duration) *fleet {
-	f := &fleet{t: t, eventEvery: eventEvery, dir: t.TempDir(), store: standin.NewStore(50), revoked: map[string]time.Time{}}
-	f.storeAt, _ = f.serve(f.store.Serve)
+func newFleetWith(t *testing.T, eventInterval, onceTimeout time.Duration) *fleet {
+	f := &fleet{t: t, eventInterval: eventInterval, dir: t.TempDir(), store: standin.NewStore(50), revokedAt: map[string]time.Time{}}
+	f.storeAddr, _ = f.serve(f.store.Serve)
 	f.config = &standin.Configuration{
 		Tenant: "space",
 		Routes: []standin.Route{
@@ -122,7 +122,7 @@
 		f.addServer([]string{"llm", "app"}[i%2])
 	}
 	f.putKeys("k1", "k2", "k3")
-	for i := range *nodes {
+	for i := range *nodeCount {
 		f.addNode(fmt.Sprintf("n%d", i))
 	}
 	return f
@@ -146,7 +146,7 @@
 	return ln.Addr().String(), cancel
 }
 
-func (f *fleet) proxy(target string) *faultproxy.Proxy {
+func (f *fleet) newProxy(target string) *faultproxy.Proxy {
 	p, err := faultproxy.New("127.0.0.1:0", target)
 	if err != nil {
 		f.t.Fatal(err)
@@ -156,21 +156,21 @@
 }
 
 func (f *fleet) addServer(service string) *server {
-	f.made++
-	s := &server{service: service, Server: &standin.Server{ID: fmt.Sprintf("i-%d", f.made), Events: 30, EventInterval: f.eventEvery}}
+	f.serversCreated++
+	s := &server{service: service, Server: &standin.Server{ID: fmt.Sprintf("i-%d", f.serversCreated), Events: 30, EventInterval: f.eventInterval}}
 	address, stop := f.serve(s.Serve)
-	s.stop, s.proxy = stop, f.proxy(address)
+	s.stop, s.proxy = stop, f.newProxy(address)
 	f.servers = append(f.servers, s)
-	f.enter(s, "ready")
+	f.putServer(s, "ready")
 	return s
 }
 
-func (f *fleet) enter(s *server, state string) {
+func (f *fleet) putServer(s *server, state string) {
 	f.store.PutServer(s.ID, s.service, s.proxy.Addr(), state, 8)
 }
 
-// freePort returns a loopback address that nobody else listens at.
-func freePort(t *testing.T) string {
+// freeAddress returns a loopback address that nobody else listens at.
+func freeAddress(t *testing.T) string {
 	address, err := testport.Process.Address()
 	if err != nil {
 		t.Fatal(err)
@@ -179,17 +179,17 @@
 }
 
 func (f *fleet) addNode(name string) {
-	n := &node{fleet: f, name: name, store: f.proxy(f.storeAt)}
+	n := &node{fleet: f, name: name, storeProxy: f.newProxy(f.storeAddr)}
 	n.settings = gateway.Settings{
-		Name: name, Region: "r", AvailabilityZone: "z", Listen: freePort(f.t), Readiness: freePort(f.t), Peer: freePort(f.t),
-		Store: n.store.Addr(), Limits: gateway.LimitSettings{MemoryMB: 256},
+		Name: name, Region: "r", AvailabilityZone: "z", Listen: freeAddress(f.t), Readiness: freeAddress(f.t), Peer: freeAddress(f.t),
+		Store: n.storeProxy.Addr(), Limits: gateway.LimitSettings{MemoryMB: 256},
 		Bounds: gateway.BoundsSettings{
-			GraceS: grace.Seconds(), RevokeMs: float64(revokeAfter.Milliseconds()), RetryRatio: 0.2, RetryWindowS: 10, RetrySlack: 200,
+			GraceS: gracePeriod.Seconds(), RevokeMs: float64(revokeBound.Milliseconds()), RetryRatio: 0.2, RetryWindowS: 10, RetrySlack: 200,
 			CanaryShare: canaryShare, CanarySlack: canarySlack,
 		},
 	}
-	n.front, n.peer = f.proxy(n.settings.Listen), f.proxy(n.settings.Peer)
-	n.settings.PeerAddress = n.peer.Addr()
+	n.callerProxy, n.peerProxy = f.newProxy(n.settings.Listen), f.newProxy(n.settings.Peer)
+	n.settings.PeerAddress = n.peerProxy.Addr()
 	for _, other := range f.nodes {
 		n.settings.Seeds = append(n.settings.Seeds, other.settings.PeerAddress)
 	}
@@ -199,13 +199,13 @@
 	f.t.Cleanup(n.kill)
 }
 
-// hasEnded tells whether the node's process has ended.
-func (n *node) hasEnded() bool {
+// hasExited tells whether the node's process has ended.
+func (n *node) hasExited() bool {
 	n.mu.Lock()
-	ended := n.ended
+	exited := n.exited
 	n.mu.Unlock()
 	select {
-	case <-ended:
+	case <-exited:
 		return true
 	default:
 		return false
@@ -222,22 +222,22 @@
 	if err != nil {
 		n.fleet.t.Fatal(err)
 	}
-	out, err := os.OpenFile(filepath.Join(n.fleet.dir, n.name+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(filepath.Join(n.fleet.dir, n.name+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		n.fleet.t.Fatal(err)
 	}
-	defer out.Close()
-	n.cmd = exec.Command(program, "gateway", "--settings="+file)
-	n.cmd.Stdout, n.cmd.Stderr = out, out
+	defer logFile.Close()
+	n.cmd = exec.Command(gatewayBinary, "gateway", "--settings="+file)
+	n.cmd.Stdout, n.cmd.Stderr = logFile, logFile
 	n.cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
 	if err := n.cmd.Start(); err != nil {
 		n.fleet.t.Fatal(err)
 	}
-	cmd, ended := n.cmd, make(chan struct{})
-	n.ended = ended
+	cmd, exited := n.cmd, make(chan struct{})
+	n.exited = exited
 	go func() {
 		_ = cmd.Wait()
-		close(ended)
+		close(exited)
 	}()
 }
 
@@ -245,14 +245,14 @@
 // now has ended; another restart may be first.
 func (n *node) restarter() func() {
 	n.mu.Lock()
-	ended := n.ended
+	exited := n.exited
 	n.mu.Unlock()
 	return func() {
 		n.fleet.restarts.Go(func() {
-			<-ended
+			<-exited
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			if n.ended == ended {
+			if n.exited == exited {
 				n.start()
 			}
 		})
@@ -269,9 +269,9 @@
 func (n *node) kill() {
 	n.signal(syscall.SIGKILL)
 	n.mu.Lock()
-	ended := n.ended
+	exited := n.exited
 	n.mu.Unlock()
-	<-ended
+	<-exited
 }
 
 func (n *node) ready() bool {
@@ -286,13 +286,13 @@
 
 // eventually waits until the condition holds. Where it does not, the test
 // tells which processes have ended.
-func (f *fleet) eventually(what string, holds func() bool) {
+func (f *fleet) eventually(what string, cond func() bool) {
 	defer func() {
 		if f.t.Failed() {
 			for _, n := range f.nodes {
-				f.t.Logf("%s: ended %v", n.name, n.hasEnded())
+				f.t.Logf("%s: ended %v", n.name, n.hasExited())
 			}
 		}
 	}()
-	testwait.Until(f.t, waitLimit, what, holds)
+	testwait.Until(f.t, waitLimit, what, cond)
 }
--- a/test/soak/rollout_test.go
+++ b/test/soak/rollout_test.go
@@ -8,46 +8,46 @@
 
 const (
 	badVersion = "bad"
-	// rolloutWithinS is how long the rollout may take, in seconds.
-	rolloutWithinS = 4
+	// rolloutTimeoutS is how long the rollout may take, in seconds.
+	rolloutTimeoutS = 4
 )
 
 // rollOutBadVersion requests, once, a rollout to a version of the plain service that fails all it runs.
 func (f *fleet) rollOutBadVersion() {
-	if f.bad != nil {
+	if f.badServers != nil {
 		return
 	}
-	f.store.PutRollout("app", badVersion, rolloutWithinS)
+	f.store.PutRollout("app", badVersion, rolloutTimeoutS)
 	for range 2 {
-		f.made++
-		s := &server{service: "app", Server: &standin.Server{ID: fmt.Sprintf("i-%d", f.made), Fails: func(int) bool { return true }}}
+		f.serversCreated++
+		s := &server{service: "app", Server: &standin.Server{ID: fmt.Sprintf("i-%d", f.serversCreated), Fails: func(int) bool { return true }}}
 		address, stop := f.serve(s.Serve)
-		s.stop, s.proxy = stop, f.proxy(address)
+		s.stop, s.proxy = stop, f.newProxy(address)
 		f.store.PutServerVersion(s.ID, "app", s.proxy.Addr(), badVersion, 8)
-		f.bad = append(f.bad, s)
+		f.badServers = append(f.badServers, s)
 	}
 }
 
 // checkRollout holds what the bad version got against its bound, by what its servers saw.
 func (f *fleet) checkRollout() {
-	if f.bad == nil {
+	if f.badServers == nil {
 		return
 	}
 	f.eventually("the bad version is rolled back", func() bool {
 		state, to := f.store.RolloutState("app")
 		return state == "rolled_back" && to == badVersion
 	})
-	got, all := 0, 0
-	for _, s := range f.bad {
-		got += len(s.Arrivals())
+	badCount, otherCount := 0, 0
+	for _, s := range f.badServers {
+		badCount += len(s.Arrivals())
 	}
 	for _, s := range f.servers {
 		if s.service == "app" {
-			all += len(s.Arrivals())
+			otherCount += len(s.Arrivals())
 		}
 	}
-	f.t.Logf("the bad version got %d requests, the others %d", got, all)
-	if float64(got) > canaryShare*float64(all+got)+canarySlack {
-		f.t.Errorf("the bad version got %d of %d requests", got, all+got)
+	f.t.Logf("the bad version got %d requests, the others %d", badCount, otherCount)
+	if float64(badCount) > canaryShare*float64(otherCount+badCount)+canarySlack {
+		f.t.Errorf("the bad version got %d of %d requests", badCount, otherCount+badCount)
 	}
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -16,9 +16,9 @@
 	"github.com/lycheekeel/lycheekeel/platform/standin"
 )
 
-// regressions are the seeds that ever failed, each with its cause. They run
+// regressionSeeds are the seeds that ever failed, each with its cause. They run
 // beside the seeds that are asked for.
-var regressions = []int64{
+var regressionSeeds = []int64{
 	// A gateway ended at its start: the port that it was to listen at for its
 	// peers was in use, by another run that had started at the same time.
 	18,
@@ -28,13 +28,13 @@
 const callersPerNode = 4
 
 func TestSoak(t *testing.T) {
-	all := append([]int64(nil), regressions...)
-	for i := range *seeds {
-		all = append(all, *from+int64(i))
+	all := append([]int64(nil), regressionSeeds...)
+	for i := range *seedCount {
+		all = append(all, *firstSeed+int64(i))
 	}
 	for _, seed := range all {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			run(t, seed, func(string) bool { return true })
+			runSeed(t, seed, func(string) bool { return true })
 		})
 	}
 }
@@ -43,16 +43,16 @@
 // no request at all may be cut off.
 func TestRollingRestart(t *testing.T) {
 	planned := map[string]bool{"terminate and restart": true, "hang up": true}
-	f, c := run(t, *from, func(name string) bool { return planned[name] })
+	f, c := runSeed(t, *firstSeed, func(name string) bool { return planned[name] })
 	for _, x := range c.all {
-		if x.status == 0 && len(f.runs()[x.id]) > 0 || x.status != 0 && !x.whole {
-			t.Errorf("%s on %s was cut off %v after it was sent, status %d", x.id, x.node.name, x.ended.Sub(x.sent), x.status)
+		if x.status == 0 && len(f.arrivals()[x.id]) > 0 || x.status != 0 && !x.complete {
+			t.Errorf("%s on %s was cut off %v after it was sent, status %d", x.id, x.node.name, x.endedAt.Sub(x.sentAt), x.status)
 		}
 	}
 }
 
-// run torments a fleet under load, lets it recover, and checks the promises.
-func run(t *testing.T, seed int64, only func(string) bool) (*fleet, *callers) {
+// runSeed torments a fleet under load, lets it recover, and checks the promises.
+func runSeed(t *testing.T, seed int64, include func(string) bool) (*fleet, *callers) {
 	r := rand.New(rand.NewPCG(uint64(seed), 1))
 	f := newFleet(t)
 	t.Cleanup(func() {
@@ -66,23 +66,23 @@
 	c := &callers{}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var load conc.WaitGroup
+	var wg conc.WaitGroup
 	for _, n := range f.nodes {
 		for i := range callersPerNode {
-			load.Go(func() { c.run(ctx, n, fmt.Sprintf("%s.%d", n.name, i)) })
+			wg.Go(func() { c.run(ctx, n, fmt.Sprintf("%s.%d", n.name, i)) })
 		}
 	}
-	f.torment(r, only)
-	f.recover(c)
+	f.injectFaults(r, include)
+	f.awaitRecovery(c)
 	f.checkRollout()
 	cancel()
-	load.Wait()
-	f.check(c)
+	wg.Wait()
+	f.checkInvariants(c)
 	return f, c
 }
 
-// recover waits until every node is ready and serves again.
-func (f *fleet) recover(c *callers) {
+// awaitRecovery waits until every node is ready and serves again.
+func (f *fleet) awaitRecovery(c *callers) {
 	for _, n := range f.nodes {
 		f.eventually(n.name+" is ready again", n.ready)
 		since := time.Now()
@@ -93,18 +93,18 @@
 func (c *callers) servedSince(n *node, since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i := len(c.all) - 1; i >= 0 && c.all[i].ended.After(since); i-- {
-		if x := c.all[i]; x.node == n && x.status == http.StatusOK && x.whole && x.sent.After(since) {
+	for i := len(c.all) - 1; i >= 0 && c.all[i].endedAt.After(since); i-- {
+		if x := c.all[i]; x.node == n && x.status == http.StatusOK && x.complete && x.sentAt.After(since) {
 			return true
 		}
 	}
 	return false
 }
 
-// runs returns the arrivals of each request at the servers, all lives of them.
-func (f *fleet) runs() map[string][]standin.Arrival {
+// arrivals returns the arrivals of each request at the servers, all lives of them.
+func (f *fleet) arrivals() map[string][]standin.Arrival {
 	out := map[string][]standin.Arrival{}
-	for _, s := range append(slices.Clone(f.servers), f.bad...) {
+	for _, s := range append(slices.Clone(f.servers), f.badServers...) {
 		for _, a := range s.Arrivals() {
 			out[a.ID] = append(out[a.ID], a)
 		}
@@ -112,15 +112,15 @@
 	return out
 }
 
-// check holds what callers and servers saw against the promises.
-func (f *fleet) check(c *callers) {
-	runs := f.runs()
+// checkInvariants holds what callers and servers saw against the promises.
+func (f *fleet) checkInvariants(c *callers) {
+	runs := f.arrivals()
 	byID := make(map[string]*call, len(c.all))
 	served := 0
 	for _, x := range c.all {
 		byID[x.id] = x
 		f.checkCall(x, runs[x.id])
-		if x.status == http.StatusOK && x.whole {
+		if x.status == http.StatusOK && x.complete {
 			served++
 		}
 	}
@@ -138,22 +138,22 @@
 }
 
 func (f *fleet) checkCall(x *call, ran []standin.Arrival) {
-	if wrong := x.wrong(); wrong != "" {
-		f.t.Errorf("%s %s on %s: %s", x.id, x.path, x.node.name, wrong)
+	if violation := x.violation(); violation != "" {
+		f.t.Errorf("%s %s on %s: %s", x.id, x.path, x.node.name, violation)
 	}
-	most := 1
-	if x.mayRepeat() {
-		most = 2
+	maxRuns := 1
+	if x.mayRetry() {
+		maxRuns = 2
 	}
-	if len(ran) > most {
+	if len(ran) > maxRuns {
 		f.t.Errorf("%s %s ran %d times", x.id, x.path, len(ran))
 	}
-	promised := x.status == http.StatusServiceUnavailable || x.status == http.StatusTooManyRequests
-	if promised && !x.mayRepeat() && len(ran) > 0 {
+	refusedNotRun := x.status == http.StatusServiceUnavailable || x.status == http.StatusTooManyRequests
+	if refusedNotRun && !x.mayRetry() && len(ran) > 0 {
 		f.t.Errorf("%s %s was answered %d and ran", x.id, x.path, x.status)
 	}
-	if gone, ok := f.revoked[x.key]; ok && x.sent.After(gone.Add(revokeAfter)) && len(ran) > 0 {
-		f.t.Errorf("%s ran although its key was withdrawn %v before", x.id, x.sent.Sub(gone))
+	if revokedAt, ok := f.revokedAt[x.apiKey]; ok && x.sentAt.After(revokedAt.Add(revokeBound)) && len(ran) > 0 {
+		f.t.Errorf("%s ran although its key was withdrawn %v before", x.id, x.sentAt.Sub(revokedAt))
 	}
 }
 
--- a/test/store_test.go
+++ b/test/store_test.go
@@ -39,9 +39,9 @@
 }
 
 // Guards against this: two crews are sent to one site.
-func TestAConfirmationSentToEveryEntryRunsOnce(t *testing.T) {
+func TestNonIdempotentCallSentToEveryEntryRunsOnce(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, plan{nodes: 3, engines: 1})
+	c := newCluster(t, clusterSpec{nodes: 3, engines: 1})
 	Convey("it runs once; resends get the same answer or the truth", t, func() {
 		for n := range 5 {
 			before := c.serviceRuns()
@@ -50,7 +50,7 @@
 			answers := make([]answer, 9)
 			for i := range answers {
 				wg.Go(func() {
-					answers[i] = dispatch(t.Context(), c.nodes[i%3].callers.proxy.Addr(), key, body)
+					answers[i] = dispatch(t.Context(), c.nodes[i%3].callerLink.proxy.Addr(), key, body)
 				})
 			}
 			wg.Wait()
@@ -59,29 +59,29 @@
 				So(a.err, ShouldBeNil)
 				So(a.notRun, ShouldNotEqual, true)
 			}
-			again := dispatch(t.Context(), c.nodes[n%3].callers.proxy.Addr(), key, body)
-			So(again.status, ShouldEqual, http.StatusOK)
-			So(again.text, ShouldContainSubstring, body)
-			other := dispatch(t.Context(), c.nodes[n%3].callers.proxy.Addr(), key, body+", another one")
-			So(other.code, ShouldEqual, "claim_conflict")
+			repeated := dispatch(t.Context(), c.nodes[n%3].callerLink.proxy.Addr(), key, body)
+			So(repeated.status, ShouldEqual, http.StatusOK)
+			So(repeated.text, ShouldContainSubstring, body)
+			conflicting := dispatch(t.Context(), c.nodes[n%3].callerLink.proxy.Addr(), key, body+", another one")
+			So(conflicting.code, ShouldEqual, "claim_conflict")
 			So(c.serviceRuns()-before, ShouldEqual, 1)
 		}
 	})
 }
 
 // Guards against this: confirmations run twice, or are refused although they ran, on days when the store loses answers.
-func TestTheStoreLosesAnswersAfterTheWrite(t *testing.T) {
+func TestStoreLosesAnswersAfterWrites(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, plan{nodes: 3, engines: 1})
+	c := newCluster(t, clusterSpec{nodes: 3, engines: 1})
 	Convey("each confirmation runs at most once, and what is said of it is true", t, func() {
 		c.storeFaults(standin.Faults{LoseFraction: 0.3})
 		var ran, refusedNotRun atomic.Int32
 		var wg conc.WaitGroup
-		for lane := range 6 {
+		for caller := range 6 {
 			wg.Go(func() {
 				for n := range 8 {
-					key := fmt.Sprintf("lost-%d-%d", lane, n)
-					a := dispatch(t.Context(), c.nodes[lane%3].callers.proxy.Addr(), key, "send crew "+key)
+					key := fmt.Sprintf("lost-%d-%d", caller, n)
+					a := dispatch(t.Context(), c.nodes[caller%3].callerLink.proxy.Addr(), key, "send crew "+key)
 					switch {
 					case a.status == http.StatusOK:
 						ran.Add(1)
@@ -99,45 +99,45 @@
 }
 
 // Guards against this: everything stands still while the platform's store is down.
-func TestTheStoreIsDown(t *testing.T) {
+func TestStoreDown(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, plan{nodes: 3, engines: 2})
+	c := newCluster(t, clusterSpec{nodes: 3, engines: 2})
 	Convey("ordinary requests go on; a confirmation is refused, truly not run", t, func() {
-		l := startLoad(t.Context(), 9, 5, through(c.nodes))
+		l := startLoad(t.Context(), 9, 5, roundRobin(c.nodes))
 		eventually(t, "traffic flows", func() bool { return l.count() >= 50 })
 		c.storeFaults(standin.Faults{Down: true})
-		at := l.count()
-		a := dispatch(t.Context(), c.nodes[0].callers.proxy.Addr(), "down-1", "send crew")
+		before := l.count()
+		a := dispatch(t.Context(), c.nodes[0].callerLink.proxy.Addr(), "down-1", "send crew")
 		So(a.code, ShouldEqual, "store_unavailable")
 		So(a.notRun, ShouldEqual, true)
 		So(c.serviceRuns(), ShouldEqual, 0)
-		eventually(t, "traffic goes on without the store", func() bool { return l.count() >= at+300 })
+		eventually(t, "traffic goes on without the store", func() bool { return l.count() >= before+300 })
 		c.storeFaults(standin.Faults{})
 		eventually(t, "the same confirmation runs once the store is back", func() bool {
-			return dispatch(t.Context(), c.nodes[1].callers.proxy.Addr(), "down-1", "send crew").status == http.StatusOK
+			return dispatch(t.Context(), c.nodes[1].callerLink.proxy.Addr(), "down-1", "send crew").status == http.StatusOK
 		})
 		So(c.serviceRuns(), ShouldEqual, 1)
 		results := l.stop()
-		whole, refused, broken := checkAnswers(t, c, results)
+		complete, refused, failed := checkAnswers(t, c, results)
 		So(refused, ShouldBeEmpty)
-		So(broken, ShouldEqual, 0)
-		So(whole, ShouldEqual, len(results))
+		So(failed, ShouldEqual, 0)
+		So(complete, ShouldEqual, len(results))
 	})
 }
 
 // Guards against this: a confirmation that a dead entry had sent runs a second time.
-func TestAnEntryDiesWhileAConfirmationRuns(t *testing.T) {
+func TestEntryCrashDuringNonIdempotentCall(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, plan{nodes: 3, engines: 1})
+	c := newCluster(t, clusterSpec{nodes: 3, engines: 1})
 	Convey("the resend is refused as unknown and nothing runs again", t, func() {
 		c.post(c.service.link.target, service.PathFaults, `{"delay_ms": 60000}`)
 		victim := c.nodes[0]
-		go dispatch(t.Context(), victim.callers.proxy.Addr(), "dies-1", "send crew")
+		go dispatch(t.Context(), victim.callerLink.proxy.Addr(), "dies-1", "send crew")
 		eventually(t, "the confirmation reaches the service", func() bool { return c.serviceRuns() == 1 })
 		victim.kill()
 		c.post(c.service.link.target, service.PathFaults, `{"delay_ms": 0}`)
 		for _, n := range c.nodes[1:] {
-			a := dispatch(t.Context(), n.callers.proxy.Addr(), "dies-1", "send crew")
+			a := dispatch(t.Context(), n.callerLink.proxy.Addr(), "dies-1", "send crew")
 			So(a.status, ShouldEqual, http.StatusConflict)
 			So(a.notRun, ShouldEqual, "unknown")
 		}
@@ -146,9 +146,9 @@
 }
 
 // Guards against this: a confirmation that was refused as not run stays blocked, or runs although it was refused.
-func TestTheStoreIsSlowerThanCallersWait(t *testing.T) {
+func TestStoreSlowerThanCallerDeadlines(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, plan{nodes: 3, engines: 1})
+	c := newCluster(t, clusterSpec{nodes: 3, engines: 1})
 	Convey("refusals are true, and each confirmation runs once after all", t, func() {
 		c.storeFaults(standin.Faults{SlowMs: 4000})
 		const calls = 9
@@ -156,7 +156,7 @@
 		answers := make([]answer, calls)
 		for i := range answers {
 			wg.Go(func() {
-				answers[i] = send(t.Context(), c.nodes[i%3].callers.proxy.Addr(), dispatchPath, []byte("send crew"), call{header: map[string]string{
+				answers[i] = send(t.Context(), c.nodes[i%3].callerLink.proxy.Addr(), dispatchPath, []byte("send crew"), call{header: map[string]string{
 					"Idempotency-Key": fmt.Sprint("slow-", i), "X-Lycheekeel-Deadline-Ms": "1500",
 				}})
 			})
@@ -174,7 +174,7 @@
 		})
 		for i := range answers {
 			eventually(t, "the confirmation runs once the store is fast", func() bool {
-				a := dispatch(t.Context(), c.nodes[(i+1)%3].callers.proxy.Addr(), fmt.Sprint("slow-", i), "send crew")
+				a := dispatch(t.Context(), c.nodes[(i+1)%3].callerLink.proxy.Addr(), fmt.Sprint("slow-", i), "send crew")
 				if a.status != http.StatusOK {
 					t.Logf("again: %s, not_run %v", a.code, a.notRun)
 				}
--- a/test/traffic_test.go
+++ b/test/traffic_test.go
@@ -37,20 +37,20 @@
 type load struct {
 	recorder
 	cancel context.CancelFunc
-	lanes  conc.WaitGroup
+	wg     conc.WaitGroup
 }
 
 // startLoad sends echo texts of the given length from a number of lanes, each
 // to the address that pick returns for it. Every request is let finish.
-func startLoad(ctx context.Context, lanes, words int, pick func(lane, n int) string) *load {
+func startLoad(ctx context.Context, callers, words int, pick func(caller, n int) string) *load {
 	l := &load{}
-	going, cancel := context.WithCancel(ctx)
+	sendCtx, cancel := context.WithCancel(ctx)
 	l.cancel = cancel
-	for lane := range lanes {
-		l.lanes.Go(func() {
-			for n := 0; going.Err() == nil; n++ {
-				c, _ := echoCall(lane, n, words)
-				l.add(c, chat(ctx, pick(lane, n), c))
+	for caller := range callers {
+		l.wg.Go(func() {
+			for n := 0; sendCtx.Err() == nil; n++ {
+				c, _ := echoCall(caller, n, words)
+				l.add(c, chat(ctx, pick(caller, n), c))
 			}
 		})
 	}
@@ -60,28 +60,28 @@
 // stop sends nothing new, waits for every answer, and returns them all.
 func (l *load) stop() []result {
 	l.cancel()
-	l.lanes.Wait()
+	l.wg.Wait()
 	return l.all()
 }
 
 // streams are long answers, one on each lane, that stream at the same time.
 type streams struct {
 	recorder
-	lanes conc.WaitGroup
-	begun atomic.Int32 // how many have received text
+	wg      conc.WaitGroup
+	started atomic.Int32 // how many have received text
 }
 
 // streamWords makes an answer that streams for more than a second.
 const streamWords = 60
 
 // startStreams sends one long streamed echo from each lane.
-func startStreams(ctx context.Context, lanes, round int, pick func(lane, n int) string) *streams {
+func startStreams(ctx context.Context, callers, round int, pick func(caller, n int) string) *streams {
 	s := &streams{}
-	for lane := range lanes {
-		s.lanes.Go(func() {
-			c, _ := echoCall(lane, 2*round, streamWords) // even: streamed
-			c.onFirst = func() { s.begun.Add(1) }
-			s.add(c, chat(ctx, pick(lane, 0), c))
+	for caller := range callers {
+		s.wg.Go(func() {
+			c, _ := echoCall(caller, 2*round, streamWords) // even: streamed
+			c.onFirstText = func() { s.started.Add(1) }
+			s.add(c, chat(ctx, pick(caller, 0), c))
 		})
 	}
 	return s
