--- a/internal/demo/configuration.go
+++ b/internal/demo/configuration.go
@@ -20,7 +20,7 @@
 // configuration is the shipped examples with the demonstration's servers in
 // place of the examples' own.
 type configuration struct {
-	system   *system
+	standins *standinSet
 	objects  []objectstore.Object
 	keys     map[string]string
 	models   []string // of every pool
@@ -29,15 +29,15 @@
 	pools    []*workspace.Pool
 }
 
-func newConfiguration(s *system) (*configuration, error) {
-	c := &configuration{system: s, keys: map[string]string{}, engines: make([]string, len(s.engines))}
+func newConfiguration(s *standinSet) (*configuration, error) {
+	c := &configuration{standins: s, keys: map[string]string{}, engines: make([]string, len(s.engines))}
 	for _, name := range examples.Names() {
 		docs, err := examples.Documents(name)
 		if err != nil {
 			return nil, err
 		}
 		for _, d := range docs {
-			if err := c.take(d); err != nil {
+			if err := c.addDocument(d); err != nil {
 				return nil, err
 			}
 		}
@@ -57,8 +57,8 @@
 	return slices.Compact(names)
 }
 
-// take takes over a document of an example.
-func (c *configuration) take(d workspace.Document) error {
+// addDocument takes over a document of an example.
+func (c *configuration) addDocument(d workspace.Document) error {
 	switch o := d.Object.(type) {
 	case *workspace.BackendServer:
 		return nil
@@ -81,7 +81,7 @@
 // slots, or the plain service.
 func (c *configuration) addServers(p *workspace.Pool) error {
 	if p.Service != "" {
-		address, err := c.system.serviceAddress()
+		address, err := c.standins.serviceAddress()
 		if err != nil {
 			return err
 		}
@@ -89,8 +89,8 @@
 			Name: p.Name + "-service", Address: address, Pool: p.Name, Slots: serviceSlots,
 		})
 	}
-	for i, m := range machines() {
-		address, err := c.system.engineAddress(i)
+	for i, m := range engineSpecs() {
+		address, err := c.standins.engineAddress(i)
 		if err != nil {
 			return err
 		}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -51,16 +51,16 @@
 	Engines []string `json:"engines"`
 }
 
-// machine is a kind of hardware.
-type machine struct {
+// engineSpec is a kind of hardware.
+type engineSpec struct {
 	name       string
 	generation string
 	options    engine.Options
 }
 
-// machines are the demonstration's engines: two generations, three speeds.
-func machines() []machine {
-	return []machine{
+// engineSpecs are the demonstration's engines: two generations, three speeds.
+func engineSpecs() []engineSpec {
+	return []engineSpec{
 		{"engine-1", "gen2", engine.Options{Slots: 48, StepMs: 4, PrefillPerSecond: 30_000}},
 		{"engine-2", "gen2", engine.Options{Slots: 48, StepMs: 6, PrefillPerSecond: 24_000}},
 		{"engine-3", "gen1", engine.Options{Slots: 24, StepMs: 12, PrefillPerSecond: 8_000}},
@@ -71,10 +71,10 @@
 // can be sent.
 func Run(ctx context.Context, o Options, ready func(Info)) error {
 	standins, stop := context.WithCancel(context.Background())
-	var running conc.WaitGroup
-	s := &system{ctx: standins, running: &running}
+	var group conc.WaitGroup
+	s := &standinSet{ctx: standins, group: &group}
 	defer s.stop()
-	defer running.Wait()
+	defer group.Wait()
 	defer stop()
 	if err := s.start(); err != nil {
 		return err
@@ -98,16 +98,16 @@
 	return d.Run(ctx)
 }
 
-// system is the stand-ins with their addresses.
-type system struct {
+// standinSet is the stand-ins with their addresses.
+type standinSet struct {
 	ctx      context.Context
-	running  *conc.WaitGroup
+	group    *conc.WaitGroup
 	platform string
 	engines  []*engine.Engine
 	service  *service.Service
 }
 
-func (s *system) start() error {
+func (s *standinSet) start() error {
 	ln, err := net.Listen("tcp", anyPort)
 	if err != nil {
 		return errors.Wrap(err, "listen for the platform")
@@ -115,7 +115,7 @@
 	s.platform = ln.Addr().String()
 	p := platformstandin.New(platformstandin.Options{})
 	s.serve(func() error { return p.Serve(s.ctx, ln) })
-	for _, m := range machines() {
+	for _, m := range engineSpecs() {
 		e, err := engine.New(m.options)
 		if err != nil {
 			return err
@@ -128,7 +128,7 @@
 
 // engineAddress opens one more address of an engine. Each pool knows the
 // engine by an address of its own, as if it were several servers.
-func (s *system) engineAddress(i int) (string, error) {
+func (s *standinSet) engineAddress(i int) (string, error) {
 	ln, err := net.Listen("tcp", anyPort)
 	if err != nil {
 		return "", errors.Wrap(err, "listen for an engine")
@@ -138,7 +138,7 @@
 }
 
 // serviceAddress opens one more address of the plain service.
-func (s *system) serviceAddress() (string, error) {
+func (s *standinSet) serviceAddress() (string, error) {
 	ln, err := net.Listen("tcp", anyPort)
 	if err != nil {
 		return "", errors.Wrap(err, "listen for the service")
@@ -149,18 +149,18 @@
 
 // serve runs a stand-in until the demonstration ends. One that fails shows in
 // the daemon's log as a server that is gone.
-func (s *system) serve(run func() error) {
-	s.running.Go(func() { _ = run() })
+func (s *standinSet) serve(run func() error) {
+	s.group.Go(func() { _ = run() })
 }
 
 // stop ends the engines; their listeners have ended with the context.
-func (s *system) stop() {
+func (s *standinSet) stop() {
 	for _, e := range s.engines {
 		e.Close()
 	}
 }
 
-func (s *system) configure(ctx context.Context) (Info, error) {
+func (s *standinSet) configure(ctx context.Context) (Info, error) {
 	client := httpobjectstore.New(httpobjectstore.Options{Addr: s.platform})
 	c, err := newConfiguration(s)
 	if err != nil {
@@ -174,7 +174,7 @@
 	return Info{Keys: c.keys, Models: c.modelNames(), Services: c.services, Engines: c.engines}, nil
 }
 
-func (s *system) settings(o Options) daemon.Settings {
+func (s *standinSet) settings(o Options) daemon.Settings {
 	return daemon.Settings{
 		Name: "demo", Region: region, AvailabilityZone: zone, Listen: o.Listen, Admin: o.Admin,
 		Peer:     daemon.PeerSettings{Listen: anyPort, Address: anyPort, ClusterKeys: []string{rand.Text()}},
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -12,25 +12,25 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// patience is generous: the test is not decided by it.
-const patience = 60 * time.Second
+// testTimeout is generous: the test is not decided by it.
+const testTimeout = 60 * time.Second
 
 func TestDemo(t *testing.T) {
 	Convey("A demonstration answers every workspace, and stops cleanly", t, func() {
-		ctx, stop := context.WithTimeout(context.Background(), patience)
+		ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 		defer stop()
-		infos, ended := make(chan Info, 1), make(chan error, 1)
+		infos, runErr := make(chan Info, 1), make(chan error, 1)
 		go func() {
-			ended <- Run(ctx, Options{Listen: anyPort, Admin: anyPort}, func(i Info) { infos <- i })
+			runErr <- Run(ctx, Options{Listen: anyPort, Admin: anyPort}, func(i Info) { infos <- i })
 		}()
 		var info Info
 		select {
 		case info = <-infos:
-		case err := <-ended:
+		case err := <-runErr:
 			t.Fatalf("ended before it was ready: %v", err)
 		}
 		So(len(info.Keys), ShouldEqual, 10)
-		So(len(info.Engines), ShouldEqual, len(machines()))
+		So(len(info.Engines), ShouldEqual, len(engineSpecs()))
 		for workspace, key := range info.Keys {
 			answered := false
 			for _, model := range info.Models {
@@ -54,6 +54,6 @@
 			So(answered, ShouldBeTrue)
 		}
 		stop()
-		So(<-ended, ShouldBeNil)
+		So(<-runErr, ShouldBeNil)
 	})
 }
--- a/internal/experiment/system.go
+++ b/internal/experiment/system.go
@@ -80,8 +80,8 @@
 	return y, nil
 }
 
-func (y *system) startEngines() (*standin.Fleet, error) {
-	fleet := &standin.Fleet{}
+func (y *system) startEngines() (*standin.LocalDialer, error) {
+	fleet := &standin.LocalDialer{}
 	for _, g := range y.scenario.Engines {
 		for range g.Count {
 			e, err := standin.New(g.Engine)
--- a/internal/faultproxy/conn.go
+++ b/internal/faultproxy/conn.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// bufferBytes is how much is read at once.
-	bufferBytes = 32 << 10
-	// heldChunks bounds what is held back by a delay.
-	heldChunks = 256
+	// readBufferBytes is how much is read at once.
+	readBufferBytes = 32 << 10
+	// maxDelayedChunks bounds what is held back by a delay.
+	maxDelayedChunks = 256
 )
 
 // conn is one forwarded connection.
@@ -31,7 +31,7 @@
 	due   time.Time
 }
 
-func (c *conn) silence(d Direction) {
+func (c *conn) makeSilent(d Direction) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.silent |= d
@@ -61,10 +61,10 @@
 // copy forwards one direction through a queue, so that a delay holds bytes
 // back without slowing them down.
 func (c *conn) copy(from, to *net.TCPConn, d Direction) {
-	queue := make(chan chunk, heldChunks)
+	queue := make(chan chunk, maxDelayedChunks)
 	var g conc.WaitGroup
 	g.Go(func() { c.deliver(queue, to, d) })
-	buf := make([]byte, bufferBytes)
+	buf := make([]byte, readBufferBytes)
 	for {
 		n, err := from.Read(buf)
 		due := time.Now().Add(c.proxy.currentDelay())
@@ -84,7 +84,7 @@
 // hides the end of a silent connection until the proxy closes.
 func (c *conn) deliver(queue <-chan chunk, to *net.TCPConn, d Direction) {
 	for k := range queue {
-		c.hold(k.due)
+		c.waitUntil(k.due)
 		switch {
 		case c.isSilent(d):
 			if k.bytes == nil {
@@ -98,8 +98,8 @@
 	}
 }
 
-// hold waits until the time or until the proxy closes.
-func (c *conn) hold(until time.Time) {
+// waitUntil waits until the time or until the proxy closes.
+func (c *conn) waitUntil(until time.Time) {
 	t := time.NewTimer(time.Until(until))
 	defer t.Stop()
 	select {
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -28,15 +28,15 @@
 	group    conc.WaitGroup
 	done     chan struct{}
 
-	mu     sync.Mutex
-	target string
-	delay  time.Duration
-	refuse bool
-	silent Direction // for new connections
-	closed bool
-	conns  map[*conn]struct{}
-	total  int
-	resets int // how often existing connections were reset
+	mu         sync.Mutex
+	target     string
+	delay      time.Duration
+	refuse     bool
+	silent     Direction // for new connections
+	closed     bool
+	conns      map[*conn]struct{}
+	accepted   int
+	resetCount int // how often existing connections were reset
 }
 
 // New listens at an address (port 0 picks one) and forwards to the target.
@@ -56,9 +56,9 @@
 // SetTarget forwards new connections to another target.
 func (p *Proxy) SetTarget(target string) { p.set(func() { p.target = target }) }
 
-// Pass lets new connections through without faults and ends the delay of
+// ClearFaults lets new connections through without faults and ends the delay of
 // existing ones. Connections that went silent stay silent.
-func (p *Proxy) Pass() { p.set(func() { p.delay, p.refuse, p.silent = 0, false, 0 }) }
+func (p *Proxy) ClearFaults() { p.set(func() { p.delay, p.refuse, p.silent = 0, false, 0 }) }
 
 // Delay holds all bytes back that long, each way, in order.
 func (p *Proxy) Delay(d time.Duration) { p.set(func() { p.delay = d }) }
@@ -69,14 +69,14 @@
 // Reset resets the existing connections on both sides. One that was accepted,
 // but whose target is not reached yet, is an existing one.
 func (p *Proxy) Reset() {
-	p.set(func() { p.resets++ })
-	for _, c := range p.existing() {
+	p.set(func() { p.resetCount++ })
+	for _, c := range p.openConns() {
 		c.reset()
 	}
 }
 
-// Cut resets the existing connections and refuses new ones.
-func (p *Proxy) Cut() {
+// ResetAndRefuse resets the existing connections and refuses new ones.
+func (p *Proxy) ResetAndRefuse() {
 	p.Refuse()
 	p.Reset()
 }
@@ -85,8 +85,8 @@
 // direction vanish, and neither side is told when the other closes. New
 // connections work.
 func (p *Proxy) Silence(d Direction) {
-	for _, c := range p.existing() {
-		c.silence(d)
+	for _, c := range p.openConns() {
+		c.makeSilent(d)
 	}
 }
 
@@ -101,7 +101,7 @@
 func (p *Proxy) Connections() (open, total int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.conns), p.total
+	return len(p.conns), p.accepted
 }
 
 // Close resets everything and waits for the goroutines.
@@ -125,7 +125,7 @@
 	f()
 }
 
-func (p *Proxy) existing() []*conn {
+func (p *Proxy) openConns() []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cs := make([]*conn, 0, len(p.conns))
@@ -154,8 +154,8 @@
 // forward connects one accepted connection with the target.
 func (p *Proxy) forward(client *net.TCPConn) {
 	p.mu.Lock()
-	target, refuse, silent, resets := p.target, p.refuse, p.silent, p.resets
-	p.total++
+	target, refuse, silent, resetCount := p.target, p.refuse, p.silent, p.resetCount
+	p.accepted++
 	p.mu.Unlock()
 	if refuse {
 		resetConn(client)
@@ -169,7 +169,7 @@
 	c := &conn{proxy: p, client: client, server: server.(*net.TCPConn), silent: silent}
 	p.mu.Lock()
 	p.conns[c] = struct{}{}
-	ended := p.closed || p.resets != resets
+	ended := p.closed || p.resetCount != resetCount
 	p.mu.Unlock()
 	if ended {
 		c.reset()
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -9,10 +9,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// patience bounds a read that must succeed; quiet bounds one that must not.
+// readTimeout bounds a read that must succeed; quiet bounds one that must not.
 const (
-	patience = 10 * time.Second
-	quiet    = 50 * time.Millisecond
+	readTimeout = 10 * time.Second
+	shortWait   = 50 * time.Millisecond
 )
 
 func echoServer() net.Listener {
@@ -45,8 +45,8 @@
 	return string(buf[:n]), err
 }
 
-func works(c net.Conn) {
-	got, err := echo(c, patience)
+func checkEcho(c net.Conn) {
+	got, err := echo(c, readTimeout)
 	So(err, ShouldBeNil)
 	So(got, ShouldEqual, "hello")
 }
@@ -58,48 +58,48 @@
 		p, err := New("127.0.0.1:0", ln.Addr().String())
 		So(err, ShouldBeNil)
 		Reset(p.Close)
-		old := dial(p)
-		works(old)
+		existing := dial(p)
+		checkEcho(existing)
 
 		Convey("a silent connection stays silent, new ones work", func() {
 			for _, d := range []Direction{ToTarget, ToClient, Both} {
 				c := dial(p)
-				works(c)
+				checkEcho(c)
 				p.Silence(d)
-				got, err := echo(c, quiet)
+				got, err := echo(c, shortWait)
 				So(got, ShouldEqual, "")
 				So(err.(net.Error).Timeout(), ShouldBeTrue)
-				works(dial(p))
-				p.Pass()
-				_, err = echo(c, quiet)
+				checkEcho(dial(p))
+				p.ClearFaults()
+				_, err = echo(c, shortWait)
 				So(err, ShouldNotBeNil)
 			}
 		})
 		Convey("a cut resets and refuses until it passes again", func() {
-			p.Cut()
+			p.ResetAndRefuse()
 			// A write would take the reset's error away from the read.
-			_ = old.SetReadDeadline(time.Now().Add(patience))
-			_, err := old.Read(make([]byte, 1))
+			_ = existing.SetReadDeadline(time.Now().Add(readTimeout))
+			_, err := existing.Read(make([]byte, 1))
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldContainSubstring, "reset")
 			// The reset may come before the dial returns.
 			if c, err := net.Dial("tcp", p.Addr()); err == nil {
-				_, err = echo(c, patience)
+				_, err = echo(c, readTimeout)
 				So(err, ShouldNotBeNil)
 			}
-			p.Pass()
-			works(dial(p))
+			p.ClearFaults()
+			checkEcho(dial(p))
 		})
 		Convey("a delay holds bytes back both ways", func() {
-			p.Delay(quiet)
-			began := time.Now()
-			works(old)
-			So(time.Since(began), ShouldBeGreaterThanOrEqualTo, 2*quiet)
+			p.Delay(shortWait)
+			start := time.Now()
+			checkEcho(existing)
+			So(time.Since(start), ShouldBeGreaterThanOrEqualTo, 2*shortWait)
 		})
 		Convey("an end is passed on", func() {
-			So(old.(*net.TCPConn).CloseWrite(), ShouldBeNil)
-			_ = old.SetReadDeadline(time.Now().Add(patience))
-			_, err := old.Read(make([]byte, 1))
+			So(existing.(*net.TCPConn).CloseWrite(), ShouldBeNil)
+			_ = existing.SetReadDeadline(time.Now().Add(readTimeout))
+			_, err := existing.Read(make([]byte, 1))
 			So(err, ShouldEqual, io.EOF)
 		})
 	})
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -30,9 +30,9 @@
 	fillerWord = "word"
 	// maxFillerTokens bounds the longest filler answer.
 	maxFillerTokens = 1 << 16
-	// Without a hint an answer has between minTokens and minTokens+spanTokens
+	// Without a hint an answer has between minAnswerTokens and minAnswerTokens+answerTokenSpan
 	// tokens, by the prompt's hash.
-	minTokens, spanTokens = 16, 240
+	minAnswerTokens, answerTokenSpan = 16, 240
 )
 
 // filler is the text of every generated answer; each token is one word of
@@ -45,7 +45,7 @@
 	if rest, ok := strings.CutPrefix(r.LastMessage, PrefixEcho); ok {
 		return rest, countTokens(rest), finishStop
 	}
-	want := min(wantedTokens(r), maxFillerTokens)
+	want := min(answerTokens(r), maxFillerTokens)
 	finish = finishStop
 	if r.MaxTokens > 0 && want > r.MaxTokens {
 		want, finish = r.MaxTokens, finishLength
@@ -53,14 +53,14 @@
 	return filler[:want*len(fillerWord)], want, finish
 }
 
-func wantedTokens(r *port.Run) int {
+func answerTokens(r *port.Run) int {
 	if rest, ok := strings.CutPrefix(r.LastMessage, PrefixGenerate); ok {
 		digits := len(rest) - len(strings.TrimLeft(rest, "0123456789"))
 		if n, err := strconv.Atoi(rest[:digits]); err == nil {
 			return n
 		}
 	}
-	return minTokens + int(xxhash.Sum64String(r.Prompt)%spanTokens)
+	return minAnswerTokens + int(xxhash.Sum64String(r.Prompt)%answerTokenSpan)
 }
 
 // tokenEnd returns where the token that begins at from ends: after about
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// keptEvents is how many cache events are kept for readers; a reader that
+	// maxEvents is how many cache events are kept for readers; a reader that
 	// is further behind sees a gap.
-	keptEvents = 1 << 14
-	// eventBatch bounds the events of one answer.
-	eventBatch = 2048
+	maxEvents = 1 << 14
+	// maxReplyEvents bounds the events of one answer.
+	maxReplyEvents = 2048
 )
 
 type timedEvent struct {
@@ -24,23 +24,23 @@
 
 // prefixCache is the prefix cache and its event log. The engine's lock guards it.
 type prefixCache struct {
-	blocks *simplelru.LRU[uint64, struct{}]
-	events []timedEvent // the newest, at most keptEvents
-	seq    uint64
-	size   int // in blocks
-	drop   int // lose every nth event
-	now    time.Time
+	blocks    *simplelru.LRU[uint64, struct{}]
+	events    []timedEvent // the newest, at most maxEvents
+	seq       uint64
+	size      int // in blocks
+	dropEvery int // lose every nth event
+	storeTime time.Time
 }
 
 func newPrefixCache(blocks, drop int) *prefixCache {
-	c := &prefixCache{drop: drop, size: blocks}
+	c := &prefixCache{dropEvery: drop, size: blocks}
 	// The size is positive by Options.withDefaults, the only cause of an error.
-	c.blocks, _ = simplelru.NewLRU(blocks, func(b uint64, _ struct{}) { c.log(b, false) })
+	c.blocks, _ = simplelru.NewLRU(blocks, func(b uint64, _ struct{}) { c.logEvent(b, false) })
 	return c
 }
 
-// hit returns how many leading blocks are cached and marks them as used.
-func (c *prefixCache) hit(blocks []uint64) int {
+// matchPrefix returns how many leading blocks are cached and marks them as used.
+func (c *prefixCache) matchPrefix(blocks []uint64) int {
 	for i, b := range blocks {
 		if _, ok := c.blocks.Get(b); !ok {
 			return i
@@ -51,7 +51,7 @@
 
 // store adds the blocks, last first, so that a prefix outlives its extensions.
 func (c *prefixCache) store(blocks []uint64, now time.Time) {
-	c.now = now
+	c.storeTime = now
 	blocks = blocks[:min(len(blocks), c.size)]
 	for i := len(blocks) - 1; i >= 0; i-- {
 		if c.blocks.Contains(blocks[i]) {
@@ -59,28 +59,28 @@
 			continue
 		}
 		c.blocks.Add(blocks[i], struct{}{})
-		c.log(blocks[i], true)
+		c.logEvent(blocks[i], true)
 	}
 }
 
-func (c *prefixCache) log(block uint64, stored bool) {
+func (c *prefixCache) logEvent(block uint64, stored bool) {
 	c.seq++
-	if c.drop > 0 && c.seq%uint64(c.drop) == 0 {
+	if c.dropEvery > 0 && c.seq%uint64(c.dropEvery) == 0 {
 		return
 	}
-	ev := timedEvent{port.CacheEvent{Seq: c.seq, Block: block, Stored: stored}, c.now}
-	if len(c.events) == keptEvents {
-		c.events = append(c.events[:0], c.events[keptEvents/2:]...)
+	ev := timedEvent{port.CacheEvent{Seq: c.seq, Block: block, Stored: stored}, c.storeTime}
+	if len(c.events) == maxEvents {
+		c.events = append(c.events[:0], c.events[maxEvents/2:]...)
 	}
 	c.events = append(c.events, ev)
 }
 
-// after returns the events after seq that happened before until.
-func (c *prefixCache) after(seq uint64, until time.Time) []port.CacheEvent {
+// eventsAfter returns the events after seq that happened before until.
+func (c *prefixCache) eventsAfter(seq uint64, until time.Time) []port.CacheEvent {
 	first := sort.Search(len(c.events), func(i int) bool { return c.events[i].Seq > seq })
 	var out []port.CacheEvent
 	for _, ev := range c.events[first:] {
-		if ev.at.After(until) || len(out) == eventBatch {
+		if ev.at.After(until) || len(out) == maxReplyEvents {
 			break
 		}
 		out = append(out, ev.CacheEvent)
--- a/internal/standin/engine/cursor.go
+++ b/internal/standin/engine/cursor.go
@@ -15,68 +15,68 @@
 
 // cursor is one stream's place in a run's answer. It is read by one goroutine.
 type cursor struct {
-	e      *Engine
-	run    *run // may be another request's run when answers are crossed
-	id     string
-	serial uint64 // order of creation, for SilenceExisting
-	ready  chan struct{}
-	timer  *time.Timer
-	offset int // in tokens
-	at     int // in bytes
-	done   bool
+	engine     *Engine
+	run        *run // may be another request's run when answers are crossed
+	requestID  string
+	serial     uint64 // order of creation, for SilenceExisting
+	ready      chan struct{}
+	timer      *time.Timer
+	offset     int // in tokens
+	byteOffset int // in bytes
+	done       bool
 }
 
 // next returns the next chunk and the id of the request that it belongs to.
 // ok is false where there was none within the time, or before ctx ended.
-func (c *cursor) next(ctx context.Context, within time.Duration) (chunk port.Chunk, id string, ok bool, err error) {
-	limit := time.Now().Add(within)
+func (c *cursor) next(ctx context.Context, timeout time.Duration) (chunk port.Chunk, id string, ok bool, err error) {
+	deadline := time.Now().Add(timeout)
 	for {
-		chunk, id, wait, err := c.poll(limit)
+		chunk, id, wait, err := c.poll(deadline)
 		if err != nil || wait == 0 {
 			return chunk, id, err == nil, err
 		}
-		if !c.wait(ctx, wait) && !time.Now().Before(limit) || ctx.Err() != nil {
+		if !c.wait(ctx, wait) && !time.Now().Before(deadline) || ctx.Err() != nil {
 			return chunk, id, false, nil
 		}
 	}
 }
 
 // poll returns a chunk, or how long to wait for one.
-func (c *cursor) poll(limit time.Time) (chunk port.Chunk, id string, wait time.Duration, err error) {
-	c.e.mu.Lock()
-	defer c.e.mu.Unlock()
-	x, now := c.run, time.Now()
-	id = x.req.RequestID
-	until := limit
-	visible := !now.Before(x.visibleAt)
-	if !visible && x.visibleAt.Before(limit) {
-		until = x.visibleAt
+func (c *cursor) poll(deadline time.Time) (chunk port.Chunk, id string, wait time.Duration, err error) {
+	c.engine.mu.Lock()
+	defer c.engine.mu.Unlock()
+	r, now := c.run, time.Now()
+	id = r.req.RequestID
+	until := deadline
+	visible := !now.Before(r.visibleAt)
+	if !visible && r.visibleAt.Before(deadline) {
+		until = r.visibleAt
 	}
 	switch {
 	case c.done:
 		return chunk, id, 0, io.EOF
-	case x.broken:
+	case r.crashed:
 		return chunk, id, 0, errors.Wrap(port.ErrConnectionLost, "engine crashed")
-	case visible && (c.offset < x.generated || x.whole()):
-		return c.take(), id, 0, nil
-	case x.ended && !x.whole():
-		return chunk, id, 0, errors.Wrapf(port.ErrRunFailed, "run %s", x.record.Outcome)
+	case visible && (c.offset < r.generatedTokens || r.complete()):
+		return c.takeChunk(), id, 0, nil
+	case r.ended && !r.complete():
+		return chunk, id, 0, errors.Wrapf(port.ErrRunFailed, "run %s", r.record.Outcome)
 	}
 	return chunk, id, max(until.Sub(now), 1), nil
 }
 
-// whole reports whether the run generated its whole answer.
-func (x *run) whole() bool { return x.ended && x.generated == x.total }
+// complete reports whether the run generated its whole answer.
+func (r *run) complete() bool { return r.ended && r.generatedTokens == r.totalTokens }
 
-func (c *cursor) take() port.Chunk {
-	x := c.run
-	n := min(x.generated-c.offset, maxChunkTokens)
-	end := advance(x.text, c.at, n)
-	chunk := port.Chunk{Offset: c.offset, Tokens: n, Text: x.text[c.at:end]}
-	c.offset, c.at = c.offset+n, end
-	if x.whole() && c.offset == x.total {
-		chunk.End, chunk.FinishReason = true, x.finish
-		chunk.PromptTokens, chunk.PrefillComputed = x.promptTokens, x.computed
+func (c *cursor) takeChunk() port.Chunk {
+	r := c.run
+	n := min(r.generatedTokens-c.offset, maxChunkTokens)
+	end := advance(r.answer, c.byteOffset, n)
+	chunk := port.Chunk{Offset: c.offset, Tokens: n, Text: r.answer[c.byteOffset:end]}
+	c.offset, c.byteOffset = c.offset+n, end
+	if r.complete() && c.offset == r.totalTokens {
+		chunk.End, chunk.FinishReason = true, r.finishReason
+		chunk.PromptTokens, chunk.PrefillComputed = r.promptTokens, r.prefillComputed
 		c.done = true
 	}
 	return chunk
@@ -102,11 +102,11 @@
 
 // Close implements port.Stream: the run goes on.
 func (c *cursor) Close() error {
-	c.e.mu.Lock()
-	defer c.e.mu.Unlock()
+	c.engine.mu.Lock()
+	defer c.engine.mu.Unlock()
 	c.run.detach(c, time.Now())
-	if c.e.crossing == c {
-		c.e.crossing = nil
+	if c.engine.swapPending == c {
+		c.engine.swapPending = nil
 	}
 	return nil
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -20,67 +20,67 @@
 	loop conc.WaitGroup
 	wake chan struct{} // there is something to do
 
-	mu          sync.Mutex
-	faults      Faults
-	incarnation uint64
-	downUntil   time.Time
-	fronts      []front         // called with mu held
-	runs        map[string]*run // the newest of each request id
-	waiting     []*run
-	batch       []*run
-	kvHeld      int
-	ended       []*run // in the order of their end
-	records     []*RunRecord
-	cache       *prefixCache
-	models      []heldModel
-	orders      []OrderRecord
-	fence       uint64 // highest fencing token seen
-	draining    bool
-	history     []timedLoad
-	cursors     uint64
-	silenced    uint64  // cursors up to this one are silent
-	crossing    *cursor // waits for another answer to be swapped with
+	mu           sync.Mutex
+	faults       Faults
+	incarnation  uint64
+	downUntil    time.Time
+	frontends    []frontend      // called with mu held
+	runs         map[string]*run // the newest of each request id
+	waiting      []*run
+	batch        []*run
+	kvUsed       int
+	ended        []*run // in the order of their end
+	records      []*RunRecord
+	cache        *prefixCache
+	models       []loadedModel
+	orders       []OrderRecord
+	highestToken uint64 // highest fencing token seen
+	draining     bool
+	loadHistory  []loadSample
+	lastSerial   uint64
+	silencedUpTo uint64  // lastSerial up to this one are silent
+	swapPending  *cursor // waits for another answer to be swapped with
 }
 
-// front is a way in to an engine from outside its process.
-type front interface {
-	// Shut breaks all connections and refuses new ones for a time.
-	Shut(d time.Duration)
+// frontend is a way in to an engine from outside its process.
+type frontend interface {
+	// TakeDown breaks all connections and refuses new ones for a time.
+	TakeDown(d time.Duration)
 	// Silence makes all open connections silent for good.
 	Silence()
 }
 
 // New starts an engine. Close stops it.
 func New(o Options) (*Engine, error) {
-	if err := o.Faults.check(); err != nil {
+	if err := o.Faults.validate(); err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	e := &Engine{opts: o.withDefaults(), stop: stop, wake: make(chan struct{}, 1)}
 	e.incarnation = uint64(time.Now().UnixNano())
-	e.boot()
+	e.resetState()
 	e.setFaults(o.Faults)
-	e.loop.Go(func() { e.steps(ctx) })
+	e.loop.Go(func() { e.runSteps(ctx) })
 	return e, nil
 }
 
 // Close stops the engine; streams see a crash.
 func (e *Engine) Close() {
 	e.mu.Lock()
-	e.loseRuns(time.Now())
+	e.failRuns(time.Now())
 	e.mu.Unlock()
 	e.stop()
 	e.loop.Wait()
 }
 
-// boot sets the state of a new incarnation.
-func (e *Engine) boot() {
+// resetState sets the state of a new incarnation.
+func (e *Engine) resetState() {
 	e.runs = map[string]*run{}
-	e.waiting, e.batch, e.ended, e.kvHeld = nil, nil, nil, 0
+	e.waiting, e.batch, e.ended, e.kvUsed = nil, nil, nil, 0
 	e.cache = newPrefixCache(e.opts.CacheBlocks, e.faults.DropEvents)
-	e.models, e.fence, e.draining, e.history, e.crossing = nil, 0, false, nil, nil
+	e.models, e.highestToken, e.draining, e.loadHistory, e.swapPending = nil, 0, false, nil, nil
 	for _, m := range e.opts.Models {
-		e.models = append(e.models, heldModel{Model: m})
+		e.models = append(e.models, loadedModel{Model: m})
 	}
 }
 
@@ -105,7 +105,7 @@
 
 // SetFaults replaces the faults.
 func (e *Engine) SetFaults(f Faults) error {
-	if err := f.check(); err != nil {
+	if err := f.validate(); err != nil {
 		return err
 	}
 	e.mu.Lock()
@@ -116,13 +116,13 @@
 
 func (e *Engine) setFaults(f Faults) {
 	if f.Silent != SilenceOff && f.Silent != e.faults.Silent {
-		e.silenced = e.cursors
-		for _, f := range e.fronts {
+		e.silencedUpTo = e.lastSerial
+		for _, f := range e.frontends {
 			f.Silence()
 		}
 	}
 	e.faults = f
-	e.cache.drop = f.DropEvents
+	e.cache.dropEvery = f.DropEvents
 }
 
 // Crash crashes the engine: it loses everything and stays away for its
@@ -134,57 +134,57 @@
 }
 
 func (e *Engine) crash(now time.Time) {
-	e.loseRuns(now)
-	e.boot()
+	e.failRuns(now)
+	e.resetState()
 	e.incarnation++
 	e.downUntil = now.Add(ms(e.opts.RestartMs))
-	for _, f := range e.fronts {
-		f.Shut(ms(e.opts.RestartMs))
+	for _, f := range e.frontends {
+		f.TakeDown(ms(e.opts.RestartMs))
 	}
 }
 
-func (e *Engine) loseRuns(now time.Time) {
-	for _, x := range slices.Concat(e.waiting, e.batch, e.ended) {
-		x.broken = true
-		x.end(OutcomeCrashed, now)
-		x.wake()
+func (e *Engine) failRuns(now time.Time) {
+	for _, r := range slices.Concat(e.waiting, e.batch, e.ended) {
+		r.crashed = true
+		r.end(OutcomeCrashed, now)
+		r.notifyStreams()
 	}
 }
 
-func (e *Engine) addFront(f front) {
+func (e *Engine) addFrontend(f frontend) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fronts = append(e.fronts, f)
+	e.frontends = append(e.frontends, f)
 }
 
 // start takes a request on.
-func (e *Engine) start(r port.Run) (*cursor, error) {
+func (e *Engine) start(req port.Run) (*cursor, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	if err := e.refusal(&r, now); err != nil {
+	if err := e.refusal(&req, now); err != nil {
 		return nil, err
 	}
-	x := newRun(r, now)
-	x.visibleAt = now.Add(ms(e.faults.AnswerDelayMs))
-	e.runs[r.RequestID] = x
-	e.records = append(e.records, x.record)
-	e.waiting = append(e.waiting, x)
-	c := e.newCursor(x, 0)
-	e.cross(c)
-	e.poke()
+	r := newRun(req, now)
+	r.visibleAt = now.Add(ms(e.faults.AnswerDelayMs))
+	e.runs[req.RequestID] = r
+	e.records = append(e.records, r.record)
+	e.waiting = append(e.waiting, r)
+	c := e.newCursor(r, 0)
+	e.swapAnswers(c)
+	e.wakeLoop()
 	return c, nil
 }
 
 // refusal returns why a request will not run, or nil.
-func (e *Engine) refusal(r *port.Run, now time.Time) error {
+func (e *Engine) refusal(req *port.Run, now time.Time) error {
 	switch {
 	case e.faults.Refuse:
 		return errors.Wrap(port.ErrRefusedNotRun, "told to refuse")
 	case e.faults.Leaving || e.draining:
 		return errors.Wrap(port.ErrRefusedNotRun, "leaving")
-	case !e.holds(r.Model, r.Version, now):
-		return errors.Wrapf(port.ErrRefusedNotRun, "model %q version %q is not loaded", r.Model, r.Version)
+	case !e.serves(req.Model, req.Version, now):
+		return errors.Wrapf(port.ErrRefusedNotRun, "model %q version %q is not loaded", req.Model, req.Version)
 	}
 	return nil
 }
@@ -193,34 +193,34 @@
 func (e *Engine) resume(id string, offset int) (*cursor, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	x, ok := e.runs[id]
-	if !ok || offset < 0 || offset > x.generated {
+	r, ok := e.runs[id]
+	if !ok || offset < 0 || offset > r.generatedTokens {
 		return nil, errors.Wrapf(port.ErrUnknownRun, "request %s at %d", id, offset)
 	}
-	return e.newCursor(x, offset), nil
+	return e.newCursor(r, offset), nil
 }
 
-func (e *Engine) newCursor(x *run, offset int) *cursor {
-	e.cursors++
+func (e *Engine) newCursor(r *run, offset int) *cursor {
+	e.lastSerial++
 	c := &cursor{
-		e: e, run: x, id: x.req.RequestID, serial: e.cursors, ready: make(chan struct{}, 1),
-		offset: offset, at: advance(x.text, 0, offset),
+		engine: e, run: r, requestID: r.req.RequestID, serial: e.lastSerial, ready: make(chan struct{}, 1),
+		offset: offset, byteOffset: advance(r.answer, 0, offset),
 	}
-	x.attach(c)
+	r.attach(c)
 	return c
 }
 
-// cross swaps the answers of two streams where the fault is on.
-func (e *Engine) cross(c *cursor) {
+// swapAnswers swaps the answers of two streams where the fault is on.
+func (e *Engine) swapAnswers(c *cursor) {
 	if e.faults.CrossAnswers == 0 {
 		return
 	}
-	other := e.crossing
+	other := e.swapPending
 	if other == nil || other.run.ended {
-		e.crossing = c
+		e.swapPending = c
 		return
 	}
-	e.crossing = nil
+	e.swapPending = nil
 	e.faults.CrossAnswers--
 	now := time.Now()
 	a, b := c.run, other.run
@@ -229,7 +229,7 @@
 	c.run, other.run = b, a
 	a.attach(other)
 	b.attach(c)
-	c.offset, c.at, other.offset, other.at = 0, 0, 0, 0
+	c.offset, c.byteOffset, other.offset, other.byteOffset = 0, 0, 0, 0
 }
 
 // cancel ends a run and frees its slot. An unknown run is no error: it is not
@@ -237,15 +237,15 @@
 func (e *Engine) cancel(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	x, ok := e.runs[id]
-	if !ok || x.ended {
+	r, ok := e.runs[id]
+	if !ok || r.ended {
 		return
 	}
-	x.end(OutcomeCancelled, time.Now())
-	e.poke()
+	r.end(OutcomeCancelled, time.Now())
+	e.wakeLoop()
 }
 
-func (e *Engine) poke() {
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default: // it is awake already
@@ -261,11 +261,11 @@
 func (e *Engine) exportBlocks(blocks []uint64) []uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return blocks[:e.cache.hit(blocks)]
+	return blocks[:e.cache.matchPrefix(blocks)]
 }
 
 func (e *Engine) cacheEvents(after uint64) []port.CacheEvent {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.cache.after(after, time.Now().Add(-ms(e.faults.ReportLagMs)))
+	return e.cache.eventsAfter(after, time.Now().Add(-ms(e.faults.ReportLagMs)))
 }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -20,14 +20,14 @@
 
 var background = context.Background()
 
-// plain has round numbers: a step takes 10 ms and 1 ms for each sequence.
-var plain = Options{
+// testOptions has round numbers: a step takes 10 ms and 1 ms for each sequence.
+var testOptions = Options{
 	Slots: 2, StepMs: 10, SequenceMs: 1, PrefillPerSecond: 10_000, PrefillChunk: 100, KVTokens: 10_000, CacheBlocks: 4,
 	LoadMs: 100, RestartMs: 1_000, LingerMs: 5_000, KeepaliveMs: 200, SilenceMs: 1_000,
 }
 
-// inBubble runs f on a fake clock with an engine of its own.
-func inBubble(t *testing.T, o Options, f func(e *Engine)) {
+// withFakeClock runs f on a fake clock with an engine of its own.
+func withFakeClock(t *testing.T, o Options, f func(e *Engine)) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey(t.Name(), t, func() {
 			e, err := New(o)
@@ -38,24 +38,24 @@
 	})
 }
 
-func gen(id string, prompt, tokens int, blocks ...uint64) port.Run {
+func genRun(id string, prompt, tokens int, blocks ...uint64) port.Run {
 	return port.Run{RequestID: id, Model: "m", Prompt: "p", LastMessage: fmt.Sprintf("gen:%d", tokens), PromptTokens: prompt, Blocks: blocks}
 }
 
-func open(e *Engine, r port.Run) port.Stream {
+func startRun(e *Engine, r port.Run) port.Stream {
 	s, err := e.Run(background, r)
 	So(err, ShouldBeNil)
 	return s
 }
 
-// finish reads to the end and returns the last chunk and the time taken.
-func finish(s port.Stream) (port.Chunk, time.Duration, error) {
-	begin := time.Now()
+// readAll reads to the end and returns the last chunk and the time taken.
+func readAll(s port.Stream) (port.Chunk, time.Duration, error) {
+	start := time.Now()
 	for {
 		c, err := s.Next(background)
 		if err != nil || c.End {
 			_ = s.Close()
-			return c, time.Since(begin), err
+			return c, time.Since(start), err
 		}
 	}
 }
@@ -68,40 +68,40 @@
 }
 
 func TestStepTimes(t *testing.T) {
-	inBubble(t, plain, func(e *Engine) {
+	withFakeClock(t, testOptions, func(e *Engine) {
 		// Three steps of prefill (100, 100, 50 tokens), then 4 of decode.
-		_, d, err := finish(open(e, gen("a", 250, 5)))
+		_, d, err := readAll(startRun(e, genRun("a", 250, 5)))
 		So(err, ShouldBeNil)
 		So(d, ShouldEqual, 3*11*time.Millisecond+25*time.Millisecond+4*11*time.Millisecond)
 		// Two sequences make each step 1 ms longer; the third waits for a slot.
-		s := []port.Stream{open(e, gen("b", 1, 10)), open(e, gen("c", 1, 10)), open(e, gen("d", 1, 10))}
-		_, d, _ = finish(s[1])
+		s := []port.Stream{startRun(e, genRun("b", 1, 10)), startRun(e, genRun("c", 1, 10)), startRun(e, genRun("d", 1, 10))}
+		_, d, _ = readAll(s[1])
 		So(d, ShouldBeBetweenOrEqual, 10*12*time.Millisecond, 11*12*time.Millisecond) // it may have missed a step
 		load, _ := e.Load(background)
 		So(load.Running+load.Waiting, ShouldBeBetweenOrEqual, 1, 2)
-		_, d, _ = finish(s[2])
+		_, d, _ = readAll(s[2])
 		So(d, ShouldBeBetweenOrEqual, 9*11*time.Millisecond, 10*12*time.Millisecond)
 		// A straggler at a tenth.
 		So(e.SetFaults(Faults{Speed: 0.1}), ShouldBeNil)
-		_, d, _ = finish(open(e, gen("f", 1, 10)))
+		_, d, _ = readAll(startRun(e, genRun("f", 1, 10)))
 		So(d.Round(10*time.Millisecond), ShouldEqual, 10*110*time.Millisecond)
 	})
 }
 
-func TestPrefixCacheAndItsEvents(t *testing.T) {
-	inBubble(t, plain, func(e *Engine) {
-		_, _, err := finish(open(e, gen("a", 300, 1, 1, 2, 3)))
+func TestPrefixCacheEvents(t *testing.T) {
+	withFakeClock(t, testOptions, func(e *Engine) {
+		_, _, err := readAll(startRun(e, genRun("a", 300, 1, 1, 2, 3)))
 		So(err, ShouldBeNil)
-		c, _, _ := finish(open(e, gen("b", 300, 1, 1, 2, 9)))
+		c, _, _ := readAll(startRun(e, genRun("b", 300, 1, 1, 2, 9)))
 		So(c.PrefillComputed, ShouldEqual, 300-2*port.BlockTokens)
-		c, _, _ = finish(open(e, gen("c", 2*port.BlockTokens, 1, 1, 2)))
+		c, _, _ = readAll(startRun(e, genRun("c", 2*port.BlockTokens, 1, 1, 2)))
 		So(c.PrefillComputed, ShouldEqual, 1) // the last token is always computed
-		_, _, err = finish(open(e, gen("d", 300, 1, 5)))
+		_, _, err = readAll(startRun(e, genRun("d", 300, 1, 5)))
 		So(err, ShouldBeNil)
 		events, _ := e.CacheEvents(background, 4)
 		So(events, ShouldResemble, []port.CacheEvent{{Seq: 5, Block: 3}, {Seq: 6, Block: 5, Stored: true}})
 		So(e.SetFaults(Faults{DropEvents: 2, ReportLagMs: 500}), ShouldBeNil)
-		_, _, err = finish(open(e, gen("e", 300, 1, 21, 22, 23)))
+		_, _, err = readAll(startRun(e, genRun("e", 300, 1, 21, 22, 23)))
 		So(err, ShouldBeNil)
 		events, _ = e.CacheEvents(background, 6)
 		So(events, ShouldBeEmpty) // late
@@ -114,20 +114,20 @@
 }
 
 func TestCancelAndAbandonFreeTheSlot(t *testing.T) {
-	o := plain
+	o := testOptions
 	o.Slots = 1
-	inBubble(t, o, func(e *Engine) {
-		s := open(e, gen("long", 1, 60_000))
+	withFakeClock(t, o, func(e *Engine) {
+		s := startRun(e, genRun("long", 1, 60_000))
 		_, err := s.Next(background)
 		So(err, ShouldBeNil)
 		So(e.Cancel(background, "long"), ShouldBeNil)
-		_, _, err = finish(s)
+		_, _, err = readAll(s)
 		So(errors.Is(err, port.ErrRunFailed), ShouldBeTrue)
-		_, d, err := finish(open(e, gen("short", 1, 1)))
+		_, d, err := readAll(startRun(e, genRun("short", 1, 1)))
 		So(err, ShouldBeNil)
 		So(d, ShouldBeLessThan, 30*time.Millisecond)
 
-		s = open(e, gen("left", 1, 60_000))
+		s = startRun(e, genRun("left", 1, 60_000))
 		_ = s.Close()
 		<-time.After(4 * time.Second)
 		s, err = e.Resume(background, "left", 10) // still there
@@ -145,24 +145,24 @@
 }
 
 // Guards against this: a doubled dispatch goes unseen in a test.
-func TestRunLogShowsADoubledDispatch(t *testing.T) {
-	inBubble(t, plain, func(e *Engine) {
-		a, b := open(e, gen("same", 1, 2)), open(e, gen("same", 1, 3))
-		_, _, err := finish(a)
+func TestRunLogRecordsDuplicateDispatch(t *testing.T) {
+	withFakeClock(t, testOptions, func(e *Engine) {
+		a, b := startRun(e, genRun("same", 1, 2)), startRun(e, genRun("same", 1, 3))
+		_, _, err := readAll(a)
 		So(err, ShouldBeNil)
-		_, _, err = finish(b)
+		_, _, err = readAll(b)
 		So(err, ShouldBeNil)
 		So(outcomes(e), ShouldResemble, []string{"same stop", "same stop"})
 	})
 }
 
 func TestLaggingReportsAndOrders(t *testing.T) {
-	o := plain
+	o := testOptions
 	o.Models = []wire.Model{{Model: "m", Version: "1"}}
-	inBubble(t, o, func(e *Engine) {
+	withFakeClock(t, o, func(e *Engine) {
 		So(e.SetFaults(Faults{ReportLagMs: 1_000}), ShouldBeNil)
-		s := open(e, gen("a", 1, 20)) // ends after 220 ms
-		_, _, err := finish(s)
+		s := startRun(e, genRun("a", 1, 20)) // ends after 220 ms
+		_, _, err := readAll(s)
 		So(err, ShouldBeNil)
 		<-time.After(900 * time.Millisecond)
 		load, _ := e.Load(background)
@@ -170,7 +170,7 @@
 		So(load.Age, ShouldEqual, time.Second)
 		So(e.SetFaults(Faults{}), ShouldBeNil)
 
-		v2 := gen("b", 1, 1)
+		v2 := genRun("b", 1, 1)
 		v2.Version = "2"
 		order := port.Order{Kind: port.OrderLoadModel, Model: "m", Version: "2", Token: 5}
 		So(e.Order(background, order), ShouldBeNil)
@@ -181,7 +181,7 @@
 		<-time.After(150 * time.Millisecond)
 		load, _ = e.Load(background)
 		So(load.Models, ShouldHaveLength, 2)
-		_, _, err = finish(open(e, v2))
+		_, _, err = readAll(startRun(e, v2))
 		So(err, ShouldBeNil)
 
 		drain := port.Order{Kind: port.OrderDrain, Token: 4}
@@ -196,67 +196,67 @@
 
 // Guards against this: a test of silence, crossing or crashing proves nothing.
 func TestFaultsInProcess(t *testing.T) {
-	inBubble(t, plain, func(e *Engine) {
-		old := open(e, gen("old", 1, 500))
+	withFakeClock(t, testOptions, func(e *Engine) {
+		old := startRun(e, genRun("old", 1, 500))
 		So(e.SetFaults(Faults{Silent: SilenceExisting}), ShouldBeNil)
-		_, d, err := finish(old)
+		_, d, err := readAll(old)
 		So(errors.Is(err, port.ErrConnectionLost), ShouldBeTrue)
 		So(d, ShouldBeGreaterThanOrEqualTo, time.Second)
-		_, _, err = finish(open(e, gen("new", 1, 2)))
+		_, _, err = readAll(startRun(e, genRun("new", 1, 2)))
 		So(err, ShouldBeNil)
 		So(e.SetFaults(Faults{Silent: SilenceAll}), ShouldBeNil)
-		_, err = e.Run(background, gen("lost", 1, 2))
+		_, err = e.Run(background, genRun("lost", 1, 2))
 		So(errors.Is(err, port.ErrConnectionLost), ShouldBeTrue)
 
 		So(e.SetFaults(Faults{CrossAnswers: 1}), ShouldBeNil)
-		a, b := open(e, gen("a", 1, 2)), open(e, gen("b", 1, 2))
+		a, b := startRun(e, genRun("a", 1, 2)), startRun(e, genRun("b", 1, 2))
 		var wg conc.WaitGroup
 		var errs [2]error
-		wg.Go(func() { _, _, errs[0] = finish(a) })
-		wg.Go(func() { _, _, errs[1] = finish(b) })
+		wg.Go(func() { _, _, errs[0] = readAll(a) })
+		wg.Go(func() { _, _, errs[1] = readAll(b) })
 		wg.Wait()
 		So(errors.Is(errs[0], port.ErrRequestMismatch) && errors.Is(errs[1], port.ErrRequestMismatch), ShouldBeTrue)
-		_, _, err = finish(open(e, gen("c", 1, 2)))
+		_, _, err = readAll(startRun(e, genRun("c", 1, 2)))
 		So(err, ShouldBeNil)
 
 		So(e.SetFaults(Faults{CrashText: "poison"}), ShouldBeNil)
-		bystander := open(e, gen("bystander", 1, 500))
-		r := gen("poison", 1, 1)
+		bystander := startRun(e, genRun("bystander", 1, 500))
+		r := genRun("poison", 1, 1)
 		r.Prompt = "a poison b"
-		_, _, err = finish(open(e, r))
+		_, _, err = readAll(startRun(e, r))
 		So(errors.Is(err, port.ErrConnectionLost), ShouldBeTrue)
-		_, _, err = finish(bystander)
+		_, _, err = readAll(bystander)
 		So(errors.Is(err, port.ErrConnectionLost), ShouldBeTrue)
-		_, err = e.Run(background, gen("d", 1, 1))
+		_, err = e.Run(background, genRun("d", 1, 1))
 		So(errors.Is(err, port.ErrNotSent), ShouldBeTrue)
 		<-time.After(1_100 * time.Millisecond)
-		_, _, err = finish(open(e, gen("d", 1, 1)))
+		_, _, err = readAll(startRun(e, genRun("d", 1, 1)))
 		So(err, ShouldBeNil)
 	})
 }
 
 // Any echo text comes back whole, in contiguous chunks of whole characters,
 // from whatever offset it is resumed.
-func TestEchoIsWholeFromAnyOffset(t *testing.T) {
+func TestEchoIsCompleteFromAnyOffset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.String().Draw(t, "text")
 		x := newRun(port.Run{LastMessage: PrefixEcho + text, MaxTokens: 1}, time.Now())
 		e := &Engine{}
-		from := rapid.IntRange(0, x.total).Draw(t, "from")
+		from := rapid.IntRange(0, x.totalTokens).Draw(t, "from")
 		var got strings.Builder
 		take := func(c *cursor, until int) {
 			for c.offset < until {
-				chunk := c.take()
+				chunk := c.takeChunk()
 				if !utf8.ValidString(chunk.Text) {
 					t.Fatalf("chunk %q cuts a character", chunk.Text)
 				}
 				got.WriteString(chunk.Text)
 			}
 		}
-		x.generated = from
+		x.generatedTokens = from
 		take(e.newCursor(x, 0), from)
-		x.generated = x.total
-		take(e.newCursor(x, from), x.total)
+		x.generatedTokens = x.totalTokens
+		take(e.newCursor(x, from), x.totalTokens)
 		if got.String() != text {
 			t.Fatalf("got %q, want %q", got.String(), text)
 		}
--- a/internal/standin/engine/direct.go
+++ b/internal/standin/engine/inprocess.go
@@ -17,23 +17,23 @@
 
 // Run implements port.Engine.
 func (e *Engine) Run(ctx context.Context, r port.Run) (port.Stream, error) {
-	if err := e.reach(ctx, r.BeforeSend); err != nil {
+	if err := e.connect(ctx, r.BeforeSend); err != nil {
 		return nil, err
 	}
-	return stream(e.start(r))
+	return asStream(e.start(r))
 }
 
 // Resume implements port.Engine.
 func (e *Engine) Resume(ctx context.Context, requestID string, offset int) (port.Stream, error) {
-	if err := e.reach(ctx, nil); err != nil {
+	if err := e.connect(ctx, nil); err != nil {
 		return nil, err
 	}
-	return stream(e.resume(requestID, offset))
+	return asStream(e.resume(requestID, offset))
 }
 
 // Cancel implements port.Engine.
 func (e *Engine) Cancel(ctx context.Context, requestID string) error {
-	if err := e.reach(ctx, nil); err != nil {
+	if err := e.connect(ctx, nil); err != nil {
 		return err
 	}
 	e.cancel(requestID)
@@ -42,15 +42,15 @@
 
 // Load implements port.Engine.
 func (e *Engine) Load(ctx context.Context) (port.LoadReport, error) {
-	if err := e.reach(ctx, nil); err != nil {
+	if err := e.connect(ctx, nil); err != nil {
 		return port.LoadReport{}, err
 	}
-	return e.report(), nil
+	return e.loadReport(), nil
 }
 
 // CacheEvents implements port.Engine.
 func (e *Engine) CacheEvents(ctx context.Context, after uint64) ([]port.CacheEvent, error) {
-	if err := e.reach(ctx, nil); err != nil {
+	if err := e.connect(ctx, nil); err != nil {
 		return nil, err
 	}
 	return e.cacheEvents(after), nil
@@ -58,7 +58,7 @@
 
 // ExportKV implements port.Engine: of the leading blocks that it holds.
 func (e *Engine) ExportKV(ctx context.Context, blocks []uint64) ([]byte, error) {
-	if err := e.reach(ctx, nil); err != nil {
+	if err := e.connect(ctx, nil); err != nil {
 		return nil, err
 	}
 	return encodeBlocks(e.exportBlocks(blocks)), nil
@@ -66,7 +66,7 @@
 
 // ImportKV implements port.Engine.
 func (e *Engine) ImportKV(ctx context.Context, data []byte) error {
-	if err := e.reach(ctx, nil); err != nil {
+	if err := e.connect(ctx, nil); err != nil {
 		return err
 	}
 	return e.importKV(data)
@@ -74,33 +74,33 @@
 
 // Order implements port.Engine.
 func (e *Engine) Order(ctx context.Context, o port.Order) error {
-	if err := e.reach(ctx, nil); err != nil {
+	if err := e.connect(ctx, nil); err != nil {
 		return err
 	}
-	return e.order(o)
+	return e.handleOrder(o)
 }
 
-// reach connects, calls sending and returns an error where the engine is down
+// connect connects, calls sending and returns an error where the engine is down
 // or silent.
-func (e *Engine) reach(ctx context.Context, sending func() error) error {
+func (e *Engine) connect(ctx context.Context, beforeSend func() error) error {
 	e.mu.Lock()
 	down, silent := time.Now().Before(e.downUntil), e.faults.Silent == SilenceAll
 	e.mu.Unlock()
 	if down {
 		return errors.Wrap(port.ErrNotSent, "engine is restarting")
 	}
-	if sending != nil {
-		if err := sending(); err != nil {
+	if beforeSend != nil {
+		if err := beforeSend(); err != nil {
 			return errors.Wrap(port.ErrNotSent, err.Error())
 		}
 	}
 	if silent {
-		return e.keepSilent(ctx)
+		return e.awaitSilenceTimeout(ctx)
 	}
 	return nil
 }
 
-func (e *Engine) keepSilent(ctx context.Context) error {
+func (e *Engine) awaitSilenceTimeout(ctx context.Context) error {
 	timer := time.NewTimer(ms(e.opts.SilenceMs))
 	defer timer.Stop()
 	select {
@@ -110,14 +110,14 @@
 	return errors.Wrap(port.ErrConnectionLost, "silent")
 }
 
-func (e *Engine) silent(c *cursor) bool {
+func (e *Engine) isSilent(c *cursor) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.faults.Silent == SilenceAll || c.serial <= e.silenced
+	return e.faults.Silent == SilenceAll || c.serial <= e.silencedUpTo
 }
 
-// stream turns a cursor and its error into the port's.
-func stream(c *cursor, err error) (port.Stream, error) {
+// asStream turns a cursor and its error into the port's.
+func asStream(c *cursor, err error) (port.Stream, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -127,18 +127,18 @@
 // Next implements port.Stream.
 func (c *cursor) Next(ctx context.Context) (port.Chunk, error) {
 	for {
-		chunk, id, ok, err := c.next(ctx, ms(c.e.opts.KeepaliveMs))
+		chunk, id, ok, err := c.next(ctx, ms(c.engine.opts.KeepaliveMs))
 		switch {
 		case err != nil:
 			return port.Chunk{}, err
 		case ctx.Err() != nil:
 			return port.Chunk{}, errors.Wrap(port.ErrConnectionLost, ctx.Err().Error())
-		case c.e.silent(c):
-			return port.Chunk{}, c.e.keepSilent(ctx)
+		case c.engine.isSilent(c):
+			return port.Chunk{}, c.engine.awaitSilenceTimeout(ctx)
 		case !ok:
 			continue
-		case id != c.id:
-			return port.Chunk{}, errors.Wrapf(port.ErrRequestMismatch, "answer of %q for %q", id, c.id)
+		case id != c.requestID:
+			return port.Chunk{}, errors.Wrapf(port.ErrRequestMismatch, "answer of %q for %q", id, c.requestID)
 		}
 		return chunk, nil
 	}
@@ -167,22 +167,22 @@
 	return nil
 }
 
-// Fleet is a port.Dialer over engines in the same process. It is safe for
+// LocalDialer is a port.Dialer over engines in the same process. It is safe for
 // concurrent use.
-type Fleet struct{ engines sync.Map }
+type LocalDialer struct{ engines sync.Map }
 
 // Add makes an engine reachable at an address.
-func (f *Fleet) Add(address string, e port.Engine) { f.engines.Store(address, e) }
+func (f *LocalDialer) Add(address string, e port.Engine) { f.engines.Store(address, e) }
 
 // Remove makes the address unreachable.
-func (f *Fleet) Remove(address string) { f.engines.Delete(address) }
+func (f *LocalDialer) Remove(address string) { f.engines.Delete(address) }
 
 // unreachable is always down.
 var unreachable = &Engine{downUntil: time.Unix(1<<40, 0)}
 
 // Engine implements port.Dialer. At an address without an engine it returns
 // one that nothing can be sent to.
-func (f *Fleet) Engine(address string) port.Engine {
+func (f *LocalDialer) Engine(address string) port.Engine {
 	if e, ok := f.engines.Load(address); ok {
 		return e.(port.Engine)
 	}
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -59,22 +59,22 @@
 }
 
 func (o Options) withDefaults() Options {
-	defaultTo(&o.Slots, 16)
-	defaultTo(&o.StepMs, 5)
-	defaultTo(&o.SequenceMs, 0.1)
-	defaultTo(&o.PrefillPerSecond, 20_000)
-	defaultTo(&o.PrefillChunk, 512)
-	defaultTo(&o.KVTokens, 200_000)
-	defaultTo(&o.CacheBlocks, 1_024)
-	defaultTo(&o.LoadMs, 500)
-	defaultTo(&o.RestartMs, 1_000)
-	defaultTo(&o.LingerMs, 10_000)
-	defaultTo(&o.KeepaliveMs, 200)
-	defaultTo(&o.SilenceMs, 1_000)
+	setDefault(&o.Slots, 16)
+	setDefault(&o.StepMs, 5)
+	setDefault(&o.SequenceMs, 0.1)
+	setDefault(&o.PrefillPerSecond, 20_000)
+	setDefault(&o.PrefillChunk, 512)
+	setDefault(&o.KVTokens, 200_000)
+	setDefault(&o.CacheBlocks, 1_024)
+	setDefault(&o.LoadMs, 500)
+	setDefault(&o.RestartMs, 1_000)
+	setDefault(&o.LingerMs, 10_000)
+	setDefault(&o.KeepaliveMs, 200)
+	setDefault(&o.SilenceMs, 1_000)
 	return o
 }
 
-func defaultTo[T int | float64](field *T, value T) {
+func setDefault[T int | float64](field *T, value T) {
 	if *field <= 0 {
 		*field = value
 	}
@@ -119,8 +119,8 @@
 	Leaving bool `json:"leaving"`
 }
 
-// check returns an error that names the first bad field.
-func (f Faults) check() error {
+// validate returns an error that names the first bad field.
+func (f Faults) validate() error {
 	switch {
 	case f.Speed < 0 || f.AnswerDelayMs < 0 || f.ReportLagMs < 0 || f.CrossAnswers < 0 || f.DropEvents < 0:
 		return errors.New("faults: a number is negative")
@@ -137,7 +137,7 @@
 	return f.Speed
 }
 
-func (f Faults) crashes(prompt string) bool {
+func (f Faults) crashesOn(prompt string) bool {
 	return f.CrashText != "" && strings.Contains(prompt, f.CrashText)
 }
 
--- a/internal/standin/engine/report.go
+++ b/internal/standin/engine/orders.go
@@ -9,8 +9,8 @@
 	"github.com/lycheekeel/lycheekeel/engine/httpengine/wire"
 )
 
-// heldModel is a model that the engine holds from a time on.
-type heldModel struct {
+// loadedModel is a model that the engine holds from a time on.
+type loadedModel struct {
 	wire.Model
 	readyAt time.Time
 }
@@ -22,7 +22,7 @@
 	Refused bool      `json:"refused"` // for its old fencing token
 }
 
-type timedLoad struct {
+type loadSample struct {
 	load port.LoadReport
 	at   time.Time
 }
@@ -34,9 +34,9 @@
 	return append([]OrderRecord(nil), e.orders...)
 }
 
-// holds reports whether the engine serves a model now. An empty version means
+// serves reports whether the engine serves a model now. An empty version means
 // any.
-func (e *Engine) holds(model, version string, now time.Time) bool {
+func (e *Engine) serves(model, version string, now time.Time) bool {
 	if len(e.models) == 0 {
 		return !e.opts.Empty
 	}
@@ -49,32 +49,32 @@
 	return false
 }
 
-// order obeys an order, unless its fencing token is older than one it has
+// handleOrder obeys an order, unless its fencing token is older than one it has
 // seen and the engine heeds fencing tokens.
-func (e *Engine) order(o port.Order) error {
+func (e *Engine) handleOrder(o port.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	stale := o.Token < e.fence && !e.faults.IgnoreFencing
+	stale := o.Token < e.highestToken && !e.faults.IgnoreFencing
 	e.orders = append(e.orders, OrderRecord{Order: wire.Order(o), At: now, Refused: stale})
 	if stale {
-		return errors.Wrapf(port.ErrStaleToken, "token %d after %d", o.Token, e.fence)
+		return errors.Wrapf(port.ErrStaleToken, "token %d after %d", o.Token, e.highestToken)
 	}
-	e.fence = max(e.fence, o.Token)
-	e.obey(o, now)
-	e.remember(now)
+	e.highestToken = max(e.highestToken, o.Token)
+	e.applyOrder(o, now)
+	e.recordLoad(now)
 	return nil
 }
 
-func (e *Engine) obey(o port.Order, now time.Time) {
-	held := heldModel{
+func (e *Engine) applyOrder(o port.Order, now time.Time) {
+	loaded := loadedModel{
 		Model:   wire.Model{Model: o.Model, Version: o.Version, Adapter: o.Adapter, Role: o.Role},
 		readyAt: now.Add(ms(e.opts.LoadMs)),
 	}
 	switch o.Kind {
 	case port.OrderLoadModel, port.OrderLoadAdapter:
-		if !e.has(held.Model) {
-			e.models = append(e.models, held)
+		if !e.hasModel(loaded.Model) {
+			e.models = append(e.models, loaded)
 		}
 	case port.OrderUnloadModel:
 		e.models = removeModel(e.models, o.Model, o.Version)
@@ -90,17 +90,17 @@
 	}
 }
 
-func (e *Engine) has(m wire.Model) bool {
-	for _, held := range e.models {
-		if held.Model == m {
+func (e *Engine) hasModel(m wire.Model) bool {
+	for _, loaded := range e.models {
+		if loaded.Model == m {
 			return true
 		}
 	}
 	return false
 }
 
-func removeModel(models []heldModel, model, version string) []heldModel {
-	var kept []heldModel
+func removeModel(models []loadedModel, model, version string) []loadedModel {
+	var kept []loadedModel
 	for _, m := range models {
 		if m.Model.Model != model || version != "" && m.Version != version {
 			kept = append(kept, m)
@@ -109,32 +109,32 @@
 	return kept
 }
 
-// report returns the load report that the engine shows: a past one where its
+// loadReport returns the load report that the engine shows: a past one where its
 // reports lag.
-func (e *Engine) report() port.LoadReport {
+func (e *Engine) loadReport() port.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
 	lag := ms(e.faults.ReportLagMs)
-	if lag == 0 || len(e.history) == 0 {
-		return e.current(now)
+	if lag == 0 || len(e.loadHistory) == 0 {
+		return e.currentLoad(now)
 	}
-	e.remember(now)
-	shown := e.history[0].load
-	for _, h := range e.history {
+	e.recordLoad(now)
+	report := e.loadHistory[0].load
+	for _, h := range e.loadHistory {
 		if h.at.After(now.Add(-lag)) {
 			break
 		}
-		shown = h.load
+		report = h.load
 	}
-	shown.Age = lag
-	return shown
+	report.Age = lag
+	return report
 }
 
-func (e *Engine) current(now time.Time) port.LoadReport {
+func (e *Engine) currentLoad(now time.Time) port.LoadReport {
 	l := port.LoadReport{
 		Running: len(e.batch), Waiting: len(e.waiting), Slots: e.opts.Slots,
-		KVUsed:  min(1, float64(e.kvHeld)/float64(e.opts.KVTokens)),
+		KVUsed:  min(1, float64(e.kvUsed)/float64(e.opts.KVTokens)),
 		Leaving: e.faults.Leaving || e.draining, Incarnation: e.incarnation,
 	}
 	for _, m := range e.models {
@@ -147,18 +147,18 @@
 	return l
 }
 
-// remember keeps the current report for lagging ones; it forgets those that
+// recordLoad keeps the current report for lagging ones; it forgets those that
 // are too old to be shown again.
-func (e *Engine) remember(now time.Time) {
+func (e *Engine) recordLoad(now time.Time) {
 	lag := ms(e.faults.ReportLagMs)
 	if lag == 0 {
-		e.history = nil
+		e.loadHistory = nil
 		return
 	}
-	e.history = append(e.history, timedLoad{e.current(now), now})
+	e.loadHistory = append(e.loadHistory, loadSample{e.currentLoad(now), now})
 	n := 0
-	for n+1 < len(e.history) && e.history[n+1].at.Before(now.Add(-lag)) {
+	for n+1 < len(e.loadHistory) && e.loadHistory[n+1].at.Before(now.Add(-lag)) {
 		n++
 	}
-	e.history = e.history[n:]
+	e.loadHistory = e.loadHistory[n:]
 }
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -35,64 +35,64 @@
 
 // run is one sequence. The engine's lock guards it.
 type run struct {
-	req    port.Run
-	text   string // the whole answer
-	total  int    // its tokens
-	finish string
+	req          port.Run
+	answer       string // the whole answer
+	totalTokens  int    // its tokens
+	finishReason string
 
-	promptTokens int
-	prefillLeft  int
-	share        int // prefill tokens in the current step
-	computed     int
-	generated    int
+	promptTokens    int
+	prefillLeft     int
+	stepPrefill     int // prefill tokens in the current step
+	prefillComputed int
+	generatedTokens int
 
 	visibleAt time.Time // tokens are withheld until then
 	idleSince time.Time // since it ended, or lost its last stream
 	ended     bool
-	broken    bool // the engine crashed
+	crashed   bool // the engine crashed
 	streams   []*cursor
 	record    *RunRecord
 }
 
-func newRun(r port.Run, now time.Time) *run {
-	x := &run{req: r, promptTokens: r.PromptTokens}
-	if x.promptTokens <= 0 {
-		x.promptTokens = max(1, port.EstimateTokens(r.Prompt))
+func newRun(req port.Run, now time.Time) *run {
+	r := &run{req: req, promptTokens: req.PromptTokens}
+	if r.promptTokens <= 0 {
+		r.promptTokens = max(1, port.EstimateTokens(req.Prompt))
 	}
-	x.text, x.total, x.finish = answerFor(&x.req)
-	x.record = &RunRecord{
-		RequestID: r.RequestID, Model: r.Model, StartedAt: now,
-		PromptTokens: x.promptTokens, Outcome: OutcomeRunning,
+	r.answer, r.totalTokens, r.finishReason = answerFor(&r.req)
+	r.record = &RunRecord{
+		RequestID: req.RequestID, Model: req.Model, StartedAt: now,
+		PromptTokens: r.promptTokens, Outcome: OutcomeRunning,
 	}
-	return x
+	return r
 }
 
-// memory is the KV memory that the run holds while in the batch, in tokens.
-func (x *run) memory() int { return x.promptTokens + x.total }
+// kvTokens is the KV memory that the run holds while in the batch, in tokens.
+func (r *run) kvTokens() int { return r.promptTokens + r.totalTokens }
 
-// begin sets how much of the prompt must be computed, given the cached blocks.
+// startPrefill sets how much of the prompt must be computed, given the cached blocks.
 // The last token of a prompt is always computed.
-func (x *run) begin(cachedBlocks int) {
-	cached := min(cachedBlocks*port.BlockTokens, x.promptTokens-1)
-	x.computed = x.promptTokens - cached
-	x.prefillLeft = x.computed
-	x.record.PrefillComputed = x.computed
+func (r *run) startPrefill(cachedBlocks int) {
+	cached := min(cachedBlocks*port.BlockTokens, r.promptTokens-1)
+	r.prefillComputed = r.promptTokens - cached
+	r.prefillLeft = r.prefillComputed
+	r.record.PrefillComputed = r.prefillComputed
 }
 
-func (x *run) end(outcome Outcome, now time.Time) {
-	if x.ended {
+func (r *run) end(outcome Outcome, now time.Time) {
+	if r.ended {
 		return
 	}
-	x.ended = true
-	x.idleSince = now
-	x.record.Ended = &now
-	x.record.Outcome = outcome
-	x.record.Tokens = x.generated
-	x.wake()
+	r.ended = true
+	r.idleSince = now
+	r.record.Ended = &now
+	r.record.Outcome = outcome
+	r.record.Tokens = r.generatedTokens
+	r.notifyStreams()
 }
 
-func (x *run) wake() {
-	for _, c := range x.streams {
+func (r *run) notifyStreams() {
+	for _, c := range r.streams {
 		select {
 		case c.ready <- struct{}{}:
 		default: // it has not yet seen the last one
@@ -100,26 +100,26 @@
 	}
 }
 
-func (x *run) attach(c *cursor) {
-	x.streams = append(x.streams, c)
-	if !x.ended {
-		x.idleSince = time.Time{}
+func (r *run) attach(c *cursor) {
+	r.streams = append(r.streams, c)
+	if !r.ended {
+		r.idleSince = time.Time{}
 	}
 }
 
-func (x *run) detach(c *cursor, now time.Time) {
-	for i, s := range x.streams {
+func (r *run) detach(c *cursor, now time.Time) {
+	for i, s := range r.streams {
 		if s == c {
-			x.streams = append(x.streams[:i], x.streams[i+1:]...)
+			r.streams = append(r.streams[:i], r.streams[i+1:]...)
 			break
 		}
 	}
-	if len(x.streams) == 0 && !x.ended {
-		x.idleSince = now
+	if len(r.streams) == 0 && !r.ended {
+		r.idleSince = now
 	}
 }
 
-// idle reports whether nobody has listened since before the time.
-func (x *run) idle(before time.Time) bool {
-	return !x.idleSince.IsZero() && x.idleSince.Before(before)
+// idleBefore reports whether nobody has listened since before the time.
+func (r *run) idleBefore(cutoff time.Time) bool {
+	return !r.idleSince.IsZero() && r.idleSince.Before(cutoff)
 }
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -44,15 +44,15 @@
 // ServeEngine serves an engine on the listener, which it owns, until ctx ends.
 // The engine stays open, and can be served on several listeners.
 func ServeEngine(ctx context.Context, ln net.Listener, e *Engine) error {
-	g := gate.New(ln)
-	e.addFront(g)
+	l := gate.New(ln)
+	e.addFrontend(l)
 	logs.For("standin-engine").WithField("listen", ln.Addr().String()).Info("serving")
-	return g.Serve(ctx, (&server{engine: e}).handle)
+	return l.Serve(ctx, (&server{engine: e}).handle)
 }
 
 func (s *server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
-	if s.control(ctx, path) {
+	if s.handleControl(ctx, path) {
 		return
 	}
 	if s.engine.Faults().Silent == SilenceAll {
@@ -61,25 +61,25 @@
 	}
 	serve, ok := routes[path]
 	if !ok {
-		fail(ctx, errors.Wrapf(port.ErrRefusedNotRun, "no path %s", path))
+		replyError(ctx, errors.Wrapf(port.ErrRefusedNotRun, "no path %s", path))
 		return
 	}
 	if err := serve(s.engine, ctx); err != nil {
-		fail(ctx, err)
+		replyError(ctx, err)
 	}
 }
 
-// control serves the stand-in's own interface, which no fault touches.
-func (s *server) control(ctx *fasthttp.RequestCtx, path string) bool {
+// handleControl serves the stand-in's own interface, which no fault touches.
+func (s *server) handleControl(ctx *fasthttp.RequestCtx, path string) bool {
 	switch path {
 	case PathRuns:
 		gate.Reply(ctx, s.engine.Runs())
 	case PathOrders:
 		gate.Reply(ctx, s.engine.Orders())
 	case PathFaults:
-		s.faults(ctx)
+		s.handleFaults(ctx)
 	case PathCrash:
-		spare(ctx)
+		exemptConn(ctx)
 		s.engine.Crash()
 	case PathHealth:
 		ctx.SetBodyString("ok\n")
@@ -89,10 +89,10 @@
 	return true
 }
 
-func (s *server) faults(ctx *fasthttp.RequestCtx) {
+func (s *server) handleFaults(ctx *fasthttp.RequestCtx) {
 	f := s.engine.Faults()
 	if ctx.IsPost() {
-		spare(ctx)
+		exemptConn(ctx)
 		err := gate.Patch(ctx, &f)
 		if err == nil {
 			err = s.engine.SetFaults(f)
@@ -106,46 +106,46 @@
 	gate.Reply(ctx, f)
 }
 
-// spare lets the connection that gives an order see its answer, and no more.
-func spare(ctx *fasthttp.RequestCtx) {
-	ctx.Conn().(*gate.Conn).Spare()
+// exemptConn lets the connection that gives an order see its answer, and no more.
+func exemptConn(ctx *fasthttp.RequestCtx) {
+	ctx.Conn().(*gate.Conn).Exempt()
 	ctx.SetConnectionClose()
 }
 
-// route serves one path of the protocol.
-type route func(e *Engine, ctx *fasthttp.RequestCtx) error
+// handler serves one path of the protocol.
+type handler func(e *Engine, ctx *fasthttp.RequestCtx) error
 
-var routes = map[string]route{
-	wire.PathRun: taking(func(e *Engine, ctx *fasthttp.RequestCtx, m wire.Run) error {
+var routes = map[string]handler{
+	wire.PathRun: withBody(func(e *Engine, ctx *fasthttp.RequestCtx, m wire.Run) error {
 		return streamTo(ctx)(e.start(port.Run{
 			RequestID: m.RequestID, Model: m.Model, Version: m.Version, Prompt: m.Prompt, LastMessage: m.LastMessage,
 			PromptTokens: m.PromptTokens, MaxTokens: m.MaxTokens, Blocks: m.Blocks,
 		}))
 	}),
-	wire.PathResume: taking(func(e *Engine, ctx *fasthttp.RequestCtx, m wire.Resume) error {
+	wire.PathResume: withBody(func(e *Engine, ctx *fasthttp.RequestCtx, m wire.Resume) error {
 		return streamTo(ctx)(e.resume(m.RequestID, m.Offset))
 	}),
-	wire.PathCancel: taking(func(e *Engine, _ *fasthttp.RequestCtx, m wire.Resume) error {
+	wire.PathCancel: withBody(func(e *Engine, _ *fasthttp.RequestCtx, m wire.Resume) error {
 		e.cancel(m.RequestID)
 		return nil
 	}),
-	wire.PathOrder: taking(func(e *Engine, _ *fasthttp.RequestCtx, m wire.Order) error {
-		return e.order(port.Order(m))
+	wire.PathOrder: withBody(func(e *Engine, _ *fasthttp.RequestCtx, m wire.Order) error {
+		return e.handleOrder(port.Order(m))
 	}),
-	wire.PathExportKV: taking(func(e *Engine, ctx *fasthttp.RequestCtx, m wire.Blocks) error {
+	wire.PathExportKV: withBody(func(e *Engine, ctx *fasthttp.RequestCtx, m wire.Blocks) error {
 		ctx.SetBody(encodeBlocks(e.exportBlocks(m.Blocks)))
 		return nil
 	}),
 	wire.PathImportKV: func(e *Engine, ctx *fasthttp.RequestCtx) error { return e.importKV(ctx.PostBody()) },
 	wire.PathLoad: func(e *Engine, ctx *fasthttp.RequestCtx) error {
-		gate.Reply(ctx, wireLoad(e.report()))
+		gate.Reply(ctx, toWireLoad(e.loadReport()))
 		return nil
 	},
 	wire.PathCacheEvents: cacheEvents,
 }
 
-// taking decodes a route's message.
-func taking[M any](f func(*Engine, *fasthttp.RequestCtx, M) error) route {
+// withBody decodes a route's message.
+func withBody[M any](f func(*Engine, *fasthttp.RequestCtx, M) error) handler {
 	return func(e *Engine, ctx *fasthttp.RequestCtx) error {
 		var m M
 		if err := json.Unmarshal(ctx.PostBody(), &m); err != nil {
@@ -168,7 +168,7 @@
 	return nil
 }
 
-func wireLoad(l port.LoadReport) wire.Load {
+func toWireLoad(l port.LoadReport) wire.Load {
 	out := wire.Load{
 		Running: l.Running, Waiting: l.Waiting, KVUsed: l.KVUsed, Slots: l.Slots, Leaving: l.Leaving,
 		Warming: l.Warming, Incarnation: l.Incarnation, AgeMs: float64(l.Age) / float64(time.Millisecond),
@@ -179,8 +179,8 @@
 	return out
 }
 
-// fail answers with an error of the port.
-func fail(ctx *fasthttp.RequestCtx, err error) {
+// replyError answers with an error of the port.
+func replyError(ctx *fasthttp.RequestCtx, err error) {
 	m := wire.Error{Message: err.Error(), NotRun: errors.Is(err, port.ErrRefusedNotRun)}
 	switch {
 	case m.NotRun:
--- a/internal/standin/engine/step.go
+++ b/internal/standin/engine/step.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// spinBelow is the wait that is too short for a timer.
-	spinBelow = 20 * time.Microsecond
-	// catchUp is how far behind the steps may be and still be made up for:
+	// minTimerWait is the wait that is too short for a timer.
+	minTimerWait = 20 * time.Microsecond
+	// maxCatchUp is how far behind the steps may be and still be made up for:
 	// timers wake late, and without it an engine would run slower than told.
-	catchUp = 20 * time.Millisecond
+	maxCatchUp = 20 * time.Millisecond
 )
 
-// steps runs the engine's steps until ctx ends.
-func (e *Engine) steps(ctx context.Context) {
+// runSteps runs the engine's steps until ctx ends.
+func (e *Engine) runSteps(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	begin := time.Now()
 	for {
-		d := e.plan(time.Now())
+		d := e.startStep(time.Now())
 		if d < 0 {
-			if !e.sleep(ctx, timer, e.idleTime()) {
+			if !e.sleep(ctx, timer, e.expiryInterval()) {
 				return
 			}
 			begin = time.Now()
@@ -33,9 +33,9 @@
 			return
 		}
 		now := time.Now()
-		e.apply(now)
+		e.completeStep(now)
 		begin = end
-		if now.Sub(end) > catchUp {
+		if now.Sub(end) > maxCatchUp {
 			begin = now
 		}
 	}
@@ -53,12 +53,12 @@
 	return true
 }
 
-// idleTime is how often an engine without work forgets old runs.
-func (e *Engine) idleTime() time.Duration { return max(ms(e.opts.LingerMs)/4, time.Millisecond) }
+// expiryInterval is how often an engine without work forgets old runs.
+func (e *Engine) expiryInterval() time.Duration { return max(ms(e.opts.LingerMs)/4, time.Millisecond) }
 
 func waitUntil(ctx context.Context, timer *time.Timer, end time.Time) bool {
 	d := time.Until(end)
-	if d < spinBelow {
+	if d < minTimerWait {
 		runtime.Gosched()
 		return ctx.Err() == nil
 	}
@@ -71,41 +71,41 @@
 	}
 }
 
-// plan begins a step and returns how long it takes, or a negative time where
+// startStep begins a step and returns how long it takes, or a negative time where
 // there is nothing to do.
-func (e *Engine) plan(now time.Time) time.Duration {
+func (e *Engine) startStep(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.forget(now)
+	e.expireRuns(now)
 	e.admit(now)
 	if len(e.batch) == 0 {
 		return -1
 	}
-	prefill := e.sharePrefill()
+	prefill := e.allotPrefill()
 	d := ms(e.opts.StepMs+e.opts.SequenceMs*float64(len(e.batch))) +
 		time.Duration(float64(prefill)/e.opts.PrefillPerSecond*float64(time.Second))
 	return time.Duration(float64(d) / e.faults.speed())
 }
 
-// forget ends runs that nobody listens to and drops ended ones after a while.
-func (e *Engine) forget(now time.Time) {
-	before := now.Add(-ms(e.opts.LingerMs))
-	for _, x := range e.batch {
-		if x.idle(before) {
-			x.end(OutcomeAbandoned, now)
+// expireRuns ends runs that nobody listens to and drops ended ones after a while.
+func (e *Engine) expireRuns(now time.Time) {
+	cutoff := now.Add(-ms(e.opts.LingerMs))
+	for _, r := range e.batch {
+		if r.idleBefore(cutoff) {
+			r.end(OutcomeAbandoned, now)
 		}
 	}
-	for _, x := range e.waiting {
-		if x.idle(before) {
-			x.end(OutcomeAbandoned, now)
+	for _, r := range e.waiting {
+		if r.idleBefore(cutoff) {
+			r.end(OutcomeAbandoned, now)
 		}
 	}
-	e.batch = e.dropEnded(e.batch, true)
-	e.waiting = e.dropEnded(e.waiting, false)
+	e.batch = e.removeEnded(e.batch, true)
+	e.waiting = e.removeEnded(e.waiting, false)
 	n := 0
-	for n < len(e.ended) && e.ended[n].idle(before) {
-		if x := e.ended[n]; e.runs[x.req.RequestID] == x {
-			delete(e.runs, x.req.RequestID)
+	for n < len(e.ended) && e.ended[n].idleBefore(cutoff) {
+		if r := e.ended[n]; e.runs[r.req.RequestID] == r {
+			delete(e.runs, r.req.RequestID)
 		}
 		e.ended[n] = nil
 		n++
@@ -113,18 +113,18 @@
 	e.ended = e.ended[n:]
 }
 
-// dropEnded moves ended runs out of a list; those of the batch free memory.
-func (e *Engine) dropEnded(list []*run, batch bool) []*run {
+// removeEnded moves ended runs out of a list; those of the batch free memory.
+func (e *Engine) removeEnded(list []*run, batch bool) []*run {
 	kept := list[:0]
-	for _, x := range list {
-		if !x.ended {
-			kept = append(kept, x)
+	for _, r := range list {
+		if !r.ended {
+			kept = append(kept, r)
 			continue
 		}
 		if batch {
-			e.kvHeld -= x.memory()
+			e.kvUsed -= r.kvTokens()
 		}
-		e.ended = append(e.ended, x)
+		e.ended = append(e.ended, r)
 	}
 	clear(list[len(kept):])
 	return kept
@@ -134,55 +134,55 @@
 // request larger than the whole memory runs alone.
 func (e *Engine) admit(now time.Time) {
 	for len(e.waiting) > 0 && len(e.batch) < e.opts.Slots {
-		x := e.waiting[0]
-		if len(e.batch) > 0 && e.kvHeld+x.memory() > e.opts.KVTokens {
+		r := e.waiting[0]
+		if len(e.batch) > 0 && e.kvUsed+r.kvTokens() > e.opts.KVTokens {
 			return
 		}
-		if e.faults.crashes(x.req.Prompt) {
+		if e.faults.crashesOn(r.req.Prompt) {
 			e.crash(now)
 			return
 		}
 		e.waiting[0] = nil
 		e.waiting = e.waiting[1:]
-		e.batch = append(e.batch, x)
-		e.kvHeld += x.memory()
-		x.begin(e.cache.hit(x.req.Blocks))
+		e.batch = append(e.batch, r)
+		e.kvUsed += r.kvTokens()
+		r.startPrefill(e.cache.matchPrefix(r.req.Blocks))
 	}
 }
 
-// sharePrefill gives the step's prefill budget out in order and returns how
+// allotPrefill gives the step's prefill budget out in order and returns how
 // much of it was used.
-func (e *Engine) sharePrefill() int {
+func (e *Engine) allotPrefill() int {
 	left := e.opts.PrefillChunk
-	for _, x := range e.batch {
-		x.share = min(x.prefillLeft, left)
-		left -= x.share
+	for _, r := range e.batch {
+		r.stepPrefill = min(r.prefillLeft, left)
+		left -= r.stepPrefill
 	}
 	return e.opts.PrefillChunk - left
 }
 
-// apply ends a step: prefill advances, and each decoding sequence has one
+// completeStep ends a step: prefill advances, and each decoding sequence has one
 // more token. The step that completes a prefill yields the first token.
-func (e *Engine) apply(now time.Time) {
+func (e *Engine) completeStep(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, x := range e.batch {
-		if x.ended {
+	for _, r := range e.batch {
+		if r.ended {
 			continue
 		}
-		if x.prefillLeft > 0 {
-			x.prefillLeft -= x.share
-			if x.prefillLeft > 0 {
+		if r.prefillLeft > 0 {
+			r.prefillLeft -= r.stepPrefill
+			if r.prefillLeft > 0 {
 				continue
 			}
-			e.cache.store(x.req.Blocks, now)
+			e.cache.store(r.req.Blocks, now)
 		}
-		x.generated = min(x.generated+1, x.total)
-		if x.generated == x.total {
-			x.end(Outcome(x.finish), now)
+		r.generatedTokens = min(r.generatedTokens+1, r.totalTokens)
+		if r.generatedTokens == r.totalTokens {
+			r.end(Outcome(r.finishReason), now)
 		} else {
-			x.wake()
+			r.notifyStreams()
 		}
 	}
-	e.remember(now)
+	e.recordLoad(now)
 }
--- a/internal/standin/engine/body.go
+++ b/internal/standin/engine/streambody.go
@@ -11,13 +11,13 @@
 	"github.com/lycheekeel/lycheekeel/engine/httpengine/wire"
 )
 
-// body is a run's answer as an HTTP body of lines. The server reads it on the
+// streamBody is a run's answer as an HTTP body of lines. The server reads it on the
 // connection's own goroutine and sends what each Read returns at once.
-type body struct {
+type streamBody struct {
 	cursor *cursor
 	buf    []byte
-	rest   []byte // of buf, not read yet
-	over   bool
+	unread []byte // of buf, not read yet
+	done   bool
 }
 
 // streamTo answers with the stream that start or resume returned.
@@ -25,22 +25,22 @@
 	return func(c *cursor, err error) error {
 		if err == nil {
 			ctx.SetContentType("application/x-ndjson")
-			ctx.Response.SetBodyStream(&body{cursor: c}, -1)
+			ctx.Response.SetBodyStream(&streamBody{cursor: c}, -1)
 		}
 		return err
 	}
 }
 
 // Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
-	if len(b.rest) == 0 && !b.over {
+func (b *streamBody) Read(p []byte) (int, error) {
+	if len(b.unread) == 0 && !b.done {
 		if err := b.fill(); err != nil {
 			return 0, err
 		}
 	}
-	n := copy(p, b.rest)
-	b.rest = b.rest[n:]
-	if b.over && len(b.rest) == 0 {
+	n := copy(p, b.unread)
+	b.unread = b.unread[n:]
+	if b.done && len(b.unread) == 0 {
 		return n, io.EOF
 	}
 	return n, nil
@@ -48,13 +48,13 @@
 
 // fill makes the next line: a chunk, a keepalive or the run's failure. An
 // error breaks the connection.
-func (b *body) fill() error {
+func (b *streamBody) fill() error {
 	c := b.cursor
-	chunk, id, ok, err := c.next(context.Background(), ms(c.e.opts.KeepaliveMs))
+	chunk, id, ok, err := c.next(context.Background(), ms(c.engine.opts.KeepaliveMs))
 	line := wire.Line{RequestID: []byte(id)}
 	switch {
 	case errors.Is(err, port.ErrRunFailed):
-		line.Error, b.over = err.Error(), true
+		line.Error, b.done = err.Error(), true
 	case err != nil:
 		return err
 	case !ok:
@@ -63,12 +63,12 @@
 		line.Offset, line.Tokens, line.Text = chunk.Offset, chunk.Tokens, chunk.Text
 		line.End, line.FinishReason = chunk.End, chunk.FinishReason
 		line.PromptTokens, line.PrefillComputed = chunk.PromptTokens, chunk.PrefillComputed
-		b.over = chunk.End
+		b.done = chunk.End
 	}
 	b.buf = wire.AppendLine(b.buf[:0], &line)
-	b.rest = b.buf
+	b.unread = b.buf
 	return nil
 }
 
 // Close implements io.Closer: the connection is done or gone.
-func (b *body) Close() error { return b.cursor.Close() }
+func (b *streamBody) Close() error { return b.cursor.Close() }
--- a/internal/standin/gate/gate.go
+++ b/internal/standin/gate/gate.go
@@ -11,14 +11,14 @@
 	"github.com/pkg/errors"
 )
 
-// reopenAfter is how soon a failed attempt to listen again is repeated.
-const reopenAfter = 20 * time.Millisecond
+// reopenRetryInterval is how soon a failed attempt to listen again is repeated.
+const reopenRetryInterval = 20 * time.Millisecond
 
 // errClosed ends Accept.
 var errClosed = errors.New("gate closed")
 
-// Gate is a net.Listener. It is safe for concurrent use.
-type Gate struct {
+// Listener is a net.Listener. It is safe for concurrent use.
+type Listener struct {
 	address net.Addr
 
 	mu      sync.Mutex
@@ -29,17 +29,17 @@
 }
 
 // New wraps a listener, which the gate then owns.
-func New(ln net.Listener) *Gate {
-	return &Gate{address: ln.Addr(), ln: ln, changed: make(chan struct{}), conns: map[*Conn]struct{}{}}
+func New(ln net.Listener) *Listener {
+	return &Listener{address: ln.Addr(), ln: ln, changed: make(chan struct{}), conns: map[*Conn]struct{}{}}
 }
 
 // Addr implements net.Listener.
-func (g *Gate) Addr() net.Addr { return g.address }
+func (l *Listener) Addr() net.Addr { return l.address }
 
 // Accept implements net.Listener.
-func (g *Gate) Accept() (net.Conn, error) {
+func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		ln, changed, err := g.current()
+		ln, changed, err := l.current()
 		if err != nil {
 			return nil, err
 		}
@@ -48,119 +48,119 @@
 			continue
 		}
 		if nc, err := ln.Accept(); err == nil {
-			return g.admit(nc), nil
+			return l.register(nc), nil
 		}
 	}
 }
 
-func (g *Gate) current() (net.Listener, <-chan struct{}, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.closed {
+func (l *Listener) current() (net.Listener, <-chan struct{}, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
 		return nil, nil, errClosed
 	}
-	return g.ln, g.changed, nil
+	return l.ln, l.changed, nil
 }
 
-func (g *Gate) admit(nc net.Conn) *Conn {
-	c := &Conn{Conn: nc, gate: g}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.closed || g.ln == nil {
+func (l *Listener) register(nc net.Conn) *Conn {
+	c := &Conn{Conn: nc, listener: l}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed || l.ln == nil {
 		_ = nc.Close()
 	}
-	g.conns[c] = struct{}{}
+	l.conns[c] = struct{}{}
 	return c
 }
 
 // Silence makes every open connection silent for good.
-func (g *Gate) Silence() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for c := range g.conns {
+func (l *Listener) Silence() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.conns {
 		c.Silence()
 	}
 }
 
-// Shut breaks all connections and refuses new ones for the time.
-func (g *Gate) Shut(d time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.ln == nil || g.closed {
+// TakeDown breaks all connections and refuses new ones for the time.
+func (l *Listener) TakeDown(d time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.ln == nil || l.closed {
 		return
 	}
-	g.shut()
-	time.AfterFunc(d, g.reopen)
+	l.closeAll()
+	time.AfterFunc(d, l.reopen)
 }
 
-func (g *Gate) shut() {
-	if g.ln != nil {
-		_ = g.ln.Close()
-		g.ln = nil
+func (l *Listener) closeAll() {
+	if l.ln != nil {
+		_ = l.ln.Close()
+		l.ln = nil
 	}
-	for c := range g.conns {
-		if !c.spared.Load() || g.closed {
+	for c := range l.conns {
+		if !c.exempt.Load() || l.closed {
 			_ = c.Conn.Close()
 		}
 	}
 }
 
-func (g *Gate) reopen() {
-	ln, err := net.Listen(g.address.Network(), g.address.String())
+func (l *Listener) reopen() {
+	ln, err := net.Listen(l.address.Network(), l.address.String())
 	if err != nil {
-		time.AfterFunc(reopenAfter, g.reopen)
+		time.AfterFunc(reopenRetryInterval, l.reopen)
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.closed {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
 		_ = ln.Close()
 		return
 	}
-	g.ln = ln
-	g.announce()
+	l.ln = ln
+	l.notifyChanged()
 }
 
 // Close implements net.Listener. It breaks all connections.
-func (g *Gate) Close() error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.closed {
-		g.closed = true
-		g.shut()
-		g.announce()
+func (l *Listener) Close() error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.closed {
+		l.closed = true
+		l.closeAll()
+		l.notifyChanged()
 	}
 	return nil
 }
 
-func (g *Gate) announce() {
-	close(g.changed)
-	g.changed = make(chan struct{})
+func (l *Listener) notifyChanged() {
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
 // Conn is a connection that can go silent: it stays open, but what either
 // side sends is lost, as when a device between the two has forgotten it.
 type Conn struct {
 	net.Conn
-	gate   *Gate
-	silent atomic.Bool
-	spared atomic.Bool
-	ended  atomic.Bool // the peer closed it
+	listener   *Listener
+	silent     atomic.Bool
+	exempt     atomic.Bool
+	peerClosed atomic.Bool // the peer closed it
 }
 
 // Silence makes the connection silent for good.
-func (c *Conn) Silence() { c.silent.Store(!c.spared.Load()) }
+func (c *Conn) Silence() { c.silent.Store(!c.exempt.Load()) }
 
-// Spare excepts the connection from Silence and Shut, so that the order for
+// Exempt excepts the connection from Silence and Shut, so that the order for
 // them can be answered on it.
-func (c *Conn) Spare() { c.spared.Store(true) }
+func (c *Conn) Exempt() { c.exempt.Store(true) }
 
 // Read implements net.Conn.
 func (c *Conn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
 		if err != nil {
-			c.ended.Store(true)
+			c.peerClosed.Store(true)
 			return n, err
 		}
 		if !c.silent.Load() {
@@ -180,11 +180,11 @@
 // Close implements net.Conn. A silent connection's end is lost as well: it
 // stays open to the peer until the peer or the gate closes it.
 func (c *Conn) Close() error {
-	if c.silent.Load() && !c.ended.Load() {
+	if c.silent.Load() && !c.peerClosed.Load() {
 		return nil
 	}
-	c.gate.mu.Lock()
-	delete(c.gate.conns, c)
-	c.gate.mu.Unlock()
+	c.listener.mu.Lock()
+	delete(c.listener.conns, c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/standin/gate/serve.go
+++ b/internal/standin/gate/serve.go
@@ -17,24 +17,24 @@
 )
 
 // Serve answers requests until ctx ends, which breaks all connections.
-func (g *Gate) Serve(ctx context.Context, handler fasthttp.RequestHandler) error {
-	stop := context.AfterFunc(ctx, func() { _ = g.Close() })
+func (l *Listener) Serve(ctx context.Context, handler fasthttp.RequestHandler) error {
+	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
 	s := &fasthttp.Server{
 		Handler: handler, MaxRequestBodySize: maxBodyBytes, IdleTimeout: idleTimeout,
-		NoDefaultServerHeader: true, NoDefaultDate: true, Logger: quiet{},
+		NoDefaultServerHeader: true, NoDefaultDate: true, Logger: discardLogger{},
 	}
-	if err := s.Serve(g); ctx.Err() == nil {
-		return errors.Wrapf(err, "serve %s", g.address)
+	if err := s.Serve(l); ctx.Err() == nil {
+		return errors.Wrapf(err, "serve %s", l.address)
 	}
 	return nil
 }
 
-// quiet drops fasthttp's own log: broken connections are a stand-in's trade.
-type quiet struct{}
+// discardLogger drops fasthttp's own log: broken connections are a stand-in's trade.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // Reply answers with a message as JSON.
 func Reply(ctx *fasthttp.RequestCtx, message any) {
--- a/internal/standin/objectstore/faults.go
+++ b/internal/standin/objectstore/faults.go
@@ -33,25 +33,25 @@
 // faultState is one setting of the faults with its running counts.
 type faultState struct {
 	Faults
-	loseNext atomic.Int64
-	writes   *rate.Limiter
+	loseNext     atomic.Int64
+	writeLimiter *rate.Limiter
 }
 
 func newFaultState(f Faults) *faultState {
 	st := &faultState{Faults: f}
 	st.loseNext.Store(int64(f.LoseNext))
 	if f.WritesPerSecond > 0 {
-		st.writes = rate.NewLimiter(rate.Limit(f.WritesPerSecond), 1)
+		st.writeLimiter = rate.NewLimiter(rate.Limit(f.WritesPerSecond), 1)
 	}
 	return st
 }
 
 func (st *faultState) delay() time.Duration { return time.Duration(st.SlowMs) * time.Millisecond }
 
-// loses decides whether a write's answer is lost; chance is in [0,1).
-func (st *faultState) loses(tookEffect bool, chance float64) bool {
+// losesAnswer decides whether a write's answer is lost; chance is in [0,1).
+func (st *faultState) losesAnswer(tookEffect bool, fraction float64) bool {
 	if tookEffect && st.loseNext.Add(-1) >= 0 {
 		return true
 	}
-	return chance < st.LoseFraction
+	return fraction < st.LoseFraction
 }
--- a/internal/standin/objectstore/http.go
+++ b/internal/standin/objectstore/http.go
@@ -36,7 +36,7 @@
 		IdleTimeout:        idleTimeout,
 		MaxRequestBodySize: port.MaxValueBytes + bodyMargin,
 		CloseOnShutdown:    true,
-		Logger:             silent{},
+		Logger:             discardLogger{},
 	}
 	done := make(chan error, 1)
 	go func() { done <- srv.Serve(ln) }()
@@ -51,11 +51,11 @@
 	}
 }
 
-// silent drops fasthttp's lines about connections that clients cut.
-type silent struct{}
+// discardLogger drops fasthttp's lines about connections that clients cut.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 func (s *Standin) handle(c *fasthttp.RequestCtx) {
 	answer, err := s.route(c)
@@ -66,7 +66,7 @@
 		return
 	}
 	if err != nil {
-		c.Error(err.Error(), status(err))
+		c.Error(err.Error(), statusCode(err))
 		return
 	}
 	b, err := json.Marshal(answer)
@@ -80,7 +80,7 @@
 
 var errBadRequest = errors.New("bad request")
 
-func status(err error) int {
+func statusCode(err error) int {
 	for _, m := range []struct {
 		err    error
 		status int
@@ -113,10 +113,10 @@
 			v, err := s.Create(c, kind, name, body)
 			return wire.WriteResponse{Version: v}, err
 		}
-		v, err := s.Update(c, kind, name, body, version(args, wire.ArgExpected))
+		v, err := s.Update(c, kind, name, body, parseVersion(args, wire.ArgExpected))
 		return wire.WriteResponse{Version: v}, err
 	case "DELETE " + wire.PathObject:
-		v, err := s.Delete(c, kind, name, version(args, wire.ArgExpected))
+		v, err := s.Delete(c, kind, name, parseVersion(args, wire.ArgExpected))
 		return wire.WriteResponse{Version: v}, err
 	case "GET " + wire.PathObjects:
 		return s.List(c, kind, string(args.Peek(wire.ArgPrefix)))
@@ -128,7 +128,7 @@
 		wait, err := s.Reserve(c, string(args.Peek(wire.ArgModel)), string(args.Peek(wire.ArgVersion)))
 		return wire.ReserveResponse{WaitMs: wait.Milliseconds() + boolToInt(wait > 0)}, err
 	default:
-		return s.control(c, method+" "+string(c.Path()))
+		return s.handleControl(c, method+" "+string(c.Path()))
 	}
 }
 
@@ -138,12 +138,12 @@
 		list = append(list, port.Kind(k))
 	}
 	wait := time.Duration(args.GetUintOrZero(wire.ArgWaitMs)) * time.Millisecond
-	events, next, err := s.Watch(c, list, version(args, wire.ArgAfter), wait)
+	events, next, err := s.Watch(c, list, parseVersion(args, wire.ArgAfter), wait)
 	return wire.WatchResponse{Events: events, Version: next}, err
 }
 
-// control answers the stand-in's own paths.
-func (s *Standin) control(c *fasthttp.RequestCtx, route string) (any, error) {
+// handleControl answers the stand-in's own paths.
+func (s *Standin) handleControl(c *fasthttp.RequestCtx, route string) (any, error) {
 	switch route {
 	case "POST " + PathFaults:
 		var f Faults
@@ -167,7 +167,7 @@
 	return nil, errors.Wrap(port.ErrNotFound, route)
 }
 
-func version(args *fasthttp.Args, name string) port.Version {
+func parseVersion(args *fasthttp.Args, name string) port.Version {
 	return port.Version(args.GetUintOrZero(name))
 }
 
--- a/internal/standin/objectstore/standin.go
+++ b/internal/standin/objectstore/standin.go
@@ -41,10 +41,10 @@
 
 // Standin is the stand-in's core. It is safe for concurrent use.
 type Standin struct {
-	store  *store
-	faults atomic.Pointer[faultState]
-	loads  *rate.Limiter
-	calls  sync.Map // method -> *atomic.Int64
+	store       *store
+	faults      atomic.Pointer[faultState]
+	loadLimiter *rate.Limiter
+	calls       sync.Map // method -> *atomic.Int64
 
 	mu  sync.Mutex
 	rnd *rand.Rand
@@ -53,8 +53,8 @@
 
 // vmState is a VM list and when it became true.
 type vmState struct {
-	at  time.Time
-	vms []port.VM
+	since time.Time
+	vms   []port.VM
 }
 
 var _ port.Platform = (*Standin)(nil)
@@ -68,10 +68,10 @@
 		o.LoadsPerSecond, o.LoadBurst = defaultLoadsPerSec, defaultLoadBurst
 	}
 	s := &Standin{
-		store: newStore(o.History),
-		loads: rate.NewLimiter(rate.Limit(o.LoadsPerSecond), max(1, o.LoadBurst)),
-		rnd:   rand.New(rand.NewPCG(o.Seed, 1)),
-		vms:   []vmState{{vms: o.VMs}},
+		store:       newStore(o.History),
+		loadLimiter: rate.NewLimiter(rate.Limit(o.LoadsPerSecond), max(1, o.LoadBurst)),
+		rnd:         rand.New(rand.NewPCG(o.Seed, 1)),
+		vms:         []vmState{{vms: o.VMs}},
 	}
 	s.SetFaults(Faults{})
 	return s
@@ -87,7 +87,7 @@
 func (s *Standin) SetVMs(vms []port.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.vms = append(s.vms, vmState{at: time.Now(), vms: vms})
+	s.vms = append(s.vms, vmState{since: time.Now(), vms: vms})
 }
 
 // Calls returns how often each method was called, refused calls included.
@@ -100,7 +100,7 @@
 	return out
 }
 
-func (s *Standin) count(method string) {
+func (s *Standin) countCall(method string) {
 	c, ok := s.calls.Load(method)
 	if !ok {
 		c, _ = s.calls.LoadOrStore(method, new(atomic.Int64))
@@ -110,7 +110,7 @@
 
 // Get implements objectstore.ObjectAPI.
 func (s *Standin) Get(ctx context.Context, kind port.Kind, name string) (port.Object, error) {
-	f, err := s.read(ctx, "get")
+	f, err := s.beginRead(ctx, "get")
 	if err != nil {
 		return port.Object{}, err
 	}
@@ -119,7 +119,7 @@
 
 // List implements objectstore.ObjectAPI.
 func (s *Standin) List(ctx context.Context, kind port.Kind, prefix string) (port.List, error) {
-	f, err := s.read(ctx, "list")
+	f, err := s.beginRead(ctx, "list")
 	if err != nil {
 		return port.List{}, err
 	}
@@ -147,13 +147,13 @@
 
 // Watch implements objectstore.ObjectAPI.
 func (s *Standin) Watch(ctx context.Context, kinds []port.Kind, after port.Version, wait time.Duration) ([]port.Event, port.Version, error) {
-	if _, err := s.read(ctx, "watch"); err != nil {
+	if _, err := s.beginRead(ctx, "watch"); err != nil {
 		return nil, 0, err
 	}
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	for {
-		events, next, changed, err := s.store.since(kinds, after)
+		events, next, changed, err := s.store.eventsSince(kinds, after)
 		if err != nil || len(events) > 0 {
 			return events, next, err
 		}
@@ -172,28 +172,28 @@
 
 // VMs implements objectstore.VMList: the list as it was VMLagMs ago.
 func (s *Standin) VMs(ctx context.Context) ([]port.VM, error) {
-	f, err := s.read(ctx, "vms")
+	f, err := s.beginRead(ctx, "vms")
 	if err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seen := time.Now().Add(-time.Duration(f.VMLagMs) * time.Millisecond)
-	shown := s.vms[0].vms
+	asOf := time.Now().Add(-time.Duration(f.VMLagMs) * time.Millisecond)
+	list := s.vms[0].vms
 	for _, st := range s.vms {
-		if !st.at.After(seen) {
-			shown = st.vms
+		if !st.since.After(asOf) {
+			list = st.vms
 		}
 	}
-	return shown, nil
+	return list, nil
 }
 
 // Reserve implements objectstore.WeightStore.
 func (s *Standin) Reserve(ctx context.Context, _, _ string) (time.Duration, error) {
-	if _, err := s.read(ctx, "reserve"); err != nil {
+	if _, err := s.beginRead(ctx, "reserve"); err != nil {
 		return 0, err
 	}
-	r := s.loads.Reserve()
+	r := s.loadLimiter.Reserve()
 	wait := r.Delay()
 	if wait > 0 {
 		r.Cancel()
@@ -201,9 +201,9 @@
 	return wait, nil
 }
 
-// read counts a call without effect and applies the faults.
-func (s *Standin) read(ctx context.Context, method string) (*faultState, error) {
-	s.count(method)
+// beginRead counts a call without effect and applies the faults.
+func (s *Standin) beginRead(ctx context.Context, method string) (*faultState, error) {
+	s.countCall(method)
 	f := s.faults.Load()
 	if f.Down {
 		return nil, errors.Wrap(port.ErrUnavailable, method)
@@ -222,28 +222,28 @@
 // write counts a write, applies the faults and then the write. Once taken,
 // the write takes effect even when its caller no longer waits.
 func (s *Standin) write(ctx context.Context, method string, apply func() (port.Version, error)) (port.Version, error) {
-	s.count(method)
+	s.countCall(method)
 	f := s.faults.Load()
 	if f.Down {
 		return 0, errors.Wrap(port.ErrUnavailable, method)
 	}
 	done := make(chan writeResult, 1)
 	run := func() {
-		if f.writes != nil {
-			_ = f.writes.Wait(context.Background()) // no deadline: it can't fail
+		if f.writeLimiter != nil {
+			_ = f.writeLimiter.Wait(context.Background()) // no deadline: it can't fail
 		}
 		wait.For(context.Background(), f.delay())
 		v, err := apply()
 		done <- writeResult{v, err}
 	}
-	if f.writes == nil && f.SlowMs == 0 {
+	if f.writeLimiter == nil && f.SlowMs == 0 {
 		run()
 	} else {
 		go run()
 	}
 	select {
 	case r := <-done:
-		if f.loses(r.err == nil, s.chance()) {
+		if f.losesAnswer(r.err == nil, s.randomFraction()) {
 			return 0, errors.Wrap(port.ErrUnknownOutcome, "answer lost")
 		}
 		return r.version, r.err
@@ -252,7 +252,7 @@
 	}
 }
 
-func (s *Standin) chance() float64 {
+func (s *Standin) randomFraction() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rnd.Float64()
--- a/internal/standin/objectstore/store.go
+++ b/internal/standin/objectstore/store.go
@@ -23,8 +23,8 @@
 	version   port.Version // of the newest change, a deletion's too
 }
 
-// at returns the state as of the version, nil where absent.
-func (r *record) at(v port.Version) *port.Object {
+// stateAt returns the state as of the version, nil where absent.
+func (r *record) stateAt(v port.Version) *port.Object {
 	if r.version <= v {
 		return r.cur
 	}
@@ -33,42 +33,42 @@
 
 // store is the versioned map: one version counter for all kinds.
 type store struct {
-	mu        sync.Mutex
-	version   port.Version
-	records   map[key]*record
-	history   []port.Event // oldest first
-	limit     int
-	compacted port.Version // newest version that history has dropped
-	changed   chan struct{}
+	mu           sync.Mutex
+	version      port.Version
+	records      map[key]*record
+	history      []port.Event // oldest first
+	historyLimit int
+	compacted    port.Version // newest version that history has dropped
+	changed      chan struct{}
 }
 
 func newStore(limit int) *store {
-	return &store{records: map[key]*record{}, limit: limit, changed: make(chan struct{})}
+	return &store{records: map[key]*record{}, historyLimit: limit, changed: make(chan struct{})}
 }
 
-func (s *store) get(kind port.Kind, name string, stale uint64) (port.Object, error) {
+func (s *store) get(kind port.Kind, name string, staleWrites uint64) (port.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.records[key{kind, name}]
 	if r == nil {
 		return port.Object{}, errors.Wrapf(port.ErrNotFound, "%s %s", kind, name)
 	}
-	o := r.at(s.version - min(s.version, port.Version(stale)))
+	o := r.stateAt(s.version - min(s.version, port.Version(staleWrites)))
 	if o == nil {
 		return port.Object{}, errors.Wrapf(port.ErrNotFound, "%s %s", kind, name)
 	}
 	return *o, nil
 }
 
-func (s *store) list(kind port.Kind, prefix string, stale uint64) port.List {
+func (s *store) list(kind port.Kind, prefix string, staleWrites uint64) port.List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := port.List{Version: s.version - min(s.version, port.Version(stale))}
+	l := port.List{Version: s.version - min(s.version, port.Version(staleWrites))}
 	for k, r := range s.records {
 		if k.kind != kind || !strings.HasPrefix(k.name, prefix) {
 			continue
 		}
-		if o := r.at(l.Version); o != nil {
+		if o := r.stateAt(l.Version); o != nil {
 			l.Objects = append(l.Objects, *o)
 		}
 	}
@@ -135,10 +135,10 @@
 // compact drops old history, a tenth at a time, and with it the records of
 // objects deleted so long ago.
 func (s *store) compact() {
-	if len(s.history) <= s.limit {
+	if len(s.history) <= s.historyLimit {
 		return
 	}
-	n := max(1, s.limit/10)
+	n := max(1, s.historyLimit/10)
 	for _, e := range s.history[:n] {
 		k := key{e.Object.Kind, e.Object.Name}
 		if r := s.records[k]; e.Deleted && r != nil && r.cur == nil && r.version == e.Object.Version {
@@ -149,9 +149,9 @@
 	s.history = slices.Clone(s.history[n:])
 }
 
-// since returns the changes of the kinds after the version, the version to
+// eventsSince returns the changes of the kinds after the version, the version to
 // go on from, and a channel that the next change closes.
-func (s *store) since(kinds []port.Kind, after port.Version) ([]port.Event, port.Version, <-chan struct{}, error) {
+func (s *store) eventsSince(kinds []port.Kind, after port.Version) ([]port.Event, port.Version, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if after < s.compacted {
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -150,7 +150,7 @@
 
 // call counts a call and answers it, or does what the faults say.
 func (s *Service) call(ctx context.Context, r *fasthttp.RequestCtx) {
-	f := s.count(r)
+	f := s.countCall(r)
 	if f.DelayMs > 0 {
 		select {
 		case <-time.After(time.Duration(f.DelayMs * float64(time.Millisecond))):
@@ -166,11 +166,11 @@
 		r.Response.Header.Set(headerNotRun, "true")
 		r.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	default:
-		gate.Reply(r, echoOf(r))
+		gate.Reply(r, newEcho(r))
 	}
 }
 
-func echoOf(r *fasthttp.RequestCtx) Echo {
+func newEcho(r *fasthttp.RequestCtx) Echo {
 	e := Echo{Method: string(r.Method()), Path: string(r.RequestURI()), Body: string(r.PostBody())}
 	for k, v := range r.Request.Header.All() {
 		e.Header = append(e.Header, [2]string{string(k), string(v)})
@@ -178,7 +178,7 @@
 	return e
 }
 
-func (s *Service) count(r *fasthttp.RequestCtx) Faults {
+func (s *Service) countCall(r *fasthttp.RequestCtx) Faults {
 	call := Call{string(r.Method()), string(r.RequestURI()), string(r.Request.Header.Peek(headerRequestID))}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testport/testport.go
+++ b/internal/testport/testport.go
@@ -23,18 +23,18 @@
 // blockSize: the largest test starts about a hundred processes with three
 // ports each, and fifty blocks suffice for the test programs that run at once.
 const (
-	first     = 15000
-	last      = 32000
+	firstPort = 15000
+	endPort   = 32000
 	blockSize = 340
 )
 
 // Allocator hands out ports of the blocks that it holds, each port once. It is
 // safe for concurrent use.
 type Allocator struct {
-	mu     sync.Mutex
-	guards []net.Listener
-	next   int // the next port to hand out
-	end    int // the first port after the block
+	mu             sync.Mutex
+	blockListeners []net.Listener
+	nextPort       int // the next port to hand out
+	blockEnd       int // the first port after the block
 }
 
 // Process is the test program's allocator.
@@ -46,41 +46,41 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for {
-		for a.next < a.end {
-			address := loopback(a.next)
-			a.next++
+		for a.nextPort < a.blockEnd {
+			address := loopback(a.nextPort)
+			a.nextPort++
 			if ln, err := net.Listen("tcp", address); err == nil {
 				return address, ln.Close()
 			}
 		}
-		if err := a.takeBlock(); err != nil {
+		if err := a.reserveBlock(); err != nil {
 			return "", err
 		}
 	}
 }
 
-// takeBlock takes the first block that nobody holds.
-func (a *Allocator) takeBlock() error {
-	for port := first; port+blockSize <= last; port += blockSize {
-		guard, err := net.Listen("tcp", loopback(port))
+// reserveBlock takes the first block that nobody holds.
+func (a *Allocator) reserveBlock() error {
+	for port := firstPort; port+blockSize <= endPort; port += blockSize {
+		ln, err := net.Listen("tcp", loopback(port))
 		if err != nil {
 			continue
 		}
-		a.guards = append(a.guards, guard)
-		a.next, a.end = port+1, port+blockSize
+		a.blockListeners = append(a.blockListeners, ln)
+		a.nextPort, a.blockEnd = port+1, port+blockSize
 		return nil
 	}
-	return errors.Errorf("no free block of ports from %d to %d", first, last)
+	return errors.Errorf("no free block of ports from %d to %d", firstPort, endPort)
 }
 
 // Close gives the blocks back. A test program that ends does so, too.
 func (a *Allocator) Close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, guard := range a.guards {
-		_ = guard.Close()
+	for _, ln := range a.blockListeners {
+		_ = ln.Close()
 	}
-	a.guards, a.next, a.end = nil, 0, 0
+	a.blockListeners, a.nextPort, a.blockEnd = nil, 0, 0
 }
 
 func loopback(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
--- a/internal/testport/testport_test.go
+++ b/internal/testport/testport_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against this: a daemon that a test kills and starts again does not listen: "address already in use".
-func TestAllocatorsDoNotShare(t *testing.T) {
+func TestAllocatorsHandOutDistinctPorts(t *testing.T) {
 	Convey("Given two allocators, as of two test programs", t, func() {
 		var one, two Allocator
 		defer one.Close()
@@ -28,7 +28,7 @@
 		Convey("an address that somebody else listens at is passed over", func() {
 			before, err := one.Address()
 			So(err, ShouldBeNil)
-			taken := loopback(one.next)
+			taken := loopback(one.nextPort)
 			ln, err := net.Listen("tcp", taken)
 			So(err, ShouldBeNil)
 			defer ln.Close()
--- a/internal/testwait/testwait.go
+++ b/internal/testwait/testwait.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// poll is how often a condition is looked at.
-const poll = 5 * time.Millisecond
+// pollInterval is how often a condition is looked at.
+const pollInterval = 5 * time.Millisecond
 
 // Until waits until the condition holds, and fails the test where it does not
 // within the limit; what names it.
-func Until(tb testing.TB, limit time.Duration, what string, holds func() bool) {
+func Until(tb testing.TB, timeout time.Duration, what string, cond func() bool) {
 	tb.Helper()
-	tick := time.NewTicker(poll)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	deadline := time.After(limit)
-	for !holds() {
+	deadline := time.After(timeout)
+	for !cond() {
 		select {
 		case <-tick.C:
 		case <-deadline:
-			tb.Fatalf("not within %v: %s", limit, what)
+			tb.Fatalf("not within %v: %s", timeout, what)
 		}
 	}
 }
--- a/test/fault_pairs_test.go
+++ b/test/fault_pairs_test.go
@@ -66,8 +66,8 @@
 	},
 	"owner restarted": {func(c *cluster, v *node) { So(v.stop(), ShouldBeNil) }, restart},
 	"owner unreachable": {
-		func(_ *cluster, v *node) { v.peerLink.proxy.Cut() },
-		func(_ *cluster, v *node) { v.peerLink.proxy.Pass() },
+		func(_ *cluster, v *node) { v.peerLink.proxy.ResetAndRefuse() },
+		func(_ *cluster, v *node) { v.peerLink.proxy.ClearFaults() },
 	},
 	"store loses answers":  storeFault(standin.Faults{LoseFraction: 0.3}),
 	"store down":           storeFault(standin.Faults{Down: true}),
--- a/test/partition_test.go
+++ b/test/partition_test.go
@@ -63,11 +63,11 @@
 		}
 		awaitAnswers(50)
 		owner := c.owner(testPool)
-		owner.peerLink.proxy.Cut()
+		owner.peerLink.proxy.ResetAndRefuse()
 		awaitAnswers(120)
 		t.Logf("owner cut off: %d times degraded", c.degradedEntries())
 		for _, n := range c.nodes {
-			n.peerLink.proxy.Cut()
+			n.peerLink.proxy.ResetAndRefuse()
 		}
 		eventually(t, "every daemon is alone", func() bool {
 			return !slices.ContainsFunc(c.nodes, func(n *node) bool { return c.countAlive(n) > 1 })
@@ -75,7 +75,7 @@
 		awaitAnswers(120)
 		t.Logf("all cut off: %d times degraded", c.degradedEntries())
 		for _, n := range c.nodes {
-			n.peerLink.proxy.Pass()
+			n.peerLink.proxy.ClearFaults()
 		}
 		c.awaitMembers()
 		c.owner(testPool)
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -55,7 +55,7 @@
 	{"server crashes, another comes", func(f *fleet, r *rand.Rand) func() {
 		s := pick(r, f.servers)
 		s.stop()
-		s.proxy.Cut()
+		s.proxy.ResetAndRefuse()
 		f.store.Remove(standin.KindServers, s.ID)
 		return func() { f.addServer(s.service) }
 	}},
@@ -86,13 +86,13 @@
 	case 1:
 		p.Reset()
 	case 2:
-		p.Cut()
+		p.ResetAndRefuse()
 	case 3:
 		p.Silence(pick(r, []faultproxy.Direction{faultproxy.ToTarget, faultproxy.ToClient, faultproxy.Both}))
 	default:
 		p.SilenceAll(pick(r, []faultproxy.Direction{faultproxy.ToTarget, faultproxy.ToClient, faultproxy.Both}))
 	}
-	return p.Pass
+	return p.ClearFaults
 }
 
 // injectFaults injects faults, in series and overlapping, for the span; then it
