--- a/internal/capacity/cost.go
+++ b/internal/capacity/cost.go
@@ -7,13 +7,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// settleRuns is how many collections make the heap figure steady: the first
+// heapGCRuns is how many collections make the heap figure steady: the first
 // frees, the second lets finalizers' memory go.
-const settleRuns = 2
+const heapGCRuns = 2
 
-// heapBytes returns the live heap after collection.
-func heapBytes() float64 {
-	for range settleRuns {
+// liveHeapBytes returns the live heap after collection.
+func liveHeapBytes() float64 {
+	for range heapGCRuns {
 		runtime.GC()
 	}
 	var m runtime.MemStats
@@ -21,11 +21,11 @@
 	return float64(m.HeapAlloc)
 }
 
-// heapOf returns how many bytes of heap the value made by build holds.
-func heapOf(build func() any) float64 {
-	before := heapBytes()
+// retainedHeap returns how many bytes of heap the value made by build holds.
+func retainedHeap(build func() any) float64 {
+	before := liveHeapBytes()
 	v := build()
-	after := heapBytes()
+	after := liveHeapBytes()
 	runtime.KeepAlive(v)
 	return max(after-before, 0)
 }
@@ -33,15 +33,15 @@
 // cpuTime returns the processor time that this process has used. Other
 // processes on a busy machine do not count into it.
 func cpuTime() time.Duration {
-	var u unix.Rusage
-	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
+	var usage unix.Rusage
+	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// cpuPer returns the processor seconds of one of n operations done by run.
-func cpuPer(n int, run func()) float64 {
+// cpuPerOp returns the processor seconds of one of n operations done by run.
+func cpuPerOp(n int, run func()) float64 {
 	start := cpuTime()
 	run()
 	return (cpuTime() - start).Seconds() / float64(n)
--- a/internal/capacity/counting.go
+++ b/internal/capacity/counting.go
@@ -8,7 +8,7 @@
 // countingListener counts the bytes of the connections that it accepts.
 type countingListener struct {
 	net.Listener
-	in, out atomic.Int64 // as the accepting side sees them
+	bytesIn, bytesOut atomic.Int64 // as the accepting side sees them
 }
 
 // Accept implements net.Listener.
@@ -28,13 +28,13 @@
 // Read implements net.Conn.
 func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.listener.in.Add(int64(n))
+	c.listener.bytesIn.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.listener.out.Add(int64(n))
+	c.listener.bytesOut.Add(int64(n))
 	return n, err
 }
--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// number writes a count with as many digits as mean something.
-func number(v float64) string {
+// formatCount writes a count with as many digits as mean something.
+func formatCount(v float64) string {
 	switch {
 	case v == 0:
 		return "0"
@@ -16,8 +16,8 @@
 	}
 }
 
-// bytesOf writes a size in the largest unit that leaves at least one.
-func bytesOf(v float64) string {
+// formatBytes writes a size in the largest unit that leaves at least one.
+func formatBytes(v float64) string {
 	const step = 1024
 	switch {
 	case v == 0:
@@ -31,11 +31,11 @@
 	}
 }
 
-// percent writes a share of a core.
-func percent(v float64) string { return fmt.Sprintf("%.2g%%", 100*v) }
+// formatPercent writes a share of a core.
+func formatPercent(v float64) string { return fmt.Sprintf("%.2g%%", 100*v) }
 
-// seconds writes a time.
-func seconds(v float64) string {
+// formatSeconds writes a time.
+func formatSeconds(v float64) string {
 	if v == 0 {
 		return "-"
 	}
@@ -45,8 +45,8 @@
 	return fmt.Sprintf("%.1f s", v)
 }
 
-// verdict writes a value and marks it where it is over its bound.
-func verdict(v, bound float64, format func(float64) string) string {
+// formatBounded writes a value and marks it where it is over its bound.
+func formatBounded(v, bound float64, format func(float64) string) string {
 	if v > bound {
 		return fmt.Sprintf("**%s, over**", format(v))
 	}
--- a/internal/capacity/measure_heap.go
+++ b/internal/capacity/measure_heap.go
@@ -18,27 +18,27 @@
 const (
 	heapStreams      = 200
 	heapStreamTokens = 1500
-	heapSettle       = 3 * time.Second // until all streams have begun
+	streamStartDelay = 3 * time.Second // until all streams have begun
 )
 
-// streamHeap measures the heap of open and waiting requests with their
+// measureStreamHeap measures the heap of open and waiting requests with their
 // callers' and the stand-ins' ends, which run in this process too; it is an
 // upper bound of the entry's own part.
-func streamHeap(ctx context.Context, m *Measured, info demo.Info) error {
+func measureStreamHeap(ctx context.Context, m *Measurements, info demo.Info) error {
 	client := &fasthttp.Client{StreamResponseBody: true, MaxConnsPerHost: heapStreams}
-	before := heapBytes()
+	before := liveHeapBytes()
 	p := pool.New().WithErrors()
 	for range heapStreams {
 		p.Go(func() error { return streamOnce(client, info, heapStreamTokens) })
 	}
-	settle := time.NewTimer(heapSettle)
-	defer settle.Stop()
+	timer := time.NewTimer(streamStartDelay)
+	defer timer.Stop()
 	select {
-	case <-settle.C:
+	case <-timer.C:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	held := max(heapBytes()-before, 0) / heapStreams
-	m.Add(NewSeries(seriesStreamHeap, "live heap of one request, open or waiting, of 200 at once; daemon, stand-in and caller in one process", "requests", "B", []Point{{1, held}}))
+	perStream := max(liveHeapBytes()-before, 0) / heapStreams
+	m.Add(NewSeries(seriesStreamHeap, "live heap of one request, open or waiting, of 200 at once; daemon, stand-in and caller in one process", "requests", "B", []Point{{1, perStream}}))
 	return errors.Wrap(p.Wait(), "streams")
 }
--- a/internal/capacity/measure_owner.go
+++ b/internal/capacity/measure_owner.go
@@ -33,11 +33,11 @@
 
 // measureOwner measures what a pool costs while nothing happens in it, and
 // the probes of its servers.
-func measureOwner(ctx context.Context, m *Measured) error {
+func measureOwner(ctx context.Context, m *Measurements) error {
 	var ticks []Point
-	for _, n := range []int{100, 1000, manyWaiting} {
-		r := newPoolRig(manyServers, n)
-		ticks = append(ticks, Point{float64(n), cpuPer(tickRounds, func() {
+	for _, n := range []int{100, 1000, maxRigWaiting} {
+		r := newPoolRig(maxRigServers, n)
+		ticks = append(ticks, Point{float64(n), cpuPerOp(tickRounds, func() {
 			for range tickRounds {
 				r.handle(pool.Tick{})
 			}
@@ -52,42 +52,42 @@
 }
 
 // measureProbes asks one stand-in for its load report again and again.
-func measureProbes(ctx context.Context, m *Measured) error {
+func measureProbes(ctx context.Context, m *Measurements) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
-	counted := &countingListener{Listener: ln}
-	ended := make(chan error, 1)
-	go func() { ended <- standin.Serve(ctx, counted, standin.Options{}) }()
+	listener := &countingListener{Listener: ln}
+	done := make(chan error, 1)
+	go func() { done <- standin.Serve(ctx, listener, standin.Options{}) }()
 	e := httpengine.New(ln.Addr().String(), httpconn.Settings{})
-	var failed error
-	cost := cpuPer(probeRounds, func() {
+	var probeErr error
+	cost := cpuPerOp(probeRounds, func() {
 		for range probeRounds {
 			if _, err := e.Load(ctx); err != nil {
-				failed = err
+				probeErr = err
 			}
 		}
 	})
 	cancel()
-	<-ended
-	if failed != nil {
-		return failed
+	<-done
+	if probeErr != nil {
+		return probeErr
 	}
-	bytes := float64(counted.in.Load()+counted.out.Load()) / probeRounds
+	bytes := float64(listener.bytesIn.Load()+listener.bytesOut.Load()) / probeRounds
 	m.Add(NewSeries(seriesProbeBytes, "a load report asked for over an open connection, both ways, without TCP's and IP's headers", "probes", "B", []Point{{1, bytes}}))
 	m.Add(NewSeries(seriesProbeCPU, "the same, processor time with the stand-in's part", "probes", "s", []Point{{1, cost}}))
 	return nil
 }
 
 // measurePlans plans regions of several sizes.
-func measurePlans(m *Measured) {
+func measurePlans(m *Measurements) {
 	var points []Point
 	for _, n := range []int{44, 110, 220} {
-		in := planOf(n)
-		points = append(points, Point{float64(n), cpuPer(planRounds, func() {
+		in := placementInput(n)
+		points = append(points, Point{float64(n), cpuPerOp(planRounds, func() {
 			for range planRounds {
 				placement.Steps(in, placement.ComputePlan(in).Moves)
 			}
@@ -96,8 +96,8 @@
 	m.Add(NewSeries(seriesPlanSeconds, "one plan of a region with 22 pools whose demand is uneven", "servers", "s", points))
 }
 
-// planOf returns a region with the servers spread evenly over its pools.
-func planOf(servers int) placement.Input {
+// placementInput returns a region with the servers spread evenly over its pools.
+func placementInput(servers int) placement.Input {
 	var in placement.Input
 	for i := range planPools {
 		name := fmt.Sprint("m", i)
--- a/internal/capacity/measure_peer.go
+++ b/internal/capacity/measure_peer.go
@@ -19,8 +19,8 @@
 // The transport rig's sizes.
 const (
 	wireMessages = 5000
-	wireKey      = "a cluster key for measuring"
-	metricsPeer  = "peer"
+	clusterKey   = "a cluster key for measuring"
+	peerMetrics  = "peer"
 )
 
 // peerPair is two transports over loopback; the second answers each message.
@@ -31,7 +31,7 @@
 }
 
 func newPeer(name peer.Name, m *metrics.Registry) (*peer.TCP, error) {
-	return peer.NewTCP(peer.Options{Name: name, Listen: "127.0.0.1:0", Keys: [][]byte{[]byte(wireKey)}, Registry: m})
+	return peer.NewTCP(peer.Options{Name: name, Listen: "127.0.0.1:0", Keys: [][]byte{[]byte(clusterKey)}, Registry: m})
 }
 
 func newPeerPair() (*peerPair, error) {
@@ -56,8 +56,8 @@
 	return p, nil
 }
 
-// exchange sends messages of a size, each after the last one's answer.
-func (p *peerPair) exchange(n, size int) error {
+// roundTrips sends messages of a size, each after the last one's answer.
+func (p *peerPair) roundTrips(n, size int) error {
 	payload := make([]byte, size)
 	for range n {
 		if err := p.a.Send("b", peer.TypeMemberProbe, payload); err != nil {
@@ -68,10 +68,10 @@
 	return nil
 }
 
-// wire returns the bytes that a has sent, with framing and encryption but
+// bytesSent returns the bytes that a has sent, with framing and encryption but
 // without TCP's and IP's headers.
-func (p *peerPair) wire() float64 {
-	return float64(p.metrics.Counter(metricsPeer, "wire_bytes_out").Value())
+func (p *peerPair) bytesSent() float64 {
+	return float64(p.metrics.Counter(peerMetrics, "wire_bytes_out").Value())
 }
 
 func (p *peerPair) close() {
@@ -80,24 +80,24 @@
 }
 
 // measurePeers measures what a message costs beyond its payload.
-func measurePeers(_ context.Context, m *Measured) error {
+func measurePeers(_ context.Context, m *Measurements) error {
 	p, err := newPeerPair()
 	if err != nil {
 		return err
 	}
 	defer p.close()
-	if err := p.exchange(1, 1); err != nil { // dials
+	if err := p.roundTrips(1, 1); err != nil { // dials
 		return err
 	}
 	var bytes, cpu []Point
 	for _, size := range []int{20, 100, 400, 1000} {
-		before := p.wire()
-		var failed error
-		cost := cpuPer(2*wireMessages, func() { failed = p.exchange(wireMessages, size) })
-		if failed != nil {
-			return failed
+		before := p.bytesSent()
+		var sendErr error
+		cost := cpuPerOp(2*wireMessages, func() { sendErr = p.roundTrips(wireMessages, size) })
+		if sendErr != nil {
+			return sendErr
 		}
-		bytes = append(bytes, Point{float64(size), (p.wire() - before) / wireMessages})
+		bytes = append(bytes, Point{float64(size), (p.bytesSent() - before) / wireMessages})
 		cpu = append(cpu, Point{float64(size), cost})
 	}
 	m.Add(NewSeries(seriesWireBytes, "bytes of one message with framing and encryption, without TCP's and IP's headers", "payload B", "B", bytes))
@@ -106,19 +106,19 @@
 }
 
 // measurePeerHeap measures what open connections hold, both ends together.
-func measurePeerHeap(m *Measured) error {
+func measurePeerHeap(m *Measurements) error {
 	var points []Point
 	for _, n := range []int{1, 8, 24} {
-		var failed error
+		var sendErr error
 		var pairs []*peerPair
-		held := heapOf(func() any {
+		heapSize := retainedHeap(func() any {
 			for range n {
 				p, err := newPeerPair()
 				if err == nil {
-					err = p.exchange(1, 1)
+					err = p.roundTrips(1, 1)
 				}
 				if err != nil {
-					failed = err
+					sendErr = err
 					break
 				}
 				pairs = append(pairs, p)
@@ -128,10 +128,10 @@
 		for _, p := range pairs {
 			p.close()
 		}
-		if failed != nil {
-			return failed
+		if sendErr != nil {
+			return sendErr
 		}
-		points = append(points, Point{float64(n), held / 2})
+		points = append(points, Point{float64(n), heapSize / 2})
 	}
 	m.Add(NewSeries(seriesPeerHeap, "live heap of one end of connections between daemons, transport included", "connections", "B", points))
 	return nil
--- a/internal/capacity/measure_pool.go
+++ b/internal/capacity/measure_pool.go
@@ -25,8 +25,8 @@
 	rigBlocks       = 24 // the prompt's tokens in blocks of 64
 	rigCycles       = 4000
 	rigEntry        = pool.EntryID("capacity#1")
-	manyServers     = 32
-	manyWaiting     = 10000
+	maxRigServers   = 32
+	maxRigWaiting   = 10000
 	rigDeadline     = time.Hour // nothing expires while it is measured
 )
 
@@ -38,13 +38,13 @@
 	enqueued int
 	granted  int
 	running  []pool.Grant
-	out      []pool.Command
+	commands []pool.Command
 }
 
 // newPoolRig returns a pool with full servers and the number waiting.
 func newPoolRig(servers, waiting int) *poolRig {
 	r := &poolRig{
-		pool: pool.New(pool.Config{Name: "capacity", Epoch: 1, MaxWaiting: 2 * manyWaiting}),
+		pool: pool.New(pool.Config{Name: "capacity", Epoch: 1, MaxWaiting: 2 * maxRigWaiting}),
 		now:  time.Unix(0, 0),
 	}
 	r.handle(pool.EntrySet{Entries: []pool.EntryID{rigEntry}})
@@ -66,8 +66,8 @@
 // handle passes one event and keeps the grants that follow.
 func (r *poolRig) handle(ev pool.Event) {
 	r.now = r.now.Add(time.Microsecond)
-	r.out = r.pool.Handle(r.now, ev, r.out[:0])
-	for _, c := range r.out {
+	r.commands = r.pool.Handle(r.now, ev, r.commands[:0])
+	for _, c := range r.commands {
 		if g, ok := c.(pool.Grant); ok {
 			r.granted++
 			r.running = append(r.running, g)
@@ -112,10 +112,10 @@
 	}
 }
 
-// decisionCost is the processor time of one enqueue-grant-release cycle.
-func decisionCost(servers, waiting int) float64 {
+// decisionCPU is the processor time of one enqueue-grant-release cycle.
+func decisionCPU(servers, waiting int) float64 {
 	r := newPoolRig(servers, waiting)
-	return cpuPer(rigCycles, func() {
+	return cpuPerOp(rigCycles, func() {
 		for range rigCycles {
 			r.cycle()
 		}
@@ -124,15 +124,15 @@
 
 // measurePool measures the scheduler: time against servers and waiting, heap
 // against both.
-func measurePool(m *Measured) {
+func measurePool(m *Measurements) {
 	var byServers, byWaiting, heapServers, heapWaiting []Point
-	for _, n := range []int{4, 8, 16, manyServers} {
-		byServers = append(byServers, Point{float64(n), decisionCost(n, 1000)})
-		heapServers = append(heapServers, Point{float64(n), heapOf(func() any { return newPoolRig(n, 1) })})
+	for _, n := range []int{4, 8, 16, maxRigServers} {
+		byServers = append(byServers, Point{float64(n), decisionCPU(n, 1000)})
+		heapServers = append(heapServers, Point{float64(n), retainedHeap(func() any { return newPoolRig(n, 1) })})
 	}
-	for _, n := range []int{100, 1000, 3000, manyWaiting} {
-		byWaiting = append(byWaiting, Point{float64(n), decisionCost(manyServers, n)})
-		heapWaiting = append(heapWaiting, Point{float64(n), heapOf(func() any { return newPoolRig(manyServers, n) })})
+	for _, n := range []int{100, 1000, 3000, maxRigWaiting} {
+		byWaiting = append(byWaiting, Point{float64(n), decisionCPU(maxRigServers, n)})
+		heapWaiting = append(heapWaiting, Point{float64(n), retainedHeap(func() any { return newPoolRig(maxRigServers, n) })})
 	}
 	m.Add(NewSeries(seriesDecisionServers, "one enqueue-grant-release cycle with 1,000 waiting", "servers", "s", byServers))
 	m.Add(NewSeries(seriesDecisionWaiting, "one enqueue-grant-release cycle with 32 servers", "waiting", "s", byWaiting))
--- a/internal/capacity/measure_prefix.go
+++ b/internal/capacity/measure_prefix.go
@@ -11,10 +11,10 @@
 
 // measurePrefixes measures the memory of known prefix blocks, spread over the
 // servers of a full pool.
-func measurePrefixes(m *Measured) {
+func measurePrefixes(m *Measurements) {
 	var points []Point
 	for _, n := range []int{1_000, 10_000, 40_000} {
-		points = append(points, Point{float64(n), heapOf(func() any { return prefixIndex(n) })})
+		points = append(points, Point{float64(n), retainedHeap(func() any { return prefixIndex(n) })})
 	}
 	m.Add(NewSeries(seriesPrefixHeap, "live heap of an index of cached blocks of 32 servers", "blocks", "B", points))
 }
@@ -24,7 +24,7 @@
 	x := prefix.NewIndex()
 	now := time.Unix(0, 0)
 	for i := range blocks {
-		x.StoreBlock(now, i%manyServers, uint64(i)*0x9e3779b97f4a7c15)
+		x.StoreBlock(now, i%maxRigServers, uint64(i)*0x9e3779b97f4a7c15)
 	}
 	return x
 }
--- a/internal/capacity/measure_store.go
+++ b/internal/capacity/measure_store.go
@@ -22,8 +22,8 @@
 	seriesChangeCalls = "store_calls_by_applied_changes"
 )
 
-// callsOf returns the calls that a stand-in has answered.
-func callsOf(s *standin.Standin) float64 {
+// callCount returns the calls that a stand-in has answered.
+func callCount(s *standin.Standin) float64 {
 	sum := int64(0)
 	for _, n := range s.Calls() {
 		sum += n
@@ -32,7 +32,7 @@
 }
 
 // measureStore measures the calls that claims and leases make.
-func measureStore(ctx context.Context, m *Measured) error {
+func measureStore(ctx context.Context, m *Measurements) error {
 	var claims []Point
 	for _, n := range []int{100, 400, 1000} {
 		calls, err := claimCalls(ctx, n)
@@ -70,7 +70,7 @@
 	if err := ledger.Close(ctx); err != nil {
 		return 0, err
 	}
-	return callsOf(store), nil
+	return callCount(store), nil
 }
 
 // changeCalls applies some changed pools at once, as the tool does.
@@ -78,7 +78,7 @@
 	var points []Point
 	for _, n := range []int{1, 5, 20} {
 		store := standin.New(standin.Options{})
-		before := callsOf(store)
+		before := callCount(store)
 		stored, err := apply.Read(ctx, store)
 		if err != nil {
 			return nil, err
@@ -95,7 +95,7 @@
 		if _, err := apply.Recheck(ctx, store, stored); err != nil {
 			return nil, err
 		}
-		points = append(points, Point{float64(n), callsOf(store) - before})
+		points = append(points, Point{float64(n), callCount(store) - before})
 	}
 	return points, nil
 }
@@ -111,8 +111,8 @@
 	return docs
 }
 
-// leaseTime is how long a lease is held in real time.
-const leaseTime = 12 * time.Second
+// leaseHoldTime is how long a lease is held in real time.
+const leaseHoldTime = 12 * time.Second
 
 // leaseCalls counts a holder's calls at intervals, renewals by their jitter.
 func leaseCalls(ctx context.Context) ([]Point, error) {
@@ -125,14 +125,14 @@
 	if err != nil {
 		return nil, err
 	}
-	start, first := time.Now(), callsOf(store)
+	start, initialCalls := time.Now(), callCount(store)
 	var points []Point
-	tick := time.NewTicker(leaseTime / 4)
+	tick := time.NewTicker(leaseHoldTime / 4)
 	defer tick.Stop()
 	for len(points) < 4 {
 		select {
 		case <-tick.C:
-			points = append(points, Point{time.Since(start).Seconds(), callsOf(store) - first})
+			points = append(points, Point{time.Since(start).Seconds(), callCount(store) - initialCalls})
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
--- a/internal/capacity/measure_stream.go
+++ b/internal/capacity/measure_stream.go
@@ -22,34 +22,34 @@
 
 // Names of the streams' series.
 const (
-	seriesStreamThrough = "stream_cpu_seconds_by_tokens"
-	seriesStreamDirect  = "stream_direct_cpu_seconds_by_tokens"
+	seriesStreamDaemon = "stream_cpu_seconds_by_tokens"
+	seriesStreamDirect = "stream_direct_cpu_seconds_by_tokens"
 )
 
 // The streams' sizes: each point runs some streams at the same time.
 const (
-	streamsAtOnce = 40
-	bytesPerToken = 4
+	concurrentStreams = 40
+	bytesPerToken     = 4
 )
 
-// streamTokens are the lengths that are measured.
-var streamTokens = []int{100, 400, 1200}
+// streamLengths are the lengths that are measured.
+var streamLengths = []int{100, 400, 1200}
 
 // measureStreams measures the processor time of a streamed answer against its
 // length, once through a whole daemon and once straight from the stand-in. All
 // ends run in this process, so the difference of the slopes is the entry's
 // own cost of a token plus that of the caller's parsing of events, and the
 // first series is an upper bound.
-func measureStreams(ctx context.Context, m *Measured) error {
-	through, err := throughDaemon(ctx, m)
+func measureStreams(ctx context.Context, m *Measurements) error {
+	through, err := streamThroughDaemon(ctx, m)
 	if err != nil {
 		return errors.Wrap(err, "through the daemon")
 	}
-	direct, err := straight(ctx)
+	direct, err := streamDirect(ctx)
 	if err != nil {
 		return errors.Wrap(err, "straight")
 	}
-	m.Add(NewSeries(seriesStreamThrough, "a streamed answer through daemon, stand-in and caller in one process", "tokens", "s", through))
+	m.Add(NewSeries(seriesStreamDaemon, "a streamed answer through daemon, stand-in and caller in one process", "tokens", "s", through))
 	m.Add(NewSeries(seriesStreamDirect, "the same from the stand-in through the engine adapter alone", "tokens", "s", direct))
 	return nil
 }
@@ -57,48 +57,48 @@
 // streamPoints runs one by itself first, to warm up, and then many at once
 // for each length.
 func streamPoints(run func(tokens int) error) ([]Point, error) {
-	if err := run(streamTokens[0]); err != nil {
+	if err := run(streamLengths[0]); err != nil {
 		return nil, err
 	}
 	var points []Point
-	for _, n := range streamTokens {
-		var failed error
-		cost := cpuPer(streamsAtOnce, func() {
+	for _, n := range streamLengths {
+		var runErr error
+		cost := cpuPerOp(concurrentStreams, func() {
 			p := pool.New().WithErrors()
-			for range streamsAtOnce {
+			for range concurrentStreams {
 				p.Go(func() error { return run(n) })
 			}
-			failed = p.Wait()
+			runErr = p.Wait()
 		})
-		if failed != nil {
-			return nil, failed
+		if runErr != nil {
+			return nil, runErr
 		}
 		points = append(points, Point{float64(n), cost})
 	}
 	return points, nil
 }
 
-// throughDaemon streams through a demonstration, and measures its heap.
-func throughDaemon(ctx context.Context, m *Measured) ([]Point, error) {
+// streamThroughDaemon streams through a demonstration, and measures its heap.
+func streamThroughDaemon(ctx context.Context, m *Measurements) ([]Point, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ready, ended := make(chan demo.Info, 1), make(chan error, 1)
+	ready, done := make(chan demo.Info, 1), make(chan error, 1)
 	go func() {
-		ended <- demo.Run(ctx, demo.Options{Listen: "127.0.0.1:0", Admin: "127.0.0.1:0"}, func(i demo.Info) { ready <- i })
+		done <- demo.Run(ctx, demo.Options{Listen: "127.0.0.1:0", Admin: "127.0.0.1:0"}, func(i demo.Info) { ready <- i })
 	}()
 	var info demo.Info
 	select {
 	case info = <-ready:
-	case err := <-ended:
+	case err := <-done:
 		return nil, err
 	}
-	client := &fasthttp.Client{StreamResponseBody: true, MaxConnsPerHost: streamsAtOnce * 2}
+	client := &fasthttp.Client{StreamResponseBody: true, MaxConnsPerHost: concurrentStreams * 2}
 	points, err := streamPoints(func(tokens int) error { return streamOnce(client, info, tokens) })
 	if err == nil {
-		err = streamHeap(ctx, m, info)
+		err = measureStreamHeap(ctx, m, info)
 	}
 	cancel()
-	<-ended
+	<-done
 	return points, err
 }
 
@@ -137,32 +137,32 @@
 	return string(bytes.Repeat([]byte("a"), tokens*bytesPerToken))
 }
 
-// straight streams from a stand-in through the engine adapter.
-func straight(ctx context.Context) ([]Point, error) {
+// streamDirect streams from a stand-in through the engine adapter.
+func streamDirect(ctx context.Context) ([]Point, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- standin.Serve(ctx, ln, standin.Options{}) }()
+	done := make(chan error, 1)
+	go func() { done <- standin.Serve(ctx, ln, standin.Options{}) }()
 	e := httpengine.New(ln.Addr().String(), httpconn.Settings{})
-	next := make(chan int, 1)
-	next <- 0
+	nextID := make(chan int, 1)
+	nextID <- 0
 	points, err := streamPoints(func(tokens int) error {
-		n := <-next
-		next <- n + 1
+		n := <-nextID
+		nextID <- n + 1
 		text := standin.PrefixEcho + echoText(tokens)
-		return drain(ctx, e, engine.Run{RequestID: fmt.Sprint("direct-", n), Prompt: text, LastMessage: text, PromptTokens: tokens, MaxTokens: 2 * tokens})
+		return readStream(ctx, e, engine.Run{RequestID: fmt.Sprint("direct-", n), Prompt: text, LastMessage: text, PromptTokens: tokens, MaxTokens: 2 * tokens})
 	})
 	cancel()
-	<-ended
+	<-done
 	return points, err
 }
 
-// drain runs a request and reads its whole answer.
-func drain(ctx context.Context, e engine.Engine, r engine.Run) error {
+// readStream runs a request and reads its whole answer.
+func readStream(ctx context.Context, e engine.Engine, r engine.Run) error {
 	s, err := e.Run(ctx, r)
 	if err != nil {
 		return err
--- a/internal/capacity/measure_wire.go
+++ b/internal/capacity/measure_wire.go
@@ -11,21 +11,21 @@
 // Names of the pool messages' series. Each is the payload of one message
 // that carries one event or command; the envelope is a series of its own.
 const (
-	seriesEnqueueBytes   = "enqueue_bytes_by_blocks"
-	seriesGrantBytes     = "grant_bytes"
-	seriesProgressBytes  = "progress_bytes"
-	seriesReleaseBytes   = "release_bytes"
-	seriesHeartbeatBytes = "session_heartbeat_bytes"
-	seriesAnswerBytes    = "session_answer_bytes"
-	seriesCodecSeconds   = "codec_seconds"
+	seriesEnqueueBytes        = "enqueue_bytes_by_blocks"
+	seriesGrantBytes          = "grant_bytes"
+	seriesProgressBytes       = "progress_bytes"
+	seriesReleaseBytes        = "release_bytes"
+	seriesHeartbeatBytes      = "session_heartbeat_bytes"
+	seriesHeartbeatReplyBytes = "session_answer_bytes"
+	seriesCodecSeconds        = "codec_seconds"
 )
 
-// wireRequest is an identifier as request.NewID makes them.
-var wireRequest = request.NewID()
+// wireRequestID is an identifier as request.NewID makes them.
+var wireRequestID = request.NewID()
 
-// wireGrant is a grant's identifier with an epoch drawn at random, as owners
+// wireGrantID is a grant's identifier with an epoch drawn at random, as owners
 // draw it.
-var wireGrant = pool.GrantID{Epoch: 1 << 62, Seq: 100_000}
+var wireGrantID = pool.GrantID{Epoch: 1 << 62, Seq: 100_000}
 
 // codecRounds is how many encodings and decodings are timed.
 const codecRounds = 20_000
@@ -48,11 +48,11 @@
 	})))
 }
 
-// enqueueOf returns an Enqueue as an entry sends it, with random-looking
+// enqueueWithBlocks returns an Enqueue as an entry sends it, with random-looking
 // hashes of n blocks.
-func enqueueOf(n int) pool.Enqueue {
+func enqueueWithBlocks(n int) pool.Enqueue {
 	e := rigRequest(n)
-	e.Request, e.Fingerprint = wireRequest, 1<<63|12345
+	e.Request, e.Fingerprint = wireRequestID, 1<<63|12345
 	e.Blocks = make([]uint64, n)
 	for i := range e.Blocks {
 		e.Blocks[i] = 0x9e3779b97f4a7c15 * uint64(i+1)
@@ -61,31 +61,31 @@
 }
 
 // measureWire measures the messages between entries and owners.
-func measureWire(m *Measured) {
+func measureWire(m *Measurements) {
 	var enqueue []Point
 	for _, blocks := range []int{0, 8, 24, 64, 128} {
-		enqueue = append(enqueue, Point{float64(blocks), eventBytes(enqueueOf(blocks))})
+		enqueue = append(enqueue, Point{float64(blocks), eventBytes(enqueueWithBlocks(blocks))})
 	}
 	m.Add(NewSeries(seriesEnqueueBytes, "payload with one Enqueue", "prompt blocks", "B", enqueue))
-	one := func(name, what string, bytes float64) {
+	addSingle := func(name, what string, bytes float64) {
 		m.Add(NewSeries(name, what, "messages", "B", []Point{{1, bytes}}))
 	}
-	one(seriesGrantBytes, "payload with one Grant",
-		commandBytes(nil, pool.Grant{Request: wireRequest, Grant: wireGrant, Server: "engine-kotte-hall-12"}))
-	one(seriesProgressBytes, "payload with one Progress", eventBytes(pool.Progress{
-		Request: wireRequest, Grant: wireGrant, Server: "engine-kotte-hall-12",
+	addSingle(seriesGrantBytes, "payload with one Grant",
+		commandBytes(nil, pool.Grant{Request: wireRequestID, Grant: wireGrantID, Server: "engine-kotte-hall-12"}))
+	addSingle(seriesProgressBytes, "payload with one Progress", eventBytes(pool.Progress{
+		Request: wireRequestID, Grant: wireGrantID, Server: "engine-kotte-hall-12",
 		FirstToken: 345678 * time.Microsecond, Tokens: 200, PerToken: 41234 * time.Microsecond,
 	}))
-	one(seriesReleaseBytes, "payload with one Release", eventBytes(pool.Release{
-		Request: wireRequest, Grant: wireGrant, Server: "engine-kotte-hall-12", FirstToken: 345678 * time.Microsecond,
+	addSingle(seriesReleaseBytes, "payload with one Release", eventBytes(pool.Release{
+		Request: wireRequestID, Grant: wireGrantID, Server: "engine-kotte-hall-12", FirstToken: 345678 * time.Microsecond,
 		Total: 11234567 * time.Microsecond, OutputTokens: 273, PromptTokens: rigPromptTokens, PrefillComputed: 700,
 	}))
-	one(seriesHeartbeatBytes, "payload of an entry's heartbeat in a session", eventBytes())
-	brief := poolwire.BriefOf(newPoolRig(manyServers, 100).pool.Summary(time.Unix(0, 0)))
-	one(seriesAnswerBytes, "payload of the owner's answer to a heartbeat, with the pool's brief", commandBytes(&brief))
-	batch := eventsBatch(enqueueOf(rigBlocks))
+	addSingle(seriesHeartbeatBytes, "payload of an entry's heartbeat in a session", eventBytes())
+	brief := poolwire.BriefOf(newPoolRig(maxRigServers, 100).pool.Summary(time.Unix(0, 0)))
+	addSingle(seriesHeartbeatReplyBytes, "payload of the owner's answer to a heartbeat, with the pool's brief", commandBytes(&brief))
+	batch := eventsBatch(enqueueWithBlocks(rigBlocks))
 	m.Add(NewSeries(seriesCodecSeconds, "encoding and decoding one Enqueue of 24 blocks", "messages", "s", []Point{{1,
-		cpuPer(codecRounds, func() {
+		cpuPerOp(codecRounds, func() {
 			for range codecRounds {
 				_, _ = poolwire.DecodeEvents(poolwire.EncodeEvents(batch))
 			}
--- a/internal/capacity/measured.go
+++ b/internal/capacity/measurements.go
@@ -22,15 +22,15 @@
 // Series is one measured cost over one size, with its fitted line.
 type Series struct {
 	Name string `json:"name"`
-	// What was run, in one sentence.
-	What   string  `json:"what"`
-	XUnit  string  `json:"x_unit"`
-	YUnit  string  `json:"y_unit"`
-	Points []Point `json:"points"`
+	// Description was run, in one sentence.
+	Description string  `json:"what"`
+	XUnit       string  `json:"x_unit"`
+	YUnit       string  `json:"y_unit"`
+	Points      []Point `json:"points"`
 	// Slope and Base are the least-squares line y = Base + Slope·x. With a
 	// single point Slope is zero and Base the value.
-	Slope float64 `json:"slope"`
-	Base  float64 `json:"base"`
+	Slope     float64 `json:"slope"`
+	Intercept float64 `json:"base"`
 }
 
 // Machine says where a file was measured, as far as it matters.
@@ -40,22 +40,22 @@
 	Date  string `json:"date"`
 }
 
-// Measured is one run's results.
-type Measured struct {
+// Measurements is one run's results.
+type Measurements struct {
 	Machine Machine           `json:"machine"`
 	Series  map[string]Series `json:"series"`
 }
 
 // NewSeries fits the points, which it sorts by x.
-func NewSeries(name, what, xUnit, yUnit string, points []Point) Series {
-	s := Series{Name: name, What: what, XUnit: xUnit, YUnit: yUnit, Points: points}
+func NewSeries(name, description, xUnit, yUnit string, points []Point) Series {
+	s := Series{Name: name, Description: description, XUnit: xUnit, YUnit: yUnit, Points: points}
 	sort.Slice(s.Points, func(i, j int) bool { return s.Points[i].X < s.Points[j].X })
-	s.Base, s.Slope = fit(s.Points)
+	s.Intercept, s.Slope = fit(s.Points)
 	return s
 }
 
 // fit returns the least-squares line through the points.
-func fit(points []Point) (base, slope float64) {
+func fit(points []Point) (intercept, slope float64) {
 	switch len(points) {
 	case 0:
 		return 0, 0
@@ -93,7 +93,7 @@
 }
 
 // Add puts a series into the results.
-func (m *Measured) Add(s Series) {
+func (m *Measurements) Add(s Series) {
 	if m.Series == nil {
 		m.Series = map[string]Series{}
 	}
@@ -101,7 +101,7 @@
 }
 
 // Get returns a series, or an error that names the missing one.
-func (m *Measured) Get(name string) (Series, error) {
+func (m *Measurements) Get(name string) (Series, error) {
 	s, ok := m.Series[name]
 	if !ok {
 		return Series{}, errors.Errorf("series %q was not measured", name)
@@ -110,12 +110,12 @@
 }
 
 // ReadFile reads a measured file.
-func ReadFile(path string) (*Measured, error) {
+func ReadFile(path string) (*Measurements, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "measured file")
 	}
-	var m Measured
+	var m Measurements
 	if err := json.Unmarshal(data, &m); err != nil {
 		return nil, errors.Wrapf(err, "measured file %s", path)
 	}
@@ -123,7 +123,7 @@
 }
 
 // WriteFile writes a measured file.
-func (m *Measured) WriteFile(path string) error {
+func (m *Measurements) WriteFile(path string) error {
 	data, err := json.MarshalIndent(m, "", "  ")
 	if err != nil {
 		return errors.Wrap(err, "measured file")
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -23,8 +23,8 @@
 	RoleController Role = "controller"
 )
 
-// Item is one cost of one node in a role.
-type Item struct {
+// NodeCost is one cost of one node in a role.
+type NodeCost struct {
 	Role Role
 	Name string
 	// Control is true for what a node spends whatever its callers ask; the
@@ -46,17 +46,17 @@
 // model works a size out from measured slopes. A series that was not
 // measured is remembered as the first error.
 type model struct {
-	m    *Measured
-	size Size
-	// fixedHeartbeat computes with the interval that sessions had at first,
+	measurements *Measurements
+	size         Size
+	// fixedHeartbeatInterval computes with the interval that sessions had at first,
 	// whatever their number, to show what the present one saves.
-	fixedHeartbeat bool
-	err            error
+	fixedHeartbeatInterval bool
+	err                    error
 }
 
-// at returns a series' value.
-func (c *model) at(name string, x float64) float64 {
-	s, err := c.m.Get(name)
+// cost returns a series' value.
+func (c *model) cost(name string, x float64) float64 {
+	s, err := c.measurements.Get(name)
 	if err != nil && c.err == nil {
 		c.err = err
 	}
@@ -65,86 +65,86 @@
 
 // slope returns a series' slope.
 func (c *model) slope(name string) float64 {
-	s, err := c.m.Get(name)
+	s, err := c.measurements.Get(name)
 	if err != nil && c.err == nil {
 		c.err = err
 	}
 	return s.Slope
 }
 
-// wire returns what a message of a payload costs on the wire.
-func (c *model) wire(payload float64) float64 { return c.at(seriesWireBytes, payload) }
+// wireBytes returns what a message of a payload costs on the wire.
+func (c *model) wireBytes(payload float64) float64 { return c.cost(seriesWireBytes, payload) }
 
 // messageCPU is one side's part of a message's processor time.
-func (c *model) messageCPU(payload float64) float64 { return c.at(seriesWireCPU, payload) / 2 }
-
-// Load is what the two kinds of nodes have to carry.
-type Load struct {
-	pools        float64 // owned
-	servers      float64 // in all of them together
-	poolRequests float64 // a second, in all of them together
-	poolWaiting  float64 // in the busiest
-	controls     bool    // holds the placement lease
-	watches      bool
+func (c *model) messageCPU(payload float64) float64 { return c.cost(seriesWireCPU, payload) / 2 }
+
+// NodeLoad is what the two kinds of nodes have to carry.
+type NodeLoad struct {
+	pools               float64 // owned
+	servers             float64 // in all of them together
+	poolRequests        float64 // a second, in all of them together
+	poolWaiting         float64 // in the busiest
+	holdsPlacementLease bool    // holds the placement lease
+	watchesObjectAPI    bool
 }
 
-// meanNode has the mean of everything.
-func (c *model) meanNode() Load {
+// meanNodeLoad has the mean of everything.
+func (c *model) meanNodeLoad() NodeLoad {
 	s := c.size
-	return Load{
+	return NodeLoad{
 		pools: s.PoolsPerRegion() / s.NodesPerRegion(), servers: s.ServersPerRegion() / s.NodesPerRegion(),
 		poolRequests: s.NodeRequests(),
 	}
 }
 
-// worstNode owns as many pools as rendezvous hashing gives to the fullest,
+// worstNodeLoad owns as many pools as rendezvous hashing gives to the fullest,
 // the busiest pool among them with a burst waiting, watches the object API and
 // holds the placement lease.
-func (c *model) worstNode() Load {
+func (c *model) worstNodeLoad() NodeLoad {
 	s := c.size
-	pools := s.WorstPoolsOnNode()
+	pools := s.MaxPoolsPerNode()
 	others := max(s.PoolsPerRegion()-1, 1)
 	requests := (s.RegionRequests() - s.HotPoolRequests()) / others
 	servers := (s.ServersPerRegion() - s.HotPoolServers()) / others
-	return Load{
+	return NodeLoad{
 		pools: pools, servers: s.HotPoolServers() + (pools-1)*servers, poolRequests: s.HotPoolRequests() + (pools-1)*requests,
-		poolWaiting: s.WaitingAtPeak, controls: true, watches: true,
+		poolWaiting: s.WaitingAtPeak, holdsPlacementLease: true, watchesObjectAPI: true,
 	}
 }
 
-// items returns every cost of a node.
-func (c *model) items(l Load) []Item {
-	items := []Item{c.membership(), c.heartbeats(l), c.configuration(), c.snapshot()}
+// nodeCosts returns every cost of a node.
+func (c *model) nodeCosts(l NodeLoad) []NodeCost {
+	items := []NodeCost{c.membership(), c.heartbeats(l), c.configuration(), c.snapshot()}
 	items = append(items, c.entrySessions(), c.entryRequests(), c.streams())
 	items = append(items, c.ownerSessions(l), c.briefs(l), c.probes(l), c.ticks(l), c.ownerRequests(l))
-	if l.watches {
+	if l.watchesObjectAPI {
 		items = append(items, c.watch())
 	}
-	if l.controls {
+	if l.holdsPlacementLease {
 		items = append(items, c.placement())
 	}
 	return items
 }
 
-func (c *model) membership() Item {
+func (c *model) membership() NodeCost {
 	n := c.size.Nodes
-	messages := c.at(seriesMemberMessages, n) / 2 // sent; the series has both ways
-	payload := c.at(seriesMemberWorst, n) / 2
-	return Item{
+	messages := c.cost(seriesMemberMessages, n) / 2 // sent; the series has both ways
+	payload := c.cost(seriesMemberMaxBytes, n) / 2
+	return NodeCost{
 		Role: RoleMember, Name: "probes and gossip", Control: true, Mechanism: "fixed probe rate in rings, bounded piggyback",
-		Messages: messages, Bytes: payload + messages*(c.wire(0)),
-		CPU: c.at(seriesMemberCPU, n) + 2*messages*c.messageCPU(0), Memory: c.at(seriesMemberHeap, n),
+		Messages: messages, Bytes: payload + messages*(c.wireBytes(0)),
+		CPU: c.cost(seriesMemberCPU, n) + 2*messages*c.messageCPU(0), Memory: c.cost(seriesMemberHeap, n),
 	}
 }
 
-// assumedRing is how many connections membership keeps beside those of
+// assumedProbeConnections is how many connections membership keeps beside those of
 // requests: as many as a member had in docs/design/membership.md's run of 60
 // members over TCP (21.2), rounded. This package does not measure it.
-const assumedRing = 21.0
+const assumedProbeConnections = 21.0
 
 // connections is how many daemons a node has a connection with: the owners
 // that its entry uses, the entries that use its pools, and its probe ring.
-func (c *model) connections(l Load) float64 {
+func (c *model) connections(l NodeLoad) float64 {
 	peers := c.size.NodesPerRegion() - 1
 	owners := min(c.size.PoolsPerRegion(), peers)
 	served := 0.0
@@ -153,36 +153,36 @@
 	} else {
 		served = peers * l.pools
 	}
-	return min(owners+served+assumedRing, peers+assumedRing)
+	return min(owners+served+assumedProbeConnections, peers+assumedProbeConnections)
 }
 
-func (c *model) heartbeats(l Load) Item {
+func (c *model) heartbeats(l NodeLoad) NodeCost {
 	const pings = peer.DefaultPingsPerSecond // and as many answers
-	return Item{
+	return NodeCost{
 		Role: RoleMember, Name: "connections and their heartbeats", Control: true, Mechanism: "one rate limit over all connections",
-		Messages: 2 * pings, Bytes: 2 * pings * c.wire(0), CPU: 4 * pings * c.messageCPU(0),
-		Memory: c.at(seriesPeerHeap, c.connections(l)),
+		Messages: 2 * pings, Bytes: 2 * pings * c.wireBytes(0), CPU: 4 * pings * c.messageCPU(0),
+		Memory: c.cost(seriesPeerHeap, c.connections(l)),
 	}
 }
 
-func (c *model) configuration() Item {
+func (c *model) configuration() NodeCost {
 	s := c.size
 	rate := s.ChangesPerSec()
-	messages := c.at(seriesChangeMessages, s.Nodes)
-	bytes := c.at(seriesChangeBytes, s.Nodes) + messages*c.wire(0) + s.ConfigBytes
-	return Item{
+	messages := c.cost(seriesChangeMessages, s.Nodes)
+	bytes := c.cost(seriesChangeBytes, s.Nodes) + messages*c.wireBytes(0) + s.ConfigBytes
+	return NodeCost{
 		Role: RoleMember, Name: "configuration changes", Control: true, Mechanism: "pushes to four members, digests, pulls of what differs",
-		Messages: rate*messages + 1, Bytes: rate*bytes + c.at(seriesConfigIdleBytes, s.Nodes),
-		CPU: rate*(c.at(seriesApplySeconds, s.Workspaces)+2*messages*c.messageCPU(0)) + 2*c.messageCPU(0),
+		Messages: rate*messages + 1, Bytes: rate*bytes + c.cost(seriesConfigIdleBytes, s.Nodes),
+		CPU: rate*(c.cost(seriesCompileSeconds, s.Workspaces)+2*messages*c.messageCPU(0)) + 2*c.messageCPU(0),
 	}
 }
 
-func (c *model) snapshot() Item {
+func (c *model) snapshot() NodeCost {
 	w := c.size.Workspaces
 	values := (w + c.size.Servers) * c.size.ConfigBytes // values as large as assumed, on top of the measured small ones
-	return Item{
+	return NodeCost{
 		Role: RoleMember, Name: "snapshot and records", Control: true, Mechanism: "resolutions shared between workspaces",
-		Memory: c.at(seriesSnapshotHeap, w) + c.at(seriesRecordsHeap, w) + values,
+		Memory: c.cost(seriesSnapshotHeap, w) + c.cost(seriesRecordsHeap, w) + values,
 	}
 }
 
@@ -193,122 +193,122 @@
 		return 0
 	}
 	interval := poolhost.HeartbeatInterval(int(math.Ceil(sessions)))
-	if c.fixedHeartbeat {
+	if c.fixedHeartbeatInterval {
 		interval = poolhost.MinHeartbeatInterval
 	}
 	return sessions / interval.Seconds()
 }
 
-func (c *model) entrySessions() Item {
+func (c *model) entrySessions() NodeCost {
 	rate := c.sessionRate(c.size.PoolsPerRegion())
-	payload := c.at(seriesHeartbeatBytes, 1)
-	return Item{
+	payload := c.cost(seriesHeartbeatBytes, 1)
+	return NodeCost{
 		Role: RoleEntry, Name: "sessions with every owner of the region", Control: true, Mechanism: "heartbeats whose interval grows with the sessions; idle ones are closed",
-		Messages: rate, Bytes: rate * c.wire(payload), CPU: 2 * rate * c.messageCPU(payload),
+		Messages: rate, Bytes: rate * c.wireBytes(payload), CPU: 2 * rate * c.messageCPU(payload),
 	}
 }
 
-func (c *model) ownerSessions(l Load) Item {
+func (c *model) ownerSessions(l NodeLoad) NodeCost {
 	rate := l.pools * c.sessionRate(c.size.NodesPerRegion()-1)
-	payload := c.at(seriesAnswerBytes, 1)
-	return Item{
+	payload := c.cost(seriesHeartbeatReplyBytes, 1)
+	return NodeCost{
 		Role: RoleOwner, Name: "sessions with every entry of the region", Control: true, Mechanism: "heartbeats whose interval grows with the sessions; idle ones are closed",
-		Messages: rate, Bytes: rate * c.wire(payload), CPU: 2 * rate * c.messageCPU(payload),
+		Messages: rate, Bytes: rate * c.wireBytes(payload), CPU: 2 * rate * c.messageCPU(payload),
 	}
 }
 
 // progressMessages is how many Progress events a request sends.
 func (c *model) progressMessages() float64 {
-	return float64(entry.ProgressReports(time.Duration(c.runSeconds() * float64(time.Second))))
+	return float64(entry.ProgressReports(time.Duration(c.streamSeconds() * float64(time.Second))))
 }
 
-// runSeconds is how long a request streams at the target pace.
-func (c *model) runSeconds() float64 { return c.size.TokensPerRequest() * targetPerToken.Seconds() }
+// streamSeconds is how long a request streams at the target pace.
+func (c *model) streamSeconds() float64 { return c.size.TokensPerRequest() * targetPerToken.Seconds() }
 
 // targetPerToken is the users' bound between two tokens.
 const targetPerToken = 62 * time.Millisecond
 
-func (c *model) entryRequests() Item {
+func (c *model) entryRequests() NodeCost {
 	s := c.size
 	rate := s.NodeRequests()
-	enqueue := c.at(seriesEnqueueBytes, s.PromptTokens/promptBlock)
-	progress := c.at(seriesProgressBytes, 1)
-	release := c.at(seriesReleaseBytes, 1)
+	enqueue := c.cost(seriesEnqueueBytes, s.PromptTokens/promptBlockTokens)
+	progress := c.cost(seriesProgressBytes, 1)
+	release := c.cost(seriesReleaseBytes, 1)
 	messages := 2 + c.progressMessages()
-	bytes := c.wire(enqueue) + c.wire(release) + c.progressMessages()*c.wire(progress)
-	return Item{
+	bytes := c.wireBytes(enqueue) + c.wireBytes(release) + c.progressMessages()*c.wireBytes(progress)
+	return NodeCost{
 		Role: RoleEntry, Name: "requests' messages to owners", Mechanism: "batches; Progress at times that double, not per token",
-		Messages: rate * messages, Bytes: rate * bytes, CPU: rate * ((messages+1)*c.messageCPU(progress) + c.at(seriesCodecSeconds, 1)),
+		Messages: rate * messages, Bytes: rate * bytes, CPU: rate * ((messages+1)*c.messageCPU(progress) + c.cost(seriesCodecSeconds, 1)),
 	}
 }
 
-// promptBlock is the tokens in one block of a prompt's hashes.
-const promptBlock = 64
+// promptBlockTokens is the tokens in one block of a prompt's hashes.
+const promptBlockTokens = 64
 
-func (c *model) streams() Item {
+func (c *model) streams() NodeCost {
 	s := c.size
 	tokens := s.TokensPerSec / s.Nodes
-	perToken := c.slope(seriesStreamThrough) - c.slope(seriesStreamDirect)
-	return Item{
+	perToken := c.slope(seriesStreamDaemon) - c.slope(seriesStreamDirect)
+	return NodeCost{
 		Role: RoleEntry, Name: "streams", Mechanism: "one goroutine a stream, no buffering of answers",
-		Messages: tokens, CPU: tokens * perToken, Memory: s.NodeRequests() * c.runSeconds() * c.at(seriesStreamHeap, 1),
+		Messages: tokens, CPU: tokens * perToken, Memory: s.NodeRequests() * c.streamSeconds() * c.cost(seriesStreamHeap, 1),
 	}
 }
 
-func (c *model) ownerRequests(l Load) Item {
-	progress := c.at(seriesProgressBytes, 1)
-	grant := c.at(seriesGrantBytes, 1)
+func (c *model) ownerRequests(l NodeLoad) NodeCost {
+	progress := c.cost(seriesProgressBytes, 1)
+	grant := c.cost(seriesGrantBytes, 1)
 	in := 2 + c.progressMessages()
-	return Item{
+	return NodeCost{
 		Role: RoleOwner, Name: "requests' messages and decisions", Mechanism: "one queue a pool; at most 32 servers a pool",
-		Messages: l.poolRequests, Bytes: l.poolRequests * c.wire(grant),
-		CPU: l.poolRequests * (c.at(seriesDecisionServers, l.servers/l.pools) + (in+1)*c.messageCPU(progress) + c.at(seriesCodecSeconds, 1)),
-		Memory: l.pools*c.at(seriesServerHeap, l.servers/l.pools) +
-			l.poolWaiting*c.slope(seriesWaitingHeap) + l.servers*blocksOfAServer*c.slope(seriesPrefixHeap),
+		Messages: l.poolRequests, Bytes: l.poolRequests * c.wireBytes(grant),
+		CPU: l.poolRequests * (c.cost(seriesDecisionServers, l.servers/l.pools) + (in+1)*c.messageCPU(progress) + c.cost(seriesCodecSeconds, 1)),
+		Memory: l.pools*c.cost(seriesServerHeap, l.servers/l.pools) +
+			l.poolWaiting*c.slope(seriesWaitingHeap) + l.servers*cachedBlocksPerServer*c.slope(seriesPrefixHeap),
 	}
 }
 
-// blocksOfAServer is how many cached blocks a pool's owner knows of a server:
+// cachedBlocksPerServer is how many cached blocks a pool's owner knows of a server:
 // the engine stand-in's cache, 1,024 blocks of 64 tokens.
-const blocksOfAServer = 1024
+const cachedBlocksPerServer = 1024
 
-func (c *model) probes(l Load) Item {
+func (c *model) probes(l NodeLoad) NodeCost {
 	rate := l.servers / poolhost.ProbeInterval.Seconds()
-	return Item{
+	return NodeCost{
 		Role: RoleOwner, Name: "probes of backend servers", Control: true, Mechanism: "one owner a pool asks, not every entry",
-		Messages: rate, Bytes: rate * c.at(seriesProbeBytes, 1), CPU: rate * c.at(seriesProbeCPU, 1),
+		Messages: rate, Bytes: rate * c.cost(seriesProbeBytes, 1), CPU: rate * c.cost(seriesProbeCPU, 1),
 	}
 }
 
 // briefs are what owners tell each other of pools of the same model. Only the
 // busiest model has more than one pool in a region.
-func (c *model) briefs(l Load) Item {
+func (c *model) briefs(l NodeLoad) NodeCost {
 	siblings := c.size.HotPools() - 1
 	owned := c.size.HotPools() / c.size.NodesPerRegion()
 	if l.poolWaiting > 0 {
 		owned = 1
 	}
 	rate := owned * siblings / poolhost.SummaryInterval.Seconds()
-	payload := c.at(seriesAnswerBytes, 1)
-	return Item{
+	payload := c.cost(seriesHeartbeatReplyBytes, 1)
+	return NodeCost{
 		Role: RoleOwner, Name: "briefs to pools of the same model", Control: true, Mechanism: "twice a second where something changed",
-		Messages: rate, Bytes: rate * c.wire(payload), CPU: 2 * rate * c.messageCPU(payload),
+		Messages: rate, Bytes: rate * c.wireBytes(payload), CPU: 2 * rate * c.messageCPU(payload),
 	}
 }
 
-func (c *model) ticks(l Load) Item {
+func (c *model) ticks(l NodeLoad) NodeCost {
 	rate := l.pools / poolhost.TickInterval.Seconds()
-	return Item{
+	return NodeCost{
 		Role: RoleOwner, Name: "ticks of idle pools", Control: true, Mechanism: "a tick looks at servers and expired requests only",
-		CPU: rate * c.at(seriesTickSeconds, 100),
+		CPU: rate * c.cost(seriesTickSeconds, 100),
 	}
 }
 
-func (c *model) watch() Item {
+func (c *model) watch() NodeCost {
 	s := c.size
-	calls := c.at(seriesConfigStoreCalls, s.Nodes)
+	calls := c.cost(seriesConfigStoreCalls, s.Nodes)
 	watchers := 2 * s.Regions
-	return Item{
+	return NodeCost{
 		Role: RoleWatcher, Name: "watch of the object API", Control: true, Mechanism: "two watchers a region, long polls",
 		Messages: calls/watchers + s.ChangesPerSec(), Bytes: (calls/watchers + s.ChangesPerSec()) * assumedWatchBytes,
 		CPU: (calls/watchers + s.ChangesPerSec()) * 2 * c.messageCPU(s.ConfigBytes),
@@ -319,19 +319,19 @@
 // not measured.
 const assumedWatchBytes = 250
 
-func (c *model) placement() Item {
+func (c *model) placement() NodeCost {
 	s := c.size
 	rate := 1 / placement.RoundInterval(placement.DefaultInterval, int(s.ServersPerRegion())).Seconds()
 	probes := s.ServersPerRegion() * rate
-	return Item{
+	return NodeCost{
 		Role: RoleController, Name: "plan and look at servers", Control: true, Mechanism: "one controller a region, by lease; the interval grows with its servers",
-		Messages: probes + c.slope(seriesLeaseCalls), Bytes: probes * c.at(seriesProbeBytes, 1),
-		CPU: rate*c.at(seriesPlanSeconds, s.ServersPerRegion()) + probes*c.at(seriesProbeCPU, 1),
+		Messages: probes + c.slope(seriesLeaseCalls), Bytes: probes * c.cost(seriesProbeBytes, 1),
+		CPU: rate*c.cost(seriesPlanSeconds, s.ServersPerRegion()) + probes*c.cost(seriesProbeCPU, 1),
 	}
 }
 
-// owning is the share of nodes that own a pool at all.
-func (c *model) owning() float64 {
+// ownerShare is the share of nodes that own a pool at all.
+func (c *model) ownerShare() float64 {
 	return 1 - math.Exp(-c.size.PoolsPerRegion()/c.size.NodesPerRegion())
 }
 
@@ -351,8 +351,8 @@
 		{Name: "leases", Mechanism: "renewals by the holder", Writes: leases * c.slope(seriesLeaseCalls)},
 		{Name: "waiting candidates", Mechanism: "each candidate looks once a lease's duration",
 			Reads: s.Nodes * leases / s.Regions / daemon.LeaseDuration.Seconds()},
-		{Name: "VM lists", Mechanism: "members that own pools look every 1.5 s", Reads: s.Nodes * c.owning() / daemon.VMListInterval.Seconds()},
-		{Name: "watches", Mechanism: "two watchers a region", Reads: c.at(seriesConfigStoreCalls, s.Nodes)},
-		{Name: "configuration changes", Mechanism: "conditional writes by operators", Writes: s.ChangesPerSec(), Reads: s.ChangesPerSec() * c.at(seriesChangeCalls, 1)},
+		{Name: "VM lists", Mechanism: "members that own pools look every 1.5 s", Reads: s.Nodes * c.ownerShare() / daemon.VMListInterval.Seconds()},
+		{Name: "watches", Mechanism: "two watchers a region", Reads: c.cost(seriesConfigStoreCalls, s.Nodes)},
+		{Name: "configuration changes", Mechanism: "conditional writes by operators", Writes: s.ChangesPerSec(), Reads: s.ChangesPerSec() * c.cost(seriesChangeCalls, 1)},
 	}
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -9,13 +9,13 @@
 
 // The committed page and the measured file that it cites.
 const (
-	pageFile     = "../../docs/CAPACITY.md"
-	measuredFile = "../../docs/measurements/capacity.json"
+	pageFile         = "../../docs/CAPACITY.md"
+	measurementsFile = "../../docs/measurements/capacity.json"
 )
 
-func TestThePageAgreesWithTheMeasuredFile(t *testing.T) {
+func TestPageMatchesMeasurements(t *testing.T) {
 	Convey("every table follows from the file by the model", t, func() {
-		m, err := ReadFile(measuredFile)
+		m, err := ReadFile(measurementsFile)
 		So(err, ShouldBeNil)
 		page, err := os.ReadFile(pageFile)
 		So(err, ShouldBeNil)
@@ -24,7 +24,7 @@
 		So(rendered, ShouldEqual, string(page))
 	})
 	Convey("a changed figure shows", t, func() {
-		m, err := ReadFile(measuredFile)
+		m, err := ReadFile(measurementsFile)
 		So(err, ShouldBeNil)
 		page, err := os.ReadFile(pageFile)
 		So(err, ShouldBeNil)
@@ -35,10 +35,10 @@
 		So(rendered, ShouldNotEqual, string(page))
 	})
 	Convey("the fitted lines follow from their points", t, func() {
-		m, err := ReadFile(measuredFile)
+		m, err := ReadFile(measurementsFile)
 		So(err, ShouldBeNil)
 		for name, s := range m.Series {
-			again := NewSeries(name, s.What, s.XUnit, s.YUnit, s.Points)
+			again := NewSeries(name, s.Description, s.XUnit, s.YUnit, s.Points)
 			So(again.Slope, ShouldAlmostEqual, s.Slope, 1e-9+1e-6*s.Slope*s.Slope)
 		}
 	})
@@ -54,8 +54,8 @@
 	})
 	Convey("the fullest node has more pools than the mean", t, func() {
 		for _, size := range Sizes() {
-			So(size.WorstPoolsOnNode(), ShouldBeGreaterThanOrEqualTo, size.PoolsPerRegion()/size.NodesPerRegion())
-			So(size.WorstPoolsOnNode(), ShouldBeLessThanOrEqualTo, size.PoolsPerRegion())
+			So(size.MaxPoolsPerNode(), ShouldBeGreaterThanOrEqualTo, size.PoolsPerRegion()/size.NodesPerRegion())
+			So(size.MaxPoolsPerNode(), ShouldBeLessThanOrEqualTo, size.PoolsPerRegion())
 			So(size.HotPoolServers(), ShouldBeLessThanOrEqualTo, maxPoolServers)
 		}
 	})
--- a/internal/capacity/run.go
+++ b/internal/capacity/run.go
@@ -10,21 +10,21 @@
 	"github.com/pkg/errors"
 )
 
-// step measures one group of series.
-type step struct {
+// group measures one group of series.
+type group struct {
 	name string
-	run  func(context.Context, *Measured) error
+	run  func(context.Context, *Measurements) error
 }
 
-// steps in the order in which they run.
-func steps() []step {
-	return []step{
-		{"scheduler", func(_ context.Context, m *Measured) error { measurePool(m); return nil }},
-		{"prefixes", func(_ context.Context, m *Measured) error { measurePrefixes(m); return nil }},
+// groups in the order in which they run.
+func groups() []group {
+	return []group{
+		{"scheduler", func(_ context.Context, m *Measurements) error { measurePool(m); return nil }},
+		{"prefixes", func(_ context.Context, m *Measurements) error { measurePrefixes(m); return nil }},
 		{"owner", measureOwner},
-		{"messages", func(_ context.Context, m *Measured) error { measureWire(m); return nil }},
-		{"snapshots", func(_ context.Context, m *Measured) error { return measureSnapshots(m) }},
-		{"spread", measureSpread},
+		{"messages", func(_ context.Context, m *Measurements) error { measureWire(m); return nil }},
+		{"snapshots", func(_ context.Context, m *Measurements) error { return measureSnapshots(m) }},
+		{"spread", measurePropagation},
 		{"membership", measureMembers},
 		{"peers", measurePeers},
 		{"store", measureStore},
@@ -35,7 +35,7 @@
 // Groups names what Run can measure by itself.
 func Groups() []string {
 	var names []string
-	for _, s := range steps() {
+	for _, s := range groups() {
 		names = append(names, s.name)
 	}
 	return names
@@ -45,12 +45,12 @@
 // reports each group's time to progress. All of them take a few minutes and
 // are best run on a quiet machine: processor times leave out other processes,
 // but not the caches that they displace.
-func Run(ctx context.Context, progress io.Writer, m *Measured, only []string) error {
+func Run(ctx context.Context, progress io.Writer, m *Measurements, selected []string) error {
 	m.Machine = Machine{
 		Cores: runtime.NumCPU(), Go: runtime.Version(), Date: time.Now().UTC().Format(time.DateOnly),
 	}
-	for _, s := range steps() {
-		if len(only) > 0 && !slices.Contains(only, s.name) {
+	for _, s := range groups() {
+		if len(selected) > 0 && !slices.Contains(selected, s.name) {
 			continue
 		}
 		start := time.Now()
--- a/internal/capacity/size.go
+++ b/internal/capacity/size.go
@@ -36,7 +36,7 @@
 	assumedNonIdempotentShare = 0.05
 	assumedPromptTokens       = 1500
 	assumedConfigBytes        = 1500
-	assumedWaiting            = 2000
+	assumedWaitingAtPeak      = 2000
 )
 
 // Sizes returns today's two deployments and the target.
@@ -56,7 +56,7 @@
 	s.NonIdempotentShare = assumedNonIdempotentShare
 	s.PromptTokens = assumedPromptTokens
 	s.ConfigBytes = assumedConfigBytes
-	s.WaitingAtPeak = assumedWaiting
+	s.WaitingAtPeak = assumedWaitingAtPeak
 	return s
 }
 
@@ -104,11 +104,11 @@
 	return s.RegionRequests() * s.HotModelShare / math.Ceil(hot/maxPoolServers)
 }
 
-// WorstPoolsOnNode is how many pools the unluckiest node owns. Rendezvous
+// MaxPoolsPerNode is how many pools the unluckiest node owns. Rendezvous
 // hashing places pools like balls in bins at random; with M pools on N nodes
 // the fullest bin holds about the k at which N·P(Poisson(M/N) ≥ k) falls to
 // one in a hundred.
-func (s Size) WorstPoolsOnNode() float64 {
+func (s Size) MaxPoolsPerNode() float64 {
 	const rare = 0.01
 	lambda := s.PoolsPerRegion() / s.NodesPerRegion()
 	tail, term := 1.0, math.Exp(-lambda)
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -22,7 +22,7 @@
 	measure.Flag("only", "Measure only this group again and keep the rest of the file; may be repeated.").
 		EnumsVar(&only, capacity.Groups()...)
 	measure.Action(action(func() error {
-		m := &capacity.Measured{}
+		m := &capacity.Measurements{}
 		if len(only) > 0 {
 			var err error
 			if m, err = capacity.ReadFile(out); err != nil {
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -87,7 +87,7 @@
 
 // options checks the flags and returns the experiment's options.
 func (f *experimentFlags) options() (experiment.Options, error) {
-	o := experiment.Options{Seed: f.seed, Long: f.long, Sound: f.withoutFaults}
+	o := experiment.Options{Seed: f.seed, Long: f.long, WithoutFaults: f.withoutFaults}
 	file, data, err := readFileOrShipped(f.scenario, scenarios.Scenario)
 	if err != nil {
 		return o, withExit(ExitUsage, err)
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -66,10 +66,10 @@
 	if err := f.write(g, r.Mix, report, results); err != nil {
 		return err
 	}
-	if n := report.Endings[load.NotSent]; n > 0 && n == report.Sent {
+	if n := report.Outcomes[load.OutcomeNotSent]; n > 0 && n == report.Sent {
 		return withExit(ExitUnreachable, errors.Errorf("no connection to %s", f.targets))
 	}
-	if n := report.Faults(); n > 0 {
+	if n := report.InvalidOutcomes(); n > 0 {
 		return errors.Errorf("%d callers got a lost, cut, doubled, crossed or wrong answer", n)
 	}
 	return nil
--- a/internal/cli/rollouts.go
+++ b/internal/cli/rollouts.go
@@ -31,7 +31,7 @@
 	cmd.Flag("within", "Maximum duration of a rollout.").Default("12s").DurationVar(&f.duration)
 	cmd.Flag("share", "Maximum share of the requests that a bad version may get, from 0 to 1.").Default("0.1").Float64Var(&f.setting.Bounds.Share)
 	cmd.Flag("slack", "Number of requests that it may get beyond the share.").Default("50").Float64Var(&f.setting.Bounds.Slack)
-	cmd.Flag("stable-fails", "Share of the stable version's answers that fail, from 0 to 1.").Default("0.01").Float64Var(&f.setting.StableFails)
+	cmd.Flag("stable-fails", "Share of the stable version's answers that fail, from 0 to 1.").Default("0.01").Float64Var(&f.setting.StableFailureShare)
 	cmd.Flag("servers", "Number of servers of each version.").Default("20").IntVar(&f.setting.Servers)
 	cmd.Flag("played", "Number of rollouts simulated per case.").Default("500").IntVar(&f.runsPerCase)
 	cmd.Flag("seed", "The same seed gives the same rollouts.").Default("1").Uint64Var(&f.seed)
@@ -50,7 +50,7 @@
 		{f.duration <= 0, "--within must be above 0"},
 		{!(b.Share > 0 && b.Share <= 1), "--share must be above 0 and at most 1"},
 		{!(b.Slack >= 0), "--slack must not be negative"},
-		{!(f.setting.StableFails >= 0 && f.setting.StableFails < 1), "--stable-fails must be at least 0 and below 1"},
+		{!(f.setting.StableFailureShare >= 0 && f.setting.StableFailureShare < 1), "--stable-fails must be at least 0 and below 1"},
 		{f.setting.Servers < 1, "--servers must be at least 1"},
 		{f.runsPerCase < 1, "--played must be at least 1"},
 	} {
@@ -75,7 +75,7 @@
 			if err := g.ctx.Err(); err != nil {
 				return err
 			}
-			fmt.Fprintln(g.stdout, experiment.PlayRollouts(f.setting, c, f.runsPerCase, f.seed).Line())
+			fmt.Fprintln(g.stdout, experiment.SimulateRollouts(f.setting, c, f.runsPerCase, f.seed).Line())
 		}
 	}
 	return nil
--- a/internal/experiment/callers.go
+++ b/internal/experiment/callercheck.go
@@ -19,29 +19,29 @@
 	}
 	answered := map[string]bool{}
 	for i := range results {
-		for j := range results[i].Tries {
-			y := &results[i].Tries[j]
-			if y.Ending == load.Refused && y.NotRun == "true" && runs[request.ID(y.RequestID)] > 0 {
-				add(RuleNotRun, y.RequestID, y.Reason+" with not_run true")
+		for j := range results[i].Attempts {
+			attempt := &results[i].Attempts[j]
+			if attempt.Outcome == load.OutcomeRefused && attempt.NotRun == "true" && runs[request.ID(attempt.RequestID)] > 0 {
+				add(RuleNotRun, attempt.RequestID, attempt.Reason+" with not_run true")
 			}
-			if !final(y) {
-				add(RuleOneAnswer, y.RequestID, "ended as "+string(y.Ending))
+			if !isFinal(attempt) {
+				add(RuleOneAnswer, attempt.RequestID, "ended as "+string(attempt.Outcome))
 			}
-			if y.RequestID != "" && answered[y.RequestID] {
-				add(RuleOneAnswer, y.RequestID, "two callers got this id")
+			if attempt.RequestID != "" && answered[attempt.RequestID] {
+				add(RuleOneAnswer, attempt.RequestID, "two callers got this id")
 			}
-			answered[y.RequestID] = true
+			answered[attempt.RequestID] = true
 		}
 	}
 	return out
 }
 
-// final tells whether a try ended as it may: a whole answer, a typed refusal
+// isFinal tells whether a try ended as it may: a whole answer, a typed refusal
 // (within a stream too, where the engine was lost), or by its caller's leaving
 // or giving up.
-func final(y *load.Try) bool {
-	switch y.Ending {
-	case load.Whole, load.Refused, load.Failed, load.Left, load.TooLate:
+func isFinal(attempt *load.Attempt) bool {
+	switch attempt.Outcome {
+	case load.OutcomeComplete, load.OutcomeRefused, load.OutcomeFailed, load.OutcomeDisconnected, load.OutcomeTooLate:
 		return true
 	default:
 		return false
--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -7,35 +7,35 @@
 	standin "github.com/lycheekeel/lycheekeel/internal/standin/engine"
 )
 
-// Offered is what is offered against what the fleet can do: 1 is capacity.
+// OfferedLoad is what is offered against what the fleet can do: 1 is capacity.
 // It is worked out from the engines' options, for full batches:
 // a request takes an engine computed/prefill rate, plus for each token of its
 // answer the step's time divided by the batch. Mean is over the whole run,
 // Peak over the busiest second.
-type Offered struct {
+type OfferedLoad struct {
 	Mean float64 `json:"mean"`
 	Peak float64 `json:"peak"`
 }
 
-// Capacity holds the offered load of all requests and of each tier alone,
+// OfferedLoads holds the offered load of all requests and of each tier alone,
 // where no prefix is reused, and of all requests where all shared ones are.
-type Capacity struct {
-	All         Offered            `json:"all"`
-	PrefixFree  Offered            `json:"all_prefixes_cached"`
-	ByTier      map[string]Offered `json:"by_tier"`
-	TopTierPeak float64            `json:"top_tier_peak"`
+type OfferedLoads struct {
+	All            OfferedLoad            `json:"all"`
+	PrefixesCached OfferedLoad            `json:"all_prefixes_cached"`
+	ByTier         map[string]OfferedLoad `json:"by_tier"`
+	TopTierPeak    float64                `json:"top_tier_peak"`
 }
 
 // peakWindow is the time over which a peak is taken.
 const peakWindow = time.Second
 
-// offeredLoad works out a scenario's capacity figures for arrivals.
-func (s *Scenario) offeredLoad(arrivals []load.Arrival, duration time.Duration) Capacity {
-	all := newMeter(s, duration)
-	free := newMeter(s, duration)
-	tiers := map[string]*meter{}
+// offeredLoads works out a scenario's capacity figures for arrivals.
+func (s *Scenario) offeredLoads(arrivals []load.Arrival, duration time.Duration) OfferedLoads {
+	all := newLoadMeter(s, duration)
+	cached := newLoadMeter(s, duration)
+	tiers := map[string]*loadMeter{}
 	for name := range s.Mix.Tiers {
-		tiers[name] = newMeter(s, duration)
+		tiers[name] = newLoadMeter(s, duration)
 	}
 	for i := range arrivals {
 		a := &arrivals[i]
@@ -43,13 +43,13 @@
 		if a.Prefix >= 0 {
 			prefix = a.Class.Prefix.Tokens
 		}
-		all.add(a, a.Prompt())
-		free.add(a, a.Prompt()-prefix)
-		tiers[a.Class.Tier].add(a, a.Prompt())
+		all.add(a, a.SentPromptTokens())
+		cached.add(a, a.SentPromptTokens()-prefix)
+		tiers[a.Class.Tier].add(a, a.SentPromptTokens())
 	}
-	c := Capacity{All: all.offered(), PrefixFree: free.offered(), ByTier: map[string]Offered{}}
+	c := OfferedLoads{All: all.load(), PrefixesCached: cached.load(), ByTier: map[string]OfferedLoad{}}
 	for name, m := range tiers {
-		c.ByTier[name] = m.offered()
+		c.ByTier[name] = m.load()
 	}
 	if names := load.TiersByPriority(&s.Mix); len(names) > 0 {
 		c.TopTierPeak = c.ByTier[names[0]].Peak
@@ -57,20 +57,20 @@
 	return c
 }
 
-// meter sums work by second, as shares of the fleet's capacity.
-type meter struct {
+// loadMeter sums work by second, as shares of the fleet's capacity.
+type loadMeter struct {
 	scenario *Scenario
 	duration time.Duration
 	windows  []float64 // seconds of the whole fleet
 }
 
-func newMeter(s *Scenario, duration time.Duration) *meter {
-	return &meter{scenario: s, duration: duration, windows: make([]float64, int(duration/peakWindow)+1)}
+func newLoadMeter(s *Scenario, duration time.Duration) *loadMeter {
+	return &loadMeter{scenario: s, duration: duration, windows: make([]float64, int(duration/peakWindow)+1)}
 }
 
 // add adds a request: the time that the whole fleet takes for it is one over
 // the sum of the rates at which its engines could do such requests.
-func (m *meter) add(a *load.Arrival, prefill int) {
+func (m *loadMeter) add(a *load.Arrival, prefill int) {
 	rate := 0.0
 	for _, g := range m.scenario.Engines {
 		rate += float64(g.Count) / engineSeconds(g.Engine, prefill, a.OutputTokens)
@@ -78,8 +78,8 @@
 	m.windows[int(a.At/peakWindow)] += 1 / rate
 }
 
-func (m *meter) offered() Offered {
-	var o Offered
+func (m *loadMeter) load() OfferedLoad {
+	var o OfferedLoad
 	for _, w := range m.windows {
 		o.Mean += w
 		o.Peak = max(o.Peak, w/peakWindow.Seconds())
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -19,8 +19,8 @@
 	Seed     uint64
 	// Long takes the scenario's long duration.
 	Long bool
-	// Sound leaves the scenario's faults out, for a run to compare with.
-	Sound bool
+	// WithoutFaults leaves the scenario's faults out, for a run to compare with.
+	WithoutFaults bool
 	// Progress, where not nil, is called now and then while a policy runs.
 	Progress func(policy pool.Policy, p load.Progress)
 }
@@ -30,11 +30,11 @@
 	Scenario   string `json:"scenario"`
 	Seed       uint64 `json:"seed"`
 	DurationMs int64  `json:"duration_ms"`
-	// Sound tells that the scenario's faults were left out.
-	Sound    bool `json:"without_faults"`
-	Arrivals int  `json:"arrivals"`
+	// WithoutFaults tells that the scenario's faults were left out.
+	WithoutFaults bool `json:"without_faults"`
+	Arrivals      int  `json:"arrivals"`
 	// Offered is the offered load against the fleet's capacity.
-	Offered  Capacity                       `json:"offered_load"`
+	Offered  OfferedLoads                   `json:"offered_load"`
 	Policies map[pool.Policy]*PolicyOutcome `json:"policies"`
 	// Order is the order in which the policies ran, one after the other.
 	Order []pool.Policy `json:"order"`
@@ -64,9 +64,9 @@
 	results []load.Result
 }
 
-// patience is how long callers wait after their deadline: long enough that an
+// deadlineGrace is how long callers wait after their deadline: long enough that an
 // answer which is only slow is not taken for a lost one.
-const patience = 20 * time.Second
+const deadlineGrace = 20 * time.Second
 
 // maxExamples bounds the violations that are written out.
 const maxExamples = 20
@@ -77,8 +77,8 @@
 	s, duration := o.Scenario, o.Scenario.Duration(o.Long)
 	arrivals := load.Arrivals(&s.Mix, o.Seed, duration)
 	out := &Outcome{
-		Scenario: s.Name, Seed: o.Seed, DurationMs: duration.Milliseconds(), Arrivals: len(arrivals), Sound: o.Sound,
-		Offered: s.offeredLoad(arrivals, duration), Policies: map[pool.Policy]*PolicyOutcome{}, mix: &s.Mix,
+		Scenario: s.Name, Seed: o.Seed, DurationMs: duration.Milliseconds(), Arrivals: len(arrivals), WithoutFaults: o.WithoutFaults,
+		Offered: s.offeredLoads(arrivals, duration), Policies: map[pool.Policy]*PolicyOutcome{}, mix: &s.Mix,
 	}
 	for _, p := range o.Policies {
 		res, err := runPolicy(ctx, o, p, arrivals, duration)
@@ -95,35 +95,35 @@
 }
 
 func runPolicy(ctx context.Context, o Options, p pool.Policy, arrivals []load.Arrival, duration time.Duration) (*PolicyOutcome, error) {
-	y, err := startSystem(ctx, o.Scenario, p)
+	sys, err := startSystem(ctx, o.Scenario, p)
 	if err != nil {
 		return nil, err
 	}
-	defer y.stop()
-	run := &load.Run{Mix: &o.Scenario.Mix, Arrivals: arrivals, Targets: []string{y.address}, Keys: o.Scenario.keys(), Patience: patience}
+	defer sys.stop()
+	run := &load.Run{Mix: &o.Scenario.Mix, Arrivals: arrivals, Targets: []string{sys.address}, Keys: o.Scenario.keys(), DeadlineGrace: deadlineGrace}
 	if err := run.Check(); err != nil {
 		return nil, err
 	}
-	results, err := offer(ctx, o, p, y, run)
+	results, err := runLoad(ctx, o, p, sys, run)
 	if err != nil {
 		return nil, err
 	}
-	y.settle()
-	return judge(o, y, duration, results), nil
+	sys.waitIdle()
+	return evaluate(o, sys, duration, results), nil
 }
 
-// offer sends the arrivals while the scenario's faults come about.
-func offer(ctx context.Context, o Options, p pool.Policy, y *system, run *load.Run) ([]load.Result, error) {
+// runLoad sends the arrivals while the scenario's faults come about.
+func runLoad(ctx context.Context, o Options, p pool.Policy, sys *system, run *load.Run) ([]load.Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg conc.WaitGroup
 	var faultErr error
-	begin := time.Now()
-	if !o.Sound {
-		wg.Go(func() { faultErr = y.inject(ctx, begin) })
+	start := time.Now()
+	if !o.WithoutFaults {
+		wg.Go(func() { faultErr = sys.injectFaults(ctx, start) })
 	}
 	if o.Progress != nil {
-		wg.Go(func() { report(ctx, o, p, run) })
+		wg.Go(func() { reportProgress(ctx, o, p, run) })
 	}
 	results := run.Do(ctx)
 	cancel()
@@ -131,10 +131,10 @@
 	return results, faultErr
 }
 
-const progressEvery = 250 * time.Millisecond
+const progressInterval = 250 * time.Millisecond
 
-func report(ctx context.Context, o Options, p pool.Policy, run *load.Run) {
-	t := time.NewTicker(progressEvery)
+func reportProgress(ctx context.Context, o Options, p pool.Policy, run *load.Run) {
+	t := time.NewTicker(progressInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -146,12 +146,12 @@
 	}
 }
 
-// judge makes a policy's outcome from what callers got, the trace and the
+// evaluate makes a policy's outcome from what callers got, the trace and the
 // run logs.
-func judge(o Options, y *system, duration time.Duration, results []load.Result) *PolicyOutcome {
+func evaluate(o Options, sys *system, duration time.Duration, results []load.Result) *PolicyOutcome {
 	rep := load.Summarize(&o.Scenario.Mix, o.Seed, duration, results)
-	runs := y.runs()
-	whole, left := verdicts(results)
+	runs := sys.runs()
+	complete, disconnected := classifyRequests(results)
 	cacheBlocks := 0
 	for _, g := range o.Scenario.Engines {
 		cacheBlocks += g.Count * g.Engine.CacheBlocks
@@ -159,7 +159,7 @@
 	out := &PolicyOutcome{
 		Goodput: map[string]float64{}, TotalGoodput: rep.All.Goodput,
 		FirstTokenP95Ms: rep.All.FirstToken.P95, TpotP95Ms: rep.All.PerToken.P95, Refusals: rep.Refusals,
-		Prefill: countPrefill(runs, whole, left, cacheBlocks), Violations: map[Rule]int{}, Report: rep, results: results,
+		Prefill: countPrefill(runs, complete, disconnected, cacheBlocks), Violations: map[Rule]int{}, Report: rep, results: results,
 	}
 	out.WastedPrefillFraction = out.Prefill.WastedFraction
 	for _, t := range rep.Tiers {
@@ -169,7 +169,7 @@
 	for _, x := range runs {
 		counts[request.ID(x.RequestID)]++
 	}
-	for _, v := range append(CheckTrace(y.trace.Records(), true), CheckCallers(results, counts)...) {
+	for _, v := range append(CheckTrace(sys.trace.Records(), true), CheckCallers(results, counts)...) {
 		out.Violations[v.Rule]++
 		if len(out.Examples) < maxExamples {
 			out.Examples = append(out.Examples, v)
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -45,16 +45,16 @@
 		}
 	})
 	Convey("The top tier alone stays below capacity in the dawn burst, and overload is about twice capacity", t, func() {
-		So(offeredOf("dawn-burst").TopTierPeak, ShouldBeLessThan, 1)
-		So(offeredOf("overload").All.Mean, ShouldBeBetween, 1.8, 2.4)
+		So(scenarioLoads("dawn-burst").TopTierPeak, ShouldBeLessThan, 1)
+		So(scenarioLoads("overload").All.Mean, ShouldBeBetween, 1.8, 2.4)
 	})
 }
 
-func offeredOf(name string) Capacity {
+func scenarioLoads(name string) OfferedLoads {
 	data, _ := scenarios.Scenario(name)
 	s, err := Parse(name, data)
 	So(err, ShouldBeNil)
-	return s.offeredLoad(load.Arrivals(&s.Mix, 1, s.Duration(false)), s.Duration(false))
+	return s.offeredLoads(load.Arrivals(&s.Mix, 1, s.Duration(false)), s.Duration(false))
 }
 
 func TestScenarioFindings(t *testing.T) {
@@ -75,15 +75,17 @@
 	})
 }
 
-// trace makes records a millisecond apart.
-func trace(records ...Record) []Record {
+// spacedTrace makes records a millisecond apart.
+func spacedTrace(records ...TraceRecord) []TraceRecord {
 	for i := range records {
 		records[i].At = time.Unix(1000, 0).Add(time.Duration(i) * time.Millisecond)
 	}
 	return records
 }
 
-func rec(ev pool.Event, cmds ...pool.Command) Record { return Record{Event: ev, Commands: cmds} }
+func record(ev pool.Event, cmds ...pool.Command) TraceRecord {
+	return TraceRecord{Event: ev, Commands: cmds}
+}
 
 func enqueue(id request.ID, tier request.Tier) pool.Enqueue {
 	return pool.Enqueue{Request: id, Entry: "e", Workspace: "w", Tier: tier, DeadlineIn: 5 * time.Millisecond}
@@ -97,7 +99,7 @@
 	return pool.Shed{Request: id, Entry: "e", Reason: why}
 }
 
-func rulesOf(vs []Violation) map[Rule]int {
+func countByRule(vs []Violation) map[Rule]int {
 	out := map[Rule]int{}
 	for _, v := range vs {
 		out[v.Rule]++
@@ -106,80 +108,80 @@
 }
 
 func TestCheckTrace(t *testing.T) {
-	servers := rec(pool.ServerSet{Servers: []pool.ServerInfo{{Name: "s"}}})
-	release := rec(pool.Release{Request: "a", Entry: "e", Grant: pool.GrantID{Epoch: 1, Seq: 1}})
+	servers := record(pool.ServerSet{Servers: []pool.ServerInfo{{Name: "s"}}})
+	release := record(pool.Release{Request: "a", Entry: "e", Grant: pool.GrantID{Epoch: 1, Seq: 1}})
 	limited := enqueue("a", 1)
 	limited.MaxWaiting = 2
 	Convey("A trace that keeps the rules has no violation", t, func() {
-		So(CheckTrace(trace(servers,
-			rec(enqueue("a", 0), grant("a", 1)), rec(enqueue("b", 1)), rec(enqueue("c", 0), shed("b", request.ReasonShed)),
-			release, rec(enqueue("a", 1)), rec(pool.Withdraw{Request: "a"}), rec(enqueue("d", 2), shed("d", request.ReasonShed)),
-			rec(pool.Tick{}), rec(pool.Tick{}), rec(pool.Tick{}), rec(pool.Tick{}), rec(pool.Tick{}), rec(pool.Tick{}),
-			rec(pool.Tick{}, shed("c", request.ReasonExpired))), true), ShouldBeEmpty)
+		So(CheckTrace(spacedTrace(servers,
+			record(enqueue("a", 0), grant("a", 1)), record(enqueue("b", 1)), record(enqueue("c", 0), shed("b", request.ReasonShed)),
+			release, record(enqueue("a", 1)), record(pool.Withdraw{Request: "a"}), record(enqueue("d", 2), shed("d", request.ReasonShed)),
+			record(pool.Tick{}), record(pool.Tick{}), record(pool.Tick{}), record(pool.Tick{}), record(pool.Tick{}), record(pool.Tick{}),
+			record(pool.Tick{}, shed("c", request.ReasonExpired))), true), ShouldBeEmpty)
 	})
 	Convey("Each breach is found, and nothing else", t, func() {
 		for _, x := range []struct {
 			rule    Rule
-			records []Record
+			records []TraceRecord
 		}{
-			{RuleTierOrder, trace(rec(enqueue("a", 0)), rec(enqueue("b", 1), shed("a", request.ReasonShed)), rec(pool.Withdraw{Request: "b"}))},
-			{RuleTierOrder, trace(rec(enqueue("b", 3)), rec(enqueue("a", 2), shed("a", request.ReasonShed)), rec(pool.Withdraw{Request: "b"}))},
-			{RuleExpiry, trace(rec(enqueue("a", 0)), rec(pool.Tick{}, shed("a", request.ReasonExpired)))},
-			{RuleWorkspaceLimit, trace(rec(limited, shed("a", request.ReasonWorkspaceLimit)))},
-			{RuleKnownRequest, trace(servers, rec(pool.Tick{}, grant("a", 1)))},
-			{RuleKnownRequest, trace(rec(enqueue("a", 0)), rec(pool.Withdraw{Request: "a"}, shed("a", request.ReasonShed)))},
-			{RuleGrantOnce, trace(servers, rec(enqueue("a", 0), grant("a", 1)), rec(enqueue("a", 0), grant("a", 2)))},
-			{RuleGrantOnce, trace(servers, rec(enqueue("a", 0), grant("a", 1)), rec(enqueue("b", 0), grant("b", 1)))},
-			{RuleRelease, trace(release)},
-			{RuleRelease, trace(servers, rec(enqueue("a", 0), grant("a", 1)), release, release)},
-			{RuleServerUp, trace(rec(enqueue("a", 0), grant("a", 1)))},
-			{RuleServerUp, trace(servers, rec(pool.ServerHealth{Server: "s", Health: pool.HealthLeaving}), rec(enqueue("a", 0), grant("a", 1)))},
-			{RuleForgotten, trace(rec(enqueue("a", 0)))},
+			{RuleTierOrder, spacedTrace(record(enqueue("a", 0)), record(enqueue("b", 1), shed("a", request.ReasonShed)), record(pool.Withdraw{Request: "b"}))},
+			{RuleTierOrder, spacedTrace(record(enqueue("b", 3)), record(enqueue("a", 2), shed("a", request.ReasonShed)), record(pool.Withdraw{Request: "b"}))},
+			{RuleExpiry, spacedTrace(record(enqueue("a", 0)), record(pool.Tick{}, shed("a", request.ReasonExpired)))},
+			{RuleWorkspaceLimit, spacedTrace(record(limited, shed("a", request.ReasonWorkspaceLimit)))},
+			{RuleKnownRequest, spacedTrace(servers, record(pool.Tick{}, grant("a", 1)))},
+			{RuleKnownRequest, spacedTrace(record(enqueue("a", 0)), record(pool.Withdraw{Request: "a"}, shed("a", request.ReasonShed)))},
+			{RuleGrantOnce, spacedTrace(servers, record(enqueue("a", 0), grant("a", 1)), record(enqueue("a", 0), grant("a", 2)))},
+			{RuleGrantOnce, spacedTrace(servers, record(enqueue("a", 0), grant("a", 1)), record(enqueue("b", 0), grant("b", 1)))},
+			{RuleRelease, spacedTrace(release)},
+			{RuleRelease, spacedTrace(servers, record(enqueue("a", 0), grant("a", 1)), release, release)},
+			{RuleServerUp, spacedTrace(record(enqueue("a", 0), grant("a", 1)))},
+			{RuleServerUp, spacedTrace(servers, record(pool.ServerHealth{Server: "s", Health: pool.HealthLeaving}), record(enqueue("a", 0), grant("a", 1)))},
+			{RuleUnresolved, spacedTrace(record(enqueue("a", 0)))},
 		} {
-			So(rulesOf(CheckTrace(x.records, true)), ShouldResemble, map[Rule]int{x.rule: 1})
+			So(countByRule(CheckTrace(x.records, true)), ShouldResemble, map[Rule]int{x.rule: 1})
 		}
 	})
 	Convey("Requests of an entry that died are not forgotten ones", t, func() {
-		So(CheckTrace(trace(rec(enqueue("a", 0)), rec(pool.EntrySet{})), true), ShouldBeEmpty)
+		So(CheckTrace(spacedTrace(record(enqueue("a", 0)), record(pool.EntrySet{})), true), ShouldBeEmpty)
 	})
 }
 
 func TestCheckCallers(t *testing.T) {
-	result := func(tries ...load.Try) load.Result { return load.Result{Arrival: &load.Arrival{}, Tries: tries} }
+	result := func(tries ...load.Attempt) load.Result { return load.Result{Arrival: &load.Arrival{}, Attempts: tries} }
 	Convey("Callers and run logs that agree have no violation", t, func() {
 		So(CheckCallers([]load.Result{
-			result(load.Try{Ending: load.Whole, RequestID: "a"}), result(load.Try{Ending: load.Refused, RequestID: "b", NotRun: "true"}),
-			result(load.Try{Ending: load.Refused, RequestID: "c", NotRun: "false"}, load.Try{Ending: load.Failed, RequestID: "d", Reason: "engine_lost"}),
-			result(load.Try{Ending: load.Left}), result(load.Try{Ending: load.Left}),
+			result(load.Attempt{Outcome: load.OutcomeComplete, RequestID: "a"}), result(load.Attempt{Outcome: load.OutcomeRefused, RequestID: "b", NotRun: "true"}),
+			result(load.Attempt{Outcome: load.OutcomeRefused, RequestID: "c", NotRun: "false"}, load.Attempt{Outcome: load.OutcomeFailed, RequestID: "d", Reason: "engine_lost"}),
+			result(load.Attempt{Outcome: load.OutcomeDisconnected}), result(load.Attempt{Outcome: load.OutcomeDisconnected}),
 		}, map[request.ID]int{"a": 1, "c": 1, "d": 1}), ShouldBeEmpty)
 	})
 	Convey("Each breach is found, and nothing else", t, func() {
-		whole := load.Try{Ending: load.Whole, RequestID: "a"}
+		whole := load.Attempt{Outcome: load.OutcomeComplete, RequestID: "a"}
 		for _, x := range []struct {
 			rule    Rule
 			results []load.Result
 			runs    map[request.ID]int
 		}{
 			{RuleRunOnce, []load.Result{result(whole)}, map[request.ID]int{"a": 2}},
-			{RuleNotRun, []load.Result{result(load.Try{Ending: load.Refused, RequestID: "a", NotRun: "true"})}, map[request.ID]int{"a": 1}},
-			{RuleOneAnswer, []load.Result{result(load.Try{Ending: load.Lost})}, nil},
-			{RuleOneAnswer, []load.Result{result(load.Try{Ending: load.Cut})}, nil},
-			{RuleOneAnswer, []load.Result{result(load.Try{Ending: load.Crossed, RequestID: "a"})}, nil},
+			{RuleNotRun, []load.Result{result(load.Attempt{Outcome: load.OutcomeRefused, RequestID: "a", NotRun: "true"})}, map[request.ID]int{"a": 1}},
+			{RuleOneAnswer, []load.Result{result(load.Attempt{Outcome: load.OutcomeNoAnswer})}, nil},
+			{RuleOneAnswer, []load.Result{result(load.Attempt{Outcome: load.OutcomeTruncated})}, nil},
+			{RuleOneAnswer, []load.Result{result(load.Attempt{Outcome: load.OutcomeMisrouted, RequestID: "a"})}, nil},
 			{RuleOneAnswer, []load.Result{result(whole), result(whole)}, nil},
 		} {
-			So(rulesOf(CheckCallers(x.results, x.runs)), ShouldResemble, map[Rule]int{x.rule: 1})
+			So(countByRule(CheckCallers(x.results, x.runs)), ShouldResemble, map[Rule]int{x.rule: 1})
 		}
 	})
 }
 
 func TestCountPrefill(t *testing.T) {
-	run := func(id string, at, prompt, computed int, blocks ...uint64) runOf {
-		return runOf{blocks: blocks, RunRecord: standin.RunRecord{
+	run := func(id string, at, prompt, computed int, blocks ...uint64) engineRun {
+		return engineRun{blocks: blocks, RunRecord: standin.RunRecord{
 			RequestID: id, StartedAt: time.Unix(int64(at), 0), PromptTokens: prompt, PrefillComputed: computed,
 		}}
 	}
 	Convey("What was thrown away and what was computed again are counted", t, func() {
-		runs := []runOf{
+		runs := []engineRun{
 			run("a", 1, 128, 128, 1, 2),
 			run("b", 2, 192, 192, 1, 2, 3), // another engine: two blocks again
 			run("c", 3, 128, 64, 1, 4),     // one block cached
@@ -187,22 +189,22 @@
 			run("e", 5, 100, 0, 1),         // never got a slot
 		}
 		p := countPrefill(runs, map[request.ID]bool{"a": true, "b": true, "c": true}, map[request.ID]bool{"d": true}, 10)
-		So(p.Computed, ShouldEqual, 448)
-		So(p.Unfinished, ShouldEqual, 64)
-		So(p.Left, ShouldEqual, 64)
-		So(p.Recomputed, ShouldEqual, 128)
+		So(p.ComputedTokens, ShouldEqual, 448)
+		So(p.UnfinishedTokens, ShouldEqual, 64)
+		So(p.Disconnected, ShouldEqual, 64)
+		So(p.RecomputedTokens, ShouldEqual, 128)
 		So(p.WastedFraction, ShouldAlmostEqual, 192.0/448)
 		So(p.Reuse, ShouldAlmostEqual, 64.0/512)
 		So(p.ReuseBound, ShouldAlmostEqual, 3*64.0/512)
 	})
 	Convey("The all-knowing cache keeps what is used soonest", t, func() {
-		var runs []runOf
+		var runs []engineRun
 		for i, b := range []uint64{1, 2, 3, 1, 2, 3} {
 			runs = append(runs, run("x", i, 64, 64, b))
 		}
-		So(allKnowingHits(runs, 3), ShouldEqual, 3)
-		So(allKnowingHits(runs, 2), ShouldEqual, 2) // least recently used would have none
-		So(allKnowingHits(runs, 0), ShouldEqual, 0)
+		So(optimalHits(runs, 3), ShouldEqual, 3)
+		So(optimalHits(runs, 2), ShouldEqual, 2) // least recently used would have none
+		So(optimalHits(runs, 0), ShouldEqual, 0)
 	})
 }
 
@@ -214,7 +216,7 @@
 		So(err, ShouldBeNil)
 		s.DurationMs = 1500
 		for i := range s.Mix.Classes { // short answers
-			s.Mix.Classes[i].OutputTokens = load.Length{Median: 16, Min: 16, Max: 16}
+			s.Mix.Classes[i].OutputTokens = load.LengthDistribution{Median: 16, Min: 16, Max: 16}
 		}
 		s.Faults = []Fault{{AtMs: 700, Engine: 0, Crash: true}}
 		out, err := Run(context.Background(), Options{
@@ -225,8 +227,8 @@
 			res := out.Policies[p]
 			So(res.Examples, ShouldBeEmpty)
 			So(res.Report.Sent, ShouldEqual, out.Arrivals)
-			So(res.Report.All.Whole, ShouldBeGreaterThan, 0)
-			So(res.Prefill.Computed, ShouldBeGreaterThan, 0)
+			So(res.Report.All.Complete, ShouldBeGreaterThan, 0)
+			So(res.Prefill.ComputedTokens, ShouldBeGreaterThan, 0)
 		}
 		So(out.WritePlot(t.TempDir()+"/plot.png"), ShouldBeNil)
 	})
--- a/internal/experiment/objects.go
+++ b/internal/experiment/objects.go
@@ -31,15 +31,15 @@
 // the engines are in this process.
 func serverAddress(i int) string { return fmt.Sprintf("127.0.0.1:%d", 20000+i) }
 
-// keyOf returns a workspace's bearer key.
-func keyOf(name string) string { return "experiment-key-" + name }
+// bearerKey returns a workspace's bearer key.
+func bearerKey(name string) string { return "experiment-key-" + name }
 
 // snapshot compiles the scenario's configuration as a daemon would.
 func (s *Scenario) snapshot(policy pool.Policy) (*workspace.Snapshot, error) {
 	var b objectList
 	b.add(workspace.KindTemplate, templateName, s.template())
 	for name := range s.keys() {
-		sum := sha256.Sum256([]byte(keyOf(name)))
+		sum := sha256.Sum256([]byte(bearerKey(name)))
 		b.add(workspace.KindWorkspace, name, workspace.Workspace{
 			Name: name, Template: templateName,
 			Keys: []workspace.Key{{ID: "experiment", SHA256: hex.EncodeToString(sum[:])}},
@@ -76,15 +76,15 @@
 func (s *Scenario) template() workspace.Template {
 	t := workspace.Template{
 		Name: templateName, AllowTierHeader: true,
-		MaxTokens: number(maxAnswer), MaxBodyBytes: number(maxBody),
+		MaxTokens: numberValue(maxAnswer), MaxBodyBytes: numberValue(maxBody),
 		DefaultTier: s.Mix.Classes[0].Tier,
 		Models:      []workspace.ModelSpec{{Name: s.Mix.Classes[0].Model, Version: modelVersion, Tier: s.Mix.Classes[0].Tier}},
 	}
 	for _, name := range load.TiersByPriority(&s.Mix) {
 		x := s.Mix.Tiers[name]
 		t.Tiers = append(t.Tiers, workspace.TierSpec{
-			Name: name, Priority: x.Priority, FirstTokenMs: number(x.FirstTokenMs),
-			PerTokenMs: number(x.PerTokenMs), DeadlineMs: number(x.DeadlineMs),
+			Name: name, Priority: x.Priority, FirstTokenMs: numberValue(x.FirstTokenMs),
+			PerTokenMs: numberValue(x.PerTokenMs), DeadlineMs: numberValue(x.DeadlineMs),
 		})
 	}
 	return t
@@ -94,12 +94,12 @@
 func (s *Scenario) keys() map[string]string {
 	out := map[string]string{}
 	for _, c := range s.Mix.Classes {
-		out[c.Workspace] = keyOf(c.Workspace)
+		out[c.Workspace] = bearerKey(c.Workspace)
 	}
 	return out
 }
 
-func number(v int) workspace.Number { return workspace.Number{Value: int64(v)} }
+func numberValue(v int) workspace.Number { return workspace.Number{Value: int64(v)} }
 
 // objectList collects objects as the object API would hold them.
 type objectList struct {
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -17,8 +17,8 @@
 	plotWidth  = 13 * vg.Inch
 	plotHeight = 8.5 * vg.Inch
 	barWidth   = 14
-	// barRoom is how much higher a plot is than its highest bar.
-	barRoom = 1.3
+	// barHeadroom is how much higher a plot is than its highest bar.
+	barHeadroom = 1.3
 )
 
 // WritePlot writes a PNG that compares the policies: goodput by tier, prompt
@@ -34,36 +34,36 @@
 	if err != nil {
 		return err
 	}
-	goodput.Y.Tick.Marker = shareTicks()
+	goodput.Y.Tick.Marker = fractionTicks()
 	prefill, err := o.bars("prefill: fractions of what was computed, of all prompts reused", []string{"unfinished", "recomputed", "reused"}, prefillShare)
 	if err != nil {
 		return err
 	}
 	duration := time.Duration(o.DurationMs) * time.Millisecond
-	over, tail := plot.New(), plot.New()
-	over.Title.Text = tiers[0] + ": good requests over time (dashed: offered)"
-	load.LatencyAxes(tail, tiers[0]+": share of callers that waited longer")
+	ratePlot, latencyPlot := plot.New(), plot.New()
+	ratePlot.Title.Text = tiers[0] + ": good requests over time (dashed: offered)"
+	load.LatencyAxes(latencyPlot, tiers[0]+": share of callers that waited longer")
 	for i, p := range o.Order {
 		c := load.Colors[i%len(load.Colors)]
 		results := o.Policies[p].results
-		if err := load.AddRates(over, o.mix, tiers[0], string(p), c, i == 0, duration, results); err != nil {
+		if err := load.AddRates(ratePlot, o.mix, tiers[0], string(p), c, i == 0, duration, results); err != nil {
 			return err
 		}
-		if err := load.AddTail(tail, tiers[0], string(p), c, results); err != nil {
+		if err := load.AddLatencyTail(latencyPlot, tiers[0], string(p), c, results); err != nil {
 			return err
 		}
 	}
-	load.RateAxes(over, duration)
-	return load.SavePlots(path, plotWidth, plotHeight, []*plot.Plot{goodput, prefill}, []*plot.Plot{over, tail})
+	load.RateAxes(ratePlot, duration)
+	return load.SavePlots(path, plotWidth, plotHeight, []*plot.Plot{goodput, prefill}, []*plot.Plot{ratePlot, latencyPlot})
 }
 
 func prefillShare(p *PolicyOutcome, label string) float64 {
-	computed := float64(max(1, p.Prefill.Computed))
+	computed := float64(max(1, p.Prefill.ComputedTokens))
 	switch label {
 	case "unfinished":
-		return float64(p.Prefill.Unfinished) / computed
+		return float64(p.Prefill.UnfinishedTokens) / computed
 	case "recomputed":
-		return float64(p.Prefill.Recomputed) / computed
+		return float64(p.Prefill.RecomputedTokens) / computed
 	default:
 		return p.Prefill.Reuse
 	}
@@ -97,13 +97,13 @@
 	}
 	p.NominalX(labels...)
 	// Room for the legend above the bars, and for whole bars at both sides.
-	p.Y.Min, p.Y.Max = 0, highest*barRoom
+	p.Y.Min, p.Y.Max = 0, highest*barHeadroom
 	p.X.Min, p.X.Max = -0.5, float64(len(labels))-0.5
 	return p, nil
 }
 
-// shareTicks marks the fifths from 0 to 1.
-func shareTicks() plot.ConstantTicks {
+// fractionTicks marks the fifths from 0 to 1.
+func fractionTicks() plot.ConstantTicks {
 	var out plot.ConstantTicks
 	for i := range 6 {
 		v := float64(i) / 5
--- a/internal/experiment/prefill.go
+++ b/internal/experiment/prefill.go
@@ -10,25 +10,25 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// runOf is one run of the engines' logs, with its prompt's blocks.
-type runOf struct {
+// engineRun is one run of the engines' logs, with its prompt's blocks.
+type engineRun struct {
 	standin.RunRecord
 	blocks []uint64
 }
 
 // Prefill is what became of the prompt work, in tokens.
 type Prefill struct {
-	// Prompts is the prompts' length of all runs that got a slot; Computed is
+	// PromptTokens is the prompts' length of all runs that got a slot; Computed is
 	// what was computed of them, the rest was found cached.
-	Prompts  int `json:"prompt_tokens"`
-	Computed int `json:"computed_tokens"`
-	// Unfinished was computed for requests whose caller got no whole answer;
+	PromptTokens   int `json:"prompt_tokens"`
+	ComputedTokens int `json:"computed_tokens"`
+	// UnfinishedTokens was computed for requests whose caller got no whole answer;
 	// Left is the part of it whose caller had left on purpose.
-	Unfinished int `json:"unfinished_tokens"`
-	Left       int `json:"left_tokens"`
-	// Recomputed is blocks of prompts (of whole answers) that had been
+	UnfinishedTokens int `json:"unfinished_tokens"`
+	Disconnected     int `json:"left_tokens"`
+	// RecomputedTokens is blocks of prompts (of whole answers) that had been
 	// computed before in the same run, by any engine.
-	Recomputed int `json:"recomputed_tokens"`
+	RecomputedTokens int `json:"recomputed_tokens"`
 	// WastedFraction is Unfinished and Recomputed over Computed.
 	WastedFraction float64 `json:"wasted_fraction"`
 	// Reuse is the fraction of the prompts' tokens found cached. ReuseBound
@@ -40,41 +40,41 @@
 
 // countPrefill follows the runs in the order in which they started. whole
 // tells which requests' answers were delivered whole, left whose callers left.
-func countPrefill(runs []runOf, whole, left map[request.ID]bool, cacheBlocks int) Prefill {
-	runs = started(runs)
+func countPrefill(runs []engineRun, complete, disconnected map[request.ID]bool, cacheBlocks int) Prefill {
+	runs = startedRuns(runs)
 	var p Prefill
 	computedBefore := map[uint64]bool{}
 	for _, x := range runs {
 		id := request.ID(x.RequestID)
-		p.Prompts += x.PromptTokens
-		p.Computed += x.PrefillComputed
+		p.PromptTokens += x.PromptTokens
+		p.ComputedTokens += x.PrefillComputed
 		switch {
-		case !whole[id]:
-			p.Unfinished += x.PrefillComputed
-			if left[id] {
-				p.Left += x.PrefillComputed
+		case !complete[id]:
+			p.UnfinishedTokens += x.PrefillComputed
+			if disconnected[id] {
+				p.Disconnected += x.PrefillComputed
 			}
 		default:
-			p.Recomputed += recomputed(x, computedBefore)
+			p.RecomputedTokens += recomputedTokens(x, computedBefore)
 		}
 		for _, b := range x.blocks {
 			computedBefore[b] = true
 		}
 	}
-	if p.Computed > 0 {
-		p.WastedFraction = float64(p.Unfinished+p.Recomputed) / float64(p.Computed)
+	if p.ComputedTokens > 0 {
+		p.WastedFraction = float64(p.UnfinishedTokens+p.RecomputedTokens) / float64(p.ComputedTokens)
 	}
-	if p.Prompts > 0 {
-		p.Reuse = 1 - float64(p.Computed)/float64(p.Prompts)
-		p.ReuseBound = float64(allKnowingHits(runs, cacheBlocks)*engine.BlockTokens) / float64(p.Prompts)
+	if p.PromptTokens > 0 {
+		p.Reuse = 1 - float64(p.ComputedTokens)/float64(p.PromptTokens)
+		p.ReuseBound = float64(optimalHits(runs, cacheBlocks)*engine.BlockTokens) / float64(p.PromptTokens)
 	}
 	return p
 }
 
-// started returns the runs that got a slot, by their start. A run computes at
+// startedRuns returns the runs that got a slot, by their start. A run computes at
 // least one token of its prompt once it has a slot.
-func started(runs []runOf) []runOf {
-	out := make([]runOf, 0, len(runs))
+func startedRuns(runs []engineRun) []engineRun {
+	out := make([]engineRun, 0, len(runs))
 	for _, x := range runs {
 		if x.PrefillComputed > 0 {
 			out = append(out, x)
@@ -84,36 +84,36 @@
 	return out
 }
 
-// recomputed counts the tokens of the blocks that this run computed although
+// recomputedTokens counts the tokens of the blocks that this run computed although
 // they had been computed before.
-func recomputed(x runOf, before map[uint64]bool) int {
+func recomputedTokens(x engineRun, seen map[uint64]bool) int {
 	cached := (x.PromptTokens - x.PrefillComputed) / engine.BlockTokens
 	tokens := 0
 	for i := cached; i < len(x.blocks); i++ {
-		if before[x.blocks[i]] {
+		if seen[x.blocks[i]] {
 			tokens += engine.BlockTokens
 		}
 	}
 	return min(tokens, x.PrefillComputed)
 }
 
-// allKnowingHits counts the leading blocks of prompts that a cache of the
+// optimalHits counts the leading blocks of prompts that a cache of the
 // size would hold which, when full, evicts the block whose next use is
 // furthest away (Belady's rule), and never keeps one without a next use.
-func allKnowingHits(runs []runOf, size int) int {
+func optimalHits(runs []engineRun, size int) int {
 	next := nextUses(runs)
 	cached := map[uint64]int{} // block: its next use
 	var byUse useHeap
 	hits := 0
 	for i, x := range runs {
-		lead := true
+		leading := true
 		for j, b := range x.blocks {
-			if _, ok := cached[b]; lead && ok {
+			if _, ok := cached[b]; leading && ok {
 				hits++
 			} else {
-				lead = false
+				leading = false
 			}
-			if use := next[i][j]; use == never {
+			if use := next[i][j]; use == noNextUse {
 				delete(cached, b)
 			} else {
 				cached[b] = use
@@ -136,16 +136,16 @@
 	}
 }
 
-const never = int(^uint(0) >> 1)
+const noNextUse = int(^uint(0) >> 1)
 
 // nextUses returns, for each block of each run, which run uses it next.
-func nextUses(runs []runOf) [][]int {
+func nextUses(runs []engineRun) [][]int {
 	out := make([][]int, len(runs))
 	last := map[uint64]int{}
 	for i := len(runs) - 1; i >= 0; i-- {
 		out[i] = make([]int, len(runs[i].blocks))
 		for j, b := range runs[i].blocks {
-			out[i][j] = never
+			out[i][j] = noNextUse
 			if use, ok := last[b]; ok {
 				out[i][j] = use
 			}
@@ -176,16 +176,16 @@
 	return x
 }
 
-// verdicts returns which requests' answers were delivered whole, and whose
+// classifyRequests returns which requests' answers were delivered whole, and whose
 // callers left.
-func verdicts(results []load.Result) (whole, left map[request.ID]bool) {
-	whole, left = map[request.ID]bool{}, map[request.ID]bool{}
+func classifyRequests(results []load.Result) (complete, disconnected map[request.ID]bool) {
+	complete, disconnected = map[request.ID]bool{}, map[request.ID]bool{}
 	for i := range results {
-		for j := range results[i].Tries {
-			y := &results[i].Tries[j]
-			whole[request.ID(y.RequestID)] = y.Ending == load.Whole
-			left[request.ID(y.RequestID)] = y.Ending == load.Left
+		for j := range results[i].Attempts {
+			attempt := &results[i].Attempts[j]
+			complete[request.ID(attempt.RequestID)] = attempt.Outcome == load.OutcomeComplete
+			disconnected[request.ID(attempt.RequestID)] = attempt.Outcome == load.OutcomeDisconnected
 		}
 	}
-	return whole, left
+	return complete, disconnected
 }
--- a/internal/experiment/rollouts.go
+++ b/internal/experiment/rollouts.go
@@ -16,10 +16,10 @@
 	Name string
 	// Rate is the service's requests a second.
 	Rate int
-	// Fails is the part of the new version's answers that fail, Slow the part that take
+	// FailureShare is the part of the new version's answers that fail, Slow the part that take
 	// Factor times as long; both from a time after the request on.
-	Fails, Slow, Factor float64
-	From                time.Duration
+	FailureShare, SlowShare, SlowFactor float64
+	FaultStart                          time.Duration
 	// UnderLoad is set where it is so only while the new servers that are used have at
 	// least half of the load of a stable one.
 	UnderLoad bool
@@ -32,8 +32,8 @@
 type RolloutSetting struct {
 	Duration time.Duration
 	Bounds   rollout.Bounds
-	// StableFails is the part of the stable version's answers that fail.
-	StableFails float64
+	// StableFailureShare is the part of the stable version's answers that fail.
+	StableFailureShare float64
 	// Servers is how many each version has.
 	Servers int
 }
@@ -41,48 +41,48 @@
 // RolloutOutcome sums up many rollouts of one case.
 type RolloutOutcome struct {
 	Case       RolloutCase
-	Played     int
+	Runs       int
 	RolledBack int
-	// After is the mean time from the request until it was rolled back.
-	After time.Duration
-	// MostExposed is the most requests that the new version got by the decision in one
+	// MeanTimeToRollback is the mean time from the request until it was rolled back.
+	MeanTimeToRollback time.Duration
+	// MaxExposed is the most requests that the new version got by the decision in one
 	// rollout, Bound what it may get by the deadline.
-	MostExposed int
-	Bound       float64
+	MaxExposed int
+	Bound      float64
 }
 
 const (
-	// rolloutStep is how often daemons report.
-	rolloutStep = 400 * time.Millisecond
-	// callMedian and callSpread are of the stable version's lognormal answer times.
-	callMedian   = 50 * time.Millisecond
-	callSpread   = 0.4
-	rolloutRoute = "route"
+	// reportInterval is how often daemons report.
+	reportInterval = 400 * time.Millisecond
+	// latencyMedian and latencySigma are of the stable version's lognormal answer times.
+	latencyMedian = 50 * time.Millisecond
+	latencySigma  = 0.4
+	rolloutRoute  = "route"
 )
 
-// PlayRollouts plays a case n times. Equal seeds give equal outcomes.
-func PlayRollouts(s RolloutSetting, c RolloutCase, n int, seed uint64) RolloutOutcome {
-	out := RolloutOutcome{Case: c, Played: n, Bound: s.Bounds.Share*float64(c.Rate)*s.Duration.Seconds() + s.Bounds.Slack}
+// SimulateRollouts plays a case n times. Equal seeds give equal outcomes.
+func SimulateRollouts(s RolloutSetting, c RolloutCase, n int, seed uint64) RolloutOutcome {
+	out := RolloutOutcome{Case: c, Runs: n, Bound: s.Bounds.Share*float64(c.Rate)*s.Duration.Seconds() + s.Bounds.Slack}
 	var sum time.Duration
 	for i := range n {
-		p := newRolloutPlay(s, c, rand.New(rand.NewPCG(seed, uint64(i))))
+		p := newRolloutSimulation(s, c, rand.New(rand.NewPCG(seed, uint64(i))))
 		v, at := p.run()
 		if v.State == rollout.RolledBack {
 			out.RolledBack++
 			sum += at
 		}
-		out.MostExposed = max(out.MostExposed, p.exposed)
+		out.MaxExposed = max(out.MaxExposed, p.exposed)
 	}
 	if out.RolledBack > 0 {
-		out.After = sum / time.Duration(out.RolledBack)
+		out.MeanTimeToRollback = sum / time.Duration(out.RolledBack)
 	}
 	return out
 }
 
-// rolloutPlay is one simulated rollout.
-type rolloutPlay struct {
+// rolloutSimulation is one simulated rollout.
+type rolloutSimulation struct {
 	setting  RolloutSetting
-	c        RolloutCase
+	version  RolloutCase
 	random   *rand.Rand
 	decider  *rollout.Decider
 	recorder *rollout.Recorder
@@ -91,29 +91,29 @@
 	exposed  int
 }
 
-func newRolloutPlay(s RolloutSetting, c RolloutCase, random *rand.Rand) *rolloutPlay {
+func newRolloutSimulation(s RolloutSetting, c RolloutCase, random *rand.Rand) *rolloutSimulation {
 	o := rollout.Rollout{ID: rollout.ID{Service: "service", To: "new", Created: 1}, Duration: s.Duration}
-	return &rolloutPlay{
-		setting: s, c: c, random: random, decider: rollout.NewDecider(o, s.Bounds, time.Time{}.Add(time.Hour)),
+	return &rolloutSimulation{
+		setting: s, version: c, random: random, decider: rollout.NewDecider(o, s.Bounds, time.Time{}.Add(time.Hour)),
 		recorder: rollout.NewRecorder(), budget: rollout.NewBudget(s.Bounds.CanaryShare(), s.Bounds, 1, 0),
 		plan: rollout.Plan{CanaryShare: s.Bounds.CanaryShare()},
 	}
 }
 
 // run plays until the decision, and returns it with when it came.
-func (p *rolloutPlay) run() (rollout.Decision, time.Duration) {
+func (p *rolloutSimulation) run() (rollout.Decision, time.Duration) {
 	slots := p.setting.Servers * 8
-	facts := rollout.ServiceStatus{
+	status := rollout.ServiceStatus{
 		Daemons: 1, StableServers: p.setting.Servers, NewServers: p.setting.Servers, WarmServers: p.setting.Servers,
 		StableSlots: slots, NewSlots: slots,
 	}
 	start := p.decider.KnownAt()
-	for number, at := uint64(1), time.Duration(0); at < p.setting.Duration; number, at = number+1, at+rolloutStep {
-		for i := range int(float64(p.c.Rate) * rolloutStep.Seconds()) {
-			p.request(at, time.Duration(float64(i)/float64(p.c.Rate)*float64(time.Second)))
+	for number, at := uint64(1), time.Duration(0); at < p.setting.Duration; number, at = number+1, at+reportInterval {
+		for i := range int(float64(p.version.Rate) * reportInterval.Seconds()) {
+			p.request(at, time.Duration(float64(i)/float64(p.version.Rate)*float64(time.Second)))
 		}
 		p.decider.AddReport(start.Add(at), rollout.Report{Reporter: "vm", Incarnation: 1, Number: number, Cells: p.recorder.TakeChanged(false)})
-		p.plan = p.decider.Tick(start.Add(at), facts)
+		p.plan = p.decider.Tick(start.Add(at), status)
 		p.budget.SetShare(p.plan.CanaryShare)
 		if v := p.decider.Decision(); v.State != rollout.Running {
 			return v, at
@@ -123,57 +123,57 @@
 }
 
 // request sends one request, so long after the plan.
-func (p *rolloutPlay) request(at, since time.Duration) {
-	canary := p.plan.AllToNew(rolloutRoute, since) || p.plan.HasCanaries() && p.budget.Take()
+func (p *rolloutSimulation) request(at, sincePlan time.Duration) {
+	canary := p.plan.AllToNew(rolloutRoute, sincePlan) || p.plan.HasCanaries() && p.budget.Take()
 	p.budget.RecordSent()
-	took := time.Duration(float64(callMedian) * math.Exp(callSpread*p.random.NormFloat64()))
-	run := rollout.Run{Route: rolloutRoute, Server: "stable", Canary: canary, FirstEvent: took, Total: took}
-	fails := p.setting.StableFails
+	latency := time.Duration(float64(latencyMedian) * math.Exp(latencySigma*p.random.NormFloat64()))
+	run := rollout.Run{Route: rolloutRoute, Server: "stable", Canary: canary, FirstEvent: latency, Total: latency}
+	failureShare := p.setting.StableFailureShare
 	if canary {
 		p.exposed++
 		run.Server = "new-" + strconv.Itoa(p.random.IntN(rollout.CanaryServers(p.plan.CanaryShare, p.setting.Servers, p.setting.Servers)))
-		if at >= p.c.From && (!p.c.UnderLoad || p.loaded(since)) {
-			fails = max(fails, p.c.Fails)
-			if p.random.Float64() < p.c.Slow && (!p.c.SlowServer || run.Server == "new-0") {
-				run.FirstEvent = time.Duration(p.c.Factor * float64(took))
+		if at >= p.version.FaultStart && (!p.version.UnderLoad || p.loaded(sincePlan)) {
+			failureShare = max(failureShare, p.version.FailureShare)
+			if p.random.Float64() < p.version.SlowShare && (!p.version.SlowServer || run.Server == "new-0") {
+				run.FirstEvent = time.Duration(p.version.SlowFactor * float64(latency))
 				run.Total = run.FirstEvent
 			}
 		}
 	}
-	if p.random.Float64() < fails {
+	if p.random.Float64() < failureShare {
 		run.Outcome = rollout.Failed
 	}
 	p.recorder.Record(run, p.plan.Routes[rolloutRoute].Slow)
 }
 
-// usualLoad is the part of a stable server's load from which on a new one counts as loaded.
-const usualLoad = 0.5
+// loadedThreshold is the part of a stable server's load from which on a new one counts as loaded.
+const loadedThreshold = 0.5
 
 // loaded tells whether the new servers that are used have about the usual load.
-func (p *rolloutPlay) loaded(since time.Duration) bool {
-	if p.plan.AllToNew(rolloutRoute, since) {
+func (p *rolloutSimulation) loaded(sincePlan time.Duration) bool {
+	if p.plan.AllToNew(rolloutRoute, sincePlan) {
 		return true
 	}
 	used := rollout.CanaryServers(p.plan.CanaryShare, p.setting.Servers, p.setting.Servers)
-	return p.plan.CanaryShare*float64(p.setting.Servers) >= usualLoad*float64(used)
+	return p.plan.CanaryShare*float64(p.setting.Servers) >= loadedThreshold*float64(used)
 }
 
 // RolloutCases are versions that are bad in the ways that versions are known to be,
 // and one that is good, at a rate.
 func RolloutCases(rate int) []RolloutCase {
-	half := 6 * time.Second
+	faultStart := 6 * time.Second
 	return []RolloutCase{
 		{Name: "good", Rate: rate},
-		{Name: "good, one server 4 x slow", Rate: rate, Slow: 1, Factor: 4, SlowServer: true},
-		{Name: "fails 5%", Rate: rate, Fails: 0.05},
-		{Name: "fails 20%", Rate: rate, Fails: 0.2},
-		{Name: "fails 50%", Rate: rate, Fails: 0.5},
-		{Name: "fails 50% after 6 s", Rate: rate, Fails: 0.5, From: half},
-		{Name: "twice as slow", Rate: rate, Slow: 1, Factor: 2},
-		{Name: "4 times as slow", Rate: rate, Slow: 1, Factor: 4},
-		{Name: "30% are 4 times as slow", Rate: rate, Slow: 0.3, Factor: 4},
-		{Name: "4 times as slow after 6 s", Rate: rate, Slow: 1, Factor: 4, From: half},
-		{Name: "fails 50% under load", Rate: rate, Fails: 0.5, UnderLoad: true},
+		{Name: "good, one server 4 x slow", Rate: rate, SlowShare: 1, SlowFactor: 4, SlowServer: true},
+		{Name: "fails 5%", Rate: rate, FailureShare: 0.05},
+		{Name: "fails 20%", Rate: rate, FailureShare: 0.2},
+		{Name: "fails 50%", Rate: rate, FailureShare: 0.5},
+		{Name: "fails 50% after 6 s", Rate: rate, FailureShare: 0.5, FaultStart: faultStart},
+		{Name: "twice as slow", Rate: rate, SlowShare: 1, SlowFactor: 2},
+		{Name: "4 times as slow", Rate: rate, SlowShare: 1, SlowFactor: 4},
+		{Name: "30% are 4 times as slow", Rate: rate, SlowShare: 0.3, SlowFactor: 4},
+		{Name: "4 times as slow after 6 s", Rate: rate, SlowShare: 1, SlowFactor: 4, FaultStart: faultStart},
+		{Name: "fails 50% under load", Rate: rate, FailureShare: 0.5, UnderLoad: true},
 	}
 }
 
@@ -184,7 +184,7 @@
 func (o RolloutOutcome) Line() string {
 	after := "-"
 	if o.RolledBack > 0 {
-		after = strconv.FormatFloat(o.After.Seconds(), 'f', 1, 64) + " s"
+		after = strconv.FormatFloat(o.MeanTimeToRollback.Seconds(), 'f', 1, 64) + " s"
 	}
-	return fmt.Sprintf("%-27s %10d  %5d of %d %8s  %12d  %5.0f", o.Case.Name, o.Case.Rate, o.RolledBack, o.Played, after, o.MostExposed, o.Bound)
+	return fmt.Sprintf("%-27s %10d  %5d of %d %8s  %12d  %5.0f", o.Case.Name, o.Case.Rate, o.RolledBack, o.Runs, after, o.MaxExposed, o.Bound)
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -16,8 +16,8 @@
 
 // Scenario is a fleet, what is offered to it, and what goes wrong.
 type Scenario struct {
-	Name  string `json:"name"`
-	About string `json:"about"`
+	Name        string `json:"name"`
+	Description string `json:"about"`
 	// DurationMs is how long requests arrive; LongDurationMs replaces it
 	// where a long run is asked for (0: none).
 	DurationMs     int `json:"duration_ms"`
--- a/internal/experiment/system.go
+++ b/internal/experiment/system.go
@@ -20,12 +20,12 @@
 
 // Times of starting and stopping a system.
 const (
-	readyWithin = 10 * time.Second
-	stopWithin  = 30 * time.Second
-	pollEvery   = 20 * time.Millisecond
-	// outlasting is how long after the callers' last answer the engines' runs
+	readyTimeout = 10 * time.Second
+	stopTimeout  = 30 * time.Second
+	pollInterval = 20 * time.Millisecond
+	// settleTimeout is how long after the callers' last answer the engines' runs
 	// may go on before their logs are read.
-	outlasting = 2 * time.Second
+	settleTimeout = 2 * time.Second
 )
 
 // system is one daemon's path from callers to engines, for one policy: an
@@ -38,7 +38,7 @@
 	host     *poolhost.Host
 	entry    *entry.Entry
 	address  string
-	group    conc.WaitGroup
+	tasks    conc.WaitGroup
 	cancel   context.CancelFunc
 }
 
@@ -52,61 +52,61 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for callers")
 	}
-	y := &system{scenario: s, address: ln.Addr().String()}
-	fleet, err := y.startEngines()
+	sys := &system{scenario: s, address: ln.Addr().String()}
+	fleet, err := sys.startEngines()
 	if err != nil {
 		_ = ln.Close()
-		y.closeEngines()
+		sys.closeEngines()
 		return nil, err
 	}
-	var live workspace.CurrentSnapshot
-	live.Store(snapshot)
+	var current workspace.CurrentSnapshot
+	current.Store(snapshot)
 	registry := metrics.New()
-	y.host = poolhost.New(poolhost.Config{
-		Self: "experiment", Region: region, Snapshots: &live, Engines: fleet, Trace: y.trace.Add, Metrics: registry,
+	sys.host = poolhost.New(poolhost.Config{
+		Self: "experiment", Region: region, Snapshots: &current, Engines: fleet, Trace: sys.trace.Record, Metrics: registry,
 	})
-	slots := broker.New(y.host)
-	y.entry = entry.New(entry.Deps{
-		Config: &live, Broker: slots, Engines: fleet, Metrics: registry, Region: region,
+	slotBroker := broker.New(sys.host)
+	sys.entry = entry.New(entry.Deps{
+		Config: &current, Broker: slotBroker, Engines: fleet, Metrics: registry, Region: region,
 	}, entry.Limits{})
-	ctx, y.cancel = context.WithCancel(ctx)
-	y.group.Go(func() { y.host.Run(ctx) })
-	y.group.Go(func() { slots.Run(ctx) })
-	y.group.Go(func() { _ = y.entry.Serve(ln) })
-	if !eventually(readyWithin, func() bool { return y.host.Owned(poolName) != nil }) {
-		y.stop()
+	ctx, sys.cancel = context.WithCancel(ctx)
+	sys.tasks.Go(func() { sys.host.Run(ctx) })
+	sys.tasks.Go(func() { slotBroker.Run(ctx) })
+	sys.tasks.Go(func() { _ = sys.entry.Serve(ln) })
+	if !waitFor(readyTimeout, func() bool { return sys.host.Owned(poolName) != nil }) {
+		sys.stop()
 		return nil, errors.New("the pool did not start")
 	}
-	return y, nil
+	return sys, nil
 }
 
-func (y *system) startEngines() (*standin.LocalDialer, error) {
+func (sys *system) startEngines() (*standin.LocalDialer, error) {
 	fleet := &standin.LocalDialer{}
-	for _, g := range y.scenario.Engines {
+	for _, g := range sys.scenario.Engines {
 		for range g.Count {
 			e, err := standin.New(g.Engine)
 			if err != nil {
 				return nil, errors.Wrap(err, "stand-in engine")
 			}
-			fleet.Add(serverAddress(len(y.engines)), e)
-			y.engines = append(y.engines, e)
+			fleet.Add(serverAddress(len(sys.engines)), e)
+			sys.engines = append(sys.engines, e)
 		}
 	}
 	return fleet, nil
 }
 
-// inject brings the scenario's faults about, counted from begin, until all
+// injectFaults brings the scenario's faults about, counted from begin, until all
 // have come or ctx ends.
-func (y *system) inject(ctx context.Context, begin time.Time) error {
-	for _, f := range y.scenario.Faults {
-		t := time.NewTimer(time.Until(begin.Add(time.Duration(f.AtMs) * time.Millisecond)))
+func (sys *system) injectFaults(ctx context.Context, start time.Time) error {
+	for _, f := range sys.scenario.Faults {
+		t := time.NewTimer(time.Until(start.Add(time.Duration(f.AtMs) * time.Millisecond)))
 		select {
 		case <-ctx.Done():
 			t.Stop()
 			return nil
 		case <-t.C:
 		}
-		e := y.engines[f.Engine]
+		e := sys.engines[f.Engine]
 		if f.Crash {
 			e.Crash()
 		} else if err := e.SetFaults(*f.Faults); err != nil {
@@ -116,19 +116,19 @@
 	return nil
 }
 
-// settle waits until no engine runs anything and no request waits, as far as
+// waitIdle waits until no engine runs anything and no request waits, as far as
 // the trace tells; after a time it gives up, and the checks will show why.
-func (y *system) settle() {
-	eventually(outlasting, func() bool {
-		for _, e := range y.engines {
+func (sys *system) waitIdle() {
+	waitFor(settleTimeout, func() bool {
+		for _, e := range sys.engines {
 			for _, r := range e.Runs() {
 				if r.Ended == nil {
 					return false
 				}
 			}
 		}
-		for _, v := range CheckTrace(y.trace.Records(), true) {
-			if v.Rule == RuleForgotten {
+		for _, v := range CheckTrace(sys.trace.Records(), true) {
+			if v.Rule == RuleUnresolved {
 				return false
 			}
 		}
@@ -137,35 +137,35 @@
 }
 
 // runs returns the run logs of all engines, with the prompts' blocks.
-func (y *system) runs() []runOf {
-	blocks := blocksOf(y.trace.Records())
-	var out []runOf
-	for _, e := range y.engines {
+func (sys *system) runs() []engineRun {
+	blocks := blocksByRequest(sys.trace.Records())
+	var out []engineRun
+	for _, e := range sys.engines {
 		for _, r := range e.Runs() {
-			out = append(out, runOf{RunRecord: r, blocks: blocks[request.ID(r.RequestID)]})
+			out = append(out, engineRun{RunRecord: r, blocks: blocks[request.ID(r.RequestID)]})
 		}
 	}
 	return out
 }
 
-func (y *system) stop() {
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+func (sys *system) stop() {
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	_ = y.entry.Shutdown(ctx)
-	y.cancel()
-	y.group.Wait()
-	y.closeEngines()
+	_ = sys.entry.Shutdown(ctx)
+	sys.cancel()
+	sys.tasks.Wait()
+	sys.closeEngines()
 }
 
-func (y *system) closeEngines() {
-	for _, e := range y.engines {
+func (sys *system) closeEngines() {
+	for _, e := range sys.engines {
 		e.Close()
 	}
 }
 
-// eventually polls until ok returns true, or for at most the limit.
-func eventually(limit time.Duration, ok func() bool) bool {
-	for end := time.Now().Add(limit); !ok(); time.Sleep(pollEvery) {
+// waitFor polls until ok returns true, or for at most the limit.
+func waitFor(limit time.Duration, ok func() bool) bool {
+	for end := time.Now().Add(limit); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			return false
 		}
--- a/internal/experiment/trace.go
+++ b/internal/experiment/trace.go
@@ -9,8 +9,8 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Record is one event that a pool handled, and the commands that followed.
-type Record struct {
+// TraceRecord is one event that a pool handled, and the commands that followed.
+type TraceRecord struct {
 	At       time.Time
 	Event    pool.Event
 	Commands []pool.Command
@@ -20,28 +20,28 @@
 // concurrent use.
 type Trace struct {
 	mu      sync.Mutex
-	records []Record
+	records []TraceRecord
 }
 
-// Add takes one record; it copies the commands.
-func (t *Trace) Add(_ string, now time.Time, ev pool.Event, cmds []pool.Command) {
+// Record takes one record; it copies the commands.
+func (t *Trace) Record(_ string, now time.Time, ev pool.Event, cmds []pool.Command) {
 	if _, tick := ev.(pool.Tick); tick && len(cmds) == 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.records = append(t.records, Record{At: now, Event: ev, Commands: slices.Clone(cmds)})
+	t.records = append(t.records, TraceRecord{At: now, Event: ev, Commands: slices.Clone(cmds)})
 }
 
 // Records returns what was collected so far.
-func (t *Trace) Records() []Record {
+func (t *Trace) Records() []TraceRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.records)
 }
 
-// blocksOf returns the prompts' block hashes by request.
-func blocksOf(records []Record) map[request.ID][]uint64 {
+// blocksByRequest returns the prompts' block hashes by request.
+func blocksByRequest(records []TraceRecord) map[request.ID][]uint64 {
 	out := map[request.ID][]uint64{}
 	for _, r := range records {
 		if e, ok := r.Event.(pool.Enqueue); ok {
--- a/internal/experiment/checker.go
+++ b/internal/experiment/tracecheck.go
@@ -29,8 +29,8 @@
 	RuleRelease Rule = "release_without_grant"
 	// RuleServerUp: only a server that is up gets a grant.
 	RuleServerUp Rule = "grant_to_server_not_up"
-	// RuleForgotten: a request that was enqueued is granted, shed or withdrawn.
-	RuleForgotten Rule = "request_forgotten"
+	// RuleUnresolved: a request that was enqueued is granted, shed or withdrawn.
+	RuleUnresolved Rule = "request_forgotten"
 	// RuleRunOnce: a request stands at most once in all run logs together.
 	RuleRunOnce Rule = "request_run_twice"
 	// RuleNotRun: a request refused as not run stands in no run log.
@@ -51,7 +51,7 @@
 func Rules() []Rule {
 	return []Rule{
 		RuleTierOrder, RuleExpiry, RuleWorkspaceLimit, RuleKnownRequest, RuleGrantOnce, RuleRelease,
-		RuleServerUp, RuleForgotten, RuleRunOnce, RuleNotRun, RuleOneAnswer,
+		RuleServerUp, RuleUnresolved, RuleRunOnce, RuleNotRun, RuleOneAnswer,
 	}
 }
 
@@ -64,66 +64,66 @@
 	expires   time.Time
 }
 
-// replay follows a trace with its own books; it shares no code with the
+// traceChecker follows a trace with its own books; it shares no code with the
 // scheduler, so that an error in the scheduler's counts does not hide itself.
-type replay struct {
-	waiting    map[request.ID]waitingRequest
-	byTier     [request.MaxTiers]int
-	running    map[pool.GrantID]request.ID
-	grantOf    map[request.ID]pool.GrantID
-	used       map[pool.GrantID]bool
-	servers    map[string]bool
-	health     map[string]pool.Health
-	violations []Violation
+type traceChecker struct {
+	waiting        map[request.ID]waitingRequest
+	waitingByTier  [request.MaxTiers]int
+	running        map[pool.GrantID]request.ID
+	grantByRequest map[request.ID]pool.GrantID
+	usedGrants     map[pool.GrantID]bool
+	servers        map[string]bool
+	health         map[string]pool.Health
+	violations     []Violation
 }
 
 // CheckTrace replays a trace and returns what it violates. complete tells
 // that the trace goes on until every caller had its answer.
-func CheckTrace(records []Record, complete bool) []Violation {
-	r := &replay{
+func CheckTrace(records []TraceRecord, complete bool) []Violation {
+	r := &traceChecker{
 		waiting: map[request.ID]waitingRequest{}, running: map[pool.GrantID]request.ID{},
-		grantOf: map[request.ID]pool.GrantID{}, used: map[pool.GrantID]bool{},
+		grantByRequest: map[request.ID]pool.GrantID{}, usedGrants: map[pool.GrantID]bool{},
 		servers: map[string]bool{}, health: map[string]pool.Health{},
 	}
 	for _, x := range records {
-		r.event(x.At, x.Event)
+		r.handleEvent(x.At, x.Event)
 		for _, c := range x.Commands {
-			r.command(x.At, c)
+			r.handleCommand(x.At, c)
 		}
 	}
 	if complete {
 		for id := range r.waiting {
-			r.violate(RuleForgotten, id, "still waits at the end")
+			r.addViolation(RuleUnresolved, id, "still waits at the end")
 		}
 	}
 	return r.violations
 }
 
-func (r *replay) violate(rule Rule, id request.ID, format string, args ...any) {
+func (r *traceChecker) addViolation(rule Rule, id request.ID, format string, args ...any) {
 	r.violations = append(r.violations, Violation{Rule: rule, Request: string(id), Detail: fmt.Sprintf(format, args...)})
 }
 
-func (r *replay) event(now time.Time, ev pool.Event) {
+func (r *traceChecker) handleEvent(now time.Time, ev pool.Event) {
 	switch e := ev.(type) {
 	case pool.Enqueue:
-		r.forget(e.Request)
+		r.removeWaiting(e.Request)
 		r.waiting[e.Request] = waitingRequest{
 			tier: e.Tier, workspace: e.Workspace, limit: e.MaxWaiting, entry: e.Entry, expires: now.Add(e.DeadlineIn),
 		}
-		r.byTier[e.Tier]++
+		r.waitingByTier[e.Tier]++
 	case pool.Withdraw:
-		r.forget(e.Request)
+		r.removeWaiting(e.Request)
 	case pool.Release:
 		r.release(e)
 	case pool.Running:
 		r.running[e.Grant] = e.Request
-		r.grantOf[e.Request] = e.Grant
+		r.grantByRequest[e.Request] = e.Grant
 	case pool.EntrySet:
-		r.entries(e)
+		r.setEntries(e)
 	case pool.EntryEnded:
 		for id, w := range r.waiting {
 			if w.entry == e.Entry {
-				r.forget(id)
+				r.removeWaiting(id)
 			}
 		}
 	case pool.ServerSet:
@@ -136,105 +136,105 @@
 	}
 }
 
-func (r *replay) forget(id request.ID) (waitingRequest, bool) {
+func (r *traceChecker) removeWaiting(id request.ID) (waitingRequest, bool) {
 	w, ok := r.waiting[id]
 	if ok {
 		delete(r.waiting, id)
-		r.byTier[w.tier]--
+		r.waitingByTier[w.tier]--
 	}
 	return w, ok
 }
 
-func (r *replay) entries(e pool.EntrySet) {
+func (r *traceChecker) setEntries(e pool.EntrySet) {
 	alive := map[pool.EntryID]bool{}
 	for _, id := range e.Entries {
 		alive[id] = true
 	}
 	for id, w := range r.waiting {
 		if !alive[w.entry] {
-			r.forget(id)
+			r.removeWaiting(id)
 		}
 	}
 }
 
-func (r *replay) release(e pool.Release) {
+func (r *traceChecker) release(e pool.Release) {
 	id, ok := r.running[e.Grant]
 	if !ok || id != e.Request {
-		r.violate(RuleRelease, e.Request, "grant %v holds %q", e.Grant, id)
+		r.addViolation(RuleRelease, e.Request, "grant %v holds %q", e.Grant, id)
 		return
 	}
 	delete(r.running, e.Grant)
-	delete(r.grantOf, e.Request)
+	delete(r.grantByRequest, e.Request)
 }
 
-func (r *replay) command(now time.Time, c pool.Command) {
+func (r *traceChecker) handleCommand(now time.Time, c pool.Command) {
 	switch c := c.(type) {
 	case pool.Grant:
 		r.grant(c)
 	case pool.Shed:
 		r.shed(now, c)
 	case pool.Redirect:
-		if _, ok := r.forget(c.Request); !ok {
-			r.violate(RuleKnownRequest, c.Request, "redirected to %s", c.Pool)
+		if _, ok := r.removeWaiting(c.Request); !ok {
+			r.addViolation(RuleKnownRequest, c.Request, "redirected to %s", c.Pool)
 		}
 	}
 }
 
-func (r *replay) grant(c pool.Grant) {
-	if _, ok := r.forget(c.Request); !ok {
-		r.violate(RuleKnownRequest, c.Request, "granted %s", c.Server)
+func (r *traceChecker) grant(c pool.Grant) {
+	if _, ok := r.removeWaiting(c.Request); !ok {
+		r.addViolation(RuleKnownRequest, c.Request, "granted %s", c.Server)
 	}
-	if r.used[c.Grant] {
-		r.violate(RuleGrantOnce, c.Request, "grant id %v used before", c.Grant)
+	if r.usedGrants[c.Grant] {
+		r.addViolation(RuleGrantOnce, c.Request, "grant id %v used before", c.Grant)
 	}
-	if other, ok := r.grantOf[c.Request]; ok {
-		r.violate(RuleGrantOnce, c.Request, "runs under grant %v already", other)
+	if other, ok := r.grantByRequest[c.Request]; ok {
+		r.addViolation(RuleGrantOnce, c.Request, "runs under grant %v already", other)
 	}
 	if health, known := r.health[c.Server]; !r.servers[c.Server] || (known && health != pool.HealthUp) {
-		r.violate(RuleServerUp, c.Request, "%s is in the set: %t, health %d", c.Server, r.servers[c.Server], health)
+		r.addViolation(RuleServerUp, c.Request, "%s is in the set: %t, health %d", c.Server, r.servers[c.Server], health)
 	}
-	r.used[c.Grant] = true
+	r.usedGrants[c.Grant] = true
 	r.running[c.Grant] = c.Request
-	r.grantOf[c.Request] = c.Grant
+	r.grantByRequest[c.Request] = c.Grant
 }
 
 // shed checks a refusal by its reason: a bound of the pool takes the lowest
 // tier first; the other reasons must be true by themselves.
-func (r *replay) shed(now time.Time, c pool.Shed) {
-	inTier := r.waitingOf(c.Request)
-	w, ok := r.forget(c.Request)
+func (r *traceChecker) shed(now time.Time, c pool.Shed) {
+	sameTier := r.countWaiting(c.Request)
+	w, ok := r.removeWaiting(c.Request)
 	if !ok {
-		r.violate(RuleKnownRequest, c.Request, "shed as %s", c.Reason)
+		r.addViolation(RuleKnownRequest, c.Request, "shed as %s", c.Reason)
 		return
 	}
 	switch c.Reason {
 	case request.ReasonShed:
-		if lower, n := r.lowest(w.tier); n > 0 {
-			r.violate(RuleTierOrder, c.Request, "tier %d shed while %d of tier %d waited", w.tier, n, lower)
+		if lower, n := r.lowestWaitingTier(w.tier); n > 0 {
+			r.addViolation(RuleTierOrder, c.Request, "tier %d shed while %d of tier %d waited", w.tier, n, lower)
 		}
 	case request.ReasonExpired:
 		if now.Before(w.expires) {
-			r.violate(RuleExpiry, c.Request, "%v before its deadline", w.expires.Sub(now))
+			r.addViolation(RuleExpiry, c.Request, "%v before its deadline", w.expires.Sub(now))
 		}
 	case request.ReasonWorkspaceLimit:
-		if w.limit == 0 || inTier <= w.limit {
-			r.violate(RuleWorkspaceLimit, c.Request, "%d wait, bound %d", inTier, w.limit)
+		if w.limit == 0 || sameTier <= w.limit {
+			r.addViolation(RuleWorkspaceLimit, c.Request, "%d wait, bound %d", sameTier, w.limit)
 		}
 	}
 }
 
-// lowest returns the lowest tier below the given one of which requests wait.
-func (r *replay) lowest(above request.Tier) (tier request.Tier, waiting int) {
+// lowestWaitingTier returns the lowest tier below the given one of which requests wait.
+func (r *traceChecker) lowestWaitingTier(above request.Tier) (tier request.Tier, waiting int) {
 	for t := request.Tier(request.MaxTiers - 1); t > above; t-- {
-		if r.byTier[t] > 0 {
-			return t, r.byTier[t]
+		if r.waitingByTier[t] > 0 {
+			return t, r.waitingByTier[t]
 		}
 	}
 	return 0, 0
 }
 
-// waitingOf counts the waiting requests of a request's workspace and tier.
-func (r *replay) waitingOf(id request.ID) int {
+// countWaiting counts the waiting requests of a request's workspace and tier.
+func (r *traceChecker) countWaiting(id request.ID) int {
 	me, n := r.waiting[id], 0
 	if me.limit == 0 {
 		return 0
--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -23,12 +23,12 @@
 	Prefix int
 	Stream bool
 	Echo   bool
-	// LeaveAfter is when the caller leaves, from At; 0: it stays.
-	LeaveAfter time.Duration
-	// Key is its Idempotency-Key, or empty.
-	Key string
-	// seed makes its texts, runSeed the shared ones.
-	seed, runSeed uint64
+	// DisconnectAfter is when the caller leaves, from At; 0: it stays.
+	DisconnectAfter time.Duration
+	// IdempotencyKey is its Idempotency-Key, or empty.
+	IdempotencyKey string
+	// textSeed makes its texts, prefixSeed the shared ones.
+	textSeed, prefixSeed uint64
 }
 
 // Arrivals returns the arrivals of a run in time order. The same mix, seed
@@ -44,7 +44,7 @@
 	sort.SliceStable(out, func(i, j int) bool { return out[i].At < out[j].At })
 	for i := range out {
 		out[i].Seq = i
-		out[i].runSeed = seed
+		out[i].prefixSeed = seed
 	}
 	return out
 }
@@ -61,47 +61,47 @@
 		if when >= duration {
 			return out
 		}
-		a := draw(c, rng, when)
+		a := drawArrival(c, rng, when)
 		if rng.Float64()*peak < c.rateAt(when) {
 			out = append(out, a)
 		}
 	}
 }
 
-func draw(c *Class, rng *rand.Rand, at time.Duration) Arrival {
-	a := Arrival{Class: c, At: at, Prefix: -1, seed: rng.Uint64()}
+func drawArrival(c *Class, rng *rand.Rand, at time.Duration) Arrival {
+	a := Arrival{Class: c, At: at, Prefix: -1, textSeed: rng.Uint64()}
 	a.OutputTokens = c.OutputTokens.draw(rng)
 	a.PromptTokens = c.PromptTokens.draw(rng)
 	a.Stream = rng.Float64() < c.StreamShare
-	a.Echo = rng.Float64() >= c.PlainShare
+	a.Echo = rng.Float64() >= c.NoEchoShare
 	if p := c.Prefix; p != nil {
 		a.Prefix = p.draw(rng, at)
 	}
-	if rng.Float64() < c.LeaveShare {
-		a.LeaveAfter = milliseconds(c.LeaveAfterMs.draw(rng))
+	if rng.Float64() < c.DisconnectShare {
+		a.DisconnectAfter = milliseconds(c.DisconnectAfterMs.draw(rng))
 	}
-	if rng.Float64() < c.KeyShare {
-		a.Key = "key-" + hex(rng.Uint64())
+	if rng.Float64() < c.IdempotencyKeyShare {
+		a.IdempotencyKey = "key-" + hex(rng.Uint64())
 	}
 	return a
 }
 
-func (l Length) draw(rng *rand.Rand) int {
+func (l LengthDistribution) draw(rng *rand.Rand) int {
 	v := l.Median * math.Exp(rng.NormFloat64()*l.Sigma)
 	return int(min(max(math.Round(v), float64(l.Min)), float64(l.Max)))
 }
 
-// favouredShare is how many of a class's prefixed requests take the prefix
+// rotationShare is how many of a class's prefixed requests take the prefix
 // whose turn it is.
-const favouredShare = 0.8
+const rotationShare = 0.8
 
 func (p *Prefix) draw(rng *rand.Rand, at time.Duration) int {
-	other, has, favoured := rng.IntN(p.Count), rng.Float64() < p.Share, rng.Float64() < favouredShare
+	other, hasPrefix, favoured := rng.IntN(p.Count), rng.Float64() < p.Share, rng.Float64() < rotationShare
 	switch {
-	case !has:
+	case !hasPrefix:
 		return -1
-	case p.TurnMs > 0 && favoured:
-		return int(at/milliseconds(p.TurnMs)) % p.Count
+	case p.RotationMs > 0 && favoured:
+		return int(at/milliseconds(p.RotationMs)) % p.Count
 	default:
 		return other
 	}
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -45,7 +45,7 @@
 		c.add(join(prefix, "tiers"), "at least one tier is needed")
 	}
 	for name, t := range m.Tiers {
-		c.targets(join(prefix, "tiers."+name), t)
+		c.checkTargets(join(prefix, "tiers."+name), t)
 	}
 	if len(m.Classes) == 0 {
 		c.add(join(prefix, "classes"), "at least one class is needed")
@@ -54,7 +54,7 @@
 	for i := range m.Classes {
 		path := join(prefix, fmt.Sprintf("classes[%d]", i))
 		cl := &m.Classes[i]
-		c.class(path, cl, m.Tiers)
+		c.checkClass(path, cl, m.Tiers)
 		if names[cl.Name] {
 			c.add(path+".name", "%q is used twice", cl.Name)
 		}
@@ -81,21 +81,21 @@
 	c.findings.Add(c.file, path, format, args...)
 }
 
-// within adds a finding where v is not in [lo, hi].
-func (c checker) within(path string, v, lo, hi float64) {
+// inRange adds a finding where v is not in [lo, hi].
+func (c checker) inRange(path string, v, lo, hi float64) {
 	if !(v >= lo && v <= hi) {
 		c.add(path, "%g is not between %g and %g", v, lo, hi)
 	}
 }
 
-func (c checker) needed(path, v string) {
+func (c checker) required(path, v string) {
 	if v == "" {
 		c.add(path, "is needed")
 	}
 }
 
-func (c checker) targets(path string, t Targets) {
-	c.within(path+".priority", float64(t.Priority), 0, 7)
+func (c checker) checkTargets(path string, t Targets) {
+	c.inRange(path+".priority", float64(t.Priority), 0, 7)
 	for field, v := range map[string]int{"first_token_ms": t.FirstTokenMs, "per_token_ms": t.PerTokenMs, "deadline_ms": t.DeadlineMs} {
 		if v < 0 {
 			c.add(path+"."+field, "%d is negative", v)
@@ -106,74 +106,74 @@
 	}
 }
 
-func (c checker) class(path string, cl *Class, tiers map[string]Targets) {
-	c.needed(path+".name", cl.Name)
-	c.needed(path+".workspace", cl.Workspace)
-	c.needed(path+".model", cl.Model)
+func (c checker) checkClass(path string, cl *Class, tiers map[string]Targets) {
+	c.required(path+".name", cl.Name)
+	c.required(path+".workspace", cl.Workspace)
+	c.required(path+".model", cl.Model)
 	if _, ok := tiers[cl.Tier]; !ok {
 		c.add(path+".tier", "%q is not among the tiers", cl.Tier)
 	}
 	if cl.Rate <= 0 || cl.Rate > maxRate {
 		c.add(path+".rate", "%g is not above 0 and at most %d", cl.Rate, maxRate)
 	}
-	c.length(path+".prompt_tokens", cl.PromptTokens)
-	c.length(path+".output_tokens", cl.OutputTokens)
-	c.within(path+".max_tokens", float64(cl.MaxTokens), 0, maxTokens)
+	c.checkLength(path+".prompt_tokens", cl.PromptTokens)
+	c.checkLength(path+".output_tokens", cl.OutputTokens)
+	c.inRange(path+".max_tokens", float64(cl.MaxTokens), 0, maxTokens)
 	if cl.MaxTokens > 0 && cl.OutputTokens.Max > cl.MaxTokens {
 		c.add(path+".output_tokens.max", "%d is over max_tokens %d: answers would be cut", cl.OutputTokens.Max, cl.MaxTokens)
 	}
-	c.shares(path, cl)
-	c.times(path, cl)
-	c.prefix(path+".prefix", cl.Prefix)
+	c.checkShares(path, cl)
+	c.checkTimes(path, cl)
+	c.checkPrefix(path+".prefix", cl.Prefix)
 }
 
-func (c checker) shares(path string, cl *Class) {
-	c.within(path+".stream_share", cl.StreamShare, 0, 1)
-	c.within(path+".leave_share", cl.LeaveShare, 0, 1)
-	c.within(path+".key_share", cl.KeyShare, 0, 1)
-	c.within(path+".plain_share", cl.PlainShare, 0, 1)
+func (c checker) checkShares(path string, cl *Class) {
+	c.inRange(path+".stream_share", cl.StreamShare, 0, 1)
+	c.inRange(path+".leave_share", cl.DisconnectShare, 0, 1)
+	c.inRange(path+".key_share", cl.IdempotencyKeyShare, 0, 1)
+	c.inRange(path+".plain_share", cl.NoEchoShare, 0, 1)
 	switch {
-	case cl.LeaveAfterMs != nil:
-		c.length(path+".leave_after_ms", *cl.LeaveAfterMs)
-	case cl.LeaveShare > 0:
+	case cl.DisconnectAfterMs != nil:
+		c.checkLength(path+".leave_after_ms", *cl.DisconnectAfterMs)
+	case cl.DisconnectShare > 0:
 		c.add(path+".leave_after_ms", "is needed with leave_share")
 	}
 }
 
-func (c checker) times(path string, cl *Class) {
+func (c checker) checkTimes(path string, cl *Class) {
 	for i, b := range cl.Bursts {
 		p := fmt.Sprintf("%s.bursts[%d]", path, i)
-		c.within(p+".factor", b.Factor, 0, maxFactor)
-		if b.AtMs < 0 || b.ForMs <= 0 {
-			c.add(p, "at_ms %d must not be negative and for_ms %d must be above 0", b.AtMs, b.ForMs)
+		c.inRange(p+".factor", b.Factor, 0, maxFactor)
+		if b.StartMs < 0 || b.DurationMs <= 0 {
+			c.add(p, "at_ms %d must not be negative and for_ms %d must be above 0", b.StartMs, b.DurationMs)
 		}
 	}
-	if cl.FromMs < 0 || (cl.ToMs != 0 && cl.ToMs <= cl.FromMs) {
-		c.add(path+".to_ms", "from_ms %d to to_ms %d is no span of time", cl.FromMs, cl.ToMs)
+	if cl.StartMs < 0 || (cl.EndMs != 0 && cl.EndMs <= cl.StartMs) {
+		c.add(path+".to_ms", "from_ms %d to to_ms %d is no span of time", cl.StartMs, cl.EndMs)
 	}
-	if r := cl.Resend; r != nil && (r.Times < 1 || r.Times > 100 || r.AfterMs < 0) {
+	if r := cl.Resend; r != nil && (r.Times < 1 || r.Times > 100 || r.DelayMs < 0) {
 		c.add(path+".resend", "want 1 to 100 times and no negative after_ms")
 	}
 }
 
-func (c checker) prefix(path string, p *Prefix) {
+func (c checker) checkPrefix(path string, p *Prefix) {
 	if p == nil {
 		return
 	}
-	c.within(path+".count", float64(p.Count), 1, maxTokens)
-	c.within(path+".tokens", float64(p.Tokens), 1, maxTokens)
-	c.within(path+".share", p.Share, 0, 1)
-	if p.TurnMs < 0 {
-		c.add(path+".turn_ms", "%d is negative", p.TurnMs)
+	c.inRange(path+".count", float64(p.Count), 1, maxTokens)
+	c.inRange(path+".tokens", float64(p.Tokens), 1, maxTokens)
+	c.inRange(path+".share", p.Share, 0, 1)
+	if p.RotationMs < 0 {
+		c.add(path+".turn_ms", "%d is negative", p.RotationMs)
 	}
 }
 
-func (c checker) length(path string, l Length) {
+func (c checker) checkLength(path string, l LengthDistribution) {
 	if l.Min < 1 || l.Max < l.Min || l.Max > maxTokens {
 		c.add(path, "want 1 <= min <= max <= %d, not min %d, max %d", maxTokens, l.Min, l.Max)
 	}
 	if l.Median < float64(l.Min) || l.Median > float64(l.Max) {
 		c.add(path+".median", "%g is not between min %d and max %d", l.Median, l.Min, l.Max)
 	}
-	c.within(path+".sigma", l.Sigma, 0, 5)
+	c.inRange(path+".sigma", l.Sigma, 0, 5)
 }
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -41,42 +41,42 @@
 // call is one try under way.
 type call struct {
 	arrival *Arrival
-	// began is the moment that times count from.
-	began  time.Time
-	answer string // expected; empty: any
-	try    Try
-	text   strings.Builder
-	ended  bool // the answer's end mark was seen
-	extra  bool // text came after the end mark
-	errs   bool // an error came in the stream
+	// start is the moment that times count from.
+	start        time.Time
+	wantText     string // expected; empty: any
+	attempt      Attempt
+	text         strings.Builder
+	finished     bool // the answer's end mark was seen
+	trailingText bool // text came after the end mark
+	streamError  bool // an error came in the stream
 }
 
 // send sends the arrival once and reads its answer. ctx ends when the caller
 // leaves or gives up.
-func (c *client) send(ctx context.Context, a *Arrival, key string, began time.Time) Try {
+func (c *client) send(ctx context.Context, a *Arrival, key string, start time.Time) Attempt {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	k := &call{arrival: a, began: began}
-	k.build(req, c.host, key)
+	k := &call{arrival: a, start: start}
+	k.buildRequest(req, c.host, key)
 	conn, err := c.conns.Send(ctx, req, httpconn.MayReuse, nil)
 	if err == nil {
 		err = k.read(ctx, conn)
 	}
-	k.try.Total = time.Since(began)
-	k.try.Ending = k.verdict(err)
-	return k.try
+	k.attempt.Total = time.Since(start)
+	k.attempt.Outcome = k.outcome(err)
+	return k.attempt
 }
 
-// message is one message of a chat.
-type message struct {
+// chatMessage is one message of a chat.
+type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// body is a chat request as callers send it.
-type body struct {
+// readBody is a chat request as callers send it.
+type chatRequest struct {
 	Model         string         `json:"model"`
-	Messages      []message      `json:"messages"`
+	Messages      []chatMessage  `json:"messages"`
 	Stream        bool           `json:"stream,omitempty"`
 	StreamOptions *streamOptions `json:"stream_options,omitempty"`
 	MaxTokens     int            `json:"max_tokens,omitempty"`
@@ -86,15 +86,15 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-func (k *call) build(req *fasthttp.Request, host, key string) {
+func (k *call) buildRequest(req *fasthttp.Request, host, key string) {
 	a := k.arrival
 	system, user, answer := a.Texts()
-	k.answer = answer
-	b := body{Model: a.Class.Model, Stream: a.Stream, MaxTokens: a.Class.MaxTokens}
+	k.wantText = answer
+	b := chatRequest{Model: a.Class.Model, Stream: a.Stream, MaxTokens: a.Class.MaxTokens}
 	if system != "" {
-		b.Messages = append(b.Messages, message{"system", system})
+		b.Messages = append(b.Messages, chatMessage{"system", system})
 	}
-	b.Messages = append(b.Messages, message{"user", user})
+	b.Messages = append(b.Messages, chatMessage{"user", user})
 	if a.Stream {
 		b.StreamOptions = &streamOptions{IncludeUsage: true}
 	}
@@ -107,8 +107,8 @@
 	if !a.Class.NoTierHeader {
 		req.Header.Set(headerTier, a.Class.Tier)
 	}
-	if a.Key != "" {
-		req.Header.Set(headerKey, a.Key)
+	if a.IdempotencyKey != "" {
+		req.Header.Set(headerKey, a.IdempotencyKey)
 	}
 	req.SetBodyRaw(raw)
 }
@@ -124,8 +124,8 @@
 	resp.StreamBody = true
 	err := resp.ReadLimitBody(conn.Reader, maxBody)
 	if err == nil {
-		k.header(resp)
-		err = k.body(resp)
+		k.readHeader(resp)
+		err = k.readBody(resp)
 	}
 	conn.Unbind()
 	if err != nil || resp.ConnectionClose() {
@@ -137,42 +137,42 @@
 	return nil
 }
 
-func (k *call) header(resp *fasthttp.Response) {
-	k.try.Status = resp.StatusCode()
-	k.try.RequestID = string(resp.Header.Peek(headerRequest))
-	k.try.RetryAfter = len(resp.Header.Peek(fasthttp.HeaderRetryAfter)) > 0
+func (k *call) readHeader(resp *fasthttp.Response) {
+	k.attempt.Status = resp.StatusCode()
+	k.attempt.RequestID = string(resp.Header.Peek(headerRequest))
+	k.attempt.RetryAfter = len(resp.Header.Peek(fasthttp.HeaderRetryAfter)) > 0
 }
 
-func (k *call) body(resp *fasthttp.Response) error {
+func (k *call) readBody(resp *fasthttp.Response) error {
 	r := resp.BodyStream()
 	if strings.HasPrefix(string(resp.Header.ContentType()), "text/event-stream") {
-		return k.events(r)
+		return k.readEvents(r)
 	}
 	raw, err := io.ReadAll(r)
 	if err != nil {
 		return err
 	}
-	if k.try.Status != fasthttp.StatusOK {
-		k.refusal(gjson.ParseBytes(raw))
+	if k.attempt.Status != fasthttp.StatusOK {
+		k.readError(gjson.ParseBytes(raw))
 		return nil
 	}
-	return k.plain(raw)
+	return k.readPlain(raw)
 }
 
-// plain reads an answer that is not streamed.
-func (k *call) plain(raw []byte) error {
+// readPlain reads an answer that is not streamed.
+func (k *call) readPlain(raw []byte) error {
 	if !gjson.ValidBytes(raw) {
 		return errors.New("answer is no valid JSON")
 	}
 	v := gjson.ParseBytes(raw)
 	k.text.WriteString(v.Get("choices.0.message.content").Str)
-	k.ended = v.Get("choices.0.finish_reason").Str != ""
-	k.try.Tokens = int(v.Get("usage.completion_tokens").Int())
+	k.finished = v.Get("choices.0.finish_reason").Str != ""
+	k.attempt.Tokens = int(v.Get("usage.completion_tokens").Int())
 	return nil
 }
 
-// events reads a stream of server-sent events to its end.
-func (k *call) events(r io.Reader) error {
+// readEvents reads a stream of server-sent events to its end.
+func (k *call) readEvents(r io.Reader) error {
 	lines := bufio.NewReader(r)
 	done := false
 	for {
@@ -180,16 +180,16 @@
 		if data, ok := strings.CutPrefix(strings.TrimRight(line, "\r\n"), "data:"); ok {
 			data = strings.TrimSpace(data)
 			if done {
-				k.extra = true
+				k.trailingText = true
 			}
 			if data == streamDone {
 				done = true
 			} else {
-				k.event(gjson.Parse(data))
+				k.readEvent(gjson.Parse(data))
 			}
 		}
 		if err == io.EOF {
-			k.ended = k.ended && done
+			k.finished = k.finished && done
 			return nil
 		}
 		if err != nil {
@@ -198,86 +198,86 @@
 	}
 }
 
-func (k *call) event(v gjson.Result) {
+func (k *call) readEvent(v gjson.Result) {
 	if v.Get("error").Exists() {
-		k.refusal(v)
-		k.errs = true
+		k.readError(v)
+		k.streamError = true
 		return
 	}
 	if n := v.Get("usage.completion_tokens"); n.Exists() {
-		k.try.Tokens = int(n.Int())
+		k.attempt.Tokens = int(n.Int())
 	}
 	if text := v.Get("choices.0.delta.content").Str; text != "" {
-		if k.try.FirstToken == 0 {
-			k.try.FirstToken = time.Since(k.began)
+		if k.attempt.FirstToken == 0 {
+			k.attempt.FirstToken = time.Since(k.start)
 		}
-		k.extra = k.extra || k.ended
+		k.trailingText = k.trailingText || k.finished
 		k.text.WriteString(text)
 	}
 	if v.Get("choices.0.finish_reason").Str != "" {
-		k.extra = k.extra || k.ended
-		k.ended = true
+		k.trailingText = k.trailingText || k.finished
+		k.finished = true
 	}
 }
 
-func (k *call) refusal(v gjson.Result) {
-	k.try.Reason = v.Get("error.code").String()
-	k.try.NotRun = v.Get("error.not_run").String()
+func (k *call) readError(v gjson.Result) {
+	k.attempt.Reason = v.Get("error.code").String()
+	k.attempt.NotRun = v.Get("error.not_run").String()
 }
 
-// verdict judges the try after its answer was read as far as it came.
-func (k *call) verdict(err error) Ending {
+// outcome judges the try after its answer was read as far as it came.
+func (k *call) outcome(err error) Outcome {
 	text := k.text.String()
-	if k.try.Tokens == 0 {
-		k.try.Tokens = estimateTokens(text)
+	if k.attempt.Tokens == 0 {
+		k.attempt.Tokens = estimateTokens(text)
 	}
 	switch {
 	case errors.Is(err, engine.ErrNotSent):
-		return NotSent
-	case err != nil && k.try.Status == 0:
-		return Lost
-	case k.errs && k.try.Reason != "":
-		return Failed
-	case err != nil || k.errs:
-		return Cut
-	case k.try.Status != fasthttp.StatusOK:
-		return k.refused()
-	case !k.ended:
-		return Cut
-	case k.extra:
-		return Doubled
+		return OutcomeNotSent
+	case err != nil && k.attempt.Status == 0:
+		return OutcomeNoAnswer
+	case k.streamError && k.attempt.Reason != "":
+		return OutcomeFailed
+	case err != nil || k.streamError:
+		return OutcomeTruncated
+	case k.attempt.Status != fasthttp.StatusOK:
+		return k.nonSuccessOutcome()
+	case !k.finished:
+		return OutcomeTruncated
+	case k.trailingText:
+		return OutcomeDuplicated
 	default:
-		return k.compare(text)
+		return k.compareText(text)
 	}
 }
 
-// refused judges an answer that is no success: without a typed reason the
+// nonSuccessOutcome judges an answer that is no success: without a typed reason the
 // caller can't know what to do, which is as bad as no answer.
-func (k *call) refused() Ending {
-	if k.try.Reason == "" {
-		return Lost
+func (k *call) nonSuccessOutcome() Outcome {
+	if k.attempt.Reason == "" {
+		return OutcomeNoAnswer
 	}
-	return Refused
+	return OutcomeRefused
 }
 
-func (k *call) compare(text string) Ending {
-	mark, _, _ := strings.Cut(k.answer, ">")
+func (k *call) compareText(text string) Outcome {
+	marker, _, _ := strings.Cut(k.wantText, ">")
 	switch {
-	case k.answer == "":
-		return k.complete(text)
-	case text == k.answer:
-		return Whole
-	case strings.HasPrefix(text, "<") && !strings.HasPrefix(text, mark+">"):
-		return Crossed
+	case k.wantText == "":
+		return k.compareLength(text)
+	case text == k.wantText:
+		return OutcomeComplete
+	case strings.HasPrefix(text, "<") && !strings.HasPrefix(text, marker+">"):
+		return OutcomeMisrouted
 	default:
-		return Wrong
+		return OutcomeWrong
 	}
 }
 
-// complete judges an answer whose text is not known before by its length.
-func (k *call) complete(text string) Ending {
+// compareLength judges an answer whose text is not known before by its length.
+func (k *call) compareLength(text string) Outcome {
 	if estimateTokens(text) >= k.arrival.OutputTokens {
-		return Whole
+		return OutcomeComplete
 	}
-	return Cut
+	return OutcomeTruncated
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -18,10 +18,10 @@
 		Tiers: map[string]Targets{"urgent": {FirstTokenMs: 100, PerTokenMs: 10, DeadlineMs: 1000}},
 		Classes: []Class{{
 			Name: "tag", Workspace: "w", Model: "m", Tier: "urgent", Rate: 50,
-			PromptTokens: Length{Median: 100, Sigma: 1.5, Min: 4, Max: 4000},
-			OutputTokens: Length{Median: 20, Sigma: 0.5, Min: 8, Max: 100},
+			PromptTokens: LengthDistribution{Median: 100, Sigma: 1.5, Min: 4, Max: 4000},
+			OutputTokens: LengthDistribution{Median: 20, Sigma: 0.5, Min: 8, Max: 100},
 			Prefix:       &Prefix{Count: 3, Tokens: 128, Share: 0.5},
-			Bursts:       []Burst{{AtMs: 4000, ForMs: 2000, Factor: 5}},
+			Bursts:       []Burst{{StartMs: 4000, DurationMs: 2000, Factor: 5}},
 			StreamShare:  0.5,
 		}},
 	}
@@ -73,7 +73,7 @@
 		byPrefix := map[int]string{}
 		for _, a := range Arrivals(testMix(), 1, 2*time.Second) {
 			system, user, answer := a.Texts()
-			So(user, ShouldEqual, echoMark+answer)
+			So(user, ShouldEqual, echoPrefix+answer)
 			want := max(a.PromptTokens, engine.EstimateTokens(user))
 			So(engine.EstimateTokens(system+user), ShouldBeBetween, want-2, want+2+128)
 			if a.Prefix >= 0 {
@@ -116,43 +116,43 @@
 }
 
 // Guards against this: a caller gets the answer of another request, a torn one or one twice, and nobody notices.
-func TestVerdict(t *testing.T) {
+func TestAttemptOutcome(t *testing.T) {
 	event := func(text string) string { return `data: {"choices":[{"delta":{"content":"` + text + `"}}]}` + "\n\n" }
 	const end = `data: {"choices":[{"delta":{},"finish_reason":"stop"}]}` + "\n\ndata: [DONE]\n\n"
 	Convey("Each way in which an answer can be wrong is told apart", t, func() {
 		for _, x := range []struct {
 			stream string
-			want   Ending
+			want   Outcome
 		}{
-			{event("<a-1> one ") + event("two") + end, Whole},
-			{": keepalive\n\n" + event("<a-1> one two") + end, Whole},
-			{event("<a-1> one two"), Cut},
-			{event("<a-1> one two") + `data: {"choices":[{"delta":{},"finish_reason":"stop"}]}` + "\n\n", Cut},
-			{event("<b-2> one two") + end, Crossed},
-			{event("<a-1> one") + end, Wrong},
-			{event("<a-1> one two") + end + event("<a-1> one two") + end, Doubled},
-			{event("<a-1> one ") + `data: {"error":{"code":"engine_lost","not_run":false}}` + "\n\n" + end, Failed},
-			{event("<a-1> one ") + `data: {"error":{"message":"no code"}}` + "\n\n" + end, Cut},
+			{event("<a-1> one ") + event("two") + end, OutcomeComplete},
+			{": keepalive\n\n" + event("<a-1> one two") + end, OutcomeComplete},
+			{event("<a-1> one two"), OutcomeTruncated},
+			{event("<a-1> one two") + `data: {"choices":[{"delta":{},"finish_reason":"stop"}]}` + "\n\n", OutcomeTruncated},
+			{event("<b-2> one two") + end, OutcomeMisrouted},
+			{event("<a-1> one") + end, OutcomeWrong},
+			{event("<a-1> one two") + end + event("<a-1> one two") + end, OutcomeDuplicated},
+			{event("<a-1> one ") + `data: {"error":{"code":"engine_lost","not_run":false}}` + "\n\n" + end, OutcomeFailed},
+			{event("<a-1> one ") + `data: {"error":{"message":"no code"}}` + "\n\n" + end, OutcomeTruncated},
 		} {
-			k := call{answer: "<a-1> one two", arrival: &Arrival{Stream: true}, began: time.Now()}
-			k.try.Status = 200
-			err := k.events(strings.NewReader(x.stream))
-			So(k.verdict(err), ShouldEqual, x.want)
+			k := call{wantText: "<a-1> one two", arrival: &Arrival{Stream: true}, start: time.Now()}
+			k.attempt.Status = 200
+			err := k.readEvents(strings.NewReader(x.stream))
+			So(k.outcome(err), ShouldEqual, x.want)
 		}
 	})
 	Convey("A failure without a typed reason is no refusal", t, func() {
-		k := call{arrival: &Arrival{}, try: Try{Status: 500}}
-		So(k.verdict(nil), ShouldEqual, Lost)
-		k.try.Reason = "shed"
-		So(k.verdict(nil), ShouldEqual, Refused)
-		So(k.verdict(errors.New("broken")), ShouldEqual, Cut)
+		k := call{arrival: &Arrival{}, attempt: Attempt{Status: 500}}
+		So(k.outcome(nil), ShouldEqual, OutcomeNoAnswer)
+		k.attempt.Reason = "shed"
+		So(k.outcome(nil), ShouldEqual, OutcomeRefused)
+		So(k.outcome(errors.New("broken")), ShouldEqual, OutcomeTruncated)
 	})
 	Convey("Only a caller that cut its answer short itself is not counted as lost or cut", t, func() {
-		So(endedEarly(Cut, false, true), ShouldEqual, Cut)
-		So(endedEarly(Cut, true, false), ShouldEqual, TooLate)
-		So(endedEarly(Lost, true, false), ShouldEqual, Lost)
-		So(endedEarly(Lost, true, true), ShouldEqual, Left)
-		So(endedEarly(Whole, true, true), ShouldEqual, Whole)
+		So(endedByCaller(OutcomeTruncated, false, true), ShouldEqual, OutcomeTruncated)
+		So(endedByCaller(OutcomeTruncated, true, false), ShouldEqual, OutcomeTooLate)
+		So(endedByCaller(OutcomeNoAnswer, true, false), ShouldEqual, OutcomeNoAnswer)
+		So(endedByCaller(OutcomeNoAnswer, true, true), ShouldEqual, OutcomeDisconnected)
+		So(endedByCaller(OutcomeComplete, true, true), ShouldEqual, OutcomeComplete)
 	})
 }
 
@@ -161,20 +161,20 @@
 		m := testMix()
 		a := &Arrival{Class: &m.Classes[0], Stream: true}
 		ms := time.Millisecond
-		of := func(e Ending, first, total time.Duration) Result {
-			return Result{Arrival: a, Tries: []Try{{Ending: e, FirstToken: first, Total: total, Tokens: 11, Reason: map[Ending]string{Refused: "shed"}[e]}}}
+		resultOf := func(e Outcome, first, total time.Duration) Result {
+			return Result{Arrival: a, Attempts: []Attempt{{Outcome: e, FirstToken: first, Total: total, Tokens: 11, Reason: map[Outcome]string{OutcomeRefused: "shed"}[e]}}}
 		}
 		rep := Summarize(m, 1, time.Second, []Result{
-			of(Whole, 50*ms, 140*ms), of(Whole, 101*ms, 140*ms), of(Whole, 50*ms, 160*ms),
-			of(Refused, 0, ms), of(Left, 0, ms), of(Cut, 10*ms, 20*ms),
+			resultOf(OutcomeComplete, 50*ms, 140*ms), resultOf(OutcomeComplete, 101*ms, 140*ms), resultOf(OutcomeComplete, 50*ms, 160*ms),
+			resultOf(OutcomeRefused, 0, ms), resultOf(OutcomeDisconnected, 0, ms), resultOf(OutcomeTruncated, 10*ms, 20*ms),
 		})
 		So(rep.Tiers[0].Offered, ShouldEqual, 5)
-		So(rep.Tiers[0].Left, ShouldEqual, 1)
+		So(rep.Tiers[0].Disconnected, ShouldEqual, 1)
 		So(rep.Tiers[0].Good, ShouldEqual, 1)
 		So(rep.Tiers[0].Goodput, ShouldEqual, 0.2)
-		So(rep.Tiers[0].Missed, ShouldResemble, map[Miss]int{MissNotWhole: 2, MissFirstToken: 1, MissPerToken: 1})
+		So(rep.Tiers[0].Missed, ShouldResemble, map[Miss]int{MissIncomplete: 2, MissFirstToken: 1, MissPerToken: 1})
 		So(rep.Refusals["shed"], ShouldEqual, 1)
 		So(rep.NoRetryAfter, ShouldEqual, 1)
-		So(rep.Faults(), ShouldEqual, 1)
+		So(rep.InvalidOutcomes(), ShouldEqual, 1)
 	})
 }
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -38,34 +38,34 @@
 	// PromptTokens counts the whole prompt, a shared prefix included. The
 	// answer's text is part of the prompt, so a prompt is never shorter than
 	// its prefix and its answer together.
-	PromptTokens Length `json:"prompt_tokens"`
-	OutputTokens Length `json:"output_tokens"`
+	PromptTokens LengthDistribution `json:"prompt_tokens"`
+	OutputTokens LengthDistribution `json:"output_tokens"`
 	// MaxTokens is the cap that callers send; 0 sends none.
 	MaxTokens int     `json:"max_tokens,omitempty"`
 	Prefix    *Prefix `json:"prefix,omitempty"`
 	Bursts    []Burst `json:"bursts,omitempty"`
-	// FromMs and ToMs bound when the class arrives; ToMs 0 is the end.
-	FromMs int `json:"from_ms,omitempty"`
-	ToMs   int `json:"to_ms,omitempty"`
+	// StartMs and EndMs bound when the class arrives; EndMs 0 is the end.
+	StartMs int `json:"from_ms,omitempty"`
+	EndMs   int `json:"to_ms,omitempty"`
 	// StreamShare of the requests are streamed, 0 to 1.
 	StreamShare float64 `json:"stream_share"`
-	// LeaveShare of the callers leave LeaveAfterMs after they were sent.
-	LeaveShare   float64 `json:"leave_share,omitempty"`
-	LeaveAfterMs *Length `json:"leave_after_ms,omitempty"`
-	// KeyShare of the requests carry an Idempotency-Key.
-	KeyShare float64 `json:"key_share,omitempty"`
-	// PlainShare of the requests do not ask for an echo: their answers are
+	// DisconnectShare of the callers leave DisconnectAfterMs after they were sent.
+	DisconnectShare   float64             `json:"leave_share,omitempty"`
+	DisconnectAfterMs *LengthDistribution `json:"leave_after_ms,omitempty"`
+	// IdempotencyKeyShare of the requests carry an Idempotency-Key.
+	IdempotencyKeyShare float64 `json:"key_share,omitempty"`
+	// NoEchoShare of the requests do not ask for an echo: their answers are
 	// checked for completeness only.
-	PlainShare float64 `json:"plain_share,omitempty"`
-	// Text is put before the prompt's own text, to bring a fault about.
-	Text string `json:"text,omitempty"`
+	NoEchoShare float64 `json:"plain_share,omitempty"`
+	// FaultText is put before the prompt's own text, to bring a fault about.
+	FaultText string `json:"text,omitempty"`
 	// Resend makes the caller send the very same request again after a
 	// failure.
 	Resend *Resend `json:"resend,omitempty"`
 }
 
-// Length is a lognormal distribution of lengths, cut at Min and Max.
-type Length struct {
+// LengthDistribution is a lognormal distribution of lengths, cut at Min and Max.
+type LengthDistribution struct {
 	Median float64 `json:"median"`
 	// Sigma is the standard deviation of the logarithm; 0 is a fixed length.
 	Sigma float64 `json:"sigma"`
@@ -82,22 +82,22 @@
 	Tokens int `json:"tokens"`
 	// Share of the requests that begin with one, 0 to 1.
 	Share float64 `json:"share"`
-	// TurnMs makes callers favour one prefix after the other, each for this
+	// RotationMs makes callers favour one prefix after the other, each for this
 	// long, as when blocks are handed over in turn; 0 favours none.
-	TurnMs int `json:"turn_ms,omitempty"`
+	RotationMs int `json:"turn_ms,omitempty"`
 }
 
 // Burst multiplies a class's rate for a while.
 type Burst struct {
-	AtMs   int     `json:"at_ms"`
-	ForMs  int     `json:"for_ms"`
-	Factor float64 `json:"factor"`
+	StartMs    int     `json:"at_ms"`
+	DurationMs int     `json:"for_ms"`
+	Factor     float64 `json:"factor"`
 }
 
 // Resend is how a caller repeats a failed request.
 type Resend struct {
 	Times   int `json:"times"`
-	AfterMs int `json:"after_ms"`
+	DelayMs int `json:"after_ms"`
 }
 
 // TotalRate returns the mean requests a second of all classes, without bursts.
@@ -118,12 +118,12 @@
 
 // rateAt returns the class's rate at a moment, and peak its largest rate.
 func (c *Class) rateAt(at time.Duration) float64 {
-	if at < milliseconds(c.FromMs) || (c.ToMs > 0 && at >= milliseconds(c.ToMs)) {
+	if at < milliseconds(c.StartMs) || (c.EndMs > 0 && at >= milliseconds(c.EndMs)) {
 		return 0
 	}
 	rate := c.Rate
 	for _, b := range c.Bursts {
-		if at >= milliseconds(b.AtMs) && at < milliseconds(b.AtMs+b.ForMs) {
+		if at >= milliseconds(b.StartMs) && at < milliseconds(b.StartMs+b.DurationMs) {
 			rate *= b.Factor
 		}
 	}
@@ -133,7 +133,7 @@
 func (c *Class) peakRate() float64 {
 	peak := c.Rate
 	for _, b := range c.Bursts {
-		peak = max(peak, c.rateAt(milliseconds(b.AtMs)), c.Rate*b.Factor)
+		peak = max(peak, c.rateAt(milliseconds(b.StartMs)), c.Rate*b.Factor)
 	}
 	return peak
 }
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -24,13 +24,13 @@
 	lineWidth  = 1.6
 	// plotBuckets is the number of points in time of a plot, at most.
 	plotBuckets = 40
-	// lowestShare is the share of callers at which the latency plot ends.
-	lowestShare = 0.001
-	// shortestWait is where the latency plot begins, in milliseconds.
-	shortestWait = 10.0
-	legendSpace  = 2 * vg.Millimeter
-	// legendRoom is how much higher a plot is than its highest line.
-	legendRoom = 1.35
+	// minShare is the share of callers at which the latency plot ends.
+	minShare = 0.001
+	// minLatencyMs is where the latency plot begins, in milliseconds.
+	minLatencyMs  = 10.0
+	legendPadding = 2 * vg.Millimeter
+	// legendHeadroom is how much higher a plot is than its highest line.
+	legendHeadroom = 1.35
 )
 
 // Colors are told apart by people who see colors differently (Okabe and Ito).
@@ -43,16 +43,16 @@
 // by tier; below, the share of callers that waited longer for the first token
 // (of a streamed answer) or the whole answer (of a plain one).
 func WritePlot(path string, m *Mix, duration time.Duration, results []Result) error {
-	above, below := plot.New(), plot.New()
-	above.Title.Text = m.Name + ": offered (dashed) and good (solid) requests by tier"
-	LatencyAxes(below, "share of callers that waited longer")
+	ratePlot, latencyPlot := plot.New(), plot.New()
+	ratePlot.Title.Text = m.Name + ": offered (dashed) and good (solid) requests by tier"
+	LatencyAxes(latencyPlot, "share of callers that waited longer")
 	for i, tier := range TiersByPriority(m) {
-		if err := addTier(above, below, m, tier, Colors[i%len(Colors)], duration, results); err != nil {
+		if err := addTier(ratePlot, latencyPlot, m, tier, Colors[i%len(Colors)], duration, results); err != nil {
 			return err
 		}
 	}
-	RateAxes(above, duration)
-	return SavePlots(path, plotWidth, plotHeight, []*plot.Plot{above}, []*plot.Plot{below})
+	RateAxes(ratePlot, duration)
+	return SavePlots(path, plotWidth, plotHeight, []*plot.Plot{ratePlot}, []*plot.Plot{latencyPlot})
 }
 
 // SavePlots writes rows of plots into one PNG, their axes aligned.
@@ -92,11 +92,11 @@
 	return out
 }
 
-func addTier(above, below *plot.Plot, m *Mix, tier string, c color.Color, duration time.Duration, results []Result) error {
-	if err := AddRates(above, m, tier, tier, c, true, duration, results); err != nil {
+func addTier(ratePlot, latencyPlot *plot.Plot, m *Mix, tier string, c color.Color, duration time.Duration, results []Result) error {
+	if err := AddRates(ratePlot, m, tier, tier, c, true, duration, results); err != nil {
 		return err
 	}
-	return AddTail(below, tier, tier, c, results)
+	return AddLatencyTail(latencyPlot, tier, tier, c, results)
 }
 
 // AddRates draws a tier's good requests over time under the label and, dashed,
@@ -126,32 +126,32 @@
 func RateAxes(p *plot.Plot, duration time.Duration) {
 	p.X.Label.Text, p.Y.Label.Text = "seconds from the start", "requests/s"
 	p.X.Min, p.X.Max = 0, duration.Seconds()
-	p.Y.Min, p.Y.Max = 0, max(1, p.Y.Max)*legendRoom
+	p.Y.Min, p.Y.Max = 0, max(1, p.Y.Max)*legendHeadroom
 	p.Legend.Top, p.Legend.Left = true, true
-	p.Legend.XOffs = legendSpace
+	p.Legend.XOffs = legendPadding
 	p.Add(plotter.NewGrid())
 }
 
-// LatencyAxes prepares a plot for AddTail.
+// LatencyAxes prepares a plot for AddLatencyTail.
 func LatencyAxes(p *plot.Plot, title string) {
 	p.Title.Text = title
 	p.X.Label.Text, p.Y.Label.Text = "milliseconds to the first token (plain answers: to their end)", "share"
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = logTicks{}, logTicks{}
-	p.X.Min, p.X.Max = shortestWait, 2*shortestWait
-	p.Y.Min, p.Y.Max = lowestShare, 1
+	p.X.Min, p.X.Max = minLatencyMs, 2*minLatencyMs
+	p.Y.Min, p.Y.Max = minShare, 1
 	p.Legend.Left = true
-	p.Legend.XOffs, p.Legend.YOffs = legendSpace, legendSpace
+	p.Legend.XOffs, p.Legend.YOffs = legendPadding, legendPadding
 	p.Add(plotter.NewGrid())
 }
 
-// AddTail draws the share of a tier's callers that waited longer than x.
-func AddTail(p *plot.Plot, tier, label string, c color.Color, results []Result) error {
-	waits := tailOf(tier, results)
-	if len(waits) < 2 {
+// AddLatencyTail draws the share of a tier's callers that waited longer than x.
+func AddLatencyTail(p *plot.Plot, tier, label string, c color.Color, results []Result) error {
+	latencies := latencyTail(tier, results)
+	if len(latencies) < 2 {
 		return nil
 	}
-	tail, err := plotter.NewLine(waits)
+	tail, err := plotter.NewLine(latencies)
 	if err != nil {
 		return errors.Wrap(err, "plot")
 	}
@@ -185,25 +185,25 @@
 	return offered, good
 }
 
-// tailOf returns the share of a tier's callers that waited longer than x.
-func tailOf(tier string, results []Result) plotter.XYs {
-	var waits []float64
+// latencyTail returns the share of a tier's callers that waited longer than x.
+func latencyTail(tier string, results []Result) plotter.XYs {
+	var latencies []float64
 	for i := range results {
 		r := &results[i]
-		y := r.Last()
-		if r.Arrival.Class.Tier != tier || y.Ending != Whole {
+		attempt := r.LastAttempt()
+		if r.Arrival.Class.Tier != tier || attempt.Outcome != OutcomeComplete {
 			continue
 		}
-		d := y.FirstToken
+		d := attempt.FirstToken
 		if d == 0 {
-			d = y.Total
+			d = attempt.Total
 		}
-		waits = append(waits, max(shortestWait, float64(d.Microseconds())/1000))
+		latencies = append(latencies, max(minLatencyMs, float64(d.Microseconds())/1000))
 	}
-	sort.Float64s(waits)
+	sort.Float64s(latencies)
 	var out plotter.XYs
-	for i, w := range waits {
-		if share := 1 - float64(i)/float64(len(waits)); share >= lowestShare {
+	for i, w := range latencies {
+		if share := 1 - float64(i)/float64(len(latencies)); share >= minShare {
 			out = append(out, plotter.XY{X: w, Y: share})
 		}
 	}
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -24,16 +24,16 @@
 	// Tiers by priority; All is all of them together.
 	Tiers []TierReport `json:"tiers"`
 	All   TierReport   `json:"all"`
-	// Endings counts what callers were left with; Refusals counts every
+	// Outcomes counts what callers were left with; Refusals counts every
 	// typed refusal, those before a resend included.
-	Endings  map[Ending]int `json:"endings"`
-	Refusals map[string]int `json:"refusals"`
+	Outcomes map[Outcome]int `json:"endings"`
+	Refusals map[string]int  `json:"refusals"`
 	// NoRetryAfter counts refusals of reasons shed, expired and the like that
 	// did not say when to come back.
 	NoRetryAfter int `json:"refusals_without_retry_after"`
-	// Lag is how late the load tool itself was; where it is not far below the
+	// SendLag is how late the load tool itself was; where it is not far below the
 	// latencies, the tool was the limit and the run says little.
-	Lag Percentiles `json:"send_lag_ms"`
+	SendLag Percentiles `json:"send_lag_ms"`
 }
 
 // TierReport is one tier's part of a report.
@@ -41,11 +41,11 @@
 	Tier     string `json:"tier"`
 	Priority int    `json:"priority"`
 	// Offered excludes callers that left on purpose, counted in Left.
-	Offered int     `json:"offered"`
-	Left    int     `json:"left"`
-	Whole   int     `json:"whole"`
-	Good    int     `json:"good"`
-	Goodput float64 `json:"goodput"`
+	Offered      int     `json:"offered"`
+	Disconnected int     `json:"left"`
+	Complete     int     `json:"whole"`
+	Good         int     `json:"good"`
+	Goodput      float64 `json:"goodput"`
 	// Missed counts the offered requests that are not good by the first
 	// target that they missed.
 	Missed map[Miss]int `json:"missed"`
@@ -66,17 +66,17 @@
 	Max   float64 `json:"max"`
 }
 
-// tierTally collects one tier's figures.
-type tierTally struct {
-	report                    TierReport
-	firstToken, perToken, all *hdrhistogram.Histogram
+// tierStats collects one tier's figures.
+type tierStats struct {
+	report                      TierReport
+	firstToken, perToken, total *hdrhistogram.Histogram
 }
 
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(histogramMin, histogramMax, histogramDigits)
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), histogramMin), histogramMax)) // in bounds
 }
 
@@ -90,24 +90,24 @@
 	rep := &Report{
 		Mix: m.Name, Seed: seed, DurationMs: duration.Milliseconds(), Sent: len(results),
 		PerSecond: float64(len(results)) / duration.Seconds(),
-		Endings:   map[Ending]int{}, Refusals: map[string]int{},
+		Outcomes:  map[Outcome]int{}, Refusals: map[string]int{},
 	}
-	for _, e := range Endings() {
-		rep.Endings[e] = 0
+	for _, e := range Outcomes() {
+		rep.Outcomes[e] = 0
 	}
 	lag := newHistogram()
-	tallies, all := newTallies(m), newTally("all", 0)
+	byTier, all := newStatsByTier(m), newTierStats("all", 0)
 	for i := range results {
 		r := &results[i]
-		record(lag, r.Lag)
+		recordDuration(lag, r.SendLag)
 		rep.count(r)
 		targets := m.Tiers[r.Arrival.Class.Tier]
-		tallies[r.Arrival.Class.Tier].add(r, targets)
+		byTier[r.Arrival.Class.Tier].add(r, targets)
 		all.add(r, targets)
 	}
-	rep.Lag, rep.All = percentiles(lag), all.done()
-	for _, t := range tallies {
-		rep.Tiers = append(rep.Tiers, t.done())
+	rep.SendLag, rep.All = percentiles(lag), all.finish()
+	for _, t := range byTier {
+		rep.Tiers = append(rep.Tiers, t.finish())
 	}
 	sort.Slice(rep.Tiers, func(i, j int) bool {
 		a, b := rep.Tiers[i], rep.Tiers[j]
@@ -116,45 +116,45 @@
 	return rep
 }
 
-func newTallies(m *Mix) map[string]*tierTally {
-	out := map[string]*tierTally{}
+func newStatsByTier(m *Mix) map[string]*tierStats {
+	out := map[string]*tierStats{}
 	for name, t := range m.Tiers {
-		out[name] = newTally(name, t.Priority)
+		out[name] = newTierStats(name, t.Priority)
 	}
 	return out
 }
 
-func newTally(tier string, priority int) *tierTally {
-	return &tierTally{
+func newTierStats(tier string, priority int) *tierStats {
+	return &tierStats{
 		report:     TierReport{Tier: tier, Priority: priority, Missed: map[Miss]int{}},
-		firstToken: newHistogram(), perToken: newHistogram(), all: newHistogram(),
+		firstToken: newHistogram(), perToken: newHistogram(), total: newHistogram(),
 	}
 }
 
-// retryReasons are refusals after which coming back later helps, so that the
+// retryableReasons are refusals after which coming back later helps, so that the
 // caller must be told when.
-var retryReasons = map[string]bool{
+var retryableReasons = map[string]bool{
 	"shed": true, "workspace_limit": true, "expired": true, "no_server": true,
 	"no_owner": true, "suspect_busy": true, "entry_memory": true,
 }
 
 func (rep *Report) count(r *Result) {
-	rep.Endings[r.Last().Ending]++
-	for i := range r.Tries {
-		y := &r.Tries[i]
-		if y.Reason == "" {
+	rep.Outcomes[r.LastAttempt().Outcome]++
+	for i := range r.Attempts {
+		attempt := &r.Attempts[i]
+		if attempt.Reason == "" {
 			continue
 		}
-		rep.Refusals[y.Reason]++
-		if retryReasons[y.Reason] && !y.RetryAfter && y.Ending == Refused {
+		rep.Refusals[attempt.Reason]++
+		if retryableReasons[attempt.Reason] && !attempt.RetryAfter && attempt.Outcome == OutcomeRefused {
 			rep.NoRetryAfter++
 		}
 	}
 }
 
-func (t *tierTally) add(r *Result, targets Targets) {
+func (t *tierStats) add(r *Result, targets Targets) {
 	if !r.Offered() {
-		t.report.Left++
+		t.report.Disconnected++
 		return
 	}
 	t.report.Offered++
@@ -163,33 +163,33 @@
 	} else {
 		t.report.Missed[miss]++
 	}
-	y := r.Last()
-	if y.Ending != Whole {
+	attempt := r.LastAttempt()
+	if attempt.Outcome != OutcomeComplete {
 		return
 	}
-	t.report.Whole++
-	record(t.all, y.Total)
-	if y.FirstToken > 0 {
-		record(t.firstToken, y.FirstToken)
-		record(t.perToken, y.PerToken())
+	t.report.Complete++
+	recordDuration(t.total, attempt.Total)
+	if attempt.FirstToken > 0 {
+		recordDuration(t.firstToken, attempt.FirstToken)
+		recordDuration(t.perToken, attempt.PerToken())
 	}
 }
 
-func (t *tierTally) done() TierReport {
+func (t *tierStats) finish() TierReport {
 	r := t.report
 	if r.Offered > 0 {
 		r.Goodput = float64(r.Good) / float64(r.Offered)
 	}
-	r.FirstToken, r.PerToken, r.Total = percentiles(t.firstToken), percentiles(t.perToken), percentiles(t.all)
+	r.FirstToken, r.PerToken, r.Total = percentiles(t.firstToken), percentiles(t.perToken), percentiles(t.total)
 	return r
 }
 
-// Faults returns how many callers got something that must never happen: an
+// InvalidOutcomes returns how many callers got something that must never happen: an
 // answer that is lost, cut, doubled, another's or wrong.
-func (rep *Report) Faults() int {
+func (rep *Report) InvalidOutcomes() int {
 	n := 0
-	for _, e := range []Ending{Cut, Crossed, Doubled, Wrong, Lost} {
-		n += rep.Endings[e]
+	for _, e := range []Outcome{OutcomeTruncated, OutcomeMisrouted, OutcomeDuplicated, OutcomeWrong, OutcomeNoAnswer} {
+		n += rep.Outcomes[e]
 	}
 	return n
 }
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -6,46 +6,46 @@
 	"github.com/lycheekeel/lycheekeel/engine"
 )
 
-// Ending is how one try of a request ended for its caller.
-type Ending string
+// Outcome is how one try of a request ended for its caller.
+type Outcome string
 
 // The endings.
 const (
-	// Whole: the caller got its own whole answer.
-	Whole Ending = "whole"
-	// Refused: a typed refusal and nothing else.
-	Refused Ending = "refused"
-	// Left: the caller left before the end, as the mix wanted.
-	Left Ending = "left"
-	// Failed: an answer began and ended with a typed error.
-	Failed Ending = "failed"
-	// Cut: an answer began and just stopped.
-	Cut Ending = "cut"
-	// TooLate: the answer was still on its way so long after its deadline
+	// OutcomeComplete: the caller got its own whole answer.
+	OutcomeComplete Outcome = "whole"
+	// OutcomeRefused: a typed refusal and nothing else.
+	OutcomeRefused Outcome = "refused"
+	// OutcomeDisconnected: the caller left before the end, as the mix wanted.
+	OutcomeDisconnected Outcome = "left"
+	// OutcomeFailed: an answer began and ended with a typed error.
+	OutcomeFailed Outcome = "failed"
+	// OutcomeTruncated: an answer began and just stopped.
+	OutcomeTruncated Outcome = "cut"
+	// OutcomeTooLate: the answer was still on its way so long after its deadline
 	// that the caller gave up.
-	TooLate Ending = "too_late"
-	// Crossed: the answer of another request.
-	Crossed Ending = "crossed"
-	// Doubled: more text came after the answer's end.
-	Doubled Ending = "doubled"
-	// Wrong: an answer that ended and is neither the expected text nor known
+	OutcomeTooLate Outcome = "too_late"
+	// OutcomeMisrouted: the answer of another request.
+	OutcomeMisrouted Outcome = "crossed"
+	// OutcomeDuplicated: more text came after the answer's end.
+	OutcomeDuplicated Outcome = "doubled"
+	// OutcomeWrong: an answer that ended and is neither the expected text nor known
 	// to be another's.
-	Wrong Ending = "wrong"
-	// Lost: sent, and no answer came.
-	Lost Ending = "lost"
-	// NotSent: no connection to the target.
-	NotSent Ending = "not_sent"
+	OutcomeWrong Outcome = "wrong"
+	// OutcomeNoAnswer: sent, and no answer came.
+	OutcomeNoAnswer Outcome = "lost"
+	// OutcomeNotSent: no connection to the target.
+	OutcomeNotSent Outcome = "not_sent"
 )
 
-// Endings returns all endings, for reports that show zeros.
-func Endings() []Ending {
-	return []Ending{Whole, Refused, Left, Failed, Cut, TooLate, Crossed, Doubled, Wrong, Lost, NotSent}
+// Outcomes returns all endings, for reports that show zeros.
+func Outcomes() []Outcome {
+	return []Outcome{OutcomeComplete, OutcomeRefused, OutcomeDisconnected, OutcomeFailed, OutcomeTruncated, OutcomeTooLate, OutcomeMisrouted, OutcomeDuplicated, OutcomeWrong, OutcomeNoAnswer, OutcomeNotSent}
 }
 
-// Try is one sending of a request. Its times count from the moment when the
+// Attempt is one sending of a request. Its times count from the moment when the
 // request was meant to be sent first.
-type Try struct {
-	Ending Ending
+type Attempt struct {
+	Outcome Outcome
 	// RequestID is the system's id for it, where the answer told it.
 	RequestID string
 	// Status, Reason and NotRun are a refusal's; NotRun is "true", "false" or
@@ -64,18 +64,18 @@
 // Result is what became of one arrival.
 type Result struct {
 	Arrival *Arrival
-	// Lag is how late the load tool itself sent the first try.
-	Lag time.Duration
-	// Tries in order; the last one is what the caller was left with.
-	Tries []Try
+	// SendLag is how late the load tool itself sent the first try.
+	SendLag time.Duration
+	// Attempts in order; the last one is what the caller was left with.
+	Attempts []Attempt
 }
 
-// Last returns the last try.
-func (r *Result) Last() *Try { return &r.Tries[len(r.Tries)-1] }
+// LastAttempt returns the last try.
+func (r *Result) LastAttempt() *Attempt { return &r.Attempts[len(r.Attempts)-1] }
 
 // Offered tells whether the request counts as offered: one whose caller meant
 // to leave does not, unless its answer was there before.
-func (r *Result) Offered() bool { return r.Last().Ending != Left }
+func (r *Result) Offered() bool { return r.LastAttempt().Outcome != OutcomeDisconnected }
 
 // Miss is why a request does not count as good.
 type Miss string
@@ -83,7 +83,7 @@
 // The misses, in the order in which they are looked for.
 const (
 	NoMiss         Miss = ""
-	MissNotWhole   Miss = "not_whole"
+	MissIncomplete Miss = "not_whole"
 	MissFirstToken Miss = "first_token"
 	MissPerToken   Miss = "per_token"
 	MissDeadline   Miss = "deadline"
@@ -97,36 +97,36 @@
 // that is not streamed can't be seen: it must be whole by the time at which a
 // streamed one would have to be.
 func (r *Result) Miss(t Targets) Miss {
-	y := r.Last()
+	a := r.LastAttempt()
 	switch {
-	case y.Ending != Whole:
-		return MissNotWhole
-	case r.Arrival.Stream && !within(y.FirstToken, t.FirstTokenMs):
+	case a.Outcome != OutcomeComplete:
+		return MissIncomplete
+	case r.Arrival.Stream && !within(a.FirstToken, t.FirstTokenMs):
 		return MissFirstToken
-	case r.Arrival.Stream && !within(y.PerToken(), t.PerTokenMs):
+	case r.Arrival.Stream && !within(a.PerToken(), t.PerTokenMs):
 		return MissPerToken
-	case !r.Arrival.Stream && !plainInTime(y, t):
+	case !r.Arrival.Stream && !plainWithinTargets(a, t):
 		return MissFirstToken
-	case !within(y.Total, t.DeadlineMs):
+	case !within(a.Total, t.DeadlineMs):
 		return MissDeadline
 	default:
 		return NoMiss
 	}
 }
 
-func plainInTime(y *Try, t Targets) bool {
+func plainWithinTargets(a *Attempt, t Targets) bool {
 	if t.FirstTokenMs == 0 || t.PerTokenMs == 0 {
 		return true
 	}
-	return within(y.Total, t.FirstTokenMs+t.PerTokenMs*max(0, y.Tokens-1))
+	return within(a.Total, t.FirstTokenMs+t.PerTokenMs*max(0, a.Tokens-1))
 }
 
 // PerToken is the mean time between the tokens after the first, or zero.
-func (y *Try) PerToken() time.Duration {
-	if y.Tokens < 2 || y.FirstToken == 0 {
+func (a *Attempt) PerToken() time.Duration {
+	if a.Tokens < 2 || a.FirstToken == 0 {
 		return 0
 	}
-	return (y.Total - y.FirstToken) / time.Duration(y.Tokens-1)
+	return (a.Total - a.FirstToken) / time.Duration(a.Tokens-1)
 }
 
 // within tells whether d is at most limit milliseconds; 0 limits nothing.
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -9,8 +9,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// DefaultPatience is how long after its deadline a caller waits for its answer.
-const DefaultPatience = 10 * time.Second
+// DefaultDeadlineGrace is how long after its deadline a caller waits for its answer.
+const DefaultDeadlineGrace = 10 * time.Second
 
 // Run offers arrivals to targets.
 type Run struct {
@@ -20,25 +20,25 @@
 	Targets []string
 	// Keys are the bearer keys by workspace.
 	Keys map[string]string
-	// Patience is how long after its deadline a caller waits before its
-	// answer counts as lost; zero means DefaultPatience.
-	Patience time.Duration
+	// DeadlineGrace is how long after its deadline a caller waits before its
+	// answer counts as lost; zero means DefaultDeadlineGrace.
+	DeadlineGrace time.Duration
 
-	sent, ended, good atomic.Int64
-	start             time.Time
+	sent, finished, good atomic.Int64
+	start                time.Time
 }
 
 // Progress is how far a run is.
 type Progress struct {
-	Elapsed           time.Duration
-	Sent, Ended, Good int64
-	Planned           int
+	Elapsed              time.Duration
+	Sent, Finished, Good int64
+	Planned              int
 }
 
 // Progress may be called while Do runs.
 func (r *Run) Progress(now time.Time) Progress {
 	return Progress{
-		Elapsed: now.Sub(r.start), Sent: r.sent.Load(), Ended: r.ended.Load(),
+		Elapsed: now.Sub(r.start), Sent: r.sent.Load(), Finished: r.finished.Load(),
 		Good: r.good.Load(), Planned: len(r.Arrivals),
 	}
 }
@@ -72,71 +72,71 @@
 	for ; n < len(r.Arrivals) && waitUntil(ctx, r.start.Add(r.Arrivals[n].At)); n++ {
 		a, res, c := &r.Arrivals[n], &results[n], clients[n%len(clients)]
 		r.sent.Add(1)
-		wg.Go(func() { r.one(ctx, c, a, res) })
+		wg.Go(func() { r.runArrival(ctx, c, a, res) })
 	}
 	wg.Wait()
 	return results[:n]
 }
 
-// one sends one arrival and its resends.
-func (r *Run) one(ctx context.Context, c *client, a *Arrival, res *Result) {
-	began := r.start.Add(a.At)
-	res.Arrival, res.Lag = a, time.Since(began)
+// runArrival sends one arrival and its resends.
+func (r *Run) runArrival(ctx context.Context, c *client, a *Arrival, res *Result) {
+	start := r.start.Add(a.At)
+	res.Arrival, res.SendLag = a, time.Since(start)
 	targets := r.Mix.Tiers[a.Class.Tier]
 	for {
-		res.Tries = append(res.Tries, r.try(ctx, c, a, began, targets))
-		if !r.again(ctx, a, res) {
+		res.Attempts = append(res.Attempts, r.attempt(ctx, c, a, start, targets))
+		if !r.waitForResend(ctx, a, res) {
 			break
 		}
 	}
 	if res.Good(targets) {
 		r.good.Add(1)
 	}
-	r.ended.Add(1)
+	r.finished.Add(1)
 }
 
-func (r *Run) try(ctx context.Context, c *client, a *Arrival, began time.Time, t Targets) Try {
-	patience := r.Patience
-	if patience <= 0 {
-		patience = DefaultPatience
+func (r *Run) attempt(ctx context.Context, c *client, a *Arrival, start time.Time, t Targets) Attempt {
+	grace := r.DeadlineGrace
+	if grace <= 0 {
+		grace = DefaultDeadlineGrace
 	}
-	limit := milliseconds(t.DeadlineMs) + patience
-	if a.LeaveAfter > 0 && a.LeaveAfter < limit {
-		limit = a.LeaveAfter
+	limit := milliseconds(t.DeadlineMs) + grace
+	if a.DisconnectAfter > 0 && a.DisconnectAfter < limit {
+		limit = a.DisconnectAfter
 	}
 	tryCtx, cancel := context.WithDeadline(ctx, time.Now().Add(limit))
 	defer cancel()
-	y := c.send(tryCtx, a, r.Keys[a.Class.Workspace], began)
-	y.Ending = endedEarly(y.Ending, tryCtx.Err() != nil, a.LeaveAfter > 0 || ctx.Err() != nil)
-	return y
+	attempt := c.send(tryCtx, a, r.Keys[a.Class.Workspace], start)
+	attempt.Outcome = endedByCaller(attempt.Outcome, tryCtx.Err() != nil, a.DisconnectAfter > 0 || ctx.Err() != nil)
+	return attempt
 }
 
-// endedEarly tells an answer that the caller itself cut short from one that
+// endedByCaller tells an answer that the caller itself cut short from one that
 // the system did: the caller left on purpose, or gave up long after the
 // deadline. One that had nothing by then stays lost.
-func endedEarly(e Ending, byCaller, onPurpose bool) Ending {
+func endedByCaller(e Outcome, byCaller, intended bool) Outcome {
 	switch {
-	case !byCaller || (e != Lost && e != Cut && e != NotSent):
+	case !byCaller || (e != OutcomeNoAnswer && e != OutcomeTruncated && e != OutcomeNotSent):
 		return e
-	case onPurpose:
-		return Left
-	case e == Cut:
-		return TooLate
+	case intended:
+		return OutcomeDisconnected
+	case e == OutcomeTruncated:
+		return OutcomeTooLate
 	default:
 		return e
 	}
 }
 
-// again tells whether the caller sends its request again, and waits before it.
-func (r *Run) again(ctx context.Context, a *Arrival, res *Result) bool {
+// waitForResend tells whether the caller sends its request again, and waits before it.
+func (r *Run) waitForResend(ctx context.Context, a *Arrival, res *Result) bool {
 	resend := a.Class.Resend
-	if resend == nil || len(res.Tries) > resend.Times {
+	if resend == nil || len(res.Attempts) > resend.Times {
 		return false
 	}
-	if e := res.Last().Ending; e == Whole || e == Left {
+	if e := res.LastAttempt().Outcome; e == OutcomeComplete || e == OutcomeDisconnected {
 		return false
 	}
-	return waitUntil(ctx, time.Now().Add(milliseconds(resend.AfterMs)))
+	return waitUntil(ctx, time.Now().Add(milliseconds(resend.DelayMs)))
 }
 
 // waitUntil returns false where ctx ended before.
--- a/internal/load/text.go
+++ b/internal/load/text.go
@@ -17,29 +17,29 @@
 // What begins a last user message that a stand-in engine answers with the rest
 // of it, word for word, or with a number of tokens.
 const (
-	echoMark     = "echo:"
-	generateMark = "gen:"
+	echoPrefix     = "echo:"
+	generatePrefix = "gen:"
 )
 
 // Texts returns the request's system message (its shared prefix and its own
 // part), its user message and the answer to expect; the answer is empty where
 // the request asks for no echo.
 func (a *Arrival) Texts() (system, user, answer string) {
-	rng := rand.New(rand.NewPCG(a.seed, uint64(a.OutputTokens)))
+	rng := rand.New(rand.NewPCG(a.textSeed, uint64(a.OutputTokens)))
 	if a.Echo {
-		mark := a.mark()
-		answer = strings.TrimRight(mark+words(rng, a.OutputTokens-engine.EstimateTokens(mark)), " ")
-		user = echoMark + answer
+		marker := a.answerMarker()
+		answer = strings.TrimRight(marker+words(rng, a.OutputTokens-engine.EstimateTokens(marker)), " ")
+		user = echoPrefix + answer
 	} else {
-		user = generateMark + strconv.Itoa(a.OutputTokens) + " " + a.mark()
+		user = generatePrefix + strconv.Itoa(a.OutputTokens) + " " + a.answerMarker()
 	}
 	prefix := a.prefixText()
-	own := a.PromptTokens - engine.EstimateTokens(prefix) - engine.EstimateTokens(user)
-	return prefix + a.Class.Text + words(rng, own), user, answer
+	ownTokens := a.PromptTokens - engine.EstimateTokens(prefix) - engine.EstimateTokens(user)
+	return prefix + a.Class.FaultText + words(rng, ownTokens), user, answer
 }
 
-// mark begins each answer, so that an answer to another request shows.
-func (a *Arrival) mark() string { return "<" + a.Class.Name + "-" + hex(a.seed) + "> " }
+// answerMarker begins each answer, so that an answer to another request shows.
+func (a *Arrival) answerMarker() string { return "<" + a.Class.Name + "-" + hex(a.textSeed) + "> " }
 
 // prefixText returns the shared beginning of the prompt.
 func (a *Arrival) prefixText() string {
@@ -50,7 +50,7 @@
 	if name == "" {
 		name = a.Class.Name
 	}
-	rng := rand.New(rand.NewPCG(a.runSeed^uint64(a.Prefix), xxhash.Sum64String(name)))
+	rng := rand.New(rand.NewPCG(a.prefixSeed^uint64(a.Prefix), xxhash.Sum64String(name)))
 	return words(rng, a.Class.Prefix.Tokens)
 }
 
@@ -74,15 +74,15 @@
 
 func hex(v uint64) string { return strconv.FormatUint(v, 16) }
 
-// Prompt returns the tokens of the whole prompt as it is sent: at least the
+// SentPromptTokens returns the tokens of the whole prompt as it is sent: at least the
 // shared prefix and the user message.
-func (a *Arrival) Prompt() int {
-	least := 0
+func (a *Arrival) SentPromptTokens() int {
+	minimum := 0
 	if a.Echo {
-		least = a.OutputTokens + engine.EstimateTokens(echoMark)
+		minimum = a.OutputTokens + engine.EstimateTokens(echoPrefix)
 	}
 	if a.Prefix >= 0 {
-		least += a.Class.Prefix.Tokens
+		minimum += a.Class.Prefix.Tokens
 	}
-	return max(least, a.PromptTokens)
+	return max(minimum, a.PromptTokens)
 }
