--- a/broker/cluster_test.go
+++ b/broker/cluster_test.go
@@ -22,7 +22,7 @@
 type cluster struct {
 	net      *peertest.Network
 	snapshot workspace.CurrentSnapshot
-	views    member.CurrentView
+	view     member.CurrentView
 	entries  map[string]*Entry
 	stop     context.CancelFunc
 	group    conc.WaitGroup
@@ -43,12 +43,12 @@
 	for _, name := range names {
 		ms = append(ms, member.Member{Name: name, Region: testRegion})
 	}
-	c.views.Store(member.NewView("", ms))
+	c.view.Store(member.NewView("", ms))
 	var ctx context.Context
 	ctx, c.stop = context.WithCancel(context.Background())
 	for _, name := range names {
 		h := poolhost.New(poolhost.Config{
-			Self: name, Region: testRegion, Snapshots: &c.snapshot, View: &c.views, Transport: transport(name),
+			Self: name, Region: testRegion, Snapshot: &c.snapshot, View: &c.view, Transport: transport(name),
 			NewScheduler: func(p *workspace.ResolvedPool, epoch uint64) poolhost.Scheduler {
 				return pool.New(pool.Config{Name: p.Name, Policy: pool.PolicyFIFO, Epoch: epoch, MaxWaiting: 100000})
 			},
@@ -71,7 +71,7 @@
 
 // owner returns the entry of the pool's owner and another entry.
 func (c *cluster) owner() (owner, other *Entry) {
-	m, _ := c.views.Load().Owner(testPool, testRegion)
+	m, _ := c.view.Load().Owner(testPool, testRegion)
 	for name, e := range c.entries {
 		if name == m.Name {
 			owner = e
--- a/broker/commands.go
+++ b/broker/commands.go
@@ -76,7 +76,7 @@
 	switch r {
 	case request.ReasonExpired:
 		return "deadline passed while waiting for a slot"
-	case request.ReasonConvicted:
+	case request.ReasonSuspectConfirmed:
 		return "the request crashed the servers that ran it"
 	default:
 		return "the pool took no more requests of this tier"
@@ -143,7 +143,7 @@
 			}
 		}
 	}
-	if snapshot := l.entry.cfg.Snapshots.Load(); snapshot != nil && snapshot.Pools[l.pool] != nil {
+	if snapshot := l.entry.cfg.Snapshot.Load(); snapshot != nil && snapshot.Pools[l.pool] != nil {
 		for _, s := range snapshot.Pools[l.pool].Servers {
 			if s.Name == name {
 				return s, true
--- a/broker/entry.go
+++ b/broker/entry.go
@@ -156,7 +156,7 @@
 // even if this entry has no requests there: a new owner starts to grant once all
 // live entries have reported their running requests.
 func (e *Entry) openOwnerSessions() {
-	snapshot := e.cfg.Snapshots.Load()
+	snapshot := e.cfg.Snapshot.Load()
 	if e.cfg.View == nil || snapshot == nil {
 		return
 	}
--- a/broker/failure_test.go
+++ b/broker/failure_test.go
@@ -113,7 +113,7 @@
 		So(len(work.running), ShouldEqual, 3)
 		survivors := sim.namesWithout(dying)
 		took := work.advanceUntil(10*time.Second, func() bool {
-			if len(sim.nodes[survivors[0]].views.Load().Members) == 3 && sim.now.Sub(dying.died) >= time.Second {
+			if len(sim.nodes[survivors[0]].view.Load().Members) == 3 && sim.now.Sub(dying.died) >= time.Second {
 				sim.setMembers(survivors...)
 			}
 			return len(work.running) == 4
--- a/broker/session.go
+++ b/broker/session.go
@@ -257,20 +257,20 @@
 // send sends one batch, which is a heartbeat if events is empty.
 func (l *link) send(events []pool.Event) error {
 	s := &l.session
-	promised := l.nextInterval(events)
+	nextWithin := l.nextInterval(events)
 	seq := s.seqOut
 	if len(events) > 0 {
 		seq++
 	}
 	err := s.owner.events(poolwire.Events{
 		Pool: l.pool, Entry: l.entry.id, Session: s.id, Seq: seq, Ack: s.seqIn, Events: events,
-		NextWithin: promised,
+		NextWithin: nextWithin,
 	})
 	if err != nil {
 		l.entry.counters.sendFailed.Add(1)
 		return err
 	}
-	s.seqOut, s.lastSent, s.announcedInterval, s.ackDue = seq, l.now, promised, false
+	s.seqOut, s.lastSent, s.announcedInterval, s.ackDue = seq, l.now, nextWithin, false
 	for _, ev := range events {
 		if r, ok := ev.(pool.Release); ok {
 			l.unackedReleases = append(l.unackedReleases, unackedRelease{s.seqOut, r})
--- a/broker/simulation_test.go
+++ b/broker/simulation_test.go
@@ -43,7 +43,7 @@
 type node struct {
 	sim          *simulation
 	name         string
-	views        member.CurrentView
+	view         member.CurrentView
 	host         *poolhost.Host
 	entry        *Entry
 	paused       bool // the process neither ticks nor handles messages
@@ -102,7 +102,7 @@
 func (sim *simulation) add(name string) *node {
 	n := &node{sim: sim, name: name, handlers: map[peer.Type]peer.Handler{}}
 	n.host = poolhost.New(poolhost.Config{
-		Self: name, Region: testRegion, Snapshots: &sim.snapshot, View: &n.views, Transport: n,
+		Self: name, Region: testRegion, Snapshot: &sim.snapshot, View: &n.view, Transport: n,
 		Now: func() time.Time { return sim.now }, Spawn: func(f func()) { f() }, HeartbeatInterval: sim.heartbeat, DegradedAfter: sim.degradedAfter,
 		Trace: func(_ string, _ time.Time, ev pool.Event, _ []pool.Command) {
 			if _, tick := ev.(pool.Tick); !tick {
@@ -130,14 +130,14 @@
 	for _, m := range alive {
 		ms = append(ms, member.Member{Name: m, Region: testRegion})
 	}
-	n.views.Store(member.NewView(n.name, ms))
+	n.view.Store(member.NewView(n.name, ms))
 }
 
 // owner returns the node that owns the test pool according to the first live node.
 func (sim *simulation) owner() *node {
 	for _, name := range sim.names {
 		if n := sim.nodes[name]; !n.dead && !n.paused {
-			m, _ := n.views.Load().Owner(testPool, testRegion)
+			m, _ := n.view.Load().Owner(testPool, testRegion)
 			return sim.nodes[m.Name]
 		}
 	}
--- a/broker/tick.go
+++ b/broker/tick.go
@@ -86,7 +86,7 @@
 	if l.share != nil || len(l.waiting) == 0 || l.now.Sub(l.disconnectedSince) < l.entry.cfg.DegradedAfter {
 		return
 	}
-	snapshot := l.entry.cfg.Snapshots.Load()
+	snapshot := l.entry.cfg.Snapshot.Load()
 	if snapshot == nil || snapshot.Pools[l.pool] == nil {
 		return
 	}
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -90,7 +90,7 @@
 	l.breaker.observe(errors.Is(err, objectstore.ErrUnavailable))
 	switch {
 	case err == nil:
-		return l.held(a, v, countClaimed), nil
+		return l.newHeldClaim(a, v, countClaimed), nil
 	case errors.Is(err, objectstore.ErrUnavailable):
 		l.o.count(countRetryUnavailable)
 		return nil, errUndecided
@@ -112,7 +112,7 @@
 	found := decode(o.Value)
 	switch {
 	case found.Token == a.rec.Token:
-		return l.held(a, o.Version, countOwnTokenFound), nil
+		return l.newHeldClaim(a, o.Version, countOwnTokenFound), nil
 	case found.State != NotRun || string(found.Hash) != string(a.rec.Hash):
 		return nil, l.o.existingError(a.name, a.rec, found)
 	}
@@ -120,7 +120,7 @@
 	v, err := l.api.Update(ctx, Kind, a.name, a.rec.encode(), o.Version)
 	switch {
 	case err == nil:
-		return l.held(a, v, countReclaimed), nil
+		return l.newHeldClaim(a, v, countReclaimed), nil
 	case !errors.Is(err, objectstore.ErrConflict) && !errors.Is(err, objectstore.ErrUnavailable):
 		l.o.count(countRetryUnknown)
 		a.unresolved = true
@@ -154,7 +154,7 @@
 	return err == nil
 }
 
-func (l *ObjectLedger) held(a *claimAttempt, v objectstore.Version, why string) Claim {
+func (l *ObjectLedger) newHeldClaim(a *claimAttempt, v objectstore.Version, why string) Claim {
 	l.o.count(why)
 	return &heldClaim{l: l, name: a.name, rec: a.rec, version: v}
 }
--- a/claim/ledger_test.go
+++ b/claim/ledger_test.go
@@ -22,7 +22,7 @@
 			l := open(store)
 			c, err := l.Claim(ctx, key(0), claim.Hash{1}, request.NewID())
 			So(err, ShouldBeNil)
-			resend := func(h byte) (claim.Outcome, error) {
+			retry := func(h byte) (claim.Outcome, error) {
 				other := open(store)
 				Reset(func() { _ = other.Close(ctx) })
 				_, err := other.Claim(ctx, key(0), claim.Hash{h}, request.NewID())
@@ -34,12 +34,12 @@
 			}
 
 			Convey("a retry finds the key claimed until an outcome is recorded", func() {
-				o, err := resend(1)
+				o, err := retry(1)
 				So(err, ShouldBeNil)
 				So(o.State, ShouldEqual, claim.Claimed)
 			})
 			Convey("the same key with other content is a conflict", func() {
-				_, err := resend(2)
+				_, err := retry(2)
 				So(errors.Is(err, claim.ErrConflict), ShouldBeTrue)
 			})
 			Convey("a retry gets a short answer in full, with its content type", func() {
@@ -47,14 +47,14 @@
 				c.Finish(want)
 				c.Release() // only the first outcome counts
 				So(l.Close(ctx), ShouldBeNil)
-				o, err := resend(1)
+				o, err := retry(1)
 				So(err, ShouldBeNil)
 				So(o, ShouldResemble, want)
 			})
 			Convey("a long answer is not kept, not even in part", func() {
 				c.Finish(claim.Outcome{State: claim.Ran, Answer: make([]byte, claim.MaxAnswerBytes+1)})
 				So(l.Close(ctx), ShouldBeNil)
-				o, err := resend(1)
+				o, err := retry(1)
 				So(err, ShouldBeNil)
 				So(o.State, ShouldEqual, claim.Ran)
 				So(o.Answer, ShouldBeNil)
@@ -66,7 +66,7 @@
 				go func() { closed <- l.Close(ctx) }()
 				store.SetFaults(standin.Faults{})
 				So(<-closed, ShouldBeNil)
-				_, err := resend(1)
+				_, err := retry(1)
 				So(err, ShouldBeNil) // claimed: the retry may run now
 			})
 		})
--- a/discovery/directory_test.go
+++ b/discovery/directory_test.go
@@ -176,7 +176,7 @@
 // Guards against a relisted server that daemons without access to the store never learn
 // of.
 func TestDirectoryReportsRelistedServer(t *testing.T) {
-	for name, recovered := range map[string]func(*Directory, time.Time) bool{
+	for name, relist := range map[string]func(*Directory, time.Time) bool{
 		"in a list":  func(d *Directory, now time.Time) bool { return d.Replace(now, []Server{{ID: "a"}}) },
 		"in a watch": func(d *Directory, now time.Time) bool { return d.Put(now, Server{ID: "a"}) },
 	} {
@@ -186,9 +186,9 @@
 			d.StoreUnavailable()
 			So(d.Replace(start, nil), ShouldBeTrue)
 			So(d.Listed(), ShouldBeEmpty)
-			So(recovered(d, start), ShouldBeTrue)
+			So(relist(d, start), ShouldBeTrue)
 			So(d.Listed(), ShouldHaveLength, 1)
-			So(recovered(d, start), ShouldBeFalse)
+			So(relist(d, start), ShouldBeFalse)
 		})
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -39,7 +39,7 @@
 
 	listener, adminListener net.Listener
 
-	config    *workspace.CurrentSnapshot
+	snapshot  *workspace.CurrentSnapshot
 	view      *member.CurrentView
 	platform  objectstore.Platform
 	transport *peer.TCP
@@ -81,7 +81,7 @@
 		settings:       s,
 		log:            logs.For("daemon"),
 		metrics:        metrics.New(),
-		config:         &workspace.CurrentSnapshot{},
+		snapshot:       &workspace.CurrentSnapshot{},
 		view:           &member.CurrentView{},
 		drainRequested: make(chan struct{}),
 	}
@@ -132,21 +132,21 @@
 	if err := d.wireMembers(); err != nil {
 		return err
 	}
-	configuration := revision.NewPublisher(d.config, d.metrics)
-	d.findings = configuration.Findings
-	d.syncer = revision.New(configuration.Attach(revision.Options{
+	publisher := revision.NewPublisher(d.snapshot, d.metrics)
+	d.findings = publisher.Findings
+	d.syncer = revision.New(publisher.Attach(revision.Options{
 		API: d.platform, Transport: d.transport, View: d.view.Load, Metrics: d.metrics,
 	}))
 	engines := httpengine.NewDialer(s.engineSettings())
 	d.vms = newLeavingVMs(d.platform, func() bool { return len(d.host.Summaries()) > 0 })
 	d.host = poolhost.New(poolhost.Config{
-		Self: s.Name, Region: s.Region, Snapshots: d.config, View: d.view, Transport: d.transport,
+		Self: s.Name, Region: s.Region, Snapshot: d.snapshot, View: d.view, Transport: d.transport,
 		Engines: engines, IsLeaving: d.vms.isLeaving, Metrics: d.metrics,
 	})
 	d.broker = broker.New(d.host)
 	d.ledger = claim.NewLedger(d.platform, claim.Options{Metrics: d.metrics})
 	d.entry = entry.New(entry.Deps{
-		Config: d.config, Broker: d.broker, Ledger: d.ledger, Engines: engines,
+		Config: d.snapshot, Broker: d.broker, Ledger: d.ledger, Engines: engines,
 		Services: httpservice.NewDialer(s.serviceSettings()), Metrics: d.metrics, Region: s.Region,
 	}, s.entryLimits())
 	if s.Placement {
--- a/internal/daemon/placement.go
+++ b/internal/daemon/placement.go
@@ -24,7 +24,7 @@
 	}
 	return placement.NewController(placement.Options{
 		Region: d.settings.Region, Elector: elector, API: d.platform, Weights: d.platform, Engines: engines,
-		Config: d.config.Load, Demand: d.regionDemand, Metrics: d.metrics,
+		Config: d.snapshot.Load, Demand: d.regionDemand, Metrics: d.metrics,
 	}), nil
 }
 
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -101,7 +101,7 @@
 }
 
 func (d *Daemon) poolStatus() []PoolStatus {
-	snapshot := d.config.Load()
+	snapshot := d.snapshot.Load()
 	if snapshot == nil {
 		return nil
 	}
--- a/internal/experiment/system.go
+++ b/internal/experiment/system.go
@@ -63,7 +63,7 @@
 	current.Store(snapshot)
 	registry := metrics.New()
 	sys.host = poolhost.New(poolhost.Config{
-		Self: "experiment", Region: region, Snapshots: &current, Engines: fleet, Trace: sys.trace.Record, Metrics: registry,
+		Self: "experiment", Region: region, Snapshot: &current, Engines: fleet, Trace: sys.trace.Record, Metrics: registry,
 	})
 	slotBroker := broker.New(sys.host)
 	sys.entry = entry.New(entry.Deps{
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -208,7 +208,7 @@
 // candidatePools returns the current candidate pools: those of the stable version, or those
 // of the given version if it is not empty.
 func (x *exchange) candidatePools(version string) []*workspace.ResolvedPool {
-	snapshot := x.server.deps.Pools.Load()
+	snapshot := x.server.deps.Snapshot.Load()
 	if snapshot == nil {
 		return nil
 	}
--- a/internal/forward/harness_test.go
+++ b/internal/forward/harness_test.go
@@ -303,7 +303,7 @@
 	}
 	r.applyConfig(testDocument(1))
 	r.server = New(Deps{
-		Routes: r.routes, Pools: &workspace.CurrentSnapshot{}, Broker: r.broker, Admission: r.admission, Quotas: r.quotas,
+		Routes: r.routes, Snapshot: &workspace.CurrentSnapshot{}, Broker: r.broker, Admission: r.admission, Quotas: r.quotas,
 		Budget: func(string) *retry.Budget { return r.budget }, ConnPools: NewConnPools(httpconn.Settings{}),
 		Metrics: r.metrics, RequestIDPrefix: "test", Wire: testWire(),
 	})
--- a/internal/forward/server.go
+++ b/internal/forward/server.go
@@ -55,7 +55,7 @@
 // Deps are the dependencies of a Server.
 type Deps struct {
 	Routes    *route.Live
-	Pools     *workspace.CurrentSnapshot
+	Snapshot  *workspace.CurrentSnapshot
 	Broker    broker.Broker
 	Admission Admission
 	Quotas    Quotas
--- a/internal/gateway/deciders.go
+++ b/internal/gateway/deciders.go
@@ -14,10 +14,10 @@
 // deciders holds the deciders of the rollouts that this daemon decides. It is safe for
 // concurrent use.
 type deciders struct {
-	state  *state
-	bounds rollout.Bounds
-	views  *member.CurrentView
-	log    *logrus.Entry
+	state       *state
+	bounds      rollout.Bounds
+	currentView *member.CurrentView
+	log         *logrus.Entry
 
 	mu  sync.Mutex
 	all map[rollout.ID]*deciderEntry
@@ -31,8 +31,8 @@
 	writing   bool
 }
 
-func newDeciders(s *state, b rollout.Bounds, views *member.CurrentView, log *logrus.Entry) *deciders {
-	return &deciders{state: s, bounds: b, views: views, log: log, all: map[rollout.ID]*deciderEntry{}}
+func newDeciders(s *state, b rollout.Bounds, view *member.CurrentView, log *logrus.Entry) *deciders {
+	return &deciders{state: s, bounds: b, currentView: view, log: log, all: map[rollout.ID]*deciderEntry{}}
 }
 
 // retain removes the deciders of rollouts that no longer run.
@@ -82,10 +82,10 @@
 
 // decide updates the decision on a rollout and returns its plan.
 func (d *deciders) decide(ctx context.Context, id rollout.ID) rollout.Plan {
-	facts := d.state.rolloutFacts(id.Service)
-	for _, m := range d.views.Load().Members {
+	status := d.state.serviceStatus(id.Service)
+	for _, m := range d.currentView.Load().Members {
 		if m.State != member.Dead {
-			facts.Daemons++
+			status.Daemons++
 		}
 	}
 	d.mu.Lock()
@@ -94,11 +94,11 @@
 	if x == nil {
 		return rollout.Plan{}
 	}
-	x.plan, x.plannedAt = x.Tick(time.Now(), facts), time.Now()
+	x.plan, x.plannedAt = x.Tick(time.Now(), status), time.Now()
 	decision := x.Decision()
 	if decision.State != rollout.Running && !x.logged {
 		x.logged = true
-		d.logDecision(id, decision, facts)
+		d.logDecision(id, decision, status)
 	}
 	d.persist(ctx, x, decision)
 	return x.plan
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -53,12 +53,12 @@
 	listener      net.Listener
 	readyListener net.Listener
 
-	routes  *route.Live
-	pools   *workspace.CurrentSnapshot
-	views   *member.CurrentView
-	state   *state
-	ledger  *quota.Limiter
-	forward *forward.Server
+	routes      *route.Live
+	snapshot    *workspace.CurrentSnapshot
+	currentView *member.CurrentView
+	state       *state
+	limiter     *quota.Limiter
+	forward     *forward.Server
 
 	// The fields below are set once the cluster key is known.
 	transport *peer.TCP
@@ -78,19 +78,19 @@
 func New(s Settings, p Platform, m *metrics.Registry) (*Gateway, error) {
 	g := &Gateway{
 		settings: s, platform: p, log: logs.For("gateway"), metrics: m,
-		started: time.Now(), routes: &route.Live{}, pools: &workspace.CurrentSnapshot{}, views: &member.CurrentView{},
+		started: time.Now(), routes: &route.Live{}, snapshot: &workspace.CurrentSnapshot{}, currentView: &member.CurrentView{},
 	}
 	debug.SetMemoryLimit(int64(s.Limits.MemoryMB * 1e6 * memoryLimitShare))
 	g.budgets = newRetryBudgets(s.Bounds)
-	g.ledger = quota.NewLimiter(time.Now, g.initialDaemons(), quota.Tolerance{
+	g.limiter = quota.NewLimiter(time.Now, g.initialDaemons(), quota.Tolerance{
 		Window: seconds(s.Bounds.QuotaWindowS), Over: s.Bounds.QuotaOver, Slack: s.Bounds.QuotaSlack,
 	})
 	servers := forward.NewConnPools(httpconn.Settings{})
-	g.state = newState(p, s.Region, g.routes, g.pools, g.ledger, servers.Update, m)
+	g.state = newState(p, s.Region, g.routes, g.snapshot, g.limiter, servers.Update, m)
 	g.rollouts = newRollouts(g.state, s.Bounds, m)
 	g.forward = forward.New(forward.Deps{
-		Routes: g.routes, Pools: g.pools, Broker: g, Admission: g,
-		Quotas: g.ledger, Budget: g.budgets.forService, ConnPools: servers, Rollouts: g.rollouts, PoolRemoved: g.state.poolRemovals.contextFor, Metrics: m,
+		Routes: g.routes, Snapshot: g.snapshot, Broker: g, Admission: g,
+		Quotas: g.limiter, Budget: g.budgets.forService, ConnPools: servers, Rollouts: g.rollouts, PoolRemoved: g.state.poolRemovals.contextFor, Metrics: m,
 		Region: s.Region, RequestIDPrefix: s.Name + "." + strconv.FormatInt(time.Now().UnixNano(), 36), Wire: p.Wire,
 	})
 	return g, g.listen()
@@ -147,7 +147,7 @@
 
 // Owner implements forward.Admission.
 func (g *Gateway) Owner(service string) string {
-	pools := g.pools.Load().ModelPools[workspace.ModelRegion{Model: service, Region: g.settings.Region}]
+	pools := g.snapshot.Load().ModelPools[workspace.ModelRegion{Model: service, Region: g.settings.Region}]
 	if len(pools) == 0 {
 		return ""
 	}
--- a/internal/gateway/observe.go
+++ b/internal/gateway/observe.go
@@ -50,7 +50,7 @@
 				g.log.WithField("away_ms", time.Since(lostAt).Milliseconds()).Info("Configuration is confirmed again.")
 			}
 		}
-		if current := g.ledger.Share(); current != share {
+		if current := g.limiter.Share(); current != share {
 			g.log.WithField("share", current).WithField("before", share).Info("Quota share changed.")
 			share = current
 		}
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -37,12 +37,12 @@
 	members := zoneMembers(map[string]int{"a": n})
 	all, nets = map[string]*peerSync{}, map[string]*fakePeers{}
 	for _, m := range members {
-		views := &member.CurrentView{}
-		views.Store(member.NewView(m.Name, members))
+		view := &member.CurrentView{}
+		view.Store(member.NewView(m.Name, members))
 		net := &fakePeers{fakeTransport: newFakeTransport(), self: m.Name, syncs: all}
 		s := stateWithRoutes()
 		s.configFreshness, s.serversFreshness = revision.NewFreshnessWithClock(stoppedClock), revision.NewFreshnessWithClock(stoppedClock)
-		all[m.Name], nets[m.Name] = newPeerSync(s, net, views, joinedAlready()), net
+		all[m.Name], nets[m.Name] = newPeerSync(s, net, view, joinedAlready()), net
 	}
 	readers, standbys = selectReaders(member.NewView("a1", members))
 	return all, nets, readers, standbys
--- a/internal/gateway/pacer_test.go
+++ b/internal/gateway/pacer_test.go
@@ -42,12 +42,12 @@
 // Guards against changes of servers that are lost when a rebuild is postponed.
 func TestLastOfManyChangesIsApplied(t *testing.T) {
 	Convey("Given many changes of servers in quick succession", t, func() {
-		pools := &workspace.CurrentSnapshot{}
+		snapshot := &workspace.CurrentSnapshot{}
 		routes := &route.Live{}
 		table, findings := route.Compile("test", route.Document{Version: 1, Services: []route.Service{{Name: "app"}}})
 		So(findings, ShouldBeNil)
 		routes.Update(table)
-		s := newState(Platform{}, "r", routes, pools, quota.NewLimiter(time.Now, 1, quota.Tolerance{}), func(map[string]string) {}, metrics.New())
+		s := newState(Platform{}, "r", routes, snapshot, quota.NewLimiter(time.Now, 1, quota.Tolerance{}), func(map[string]string) {}, metrics.New())
 		const servers, rounds = 2 * pacingMinServers, 5
 		revision := uint64(0)
 		for round := range rounds {
@@ -61,7 +61,7 @@
 		}
 		testwait.Until(t, convergeLimit, "the last change is in force", func() bool {
 			slots := 0
-			for _, p := range pools.Load().Pools {
+			for _, p := range snapshot.Load().Pools {
 				for _, b := range p.Servers {
 					slots += b.Slots
 				}
--- a/internal/gateway/peerpoll_test.go
+++ b/internal/gateway/peerpoll_test.go
@@ -12,11 +12,11 @@
 // servers than the readers do.
 func TestEntriesArriveAsTheyWereTold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := rapid.Make[discovery.Server]().Draw(t, "server")
-		told.Slots = int(uint16(told.Slots))
-		told.Restarts = 0 // each directory counts its own
-		if got := serversFromWire(serversToWire([]discovery.Server{told}))[0]; got != told {
-			t.Fatalf("%+v, want %+v", got, told)
+		server := rapid.Make[discovery.Server]().Draw(t, "server")
+		server.Slots = int(uint16(server.Slots))
+		server.Restarts = 0 // each directory counts its own
+		if got := serversFromWire(serversToWire([]discovery.Server{server}))[0]; got != server {
+			t.Fatalf("%+v, want %+v", got, server)
 		}
 	})
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -46,18 +46,18 @@
 			Weight: s.Limits.weight(),
 		},
 		Seeds: s.Seeds,
-	}, member.RunnerOptions{Transport: g.transport, View: g.views, Registry: g.metrics})
+	}, member.RunnerOptions{Transport: g.transport, View: g.currentView, Registry: g.metrics})
 	if err != nil {
 		return errors.Wrap(err, "create membership")
 	}
 	g.host = poolhost.New(poolhost.Config{
-		Self: s.Name, Region: s.Region, Snapshots: g.pools, View: g.views, Transport: g.transport,
+		Self: s.Name, Region: s.Region, Snapshot: g.snapshot, View: g.currentView, Transport: g.transport,
 		DegradedAfter: degradedAfter, DisableProbes: true, Metrics: g.metrics, NewScheduler: newScheduler,
 	})
 	g.broker = broker.New(g.host)
-	g.quotas = newQuotaSync(g.ledger, g.budgets, g.transport, g.views, time.Now)
-	g.peerSync = newPeerSync(g.state, g.transport, g.views, g.members.Joined())
-	g.rollouts.join(s.Region, g.transport, g.views, g.host.Owner)
+	g.quotas = newQuotaSync(g.limiter, g.budgets, g.transport, g.currentView, time.Now)
+	g.peerSync = newPeerSync(g.state, g.transport, g.currentView, g.members.Joined())
+	g.rollouts.join(s.Region, g.transport, g.currentView, g.host.Owner)
 	g.transport.Start()
 	g.members.Start()
 	return nil
@@ -73,9 +73,9 @@
 // refused, and retry into the same burst.
 const extendedWaitShare = 1.0
 
-// runGrace is how long after its deadline a run still occupies its slot, so that its
+// releaseGrace is how long after its deadline a run still occupies its slot, so that its
 // release can arrive.
-const runGrace = time.Second
+const releaseGrace = time.Second
 
 // headroomShare is the share of all slots kept free of lower tiers.
 const headroomShare = 0.05
@@ -83,6 +83,6 @@
 func newScheduler(p *workspace.ResolvedPool, epoch uint64) poolhost.Scheduler {
 	return pool.New(pool.Config{
 		Name: p.Name, Epoch: epoch, Seed: epoch, MaxWaitShare: maxWaitShare, ExtendedWaitShare: extendedWaitShare, Headroom: headroomShare,
-		ReleaseGrace: runGrace, KeepStragglers: true, SpareFastServers: true,
+		ReleaseGrace: releaseGrace, KeepStragglers: true, SpareFastServers: true,
 	})
 }
--- a/internal/gateway/peersync.go
+++ b/internal/gateway/peersync.go
@@ -42,9 +42,9 @@
 // poll was sent, plus the hold time, minus that age, however long the messages took.
 // Clocks need not agree; they only have to run at the same rate.
 type peerSync struct {
-	state     *state
-	transport peer.Transport
-	views     *member.CurrentView
+	state       *state
+	transport   peer.Transport
+	currentView *member.CurrentView
 	// joined is closed when the membership view can be relied on.
 	joined <-chan struct{}
 	// next selects the reader to poll. It grows each time that a reader is skipped
@@ -54,8 +54,8 @@
 	lastAnswer atomic.Int64
 }
 
-func newPeerSync(s *state, t peer.Transport, views *member.CurrentView, joined <-chan struct{}) *peerSync {
-	p := &peerSync{state: s, transport: t, views: views, joined: joined}
+func newPeerSync(s *state, t peer.Transport, view *member.CurrentView, joined <-chan struct{}) *peerSync {
+	p := &peerSync{state: s, transport: t, currentView: view, joined: joined}
 	t.Handle(peer.TypeSync, p.handlePoll)
 	return p
 }
--- a/internal/gateway/peersync_test.go
+++ b/internal/gateway/peersync_test.go
@@ -78,8 +78,8 @@
 }
 
 func emptyState() *state {
-	ledger := quota.NewLimiter(time.Now, 1, quota.Tolerance{})
-	return newState(Platform{}, "r", &route.Live{}, &workspace.CurrentSnapshot{}, ledger, func(map[string]string) {}, metrics.New())
+	limiter := quota.NewLimiter(time.Now, 1, quota.Tolerance{})
+	return newState(Platform{}, "r", &route.Live{}, &workspace.CurrentSnapshot{}, limiter, func(map[string]string) {}, metrics.New())
 }
 
 // Guards against proofs that count as too old, so that each daemon lists the servers itself every
--- a/internal/gateway/quotasync.go
+++ b/internal/gateway/quotasync.go
@@ -34,12 +34,12 @@
 // quotaSync exchanges quota usage with the other daemons through a hub, and acts as a
 // hub for the daemons that report to it.
 type quotaSync struct {
-	ledger    *quota.Limiter
-	exchange  *quota.Exchange
-	budgets   *retryBudgets
-	transport peer.Transport
-	views     *member.CurrentView
-	log       *logrus.Entry
+	limiter     *quota.Limiter
+	exchange    *quota.Exchange
+	budgets     *retryBudgets
+	transport   peer.Transport
+	currentView *member.CurrentView
+	log         *logrus.Entry
 
 	mu              sync.Mutex
 	view            *member.View
@@ -53,10 +53,10 @@
 	targetHubs      map[string]bool
 }
 
-func newQuotaSync(l *quota.Limiter, b *retryBudgets, t peer.Transport, views *member.CurrentView, now func() time.Time) *quotaSync {
+func newQuotaSync(l *quota.Limiter, b *retryBudgets, t peer.Transport, view *member.CurrentView, now func() time.Time) *quotaSync {
 	q := &quotaSync{
-		ledger: l, exchange: quota.NewExchange(l, now, uint64(now().UnixNano())),
-		budgets: b, transport: t, views: views, log: logs.For("quotas"), shareHolders: newShareHolders(),
+		limiter: l, exchange: quota.NewExchange(l, now, uint64(now().UnixNano())),
+		budgets: b, transport: t, currentView: view, log: logs.For("quotas"), shareHolders: newShareHolders(),
 	}
 	t.Handle(peer.TypeQuotaBatch, q.handleBatch)
 	t.Handle(peer.TypeQuotaAnswer, q.handleAnswer)
@@ -83,7 +83,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.refreshView(now)
-	if len(q.others) == 0 || q.ledger.Empty() {
+	if len(q.others) == 0 || q.limiter.Empty() {
 		return
 	}
 	if q.route.candidates[q.hubIndex] == q.view.Self || q.exchange.HasReporters() {
@@ -97,7 +97,7 @@
 
 // refreshView takes over a new membership view and its share holders.
 func (q *quotaSync) refreshView(now time.Time) {
-	view := q.views.Load()
+	view := q.currentView.Load()
 	if view == q.view && !q.shareHolders.due(now) {
 		return
 	}
@@ -106,7 +106,7 @@
 		q.view = view
 		q.route, q.hubIndex = newHubRoute(view), 0
 	}
-	q.ledger.SetMembers(q.others)
+	q.limiter.SetMembers(q.others)
 	q.budgets.setDaemons(len(q.others) + 1)
 }
 
@@ -120,7 +120,7 @@
 		q.log.WithFields(logrus.Fields{"hub": q.route.candidates[q.hubIndex], "before": prev}).Info("Quota hub does not answer.")
 		return
 	}
-	if q.unansweredSince.IsZero() && !q.ledger.HasUnreported() && now.Sub(q.lastSent) < quotaIdleInterval {
+	if q.unansweredSince.IsZero() && !q.limiter.HasUnreported() && now.Sub(q.lastSent) < quotaIdleInterval {
 		return
 	}
 	b := q.exchange.NextBatch()
--- a/internal/gateway/quotasync_test.go
+++ b/internal/gateway/quotasync_test.go
@@ -59,12 +59,12 @@
 // newTestQuotaSync returns a daemon's quotaSync and the transport that it sends on.
 func newTestQuotaSync(self string, members []member.Member) (*quotaSync, *fakeTransport) {
 	stopped := func() time.Time { return time.Unix(1000, 0) }
-	ledger := quota.NewLimiter(stopped, assumedDaemons, quota.Tolerance{})
-	ledger.AddWorkspaces([]*route.Workspace{{Name: "w", Quota: route.Quota{PerSecond: 100, Burst: 1000}}})
-	views := &member.CurrentView{}
-	views.Store(member.NewView(self, members))
+	limiter := quota.NewLimiter(stopped, assumedDaemons, quota.Tolerance{})
+	limiter.AddWorkspaces([]*route.Workspace{{Name: "w", Quota: route.Quota{PerSecond: 100, Burst: 1000}}})
+	view := &member.CurrentView{}
+	view.Store(member.NewView(self, members))
 	transport := newFakeTransport()
-	return newQuotaSync(ledger, newRetryBudgets(BoundsSettings{}), transport, views, stopped), transport
+	return newQuotaSync(limiter, newRetryBudgets(BoundsSettings{}), transport, view, stopped), transport
 }
 
 // deliver passes the messages that were sent to one daemon to its handlers.
@@ -88,7 +88,7 @@
 		one.tick(now)
 		two.tick(now)
 		Convey("a daemon not heard of yet keeps its share, and a dead one has none", func() {
-			So(one.ledger.Share(), ShouldEqual, 0.5)
+			So(one.limiter.Share(), ShouldEqual, 0.5)
 		})
 		Convey("the hub passes on the usage of each daemon", func() {
 			hub, other, hubTransport, otherTransport := one, two, oneTransport, twoTransport
@@ -103,13 +103,13 @@
 				hub.tick(now)
 			}
 			exchange()
-			So(hub.ledger.Share(), ShouldEqual, 1)
-			So(other.ledger.Share(), ShouldEqual, 1)
-			before := hub.ledger.Levels()[0].Amount
+			So(hub.limiter.Share(), ShouldEqual, 1)
+			So(other.limiter.Share(), ShouldEqual, 1)
+			before := hub.limiter.Levels()[0].Amount
 			hub.exchange.HandleBatch("a3", quota.Batch{Number: 1, Usage: []quota.Usage{{Workspace: "w", Amount: 70}}})
 			exchange()
 			for _, q := range []*quotaSync{hub, other} {
-				So(q.ledger.Levels()[0].Amount, ShouldAlmostEqual, before-70, 1e-6)
+				So(q.limiter.Levels()[0].Amount, ShouldAlmostEqual, before-70, 1e-6)
 			}
 		})
 	})
@@ -199,9 +199,9 @@
 		}
 		payload, err := proto.Marshal(&wire.QuotaAnswer{Number: 5, Others: []*wire.Use{{Workspace: "w", Amount: 9}}})
 		So(err, ShouldBeNil)
-		before := q.ledger.Levels()[0].Amount
+		before := q.limiter.Levels()[0].Amount
 		_, err = transport.handlers[peer.TypeQuotaAnswer](context.Background(), "a2", payload)
 		So(err, ShouldBeNil)
-		So(q.ledger.Levels()[0].Amount, ShouldEqual, before)
+		So(q.limiter.Levels()[0].Amount, ShouldEqual, before)
 	})
 }
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -54,7 +54,7 @@
 	default:
 		return false
 	}
-	v := p.views.Load()
+	v := p.currentView.Load()
 	readers, _ := selectReaders(v)
 	return len(readers) == 0 || slices.Contains(readers, v.Self)
 }
@@ -62,7 +62,7 @@
 // readerAnswers reports whether a reader has answered lately and this daemon is not
 // a standby. If so, the readers will inform it as soon as an outage of the store ends.
 func (p *peerSync) readerAnswers() bool {
-	v := p.views.Load()
+	v := p.currentView.Load()
 	if _, standbys := selectReaders(v); slices.Contains(standbys, v.Self) {
 		return false
 	}
@@ -74,7 +74,7 @@
 // spread over the readers, and go on to the standbys when all readers were skipped. A
 // reader polls another one only while its own reads are stale.
 func (p *peerSync) pickReader() (string, bool) {
-	v := p.views.Load()
+	v := p.currentView.Load()
 	candidates, standbys := selectReaders(v)
 	if slices.Contains(candidates, v.Self) && p.isCurrent() {
 		return "", false
--- a/internal/gateway/reflector_test.go
+++ b/internal/gateway/reflector_test.go
@@ -88,11 +88,11 @@
 // 1,500 calls before they served.
 func TestStoreCallsAtStart(t *testing.T) {
 	Convey("Given a daemon that sees no other", t, func() {
-		views := &member.CurrentView{}
-		views.Store(member.NewView("a1", zoneMembers(map[string]int{"a": 1})))
+		view := &member.CurrentView{}
+		view.Store(member.NewView("a1", zoneMembers(map[string]int{"a": 1})))
 		joined := make(chan struct{})
 		s := stateWithRoutes()
-		a := newPeerSync(s, newFakeTransport(), views, joined)
+		a := newPeerSync(s, newFakeTransport(), view, joined)
 		store := &listStore{watched: make(chan objectstore.Kind, 1)}
 		r := &reflector{state: s, store: store, isReader: a.isReader, readerAnswers: a.readerAnswers}
 		servers := r.loops()[1]
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -52,7 +52,7 @@
 	// The fields below are set by join.
 	region      string
 	transport   peer.Transport
-	views       *member.CurrentView
+	currentView *member.CurrentView
 	owner       func(service, region string) (string, bool)
 	deciders    *deciders
 	incarnation uint64
@@ -95,10 +95,10 @@
 }
 
 // join sets up the parts that talk to other daemons.
-func (r *rollouts) join(region string, transport peer.Transport, views *member.CurrentView, owner func(service, region string) (string, bool)) {
-	r.region, r.transport, r.views, r.owner = region, transport, views, owner
+func (r *rollouts) join(region string, transport peer.Transport, view *member.CurrentView, owner func(service, region string) (string, bool)) {
+	r.region, r.transport, r.currentView, r.owner = region, transport, view, owner
 	r.incarnation = uint64(time.Now().UnixNano())
-	r.deciders = newDeciders(r.state, r.bounds, views, r.log)
+	r.deciders = newDeciders(r.state, r.bounds, view, r.log)
 	transport.Handle(peer.TypeRolloutReport, r.handleReport)
 }
 
@@ -148,7 +148,7 @@
 		Info("Rollout started.")
 	return &activeRollout{
 		id: x.ID, knownSince: time.Now(), recorder: rollout.NewRecorder(),
-		budget: rollout.NewBudget(0, r.bounds, len(r.views.Load().Members), rand.Float64()),
+		budget: rollout.NewBudget(0, r.bounds, len(r.currentView.Load().Members), rand.Float64()),
 	}
 }
 
@@ -159,7 +159,7 @@
 	if !ok || !a.reporting.CompareAndSwap(false, true) {
 		return
 	}
-	if owner == r.views.Load().Self {
+	if owner == r.currentView.Load().Self {
 		defer a.reporting.Store(false)
 		r.deciders.addReport(ctx, a.id, r.buildReport(a, owner))
 		r.applyPlan(service, a, r.deciders.decide(ctx, a.id))
@@ -181,7 +181,7 @@
 	full := to != a.reportedTo
 	a.reportedTo = to
 	return rollout.Report{
-		Reporter: r.views.Load().Self, Incarnation: r.incarnation, Number: a.reportNumber, Age: time.Since(a.knownSince),
+		Reporter: r.currentView.Load().Self, Incarnation: r.incarnation, Number: a.reportNumber, Age: time.Since(a.knownSince),
 		Cells: a.recorder.TakeChanged(full),
 	}
 }
--- a/internal/gateway/rolloutstate.go
+++ b/internal/gateway/rolloutstate.go
@@ -223,8 +223,8 @@
 	return s.rollouts.anyRunning() || s.rollouts.hasPendingVersions()
 }
 
-// rolloutFacts returns the state of a service's servers for the rollout's decider.
-func (s *state) rolloutFacts(service string) rollout.ServiceStatus {
+// serviceStatus returns the state of a service's servers for the rollout's decider.
+func (s *state) serviceStatus(service string) rollout.ServiceStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var f rollout.ServiceStatus
--- a/internal/gateway/shareholders_test.go
+++ b/internal/gateway/shareholders_test.go
@@ -41,7 +41,7 @@
 		q, _ := newTestQuotaSync("a1", zoneMembers(map[string]int{"a": 4}))
 		q.tick(now)
 		So(q.others, ShouldHaveLength, 3)
-		dead := q.views.Load().Members
+		dead := q.currentView.Load().Members
 		lost := &member.View{Self: "a1"}
 		for _, m := range dead {
 			if m.Name != "a1" {
@@ -49,9 +49,9 @@
 			}
 			lost.Members = append(lost.Members, m)
 		}
-		q.views.Store(lost)
+		q.currentView.Store(lost)
 		q.tick(now)
 		So(q.others, ShouldHaveLength, 3)
-		So(q.ledger.Share(), ShouldEqual, 0.25)
+		So(q.limiter.Share(), ShouldEqual, 0.25)
 	})
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -28,8 +28,8 @@
 	platform       Platform
 	region         string
 	routes         *route.Live
-	pools          *workspace.CurrentSnapshot
-	ledger         *quota.Limiter
+	snapshot       *workspace.CurrentSnapshot
+	limiter        *quota.Limiter
 	onIncarnations func(map[string]string) // called with the incarnation at each address
 	log            *logrus.Entry
 	latency        latencies
@@ -73,9 +73,9 @@
 	return !u.leaving && (u.arm == rollout.Stable || canary && u.arm == rollout.Canary)
 }
 
-func newState(p Platform, region string, routes *route.Live, pools *workspace.CurrentSnapshot, ledger *quota.Limiter, onIncarnations func(map[string]string), m *metrics.Registry) *state {
+func newState(p Platform, region string, routes *route.Live, snapshot *workspace.CurrentSnapshot, limiter *quota.Limiter, onIncarnations func(map[string]string), m *metrics.Registry) *state {
 	return &state{
-		platform: p, region: region, routes: routes, pools: pools, ledger: ledger, onIncarnations: onIncarnations,
+		platform: p, region: region, routes: routes, snapshot: snapshot, limiter: limiter, onIncarnations: onIncarnations,
 		configFreshness: revision.NewFreshness(), serversFreshness: revision.NewFreshness(), rolloutsFreshness: revision.NewFreshness(),
 		log: logs.For("sync"), rollouts: newRolloutState(false),
 		directory: discovery.NewDirectory(), changed: make(chan struct{}), latency: newLatencies(m),
@@ -112,7 +112,7 @@
 	s.config = o
 	if s.routes.Update(table) {
 		s.log.WithField("version", table.Version).WithField("revision", o.Version).Info("Configuration in force.")
-		s.ledger.AddWorkspaces(table.Workspaces)
+		s.limiter.AddWorkspaces(table.Workspaces)
 		s.rebuildLocked()
 	}
 	s.notifyChangedLocked()
@@ -247,8 +247,8 @@
 	s.logServers(servers)
 	s.logInvalid(s.directory.Invalid())
 	s.rollouts.assignArms(servers, s.serversRevision)
-	prev, next := s.pools.Load(), buildPools(table, servers, s.region, s.partitioner())
-	s.pools.Store(next)
+	prev, next := s.snapshot.Load(), buildPools(table, servers, s.region, s.partitioner())
+	s.snapshot.Store(next)
 	s.poolRemovals.update(prev, next)
 	byAddress := make(map[string]string, len(servers))
 	usable := make(map[string]serverUse, len(servers))
--- a/internal/poolhost/broadcast.go
+++ b/internal/poolhost/broadcast.go
@@ -82,7 +82,7 @@
 // sendBriefs sends a pool's brief to the owners of its sibling pools, unless
 // the same brief was sent less than unchangedBriefInterval ago.
 func (h *Host) sendBriefs(r *Runtime, s pool.Summary) {
-	snapshot := h.cfg.Snapshots.Load()
+	snapshot := h.cfg.Snapshot.Load()
 	if r.degraded || snapshot == nil {
 		return
 	}
@@ -112,7 +112,7 @@
 
 // receiveBrief posts a pool's brief to its siblings that this daemon owns.
 func (h *Host) receiveBrief(b poolwire.Brief) {
-	snapshot := h.cfg.Snapshots.Load()
+	snapshot := h.cfg.Snapshot.Load()
 	if snapshot == nil {
 		return
 	}
--- a/internal/poolhost/config.go
+++ b/internal/poolhost/config.go
@@ -82,8 +82,8 @@
 	// Self is this daemon's member name. Region is its region.
 	Self   string
 	Region string
-	// Snapshots holds the current configuration.
-	Snapshots *workspace.CurrentSnapshot
+	// Snapshot holds the current configuration.
+	Snapshot *workspace.CurrentSnapshot
 	// View holds the current membership. Nil means that this daemon is the only
 	// one and owns every pool.
 	View *member.CurrentView
--- a/internal/poolhost/host.go
+++ b/internal/poolhost/host.go
@@ -141,7 +141,7 @@
 
 // reconcile takes over the pools that this daemon now owns and gives up the others.
 func (h *Host) reconcile() {
-	inputs := reconcileInputs{snapshot: h.cfg.Snapshots.Load()}
+	inputs := reconcileInputs{snapshot: h.cfg.Snapshot.Load()}
 	if h.cfg.View != nil {
 		inputs.view = h.cfg.View.Load()
 	}
@@ -239,7 +239,7 @@
 			Incarnation: s.Incarnation,
 		})
 	}
-	if snapshot := r.host.cfg.Snapshots.Load(); snapshot != nil {
+	if snapshot := r.host.cfg.Snapshot.Load(); snapshot != nil {
 		r.hasSiblings.Store(len(siblings(snapshot, p.Name)) > 0)
 	}
 	r.post(pool.QueueBound{MaxWaiting: p.MaxWaiting})
--- a/internal/poolhost/host_test.go
+++ b/internal/poolhost/host_test.go
@@ -56,7 +56,7 @@
 	b.engine.report.Incarnation = 1
 	b.configure(false, pools...)
 	b.host = New(Config{
-		Self: "a", Region: "r", Snapshots: &b.snapshot, Engines: fakeDialer{b.engine},
+		Self: "a", Region: "r", Snapshot: &b.snapshot, Engines: fakeDialer{b.engine},
 		Now: func() time.Time { return b.now }, Spawn: func(f func()) { f() },
 		Connect:   func(context.Context, string) error { return b.connectErr },
 		IsLeaving: func(workspace.BackendServer) bool { return b.leaving },
--- a/internal/poolhost/share.go
+++ b/internal/poolhost/share.go
@@ -41,7 +41,7 @@
 
 // tick updates the share to configuration and membership. The caller holds host.mu.
 func (s *StaticShare) tick(members []string) {
-	snapshot := s.host.cfg.Snapshots.Load()
+	snapshot := s.host.cfg.Snapshot.Load()
 	if snapshot != nil && (snapshot != s.snapshot || !slices.Equal(members, s.members)) {
 		if p := snapshot.Pools[s.name]; p != nil {
 			s.snapshot = snapshot
--- a/member/membertest/cluster.go
+++ b/member/membertest/cluster.go
@@ -65,14 +65,14 @@
 		blocked: map[[2]int]bool{}, byName: map[peer.Name]*Node{}, byAddr: map[string]*Node{},
 	}
 	for i := range n {
-		d := &Node{
+		node := &Node{
 			cluster: c, index: i, Name: fmt.Sprintf("entry-%03d", i), killed: true,
 			Region: fmt.Sprintf("region-%d", i%regions), zone: fmt.Sprintf("zone-%d", i%(regions*3)),
 			address: fmt.Sprintf("10.0.%d.%d:7400", i/250, i%250),
 		}
-		c.Nodes = append(c.Nodes, d)
-		c.byName[peer.Name(d.Name)] = d
-		c.byAddr[d.address] = d
+		c.Nodes = append(c.Nodes, node)
+		c.byName[peer.Name(node.Name)] = node
+		c.byAddr[node.address] = node
 	}
 	return c
 }
@@ -82,66 +82,66 @@
 
 // StartAll starts all members, each at a random time within one second.
 func (c *Cluster) StartAll() {
-	for _, d := range c.Nodes {
-		c.schedule(time.Duration(c.rand.Int64N(int64(time.Second))), d.Start)
+	for _, n := range c.Nodes {
+		c.schedule(time.Duration(c.rand.Int64N(int64(time.Second))), n.Start)
 	}
 }
 
 // Start starts a member that is not running, as a new process.
-func (d *Node) Start() { d.StartWithIncarnation(uint64(d.cluster.now.UnixMilli())) }
+func (n *Node) Start() { n.StartWithIncarnation(uint64(n.cluster.now.UnixMilli())) }
 
 // StartWithIncarnation starts a member like Start, as on a VM whose clock is wrong.
-func (d *Node) StartWithIncarnation(incarnation uint64) {
-	if !d.killed {
+func (n *Node) StartWithIncarnation(incarnation uint64) {
+	if !n.killed {
 		return
 	}
 	cfg := member.Config{
 		Self: member.Member{
-			Name: d.Name, Incarnation: incarnation, Address: d.address,
-			Region: d.Region, AvailabilityZone: d.zone, ProtocolVersion: peer.NewestVersion,
+			Name: n.Name, Incarnation: incarnation, Address: n.address,
+			Region: n.Region, AvailabilityZone: n.zone, ProtocolVersion: peer.NewestVersion,
 		},
 	}
-	for _, s := range d.cluster.Nodes[:min(3, len(d.cluster.Nodes))] {
+	for _, s := range n.cluster.Nodes[:min(3, len(n.cluster.Nodes))] {
 		cfg.Seeds = append(cfg.Seeds, s.address)
 	}
-	m, err := member.NewMachine(cfg, d.cluster.now, rand.New(rand.NewPCG(d.cluster.rand.Uint64(), 0)))
+	m, err := member.NewMachine(cfg, n.cluster.now, rand.New(rand.NewPCG(n.cluster.rand.Uint64(), 0)))
 	if err != nil {
 		panic(err) // the configuration above is valid
 	}
-	d.Machine, d.killed, d.paused, d.deferred = m, false, false, nil
-	d.startCount++
-	d.tick(d.startCount)
+	n.Machine, n.killed, n.paused, n.deferred = m, false, false, nil
+	n.startCount++
+	n.tick(n.startCount)
 }
 
 // Kill ends the process and resets its connections.
-func (d *Node) Kill() {
-	d.killed = true
-	for _, o := range d.cluster.Nodes {
-		if o != d && !o.killed {
-			d.cluster.peerDown(o, peer.Name(d.Name), d.cluster.latency(d, o))
+func (n *Node) Kill() {
+	n.killed = true
+	for _, o := range n.cluster.Nodes {
+		if o != n && !o.killed {
+			n.cluster.peerDown(o, peer.Name(n.Name), n.cluster.latency(n, o))
 		}
 	}
 }
 
 // Pause suspends the process. Its connections stay open.
-func (d *Node) Pause() { d.paused = true }
+func (n *Node) Pause() { n.paused = true }
 
 // Resume continues a paused process. It first handles the events that arrived during
 // the pause.
-func (d *Node) Resume() {
-	d.paused = false
-	deferred := d.deferred
-	d.deferred = nil
+func (n *Node) Resume() {
+	n.paused = false
+	deferred := n.deferred
+	n.deferred = nil
 	for _, f := range deferred {
 		f()
 	}
 }
 
 // Leave makes the member announce that it is leaving.
-func (d *Node) Leave() { d.emit(d.Machine.Leave(d.cluster.now)) }
+func (n *Node) Leave() { n.emit(n.Machine.Leave(n.cluster.now)) }
 
 // Running reports whether the process is neither killed nor paused.
-func (d *Node) Running() bool { return !d.killed && !d.paused }
+func (n *Node) Running() bool { return !n.killed && !n.paused }
 
 // BlockLink drops all messages from one member to the other.
 func (c *Cluster) BlockLink(from, to int) { c.blocked[[2]int{from, to}] = true }
@@ -187,8 +187,8 @@
 // Converged reports whether each running member believes all running members alive or
 // leaving, and all others dead.
 func (c *Cluster) Converged() bool {
-	for _, d := range c.Nodes {
-		if d.Running() && !d.hasCorrectView(c.Nodes) {
+	for _, n := range c.Nodes {
+		if n.Running() && !n.hasCorrectView(c.Nodes) {
 			return false
 		}
 	}
@@ -198,22 +198,22 @@
 // RegionConverged is Converged restricted to the members of one region.
 func (c *Cluster) RegionConverged(region string) bool {
 	var nodes []*Node
-	for _, d := range c.Nodes {
-		if d.Region == region {
-			nodes = append(nodes, d)
+	for _, n := range c.Nodes {
+		if n.Region == region {
+			nodes = append(nodes, n)
 		}
 	}
-	for _, d := range nodes {
-		if d.Running() && !d.hasCorrectView(nodes) {
+	for _, n := range nodes {
+		if n.Running() && !n.hasCorrectView(nodes) {
 			return false
 		}
 	}
 	return true
 }
 
-func (d *Node) hasCorrectView(nodes []*Node) bool {
+func (n *Node) hasCorrectView(nodes []*Node) bool {
 	for _, o := range nodes {
-		m, known := d.View.Get(o.Name)
+		m, known := n.View.Get(o.Name)
 		live := known && (m.State == member.Alive || m.State == member.Leaving)
 		dead := !known || m.State == member.Dead
 		if (o.Running() && !live) || (!o.Running() && !dead) {
@@ -224,61 +224,61 @@
 }
 
 // tick calls Machine.Tick at its interval until the member is killed or restarted.
-func (d *Node) tick(startCount int) {
-	if d.killed || d.startCount != startCount {
+func (n *Node) tick(startCount int) {
+	if n.killed || n.startCount != startCount {
 		return
 	}
-	if !d.paused {
-		d.emit(d.Machine.Tick(d.cluster.now))
+	if !n.paused {
+		n.emit(n.Machine.Tick(n.cluster.now))
 	}
-	d.cluster.schedule(member.TickInterval, func() { d.tick(startCount) })
+	n.cluster.schedule(member.TickInterval, func() { n.tick(startCount) })
 }
 
 // emit stores the view and sends the messages.
-func (d *Node) emit(outgoing []member.Outgoing) {
-	if v := d.Machine.View(); v != nil {
-		d.View = v
+func (n *Node) emit(outgoing []member.Outgoing) {
+	if v := n.Machine.View(); v != nil {
+		n.View = v
 	}
 	for _, o := range outgoing {
-		d.send(o)
+		n.send(o)
 	}
 }
 
-func (d *Node) send(o member.Outgoing) {
-	to := d.cluster.byName[o.To]
+func (n *Node) send(o member.Outgoing) {
+	to := n.cluster.byName[o.To]
 	if a, ok := o.To.Address(); ok {
-		to = d.cluster.byAddr[a]
+		to = n.cluster.byAddr[a]
 	}
-	if to == nil || to == d {
+	if to == nil || to == n {
 		return
 	}
 	if to.killed {
-		d.cluster.peerDown(d, o.To, d.cluster.latency(d, to))
+		n.cluster.peerDown(n, o.To, n.cluster.latency(n, to))
 		return
 	}
-	d.MessagesOut++
-	d.BytesOut += uint64(len(o.Payload))
-	if d.cluster.blocked[[2]int{d.index, to.index}] {
-		d.cluster.peerDown(d, o.To, silenceTimeout)
+	n.MessagesOut++
+	n.BytesOut += uint64(len(o.Payload))
+	if n.cluster.blocked[[2]int{n.index, to.index}] {
+		n.cluster.peerDown(n, o.To, silenceTimeout)
 		return
 	}
-	from, startCount := peer.Name(d.Name), to.startCount
-	d.cluster.schedule(d.cluster.latency(d, to), func() {
+	from, startCount := peer.Name(n.Name), to.startCount
+	n.cluster.schedule(n.cluster.latency(n, to), func() {
 		to.deliver(startCount, func() {
 			to.MessagesIn++
 			to.BytesIn += uint64(len(o.Payload))
-			to.emit(to.Machine.Receive(d.cluster.now, from, o.Type, o.Payload))
+			to.emit(to.Machine.Receive(n.cluster.now, from, o.Type, o.Payload))
 		})
 	})
 }
 
 // deliver handles an event: at once, after a pause, or not at all if the member was
 // killed or restarted meanwhile.
-func (d *Node) deliver(startCount int, f func()) {
+func (n *Node) deliver(startCount int, f func()) {
 	switch {
-	case d.killed || d.startCount != startCount:
-	case d.paused:
-		d.deferred = append(d.deferred, f)
+	case n.killed || n.startCount != startCount:
+	case n.paused:
+		n.deferred = append(n.deferred, f)
 	default:
 		f()
 	}
--- a/placement/controller_test.go
+++ b/placement/controller_test.go
@@ -106,11 +106,11 @@
 }
 
 type fixture struct {
-	store   *standin.Standin
-	engines map[string]*fakeEngine // by address
-	live    workspace.CurrentSnapshot
-	mu      sync.Mutex
-	demand  map[string]placement.Demand
+	store    *standin.Standin
+	engines  map[string]*fakeEngine // by address
+	snapshot workspace.CurrentSnapshot
+	mu       sync.Mutex
+	demand   map[string]placement.Demand
 }
 
 func newFixture(servers int, checks bool) *fixture {
@@ -145,12 +145,12 @@
 	for _, k := range workspace.Kinds() {
 		l, err := f.store.List(context.Background(), k, "")
 		if err != nil {
-			return f.live.Load() // the last valid configuration stays in use
+			return f.snapshot.Load() // the last valid configuration stays in use
 		}
 		all = append(all, l.Objects...)
 	}
 	s, _ := workspace.Compile(all)
-	f.live.Store(s)
+	f.snapshot.Store(s)
 	return s
 }
 
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -218,9 +218,9 @@
 	}
 }
 
-// BenchmarkMake plans a region of the target size, 220 servers and 22 models, whose
+// BenchmarkComputePlan plans a region of the target size, 220 servers and 22 models, whose
 // demand has reversed.
-func BenchmarkMake(b *testing.B) {
+func BenchmarkComputePlan(b *testing.B) {
 	var in placement.Input
 	for i := range 22 {
 		m := fmt.Sprint("m", i)
--- a/pool/admission.go
+++ b/pool/admission.go
@@ -134,9 +134,9 @@
 // evictionCandidate returns the item to evict first. Suspects are ranked by tier like
 // all other requests.
 func (p *Pool) evictionCandidate() *tier.Item[*waiter] {
-	last, alone := p.queue.Victim(), p.isolated.Victim()
-	if last == nil || alone != nil && alone.Tier > last.Tier {
-		return alone
+	last, isolated := p.queue.Victim(), p.isolated.Victim()
+	if last == nil || isolated != nil && isolated.Tier > last.Tier {
+		return isolated
 	}
 	return last
 }
--- a/pool/capacity.go
+++ b/pool/capacity.go
@@ -24,7 +24,7 @@
 
 // runLimit returns how many requests may run on a server now.
 func (p *Pool) runLimit(s *server) int {
-	n := min(limit.Slots(s.tokenRateLimit), limit.Slots(s.queueingLimit))
+	n := min(limit.Slots(s.latencyLimit), limit.Slots(s.queueingLimit))
 	if s.engineSlots > 0 {
 		n = min(n, s.engineSlots)
 	}
@@ -146,7 +146,7 @@
 	p.fastest = score.Profile{}
 	for _, s := range p.sorted {
 		if p.up(s) {
-			p.fastest = s.speed.Fastest(p.fastest)
+			p.fastest = s.latency.Fastest(p.fastest)
 		}
 	}
 }
--- a/pool/choose.go
+++ b/pool/choose.go
@@ -60,10 +60,10 @@
 
 func (p *Pool) predictWith(w *waiter, s *server, cached, ahead int) option {
 	o := option{server: s, cachedBlocks: cached, uncachedTokens: tokensToCompute(w.PromptTokens, cached)}
-	o.firstToken = s.speed.FirstToken(ahead + o.uncachedTokens)
+	o.firstToken = s.latency.FirstToken(ahead + o.uncachedTokens)
 	o.cost = o.firstToken +
-		time.Duration(w.length.Mean)*s.speed.PerToken(len(s.running)+1) -
-		time.Duration(prefixSavingWeight*float64(s.speed.PrefillTime(w.PromptTokens-o.uncachedTokens))) +
+		time.Duration(w.length.Mean)*s.latency.PerToken(len(s.running)+1) -
+		time.Duration(prefixSavingWeight*float64(s.latency.PrefillTime(w.PromptTokens-o.uncachedTokens))) +
 		time.Duration(s.failureRate.at(p.now)*float64(failureCost))
 	return o
 }
@@ -86,14 +86,14 @@
 
 // runTime predicts how long a request would occupy its slot.
 func (p *Pool) runTime(w *waiter, o option) time.Duration {
-	return o.firstToken + time.Duration(w.length.Mean)*o.server.speed.PerToken(len(o.server.running)+1)
+	return o.firstToken + time.Duration(w.length.Mean)*o.server.latency.PerToken(len(o.server.running)+1)
 }
 
 // meetsTokenTarget reports whether a server with the given number of extra running
 // requests would need no more than a share of the target between tokens.
 func (p *Pool) meetsTokenTarget(w *waiter, s *server, extra int, share float64) bool {
 	target := w.tokenTarget()
-	return target <= 0 || float64(s.speed.PerToken(len(s.running)+extra)) <= share*float64(target)
+	return target <= 0 || float64(s.latency.PerToken(len(s.running)+extra)) <= share*float64(target)
 }
 
 // tokenTarget is the time between tokens that a request needs: its target or, if that
@@ -122,7 +122,7 @@
 		return true
 	}
 	bound := p.shortestFirstTokenTarget()
-	return bound == 0 || s.speed.PrefillTime(s.pendingPrefill+o.uncachedTokens) <= time.Duration(maxPrefillShare*float64(bound))
+	return bound == 0 || s.latency.PrefillTime(s.pendingPrefill+o.uncachedTokens) <= time.Duration(maxPrefillShare*float64(bound))
 }
 
 // shortestFirstTokenTarget is the shortest first-token target of all tiers.
@@ -184,7 +184,7 @@
 	if !w.firstTokenDue.IsZero() && p.now.Add(time.Duration(float64(o.firstToken)/relaxedShare)).After(w.firstTokenDue) {
 		return false
 	}
-	whole := o.firstToken + time.Duration(w.length.High)*o.server.speed.PerToken(o.server.maxRunning)
+	whole := o.firstToken + time.Duration(w.length.High)*o.server.latency.PerToken(o.server.maxRunning)
 	return !p.now.Add(time.Duration(float64(whole) / relaxedShare)).After(w.deadline)
 }
 
@@ -195,7 +195,7 @@
 	s := o.server
 	load := float64(len(s.running)) / float64(max(1, s.maxRunning))
 	return time.Duration(load*float64(time.Second)) + o.cost/1000 -
-		time.Duration(prefixSavingWeight*float64(s.speed.PrefillTime(w.PromptTokens-o.uncachedTokens))) +
+		time.Duration(prefixSavingWeight*float64(s.latency.PrefillTime(w.PromptTokens-o.uncachedTokens))) +
 		time.Duration(s.failureRate.at(p.now)*float64(failureCost))
 }
 
--- a/pool/config.go
+++ b/pool/config.go
@@ -31,9 +31,9 @@
 	// DefaultSlots is the number of slots of a server whose configuration has none; 0
 	// means a default.
 	DefaultSlots int
-	// Law is the algorithm that sets the servers' concurrency limits; empty means the
+	// LimitAlgorithm is the algorithm that sets the servers' concurrency limits; empty means the
 	// default.
-	Law limit.Name
+	LimitAlgorithm limit.Name
 	// SuspectTTL is how long a request stays suspected or confirmed to crash servers; 0
 	// means a default.
 	SuspectTTL time.Duration
@@ -79,8 +79,8 @@
 		return errors.Errorf("pool %q: headroom %v is not between 0 and 1", c.Name, c.Headroom)
 	case c.MaxWaitShare < 0 || c.MaxWaitShare > 1 || c.ExtendedWaitShare < 0 || c.ExtendedWaitShare > 1:
 		return errors.Errorf("pool %q: max wait share %v or extended wait share %v is not between 0 and 1", c.Name, c.MaxWaitShare, c.ExtendedWaitShare)
-	case !c.Law.Valid():
-		return errors.Errorf("pool %q: unknown limit algorithm %q", c.Name, c.Law)
+	case !c.LimitAlgorithm.Valid():
+		return errors.Errorf("pool %q: unknown limit algorithm %q", c.Name, c.LimitAlgorithm)
 	}
 	return nil
 }
--- a/pool/crash.go
+++ b/pool/crash.go
@@ -24,7 +24,7 @@
 
 func (p *Pool) shedConfirmed(w *waiter) {
 	p.emit(Shed{
-		Request: w.Request, Entry: w.Entry, Reason: request.ReasonConvicted,
+		Request: w.Request, Entry: w.Entry, Reason: request.ReasonSuspectConfirmed,
 		RetryAfter: p.suspects.ExpiresIn(p.now, w.Fingerprint),
 	})
 }
--- a/pool/crash_test.go
+++ b/pool/crash_test.go
@@ -30,7 +30,7 @@
 			Convey("a second crash within seconds confirms this suspect only", func() {
 				r.advance(500 * time.Millisecond)
 				r.endRun(again[0], OutcomeCrashed)
-				So(shedReason(r.send(fingerprinted("bad3", 1))), ShouldEqual, request.ReasonConvicted)
+				So(shedReason(r.send(fingerprinted("bad3", 1))), ShouldEqual, request.ReasonSuspectConfirmed)
 				r.send(ServerHealth{Server: "s0", Incarnation: 3})
 				r.advance(time.Second)
 				So(grants(r.send(fingerprinted("late2", 2))), ShouldHaveLength, 1)
@@ -38,7 +38,7 @@
 			Convey("a restart that the monitor reports first confirms it too", func() {
 				r.advance(500 * time.Millisecond)
 				r.send(ServerHealth{Server: "s0", Incarnation: 3})
-				So(shedReason(r.send(fingerprinted("bad3", 1))), ShouldEqual, request.ReasonConvicted)
+				So(shedReason(r.send(fingerprinted("bad3", 1))), ShouldEqual, request.ReasonSuspectConfirmed)
 			})
 		})
 	})
--- a/pool/failures_test.go
+++ b/pool/failures_test.go
@@ -64,8 +64,8 @@
 	Convey("A request that failed on a fast server does not wait for it but takes a slow one", t, func() {
 		r := newHarness(Config{}, ServerInfo{Name: "fast", Generation: "fast", Slots: 1}, ServerInfo{Name: "slow", Generation: "slow", Slots: 1})
 		for range 20 {
-			r.servers["fast"].speed.ObservePerToken(1, 4*time.Millisecond, 4*time.Millisecond, score.Profile{})
-			r.servers["slow"].speed.ObservePerToken(1, 40*time.Millisecond, 40*time.Millisecond, score.Profile{})
+			r.servers["fast"].latency.ObservePerToken(1, 4*time.Millisecond, 4*time.Millisecond, score.Profile{})
+			r.servers["slow"].latency.ObservePerToken(1, 40*time.Millisecond, 40*time.Millisecond, score.Profile{})
 		}
 		So(r.mustGrant(enqueue("first", 0)).Server, ShouldEqual, "fast")
 		again := enqueue("again", 0)
--- a/pool/hint_test.go
+++ b/pool/hint_test.go
@@ -17,8 +17,8 @@
 	newFastAndSlow := func() *harness {
 		r := newHarness(Config{}, ServerInfo{Name: "fast", Generation: "fast", Slots: 1}, ServerInfo{Name: "slow", Generation: "slow", Slots: 4})
 		for range 20 {
-			r.servers["fast"].speed.ObservePerToken(1, 4*time.Millisecond, 4*time.Millisecond, score.Profile{})
-			r.servers["slow"].speed.ObservePerToken(1, 40*time.Millisecond, 40*time.Millisecond, score.Profile{})
+			r.servers["fast"].latency.ObservePerToken(1, 4*time.Millisecond, 4*time.Millisecond, score.Profile{})
+			r.servers["slow"].latency.ObservePerToken(1, 40*time.Millisecond, 40*time.Millisecond, score.Profile{})
 			r.lengths.Observe(estimate.Key{Workspace: "w", Template: "t", Model: "m"}, 100)
 		}
 		return r
@@ -71,8 +71,8 @@
 	newFastAndSlow := func(spare bool) *harness {
 		r := newHarness(Config{SpareFastServers: spare}, ServerInfo{Name: "fast", Generation: "fast", Slots: 4}, ServerInfo{Name: "slow", Generation: "slow", Slots: 4})
 		for range 20 {
-			r.servers["fast"].speed.ObservePerToken(1, 4*time.Millisecond, 4*time.Millisecond, score.Profile{})
-			r.servers["slow"].speed.ObservePerToken(1, 16*time.Millisecond, 16*time.Millisecond, score.Profile{})
+			r.servers["fast"].latency.ObservePerToken(1, 4*time.Millisecond, 4*time.Millisecond, score.Profile{})
+			r.servers["slow"].latency.ObservePerToken(1, 16*time.Millisecond, 16*time.Millisecond, score.Profile{})
 		}
 		return r
 	}
--- a/pool/hold.go
+++ b/pool/hold.go
@@ -103,7 +103,7 @@
 	if !r.server.grantable {
 		return
 	}
-	ready := r.server.speed.FirstToken(r.prefillAhead+r.uncachedTokens) - p.now.Sub(r.grantedAt)
+	ready := r.server.latency.FirstToken(r.prefillAhead+r.uncachedTokens) - p.now.Sub(r.grantedAt)
 	after := max(ready, holdMin)
 	if len(r.server.running) >= r.server.maxRunning {
 		after = max(after, p.slotWait(r.server))
--- a/pool/late_retry.go
+++ b/pool/late_retry.go
@@ -18,9 +18,9 @@
 	// has left. The deadlines within one mix differ by up to a sixth; a retry after
 	// a refusal and its Retry-After has less left.
 	firstAttemptShare = 0.75
-	// maxMixes limits the number of mixes kept in memory. When it is reached, all of them
+	// maxDeadlineKeys limits the number of mixes kept in memory. When it is reached, all of them
 	// are forgotten.
-	maxMixes = 10_000
+	maxDeadlineKeys = 10_000
 )
 
 // deadlines tracks the usual deadline of each mix (workspace, template and model), to
@@ -41,14 +41,14 @@
 // sinceFirstAttempt records the deadline of a request, and estimates the time since the
 // caller's first attempt: the difference to the usual deadline, or zero for a first
 // attempt.
-func (d deadlines) sinceFirstAttempt(now time.Time, mix estimate.Key, deadline time.Duration) time.Duration {
-	u := d[mix]
+func (d deadlines) sinceFirstAttempt(now time.Time, key estimate.Key, deadline time.Duration) time.Duration {
+	u := d[key]
 	if u == nil {
-		if len(d) >= maxMixes {
+		if len(d) >= maxDeadlineKeys {
 			clear(d)
 		}
 		u = &usualDeadline{windowStart: now}
-		d[mix] = u
+		d[key] = u
 	}
 	u.rotate(now)
 	u.samples++
--- a/pool/late_retry_test.go
+++ b/pool/late_retry_test.go
@@ -102,9 +102,9 @@
 	Convey("Too few deadlines do not mark a retry", t, func() {
 		d := deadlines{}
 		now := start
-		So(d.sinceFirstAttempt(now, testMix, fullDeadline), ShouldEqual, 0)
-		So(d.sinceFirstAttempt(now, testMix, time.Second), ShouldEqual, 0)
+		So(d.sinceFirstAttempt(now, testKey, fullDeadline), ShouldEqual, 0)
+		So(d.sinceFirstAttempt(now, testKey, time.Second), ShouldEqual, 0)
 	})
 }
 
-var testMix = newHarness(Config{}).newWaiter(enqueue("x", 0)).mix
+var testKey = newHarness(Config{}).newWaiter(enqueue("x", 0)).estimateKey
--- a/pool/late_test.go
+++ b/pool/late_test.go
@@ -88,22 +88,22 @@
 // Guards against late requests that take the slots of on-time ones in a pool with a maximum
 // wait.
 func TestLateRequestsHaveNoTurnWithMaxWait(t *testing.T) {
-	for patience, first := range map[float64]request.ID{0: "late", 0.9: "ontime9"} {
-		Convey(fmt.Sprintf("With a max wait share of %v, %s is next after eight on-time requests", patience, first), t, func() {
-			r := newHarness(Config{MaxWaitShare: patience}, servers(1, 1)...)
+	for maxWaitShare, first := range map[float64]request.ID{0: "late", 0.9: "ontime9"} {
+		Convey(fmt.Sprintf("With a max wait share of %v, %s is next after eight on-time requests", maxWaitShare, first), t, func() {
+			r := newHarness(Config{MaxWaitShare: maxWaitShare}, servers(1, 1)...)
 			g := r.mustGrant(enqueue("runs", 0))
 			late := enqueue("late", 0)
 			late.FirstTokenIn = time.Millisecond
 			late.DeadlineIn = time.Hour
-			if patience > 0 {
+			if maxWaitShare > 0 {
 				late.SentTo = []string{"gone"} // so that it may wait until its deadline
 			}
 			r.send(late)
 			r.now = r.now.Add(10 * time.Millisecond)
 			for i := 1; i <= maxGrantsBeforeLate+1; i++ {
-				live := enqueue(fmt.Sprint("ontime", i), 0)
-				live.FirstTokenIn, live.DeadlineIn = time.Minute, time.Hour
-				r.send(live)
+				onTime := enqueue(fmt.Sprint("ontime", i), 0)
+				onTime.FirstTokenIn, onTime.DeadlineIn = time.Minute, time.Hour
+				r.send(onTime)
 			}
 			for i := 1; i <= maxGrantsBeforeLate; i++ {
 				g = grants(r.endRun(g, OutcomeDone))[0]
--- a/pool/length.go
+++ b/pool/length.go
@@ -4,19 +4,19 @@
 
 // expectLength estimates the length of an answer, in tokens, from the caller's hint or,
 // without one, from recent answers for the same workspace, template and model.
-func (p *Pool) expectLength(m estimate.Key, hint, maxTokens int) estimate.Length {
+func (p *Pool) expectLength(key estimate.Key, hint, maxTokens int) estimate.Length {
 	if hint > 0 {
-		return p.hints.Estimate(m, hint, maxTokens)
+		return p.hints.Estimate(key, hint, maxTokens)
 	}
-	return p.lengths.Estimate(m, maxTokens)
+	return p.lengths.Estimate(key, maxTokens)
 }
 
 // remainingTokens estimates the tokens that a run has still to generate.
 func (p *Pool) remainingTokens(r *run) int {
 	if r.hint > 0 {
-		return p.hints.Remaining(r.mix, r.hint, r.maxTokens, r.generated)
+		return p.hints.Remaining(r.estimateKey, r.hint, r.maxTokens, r.generated)
 	}
-	return p.lengths.Remaining(r.mix, r.maxTokens, r.generated)
+	return p.lengths.Remaining(r.estimateKey, r.maxTokens, r.generated)
 }
 
 // growLength raises a run's expected memory and its workspace's charge when the answer
@@ -40,9 +40,9 @@
 		return
 	}
 	if r.hint > 0 {
-		p.hints.Observe(r.mix, r.hint, e.OutputTokens)
+		p.hints.Observe(r.estimateKey, r.hint, e.OutputTokens)
 	} else {
-		p.lengths.Observe(r.mix, e.OutputTokens)
+		p.lengths.Observe(r.estimateKey, e.OutputTokens)
 	}
 	computed := r.uncachedTokens
 	if e.PrefillComputed > 0 {
--- a/pool/limit/gradient.go
+++ b/pool/limit/gradient.go
@@ -36,10 +36,10 @@
 	if belowTarget && !utilized(g.used, g.limit) {
 		return // low use, not the limit, kept the ratio low
 	}
-	gradient := math.Max(minGradient, math.Min(maxGradient, targetRatio/math.Max(g.ratio, 1e-6)))
-	goal := g.used*gradient + math.Sqrt(g.limit)
+	factor := math.Max(minGradient, math.Min(maxGradient, targetRatio/math.Max(g.ratio, 1e-6)))
+	goal := g.used*factor + math.Sqrt(g.limit)
 	if !belowTarget {
-		goal = math.Min(g.limit, g.used*gradient)
+		goal = math.Min(g.limit, g.used*factor)
 	}
 	g.limit = g.bounds.clamp(g.limit + gradientStep*(goal-g.limit))
 }
--- a/pool/observe.go
+++ b/pool/observe.go
@@ -36,9 +36,9 @@
 	minStepShare = 0.2
 )
 
-func (p *Pool) prior(generation string) score.Profile {
-	if prior, ok := p.priors[generation]; ok {
-		return prior
+func (p *Pool) initialProfile(generation string) score.Profile {
+	if profile, ok := p.profiles[generation]; ok {
+		return profile
 	}
 	return score.DefaultProfile()
 }
@@ -46,13 +46,13 @@
 // observeFirstToken records the time to a run's first token.
 func (p *Pool) observeFirstToken(r *run, took time.Duration) {
 	s := r.server
-	if s.speed == nil {
+	if s.latency == nil {
 		return
 	}
 	prefill := r.prefillAhead + r.uncachedTokens
-	predicted := s.speed.FirstToken(prefill)
-	late := s.speed.Known() && took > lateTokenFactor*predicted+lateTokenSlack
-	s.speed.ObserveFirstToken(prefill, took, p.priors[s.info.Generation], late)
+	predicted := s.latency.FirstToken(prefill)
+	late := s.latency.Known() && took > lateTokenFactor*predicted+lateTokenSlack
+	s.latency.ObserveFirstToken(prefill, took, p.profiles[s.info.Generation], late)
 	p.observeQueueing(r, late)
 	p.updateStraggler(s)
 }
@@ -78,16 +78,16 @@
 // but not before its limit is: the target applies whatever caused the delay.
 func (p *Pool) observeToken(r *run, took time.Duration, tokens int) {
 	s := r.server
-	if s.speed == nil {
+	if s.latency == nil {
 		return
 	}
 	if target := s.shortestTokenTarget(); target > 0 {
 		ratio := float64(took) / float64(target)
-		s.tokenRateLimit.Observe(limit.Sample{Ratio: ratio, Used: float64(len(s.running))})
+		s.latencyLimit.Observe(limit.Sample{Ratio: ratio, Used: float64(len(s.running))})
 	}
-	others := s.speed.PrefillTime(s.prefillTotal-r.prefilledAtReport) / time.Duration(tokens)
+	others := s.latency.PrefillTime(s.prefillTotal-r.prefilledAtReport) / time.Duration(tokens)
 	step := max(took-others, time.Duration(minStepShare*float64(took)))
-	s.speed.ObservePerToken(len(s.running), took, step, p.priors[s.info.Generation])
+	s.latency.ObservePerToken(len(s.running), took, step, p.profiles[s.info.Generation])
 	p.updateStraggler(s)
 }
 
@@ -95,14 +95,14 @@
 // the whole call within its target.
 func (p *Pool) observeCall(r *run, took time.Duration) {
 	s := r.server
-	if s.speed == nil || took <= 0 {
+	if s.latency == nil || took <= 0 {
 		return
 	}
 	p.endPrefill(r)
 	if target := p.firstTokenTargets[r.tier]; target > 0 {
-		s.tokenRateLimit.Observe(limit.Sample{Ratio: float64(took) / float64(target), Used: float64(r.runningAtGrant)})
+		s.latencyLimit.Observe(limit.Sample{Ratio: float64(took) / float64(target), Used: float64(r.runningAtGrant)})
 	}
-	s.speed.ObserveFirstToken(0, took, p.priors[s.info.Generation], false)
+	s.latency.ObserveFirstToken(0, took, p.profiles[s.info.Generation], false)
 	p.updateStraggler(s)
 }
 
@@ -124,7 +124,7 @@
 		return
 	}
 	was := s.straggler
-	s.straggler = s.speed.Straggler(was)
+	s.straggler = s.latency.Straggler(was)
 	switch {
 	case s.straggler && !was:
 		s.probeBackoff = stragglerBackoffMin
@@ -141,20 +141,20 @@
 	}
 	p.comparedAt = p.now
 	p.findFastest()
-	speeds := make(map[string][]*score.LatencyModel)
+	models := make(map[string][]*score.LatencyModel)
 	for _, s := range p.sorted {
-		if s.speed.Known() {
-			speeds[s.info.Generation] = append(speeds[s.info.Generation], s.speed)
+		if s.latency.Known() {
+			models[s.info.Generation] = append(models[s.info.Generation], s.latency)
 		}
 	}
-	for generation, all := range speeds {
-		if prior, ok := score.Median(all); ok && len(all) >= minPeers {
-			p.priors[generation] = prior
+	for generation, all := range models {
+		if profile, ok := score.Median(all); ok && len(all) >= minPeers {
+			p.profiles[generation] = profile
 		}
 	}
 	for _, s := range p.sorted {
 		if !s.straggler {
-			s.speed.UpdateBaseline()
+			s.latency.UpdateBaseline()
 		}
 	}
 }
@@ -168,7 +168,7 @@
 	for _, s := range p.sorted {
 		was := s.overdue
 		s.overdue = false
-		if !s.speed.Known() {
+		if !s.latency.Known() {
 			continue
 		}
 		for _, r := range s.running {
@@ -179,7 +179,7 @@
 			if !r.withdrawnAt.IsZero() || p.now.After(r.deadline) && !r.deadline.IsZero() {
 				continue
 			}
-			maxWait := lateTokenFactor*s.speed.FirstToken(r.prefillAhead+r.uncachedTokens) + lateTokenSlack
+			maxWait := lateTokenFactor*s.latency.FirstToken(r.prefillAhead+r.uncachedTokens) + lateTokenSlack
 			// A server that makes progress on other requests is not stuck: the grant may be
 			// at a slow entry, or one answer may be lost. Without this check, a slow entry
 			// VM would stop every server on which it holds a grant.
@@ -188,7 +188,7 @@
 			}
 			s.overdue = true
 			if !was {
-				s.speed.ObserveOverdue(r.prefillAhead+r.uncachedTokens, waited, p.priors[s.info.Generation])
+				s.latency.ObserveOverdue(r.prefillAhead+r.uncachedTokens, waited, p.profiles[s.info.Generation])
 				p.updateStraggler(s)
 			}
 			break
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -77,7 +77,7 @@
 type observations struct {
 	lengths           *estimate.Estimator
 	hints             *estimate.Hints
-	priors            map[string]score.Profile // measured latency profile by generation
+	profiles          map[string]score.Profile // measured latency profile by generation
 	fastest           score.Profile            // best latencies of all servers; zero means unknown
 	comparedAt        time.Time
 	arrivals          [request.MaxTiers]headroom.Arrivals
@@ -118,7 +118,7 @@
 		observations: observations{
 			lengths:    estimate.New(),
 			hints:      estimate.NewHints(),
-			priors:     make(map[string]score.Profile),
+			profiles:   make(map[string]score.Profile),
 			deadlines:  make(deadlines),
 			servedWork: decay.Rate{TimeConstant: servedWorkWindow},
 			rates:      newTierRates(),
--- a/pool/run.go
+++ b/pool/run.go
@@ -23,7 +23,7 @@
 	grantedAt   time.Time
 	tier        request.Tier
 	workspace   string
-	mix         estimate.Key
+	estimateKey estimate.Key
 	fingerprint uint64
 	suspect     bool // granted as a suspect
 
@@ -236,13 +236,13 @@
 	if w := p.waiting[e.Request]; w != nil {
 		p.removeWaiter(w)
 	}
-	mix := estimate.Key{Workspace: e.Workspace, Template: e.Template, Model: e.Model}
+	key := estimate.Key{Workspace: e.Workspace, Template: e.Template, Model: e.Model}
 	r := &run{
 		id: e.Grant, request: e.Request, entry: e.Entry, server: p.server(e.Server), grantedAt: p.now, lastReport: p.now,
-		tier: min(e.Tier, request.MaxTiers-1), workspace: e.Workspace, mix: mix, fingerprint: e.Fingerprint,
+		tier: min(e.Tier, request.MaxTiers-1), workspace: e.Workspace, estimateKey: key, fingerprint: e.Fingerprint,
 		promptTokens: e.PromptTokens, maxTokens: e.MaxTokens, hint: e.ExpectedTokens, blocks: e.Blocks, generated: e.Tokens,
 		prefillDone: e.Tokens > 0, uncachedTokens: e.PromptTokens,
-		kvTokens: e.PromptTokens + p.expectLength(mix, e.ExpectedTokens, e.MaxTokens).High,
+		kvTokens: e.PromptTokens + p.expectLength(key, e.ExpectedTokens, e.MaxTokens).High,
 	}
 	r.cost = workCost(e.PromptTokens, e.MaxTokens)
 	p.addRun(r)
--- a/pool/scenario_test.go
+++ b/pool/scenario_test.go
@@ -87,7 +87,7 @@
 			Convey("A second crash confirms this suspect only", func() {
 				out := r.endRun(again, OutcomeCrashed)
 				So(out[0], ShouldResemble, ShareSuspect{Fingerprint: 1, State: SuspectConfirmed, ExpiresIn: defaultSuspectTTL})
-				So(shedReason(r.send(fingerprinted("bad3", 1))), ShouldEqual, request.ReasonConvicted)
+				So(shedReason(r.send(fingerprinted("bad3", 1))), ShouldEqual, request.ReasonSuspectConfirmed)
 				So(r.suspects.State(r.now, 9), ShouldEqual, 0)
 				So(grants(out), ShouldHaveLength, 1) // good2 runs alone next
 				cleared := r.endRun(grants(out)[0], OutcomeDone)
@@ -105,7 +105,7 @@
 		})
 		Convey("States from other pools are merged", func() {
 			r.send(SuspectShared{Fingerprint: 7, State: SuspectConfirmed, ExpiresIn: time.Minute})
-			So(shedReason(r.send(fingerprinted("x", 7))), ShouldEqual, request.ReasonConvicted)
+			So(shedReason(r.send(fingerprinted("x", 7))), ShouldEqual, request.ReasonSuspectConfirmed)
 			r.send(SuspectShared{Fingerprint: 1, State: SuspectCleared})
 			r.mustGrant(fingerprinted("bad2", 1))
 			r.mustGrant(fingerprinted("good3", 1)) // cleared: both run
@@ -192,7 +192,7 @@
 		slow["s0"] = 10
 		s := r.servers["s0"]
 		for i := 0; i < 200 && !s.straggler; i++ {
-			s.speed.ObserveOverdue(0, time.Second, r.priors["g"])
+			s.latency.ObserveOverdue(0, time.Second, r.profiles["g"])
 			r.updateStraggler(s)
 		}
 		So(s.straggler, ShouldBeTrue)
@@ -422,7 +422,7 @@
 	})
 	Convey("Invalid configurations are rejected", t, func() {
 		So(Config{Name: "p"}.Validate(), ShouldBeNil)
-		for _, bad := range []Config{{}, {Name: "p", Policy: "x"}, {Name: "p", MaxWaiting: -1}, {Name: "p", Law: "x"}} {
+		for _, bad := range []Config{{}, {Name: "p", Policy: "x"}, {Name: "p", MaxWaiting: -1}, {Name: "p", LimitAlgorithm: "x"}} {
 			So(bad.Validate(), ShouldNotBeNil)
 		}
 	})
--- a/pool/schedule.go
+++ b/pool/schedule.go
@@ -81,7 +81,7 @@
 		w, o = p.pickLate(t, servers)
 	}
 	if w == nil {
-		w, o = p.pickLive(t, servers)
+		w, o = p.pickOnTime(t, servers)
 	}
 	if w == nil && !p.memoryStarved(t) {
 		w, o = p.pickLate(t, servers)
@@ -89,10 +89,10 @@
 	return w, o
 }
 
-// pickLive returns the next on-time request to grant, with its option. It also moves
+// pickOnTime returns the next on-time request to grant, with its option. It also moves
 // requests that cannot meet their targets to the end of the tier and suspects to their
 // own queue, and holds requests that should wait for a prefix.
-func (p *Pool) pickLive(t request.Tier, servers []*server) (*waiter, option) {
+func (p *Pool) pickOnTime(t request.Tier, servers []*server) (*waiter, option) {
 	budget := maxOptions
 	for {
 		p.candidates = p.queue.Candidates(t, tier.OnTime, maxCandidates, p.candidates[:0])
@@ -291,7 +291,7 @@
 	r := &run{
 		id: GrantID{Epoch: p.cfg.Epoch, Seq: p.grantSeq}, request: w.Request, entry: w.Entry, server: o.server,
 		grantedAt: p.now, lastReport: p.now, deadline: w.deadline,
-		tier: w.Item.Tier, workspace: w.Item.Workspace, mix: w.mix, fingerprint: w.Fingerprint, suspect: w.isolated(),
+		tier: w.Item.Tier, workspace: w.Item.Workspace, estimateKey: w.estimateKey, fingerprint: w.Fingerprint, suspect: w.isolated(),
 		promptTokens: w.PromptTokens, maxTokens: w.MaxTokens, hint: w.ExpectedTokens, blocks: w.Blocks, perToken: w.tokenTarget(), cost: w.Cost,
 		cachedBlocks: o.cachedBlocks, uncachedTokens: o.uncachedTokens, prefillAhead: o.server.pendingPrefill,
 		kvTokens: w.PromptTokens + w.length.High, runningAtGrant: len(o.server.running) + 1,
--- a/pool/score/latency.go
+++ b/pool/score/latency.go
@@ -23,9 +23,9 @@
 const (
 	firstTokenDecay = 0.95
 	perTokenDecay   = 0.98
-	// priorWeight is the weight of each point of the initial profile, in
+	// initialWeight is the weight of each point of the initial profile, in
 	// measurements.
-	priorWeight = 2
+	initialWeight = 2
 	// queuedWeight is the weight of a first token that waited in the engine's
 	// queue: it measures the queue rather than the engine.
 	queuedWeight = 0.2
@@ -70,10 +70,10 @@
 // NewLatencyModel returns a model that starts from a profile.
 func NewLatencyModel(p Profile) *LatencyModel {
 	m := &LatencyModel{firstToken: Regression{Decay: 1}, decodeStep: Regression{Decay: 1}, slowdown: 1}
-	m.firstToken.Add(lowPrefill, p.FirstTokenLow, priorWeight)
-	m.firstToken.Add(highPrefill, p.FirstTokenHigh, priorWeight)
-	m.decodeStep.Add(lowRunning, p.PerTokenLow, priorWeight)
-	m.decodeStep.Add(highRunning, p.PerTokenHigh, priorWeight)
+	m.firstToken.Add(lowPrefill, p.FirstTokenLow, initialWeight)
+	m.firstToken.Add(highPrefill, p.FirstTokenHigh, initialWeight)
+	m.decodeStep.Add(lowRunning, p.PerTokenLow, initialWeight)
+	m.decodeStep.Add(highRunning, p.PerTokenHigh, initialWeight)
 	m.perToken = m.decodeStep
 	m.firstToken.Decay, m.decodeStep.Decay, m.perToken.Decay = firstTokenDecay, perTokenDecay, perTokenDecay
 	return m
--- a/pool/server.go
+++ b/pool/server.go
@@ -32,12 +32,12 @@
 	kvTokens       int // KV memory that the running requests will need, in tokens
 	prefillTotal   int // prefill tokens computed since the start
 
-	speed          *score.LatencyModel
-	tokenRateLimit limit.Algorithm // limit on running requests, from the time between tokens
-	queueingLimit  limit.Algorithm // limit on running requests, from queueing inside the engine
-	memoryLimit    limit.Algorithm // limit on KV memory, in thousands of tokens
-	kvCapacity     float64         // measured KV capacity, in tokens; zero means unknown
-	engineSlots    int             // slots reported by the engine; zero means unknown
+	latency       *score.LatencyModel
+	latencyLimit  limit.Algorithm // limit on running requests, from the time between tokens
+	queueingLimit limit.Algorithm // limit on running requests, from queueing inside the engine
+	memoryLimit   limit.Algorithm // limit on KV memory, in thousands of tokens
+	kvCapacity    float64         // measured KV capacity, in tokens; zero means unknown
+	engineSlots   int             // slots reported by the engine; zero means unknown
 	// lastProgress is when a run last showed that the server works.
 	lastProgress time.Time
 	meanService  float64 // mean time from grant to release, in seconds
@@ -84,14 +84,14 @@
 // configure applies a server's configuration. A changed number of slots resets the
 // limits; a changed generation resets the latency model.
 func (p *Pool) configure(s *server, info ServerInfo) {
-	if s.tokenRateLimit == nil || s.info.Slots != info.Slots {
+	if s.latencyLimit == nil || s.info.Slots != info.Slots {
 		bounds := limit.Bounds{Min: 1, Max: float64(info.Slots), Start: float64(info.Slots)}
-		s.tokenRateLimit = limit.New(p.cfg.Law, bounds)
+		s.latencyLimit = limit.New(p.cfg.LimitAlgorithm, bounds)
 		s.queueingLimit = limit.New(limit.AIMD, bounds)
 		s.memoryLimit = limit.New(limit.AIMD, limit.Bounds{Min: kiloTokensMin, Max: kiloTokensMax, Start: kiloTokensMax})
 	}
-	if s.speed == nil || s.info.Generation != info.Generation {
-		s.speed = score.NewLatencyModel(p.prior(info.Generation))
+	if s.latency == nil || s.info.Generation != info.Generation {
+		s.latency = score.NewLatencyModel(p.initialProfile(info.Generation))
 	}
 	if s.info.Incarnation != "" && s.info.Incarnation != info.Incarnation {
 		p.resetIncarnation(s)
--- a/pool/starved.go
+++ b/pool/starved.go
@@ -45,7 +45,7 @@
 	if slots == 0 || p.inTurn(t, slots) || p.memoryStarvedAbove(t) {
 		return false
 	}
-	w, o := p.pickLive(t, servers)
+	w, o := p.pickOnTime(t, servers)
 	if w == nil {
 		return false
 	}
@@ -62,7 +62,7 @@
 // its own slot, and the time that its prefill delays the server's other slots.
 func (p *Pool) slotTime(w *waiter, o option) float64 {
 	s := o.server
-	return (p.runTime(w, o) + time.Duration(len(s.running))*s.speed.PrefillTime(o.uncachedTokens)).Seconds()
+	return (p.runTime(w, o) + time.Duration(len(s.running))*s.latency.PrefillTime(o.uncachedTokens)).Seconds()
 }
 
 // inTurn reports whether a tier is next in priority order, given the number of free
--- a/pool/waiter.go
+++ b/pool/waiter.go
@@ -17,7 +17,7 @@
 type waiter struct {
 	tier.Item[*waiter]
 	Enqueue
-	mix           estimate.Key
+	estimateKey   estimate.Key
 	length        estimate.Length
 	firstTokenDue time.Time // deadline of its first token; zero means no target
 	deadline      time.Time
@@ -68,16 +68,16 @@
 
 func (p *Pool) newWaiter(e Enqueue) *waiter {
 	w := &waiter{
-		Enqueue:    e,
-		mix:        estimate.Key{Workspace: e.Workspace, Template: e.Template, Model: e.Model},
-		deadline:   p.now.Add(e.DeadlineIn),
-		enqueuedAt: p.now,
+		Enqueue:     e,
+		estimateKey: estimate.Key{Workspace: e.Workspace, Template: e.Template, Model: e.Model},
+		deadline:    p.now.Add(e.DeadlineIn),
+		enqueuedAt:  p.now,
 	}
 	if e.FirstTokenIn != 0 {
 		w.firstTokenDue = p.now.Add(e.FirstTokenIn)
 	}
 	if !p.isBaseline() && e.MaxTokens > 0 {
-		w.length = p.expectLength(w.mix, e.ExpectedTokens, e.MaxTokens)
+		w.length = p.expectLength(w.estimateKey, e.ExpectedTokens, e.MaxTokens)
 	}
 	w.Item.Tier, w.Item.Workspace, w.Item.Value = e.Tier, e.Workspace, w
 	if p.isLateRetry(w) {
@@ -95,7 +95,7 @@
 	if p.isBaseline() || w.FirstTokenIn == 0 {
 		return false
 	}
-	elapsed := p.deadlines.sinceFirstAttempt(p.now, w.mix, w.DeadlineIn+w.Waited)
+	elapsed := p.deadlines.sinceFirstAttempt(p.now, w.estimateKey, w.DeadlineIn+w.Waited)
 	return elapsed > w.FirstTokenIn+w.Waited
 }
 
--- a/request/refusal.go
+++ b/request/refusal.go
@@ -56,7 +56,7 @@
 	ReasonNoServer           Reason = "no_server"
 	ReasonNoOwner            Reason = "no_owner"
 	ReasonSuspectBusy        Reason = "suspect_busy"
-	ReasonConvicted          Reason = "convicted"
+	ReasonSuspectConfirmed   Reason = "convicted"
 	ReasonClaimConflict      Reason = "claim_conflict"
 	ReasonClaimInProgress    Reason = "claim_in_progress"
 	ReasonClaimRan           Reason = "claim_ran"
@@ -93,7 +93,7 @@
 	ReasonNoServer:           http.StatusServiceUnavailable,
 	ReasonNoOwner:            http.StatusServiceUnavailable,
 	ReasonSuspectBusy:        http.StatusTooManyRequests,
-	ReasonConvicted:          http.StatusUnprocessableEntity,
+	ReasonSuspectConfirmed:   http.StatusUnprocessableEntity,
 	ReasonClaimConflict:      http.StatusConflict,
 	ReasonClaimInProgress:    http.StatusConflict,
 	ReasonClaimRan:           http.StatusConflict,
--- a/revision/publisher.go
+++ b/revision/publisher.go
@@ -22,8 +22,8 @@
 }
 
 // NewPublisher returns a Publisher that stores snapshots in live.
-func NewPublisher(live *workspace.CurrentSnapshot, m *metrics.Registry) *Publisher {
-	p := &Publisher{current: live, compiler: workspace.NewCompiler(), log: logs.For("config")}
+func NewPublisher(current *workspace.CurrentSnapshot, m *metrics.Registry) *Publisher {
+	p := &Publisher{current: current, compiler: workspace.NewCompiler(), log: logs.For("config")}
 	if m != nil {
 		m.Gauge(groupConfig, "findings", func() any { return len(p.Findings()) })
 		m.Gauge(groupConfig, "version", func() any { return p.activeVersion() })
