--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -14,21 +14,21 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// answer reads one run's chunks, resumes its stream where it breaks, and
-// checks that the answer is whole: offsets contiguous, end seen. One goroutine
-// uses it.
+// answer reads the chunks of one run. It resumes the stream when the connection
+// breaks, and checks that the answer is complete: contiguous offsets and an End
+// chunk. It is used by one goroutine at a time.
 type answer struct {
 	x      *exchange
 	grant  broker.Grant
 	engine engine.Engine
-	stream engine.Stream // nil: to be resumed
+	stream engine.Stream // nil: must be resumed
 	measurements
 
 	nextOffset int  // offset of the next chunk
-	ended      bool // the End chunk was seen
-	accepted   bool // the engine is known to have got the run
-	// brokenAt is when the stream broke without a chunk since; resumed is when
-	// it was last continued.
+	ended      bool // the End chunk has arrived
+	accepted   bool // the engine is known to have received the run
+	// brokenAt is when the stream broke; it is zero once a chunk has arrived since.
+	// resumedAt is when the stream was last resumed.
 	brokenAt, resumedAt time.Time
 
 	lastReport       time.Time
@@ -36,14 +36,15 @@
 	reportCount      int
 }
 
-// errOutOfOrder: the stream is not what the run's next chunk must be.
+// errOutOfOrder: a chunk's offset is not the expected one.
 var errOutOfOrder = errors.New("chunk out of order")
 
 // errNothingSent: the dispatch right was taken, but no byte was written.
 var errNothingSent = errors.New("connection lost before the first byte")
 
-// startRun dispatches a model request and returns its answer, to be read with Next
-// until its end or an error, and then ended with finish where it is whole.
+// startRun dispatches a model request and returns its answer. The caller reads
+// it with Next until io.EOF, then calls completeRun; after any other error the
+// answer is closed already.
 func (x *exchange) startRun(r engine.Run) (*answer, error) {
 	a := &answer{x: x}
 	grant, err := x.dispatch(a.send(r))
@@ -60,7 +61,7 @@
 	case errors.Is(err, engine.ErrConnectionLost), errors.Is(err, engine.ErrRequestMismatch):
 		a.startResumeWindow()
 		a.abandonStream(err)
-		return a, nil // resumedAt by the first Next
+		return a, nil // the first Next resumes it
 	case errors.Is(err, engine.ErrNotSent):
 		return nil, a.failRun(errNothingSent)
 	default:
@@ -68,7 +69,7 @@
 	}
 }
 
-// send returns the sender of a run.
+// send returns the sendFunc of a run.
 func (a *answer) send(r engine.Run) sendFunc {
 	return func(s workspace.BackendServer, beforeSend func() error) error {
 		a.engine = a.x.entry.deps.Engines.Engine(s.Address)
@@ -82,8 +83,8 @@
 	}
 }
 
-// Next returns the next chunk, and io.EOF after the last. Any other error is
-// a refusal; the answer is closed then.
+// Next returns the next chunk, or io.EOF after the last one. Any other error is a
+// *request.Refusal; the answer is closed by then.
 func (a *answer) Next(ctx context.Context) (engine.Chunk, error) {
 	if a.ended {
 		return engine.Chunk{}, io.EOF
@@ -107,7 +108,7 @@
 	}
 }
 
-// acceptChunk checks that a chunk is the next one and counts it.
+// acceptChunk checks that a chunk has the expected offset, and counts its tokens.
 func (a *answer) acceptChunk(c engine.Chunk) error {
 	if c.Offset != a.nextOffset {
 		return errors.Wrapf(errOutOfOrder, "offset %d, want %d", c.Offset, a.nextOffset)
@@ -130,16 +131,16 @@
 	return nil
 }
 
-// maxProgressDoublings bounds how far the time between reports grows.
+// maxProgressDoublings bounds the growth of the interval between reports.
 const maxProgressDoublings = 3
 
-// progressInterval returns how long after so many reports the next one is due.
+// progressInterval returns the time from the last of so many reports to the next.
 func progressInterval(base time.Duration, reports int) time.Duration {
 	return base << min(max(reports-1, 0), maxProgressDoublings)
 }
 
-// ProgressReports returns how many reports an answer has that streams for so
-// long, at the default interval. The capacity page goes by it.
+// ProgressReports returns the number of progress reports of an answer that is
+// streamed for the given time, at the default interval. The capacity model uses it.
 func ProgressReports(duration time.Duration) int {
 	n := 1
 	for at := progressInterval(DefaultProgressInterval, n); at <= duration; at += progressInterval(DefaultProgressInterval, n) {
@@ -148,9 +149,9 @@
 	return n
 }
 
-// reportProgress reports at the first token and then at intervals that double: what
-// the first seconds tell decides whether a server is a straggler, and a long
-// answer's many reports would be most of the messages between daemons.
+// reportProgress reports at the first token and then at intervals that double, up to
+// a maximum. The first seconds show whether a server is a straggler; at a fixed
+// interval, reports of long answers would be most of the messages between daemons.
 func (a *answer) reportProgress(now time.Time) {
 	if a.first.IsZero() || now.Sub(a.lastReport) < progressInterval(a.x.entry.limits.ProgressInterval, a.reportCount) {
 		return
@@ -164,8 +165,8 @@
 	a.reportCount++
 }
 
-// startResumeWindow begins the window for resuming, unless it runs already. A stream
-// that had gone on for a while since its last break begins a new one.
+// startResumeWindow starts the resume window unless it is already running. A stream
+// that survived its last resume for longer than the window gets a new one.
 func (a *answer) startResumeWindow() {
 	now := time.Now()
 	if a.brokenAt.IsZero() || now.Sub(a.resumedAt) > a.x.entry.limits.ResumeWindow {
@@ -173,14 +174,14 @@
 	}
 }
 
-// abandonStream gives up a broken stream, which ensureStream then resumes.
+// abandonStream closes a broken stream; ensureStream resumes it.
 func (a *answer) abandonStream(err error) {
 	a.closeStream()
 	a.x.entry.counters.resumes[resumeCauseOf(err)].Add(1)
-	a.x.log.WithError(err).WithField("offset", a.nextOffset).Info("stream broke, resuming")
+	a.x.log.WithError(err).WithField("offset", a.nextOffset).Info("stream lost, resuming")
 }
 
-// canResume tells whether the rest of the answer may still come.
+// canResume reports whether the rest of the answer may still arrive.
 func (a *answer) canResume(ctx context.Context, err error) bool {
 	if ctx.Err() != nil || a.resumeWindowExpired() {
 		return false
@@ -189,8 +190,9 @@
 		errors.Is(err, errOutOfOrder) || errors.Is(err, io.EOF)
 }
 
-// resumeWindowExpired tells whether the stream has been broken for too long. The time
-// before the break does not count: a long prefill brings no chunk either.
+// resumeWindowExpired reports whether the stream has been broken for longer than the
+// window. Time without chunks before the break does not count: a long prefill
+// produces none either.
 func (a *answer) resumeWindowExpired() bool {
 	return !a.brokenAt.IsZero() && time.Since(a.brokenAt) > a.x.entry.limits.ResumeWindow
 }
@@ -213,7 +215,7 @@
 	}
 }
 
-// completeRun ends a whole answer that was handed to the caller.
+// completeRun releases the grant of a run whose whole answer was read.
 func (a *answer) completeRun() {
 	now := time.Now()
 	a.closeStream()
@@ -222,7 +224,7 @@
 	a.grant.Release(a.completion(pool.OutcomeDone, now))
 }
 
-// failRun ends the run without a whole answer and returns the refusal.
+// failRun ends a run without a complete answer and returns the refusal.
 func (a *answer) failRun(err error) error {
 	a.closeStream()
 	r, outcome := a.runRefusal(err)
@@ -238,8 +240,8 @@
 	return r
 }
 
-// wastedPrefill estimates the prompt tokens that were computed for nothing:
-// what the engine reported, else the whole prompt.
+// wastedPrefill estimates the prompt tokens computed for an answer that was lost:
+// the engine's figure if it reported one, else the whole prompt.
 func (a *answer) wastedPrefill() int {
 	if a.prefillComputed > 0 {
 		return a.prefillComputed
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -10,26 +10,25 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// initialBodyBytes is the first size of a body's buffer. It grows as bytes
-// arrive, so that a caller that announces a long body and sends nothing holds
+// initialBodyBytes is the initial size of a body's buffer. The buffer grows as bytes
+// arrive, so that a caller that announces a long body and sends nothing occupies
 // little memory.
 const initialBodyBytes = 4 << 10
 
-// maxDiscard bounds what is read of a refused request's body.
+// maxDiscard bounds the bytes read of a refused request's body.
 const maxDiscard = 16 << 20
 
-// discardBody reads what a refused request still sends, within the read
-// timeout. What goes wrong without it: a connection that is closed while
-// bytes come in is reset, and the reset overtakes the refusal; the caller sees
-// a broken connection instead of the reason.
+// discardBody reads the rest of a refused request's body, within the read timeout.
+// Closing a connection with unread data sends a reset, which can reach the caller
+// before the refusal; it would then see a connection error instead of the reason.
 func discardBody(ctx *fasthttp.RequestCtx) {
 	if stream := ctx.RequestBodyStream(); stream != nil {
 		_, _ = io.CopyN(io.Discard, stream, maxDiscard)
 	}
 }
 
-// readBody reads the request's body into a buffer of its own, within limit
-// and the budget. The HTTP server reuses its buffers, so none of them is kept.
+// readBody reads the request's body into a buffer of its own, within the limit and
+// the memory budget. The HTTP server reuses its buffers, so the body is copied.
 func readBody(ctx *fasthttp.RequestCtx, limit int, res *reservation) ([]byte, error) {
 	contentLength := ctx.Request.Header.ContentLength()
 	if contentLength > limit {
@@ -78,11 +77,11 @@
 	}
 }
 
-// growBuffer doubles the buffer, up to what was announced or one byte over limit.
+// growBuffer doubles the buffer, up to the Content-Length or the limit, plus one byte.
 func growBuffer(body []byte, contentLength, limit int, res *reservation) ([]byte, error) {
 	maxSize := limit + 1
 	if contentLength > 0 {
-		maxSize = contentLength + 1 // room for the read that finds the end
+		maxSize = contentLength + 1 // room for the read that returns io.EOF
 	}
 	size := min(2*cap(body), maxSize)
 	if size <= cap(body) {
--- a/internal/entry/budget.go
+++ b/internal/entry/budget.go
@@ -7,15 +7,14 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// bodyBudget bounds the bytes of the bodies that requests hold while they are
-// read and while they wait. When it is full, the newest request of the lowest
-// tier that waits here is evicted first.
+// bodyBudget bounds the memory of requests whose body is being read and of those that
+// wait for a slot. When it is full, requests of lower tiers are evicted, the newest
+// of the lowest tier first.
 //
-// What goes wrong without it: a burst of long prompts fills a small VM's
-// memory, the process is killed, and every request in it is lost, whatever
-// its tier. One would notice an entry that restarts in every burst.
+// Without it, a burst of long prompts exhausts the memory of a small VM, the process
+// is killed, and requests of all tiers are lost.
 type bodyBudget struct {
-	overhead int64 // counted for each request beside its body
+	overhead int64 // bytes counted for each request in addition to its body
 
 	mu    sync.Mutex
 	limit int64
@@ -23,28 +22,28 @@
 	tiers [request.MaxTiers]list.List // of *reservation, oldest first
 }
 
-// reservation is one request's share of the budget. Its methods but evict are
-// used by the request's own goroutine.
+// reservation is one request's share of the budget. All methods are called by the
+// request's own goroutine; onEvict is called by another request's.
 type reservation struct {
 	budget  *bodyBudget
 	tier    request.Tier
 	bytes   int64
-	element *list.Element // nil: cannot be evicted (any more)
-	ended   bool          // onEvict or released
-	// onEvict tells the request's owner; it is called with the budget's lock
-	// held and must not block.
+	element *list.Element // nil: not evictable
+	ended   bool          // evicted or released
+	// onEvict notifies the owner. It is called with the budget's lock held and must
+	// not block.
 	onEvict func()
 }
 
-// requestOverhead is what a waiting request holds beside its body: stacks,
-// buffers, and the collector's slack, as BenchmarkEntryMemory measured it.
+// requestOverhead is the memory of a waiting request, in bytes, in addition to its
+// body: stacks, buffers and garbage collector overhead (see BenchmarkEntryMemory).
 const requestOverhead = 32 << 10
 
 func newBodyBudget(limit, overhead int64) *bodyBudget {
 	return &bodyBudget{limit: limit, overhead: overhead}
 }
 
-// Used returns the bytes that are reserved now.
+// Used returns the number of reserved bytes.
 func (b *bodyBudget) Used() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,7 +59,7 @@
 	return r
 }
 
-// setTier moves the reservation once the request's tier is known.
+// setTier moves the reservation to the tier that the request was classified into.
 func (r *reservation) setTier(tier request.Tier) {
 	b := r.budget
 	b.mu.Lock()
@@ -74,9 +73,9 @@
 	r.element = b.tiers[tier].PushBack(r)
 }
 
-// resize sets the reservation to a body of so many bytes, evicting lower tiers
-// where there is no room. It returns false, leaving the size, where there is
-// no room left, or where the reservation was evicted itself.
+// resize sets the reservation to a body of the given size, and evicts requests of
+// lower tiers if there is no room. It returns false and leaves the size unchanged if
+// there is still no room, or if this reservation was itself evicted.
 func (r *reservation) resize(bytes int64) bool {
 	b := r.budget
 	b.mu.Lock()
@@ -94,8 +93,8 @@
 	return true
 }
 
-// pin makes the reservation safe from eviction; it is called before the
-// dispatch. It returns false where the request was evicted before.
+// pin protects the reservation from eviction; it is called before the dispatch. It
+// returns false if the request was already evicted.
 func (r *reservation) pin() bool {
 	b := r.budget
 	b.mu.Lock()
@@ -107,7 +106,7 @@
 	return true
 }
 
-// unpin takes back a pin, where the request goes on to wait.
+// unpin reverts pin for a request that goes back to the queue.
 func (r *reservation) unpin() {
 	b := r.budget
 	b.mu.Lock()
@@ -117,7 +116,7 @@
 	}
 }
 
-// release gives the bytes back. It may be called more than once.
+// release returns the bytes to the budget. It may be called more than once.
 func (r *reservation) release() {
 	b := r.budget
 	b.mu.Lock()
@@ -127,8 +126,8 @@
 	}
 }
 
-// makeRoom evicts requests of tiers below the given one until there is room,
-// or evicts none where that would not be enough.
+// makeRoom evicts requests of tiers below the given one until the bytes fit. It
+// evicts none and returns false if that would not be enough.
 func (b *bodyBudget) makeRoom(bytes int64, tier request.Tier) bool {
 	need := b.used + bytes - b.limit
 	var victims []*reservation
@@ -149,7 +148,7 @@
 	return true
 }
 
-// end takes a reservation out of the budget.
+// end removes a reservation and its bytes from the budget.
 func (b *bodyBudget) end(r *reservation) {
 	b.used -= r.bytes
 	r.bytes = 0
@@ -168,7 +167,7 @@
 	return min(t, request.MaxTiers-1)
 }
 
-// wasEvicted tells whether the request lost its reservation.
+// wasEvicted reports whether the request has lost its reservation.
 func (r *reservation) wasEvicted() bool {
 	r.budget.mu.Lock()
 	defer r.budget.mu.Unlock()
--- a/internal/entry/budget_test.go
+++ b/internal/entry/budget_test.go
@@ -10,7 +10,7 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Guards against this: an urgent request is refused for want of memory while background work keeps its place.
+// Guards against: an urgent request is refused for lack of memory while background requests keep theirs.
 func TestBodyBudgetEvictsTheLowestTierFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &budgetModel{budget: newBodyBudget(100, 0)}
@@ -31,7 +31,7 @@
 
 func (m *budgetModel) pick(t *rapid.T) *modelRequest {
 	if len(m.all) == 0 {
-		t.Skip("nobody")
+		t.Skip("no requests")
 	}
 	return rapid.SampledFrom(m.all).Draw(t, "holder")
 }
@@ -39,7 +39,7 @@
 func (m *budgetModel) pin(t *rapid.T) {
 	h := m.pick(t)
 	if h.res.pin() == h.ended {
-		t.Fatalf("pin of a request that is gone (%v)", h.ended)
+		t.Fatalf("pin did not match the request's state: ended %v", h.ended)
 	}
 	h.pinned = true
 }
@@ -50,7 +50,7 @@
 	h.ended = true
 }
 
-// evictable returns how many requests, and bytes, of each tier may be evicted.
+// evictable returns the number of evictable requests of each tier, and their bytes.
 func (m *budgetModel) evictable() (count [4]int, bytes [4]int64) {
 	for _, h := range m.all {
 		if !h.ended && !h.pinned {
@@ -72,7 +72,7 @@
 	h := &modelRequest{}
 	h.res = m.budget.newReservation(request.Tier(tier), func() { h.ended = true })
 	if granted := h.res.resize(bytes); granted != (bytes <= room) {
-		t.Fatalf("tier %d, %d bytes: granted %v with room for %d", tier, bytes, granted, room)
+		t.Fatalf("tier %d, %d bytes: resize returned %v with room for %d bytes", tier, bytes, granted, room)
 	} else if !granted {
 		h.res.release()
 		h.ended = true
@@ -96,12 +96,12 @@
 
 func (m *budgetModel) check(t *rapid.T) {
 	if used := m.budget.Used(); used > m.budget.limit || used < 0 {
-		t.Fatalf("%d bytes used of %d", used, m.budget.limit)
+		t.Fatalf("%d bytes reserved, limit %d", used, m.budget.limit)
 	}
 }
 
 func TestHigherTierEvictsLowerTier(t *testing.T) {
-	Convey("When memory is full, the lowest tier that waits is refused", t, func() {
+	Convey("When the memory budget is full, the lowest waiting tier is evicted", t, func() {
 		r := newRig(t, standin.Options{}, Limits{BodyBytes: 2*requestOverhead + requestOverhead/2}, longSilence)
 		r.broker.hold.Store(true)
 		refused := make(chan [2]any, 4)
@@ -112,16 +112,16 @@
 		}
 		go send("late")
 		go send("urgent")
-		r.eventually("both wait", func() bool { return r.broker.waiting.Load() == 2 })
+		r.eventually("both requests wait", func() bool { return r.broker.waiting.Load() == 2 })
 		memory := [2]any{string(request.ReasonEntryMemory), true}
 		go send("late")
-		So(<-refused, ShouldResemble, memory) // the newcomer: nothing lower waits
+		So(<-refused, ShouldResemble, memory) // the new request itself: no lower tier waits
 		So(r.broker.waiting.Load(), ShouldEqual, 2)
 		go send("urgent")
-		So(<-refused, ShouldResemble, memory) // the late one makes room
-		r.eventually("the urgent ones wait", func() bool { return r.broker.waiting.Load() == 2 })
+		So(<-refused, ShouldResemble, memory) // the waiting request of the lower tier was evicted
+		r.eventually("both urgent requests wait", func() bool { return r.broker.waiting.Load() == 2 })
 		So(r.counter(groupRefusals, string(request.ReasonEntryMemory)), ShouldEqual, 2)
 		close(r.broker.freed)
-		So([][2]any{<-refused, <-refused}, ShouldResemble, [][2]any{{"", nil}, {"", nil}}) // both are answered
+		So([][2]any{<-refused, <-refused}, ShouldResemble, [][2]any{{"", nil}, {"", nil}}) // both get an answer
 	})
 }
--- a/internal/entry/claim_test.go
+++ b/internal/entry/claim_test.go
@@ -10,12 +10,12 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Guards against this: two teachers are booked for one lesson.
+// Guards against: a non-idempotent call, such as a booking, runs twice.
 func TestNonIdempotentCallRunsOnce(t *testing.T) {
-	Convey("A call that may not be repeated", t, func() {
+	Convey("A non-idempotent call", t, func() {
 		r := newRig(t, standin.Options{}, Limits{}, longSilence)
 		const path = "/services/booking/confirm"
-		Convey("runs once, and a resend gets the first answer", func() {
+		Convey("runs once, and a resend gets the stored answer", func() {
 			first, body := r.post(path, []byte("lesson 7"), headerIdempotencyKey, "k1")
 			So(first.StatusCode, ShouldEqual, http.StatusOK)
 			again, same := r.post(path, []byte("lesson 7"), headerIdempotencyKey, "k1")
@@ -23,7 +23,7 @@
 			So(string(same), ShouldEqual, string(body))
 			So(again.Header.Get(headerReplayed), ShouldEqual, "true")
 			So(r.serviceCalls(), ShouldEqual, 1)
-			Convey("with other content it is a conflict", func() {
+			Convey("a resend with other content is a conflict", func() {
 				_, answer := r.post(path, []byte("lesson 8"), headerIdempotencyKey, "k1")
 				code, notRun := refusalOf(answer)
 				So(code, ShouldEqual, string(request.ReasonClaimConflict))
@@ -31,13 +31,13 @@
 				So(r.serviceCalls(), ShouldEqual, 1)
 			})
 		})
-		Convey("of a model keeps its stream for the resend", func() {
+		Convey("to a model stores its stream for the resend", func() {
 			_, body := r.post(pathChat, chatBody("once", "echo:x", true), headerIdempotencyKey, "k2")
 			_, same := r.post(pathChat, chatBody("once", "echo:x", true), headerIdempotencyKey, "k2")
 			So(string(same), ShouldEqual, string(body))
 			So(len(r.engine.Runs()), ShouldEqual, 1)
 		})
-		Convey("gives its claim back where the engine did not run it", func() {
+		Convey("releases its claim if the engine did not run it", func() {
 			r.setFaults(`{"refuse":true}`)
 			_, body := r.post(pathChat, chatBody("once", "echo:x", false), headerIdempotencyKey, "k3")
 			code, notRun := refusalOf(body)
@@ -48,7 +48,7 @@
 			So(again.StatusCode, ShouldEqual, http.StatusOK)
 			So(len(r.engine.Runs()), ShouldEqual, 1)
 		})
-		Convey("whose reply broke off is never run again", func() {
+		Convey("without a complete reply is never run again", func() {
 			f := standinServiceFaults{CloseAfterRead: true}
 			r.service.SetFaults(f)
 			_, body := r.post(path, []byte("lesson 9"), headerIdempotencyKey, "k4")
@@ -62,21 +62,21 @@
 			So(notRun, ShouldEqual, "unknown")
 			So(r.serviceCalls(), ShouldEqual, 1)
 		})
-		Convey("that its template calls repeatable needs no key", func() {
+		Convey("that the template declares idempotent needs no key", func() {
 			resp, _ := r.post("/services/booking/search/lessons", nil)
 			So(resp.StatusCode, ShouldEqual, http.StatusOK)
 		})
 	})
 }
 
-// Guards against this: while the store is slow, nothing runs although engines are idle.
+// Guards against: requests that wait for a slow claim store occupy all slots, and engines are idle.
 func TestSlotIsReturnedWhileClaimStoreIsUnavailable(t *testing.T) {
-	Convey("While the store does not answer", t, func() {
+	Convey("While the claim store does not answer", t, func() {
 		r := newRig(t, standin.Options{}, Limits{}, longSilence)
 		down := make(chan struct{})
 		r.ledger.unavailable.Store(&down)
 		body := chatBody("once", "echo:x", false)
-		Convey("the slot is returned, and the call runs once the store is back", func() {
+		Convey("the slot is returned, and the call runs after the store recovers", func() {
 			answered := make(chan int, 1)
 			go func() {
 				resp, _ := r.post(pathChat, body, headerIdempotencyKey, "k")
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -14,15 +14,15 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// replayError ends a request with the stored answer of its first run. It is an
-// error so that it takes the way of everything that ends a request early.
+// replayError ends a request with the stored answer of its first run. It is an error
+// so that handler treats it like everything else that ends a request early.
 type replayError struct{ outcome claim.Outcome }
 
 // Error implements error.
-func (r *replayError) Error() string { return "answered by the stored answer of the first run" }
+func (r *replayError) Error() string { return "answered with the stored answer of the first run" }
 
-// claimHash identifies a call's content: its parts with their lengths, so
-// that no two different calls have one hash.
+// claimHash identifies a call by its content. Each part is hashed with its length, so
+// that moving bytes between parts changes the hash.
 func claimHash(parts ...[]byte) claim.Hash {
 	h := sha256.New()
 	var length [8]byte
@@ -39,13 +39,12 @@
 	err   error
 }
 
-// claim makes the request's claim while it has a slot. kept is false where
-// the store took too long and the slot was returned: the claim is held then,
-// and the request must get another slot.
+// claim obtains the request's claim while it holds a slot. slotKept is false if the
+// store took too long and the slot was returned; the request then has its claim and
+// must acquire another slot.
 //
-// What goes wrong without the return: while the store is slow, every slot of
-// every server is held by requests that wait for claims, and nothing else
-// runs. One would notice idle engines with full queues.
+// Without returning the slot, requests that wait for a slow claim store would occupy
+// every slot, and engines would be idle while their queues are full.
 func (x *exchange) claim(ctx context.Context, grant broker.Grant) (slotKept bool, err error) {
 	if x.heldClaim != nil {
 		return true, nil
@@ -70,7 +69,7 @@
 	return false, x.acceptClaim(ctx, <-results)
 }
 
-// acceptClaim takes over a claim, or returns why there is none.
+// acceptClaim stores a new claim, or returns the error for a request without one.
 func (x *exchange) acceptClaim(ctx context.Context, r claimResult) error {
 	var existing *claim.ExistingError
 	switch {
@@ -90,7 +89,7 @@
 	}
 }
 
-// resendRefusal ends a resend by what is known of the first run.
+// resendRefusal ends a resent request according to the outcome of its first run.
 func resendRefusal(o claim.Outcome) error {
 	switch {
 	case o.State == claim.Ran && o.Answer != nil:
@@ -107,8 +106,8 @@
 	}
 }
 
-// settleClaim records how a claimed request ended. notRun must be NotRunTrue
-// only where that is certain.
+// settleClaim records the outcome of a claimed request. notRun must be NotRunTrue only
+// if the request certainly did not run.
 func (x *exchange) settleClaim(notRun request.NotRun, answer *claim.Outcome) {
 	if x.heldClaim == nil {
 		return
--- a/internal/entry/counters.go
+++ b/internal/entry/counters.go
@@ -10,7 +10,7 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// The groups of the entry's counters.
+// Metric groups.
 const (
 	groupRequests = "requests"
 	groupRefusals = "refusals"
@@ -20,10 +20,10 @@
 	groupEntry    = "entry"
 )
 
-// resumeCause says why a stream was resumed.
+// resumeCause is the reason why a stream was resumed.
 type resumeCause string
 
-// The causes of a resume.
+// Resume causes.
 const (
 	resumeConnectionLost resumeCause = "broken"
 	resumeMismatch       resumeCause = "crossed"
@@ -31,7 +31,7 @@
 	resumeRetry          resumeCause = "resume_failed"
 )
 
-// counters are the entry's expvar counters, looked up once.
+// counters are the entry's metrics, looked up once.
 type counters struct {
 	received, completed, refused, connectFailed *expvar.Int
 
@@ -68,7 +68,7 @@
 	return c
 }
 
-// registerGauges shows what the entry holds now.
+// registerGauges registers gauges of the entry's current load.
 func (c *counters) registerGauges(r *metrics.Registry, e *Entry) {
 	r.Gauge(groupEntry, "waiting", func() any { return c.waiting.Load() })
 	r.Gauge(groupEntry, "open_streams", func() any { return c.streams.Load() })
@@ -76,7 +76,7 @@
 	r.Gauge(groupEntry, "connections", func() any { return e.app.Server().GetOpenConnectionsCount() })
 }
 
-// countRefusal counts one refusal by its reason.
+// countRefusal counts a refusal by its reason.
 func (c *counters) countRefusal(reason request.Reason) {
 	c.refused.Add(1)
 	if v, ok := c.refusals[reason]; ok {
@@ -86,7 +86,7 @@
 	c.refusals[request.ReasonInternal].Add(1)
 }
 
-// countAnswer counts a whole answer against its tier's targets.
+// countAnswer counts a complete answer, and whether it met its tier's targets.
 func (c *counters) countAnswer(s *request.Spec, m measurements, now time.Time) {
 	c.completed.Add(1)
 	tier := min(int(s.Tier), len(c.targetsMet)-1)
@@ -97,7 +97,7 @@
 	}
 }
 
-// drainFlag is set once when the entry drains.
+// drainFlag is set once, when the entry starts to drain.
 type drainFlag struct{ v atomic.Bool }
 
 func (d *drainFlag) set()        { d.v.Store(true) }
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -15,32 +15,32 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// maxConnectAttempts bounds how many servers a request tries to connect to. More
-// failures than that are no single server's fault.
+// maxConnectAttempts bounds the connect attempts of one request. Beyond that, the
+// failures are not those of a single server.
 const maxConnectAttempts = 8
 
-// Pauses between two connects of one request.
+// Backoff between connect attempts of one request.
 const (
 	initialConnectBackoff = 10 * time.Millisecond
 	maxConnectBackoff     = 500 * time.Millisecond
 )
 
-// sendFunc sends the request to a backend server. It calls sending when the
+// sendFunc sends the request to a backend server. It calls beforeSend when the
 // connection is up, directly before the first byte.
 type sendFunc func(s workspace.BackendServer, beforeSend func() error) error
 
-// errWithdrawn: the request expired or was evicted before its first byte
-// was to leave.
-var errWithdrawn = errors.New("request no longer wanted")
+// errWithdrawn: the request expired, was evicted or lost its caller before its first
+// byte was written.
+var errWithdrawn = errors.New("request withdrawn before dispatch")
 
-// dispatch brings the request to a backend server: it waits for a slot, makes
-// the claim where one is needed, and sends. It returns the grant wherever
-// bytes may have left, with the sender's error. Without a grant, the error is
-// a refusal of a request that did not run.
+// dispatch sends the request to a backend server: it waits for a slot, obtains a
+// claim if the request needs one, and sends. If bytes may have left, it returns the
+// grant together with the sendFunc's error. Without a grant, the request did not run
+// and the error is a refusal.
 //
-// The dispatch right is taken by the sending callback, when the connection is
-// up. So a failed connect leaves the right untaken, and the request goes back
-// to the queue, to another server.
+// The dispatch right is the permission to send the request, which can be taken only
+// once. beforeSend takes it when the connection is up; after a failed connect the
+// right is still available, and the request is queued again for another server.
 func (x *exchange) dispatch(send sendFunc) (broker.Grant, error) {
 	ctx, stop := x.waitContext()
 	defer stop()
@@ -68,8 +68,8 @@
 	return nil, request.Refuse(request.ReasonEngineUnreachable, "no server could be connected to")
 }
 
-// takeDispatchRight takes the one dispatch right, unless the request expired,
-// its caller left, or it was evicted meanwhile.
+// takeDispatchRight takes the dispatch right, unless the request has expired, was
+// evicted, or its caller has disconnected.
 func (x *exchange) takeDispatchRight(ctx context.Context) error {
 	if ctx.Err() != nil || !x.body.pin() {
 		return errWithdrawn
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// requeue gives back the slot of a request that was not sent.
+// requeue returns the slot of a request that was not sent and queues it again.
 func (x *exchange) requeue(ctx context.Context, grant broker.Grant, err error) error {
 	if ctx.Err() != nil || errors.Is(err, errWithdrawn) {
 		grant.ReturnUnused()
@@ -98,7 +98,7 @@
 	return x.lifecycle.Advance(state, request.Queued)
 }
 
-// acquire waits for a slot and, where the request needs one, for its claim.
+// acquire waits for a slot and, if the request needs one, for its claim.
 func (x *exchange) acquire(ctx context.Context) (broker.Grant, error) {
 	for {
 		grant, err := x.entry.deps.Broker.Acquire(ctx, x.demand)
@@ -123,7 +123,7 @@
 	}
 }
 
-// waitError returns why waiting ended.
+// waitError returns the reason why Acquire failed.
 func (x *exchange) waitError(ctx context.Context, err error) error {
 	var r *request.Refusal
 	if errors.As(err, &r) {
@@ -135,7 +135,7 @@
 	return errors.Wrap(err, "acquire a slot")
 }
 
-// newBackoff returns exponential pauses with jitter.
+// newBackoff returns exponential backoff with jitter.
 func newBackoff(initial, limit time.Duration) *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = initial
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,10 +1,10 @@
-// Package entry is the HTTP front for callers. It holds each request from its
-// first byte to its last and is the only place that ever dispatches it.
+// Package entry is the HTTP server for callers. It owns a request from its first byte
+// to the last byte of its answer, and is the only place that dispatches it.
 //
-// A request takes one configuration snapshot, is classified into a
-// request.Spec, waits at the broker for a slot, takes its one dispatch right
-// when the connection to the backend server is up, and its answer is streamed
-// through. Everything that can end it otherwise is a typed refusal.
+// A request takes one configuration snapshot, is classified into a request.Spec and
+// waits at the broker for a slot. Its dispatch right is taken once, when the
+// connection to the backend server is up; then its answer is streamed to the caller.
+// Every other end of a request is a typed refusal.
 package entry
 
 import (
@@ -25,36 +25,35 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Limits bound what callers can make an entry hold. A zero field takes its
-// default.
+// Limits bound the resources that callers can occupy. A zero field takes its default.
 type Limits struct {
-	// ReadTimeout bounds reading one request, header and body.
+	// ReadTimeout bounds the time to read one request, header and body.
 	ReadTimeout time.Duration
 	// IdleTimeout is how long a connection may stay idle between requests.
 	IdleTimeout time.Duration
-	// WriteTimeout bounds each write to a caller that does not read.
+	// WriteTimeout bounds each write to a caller.
 	WriteTimeout time.Duration
-	// MaxConnections bounds the open connections.
+	// MaxConnections bounds the number of open connections.
 	MaxConnections int
-	// BodyBytes bounds what all waiting requests hold together: their bodies,
-	// and what each holds beside its body.
+	// BodyBytes bounds the memory of all waiting requests: their bodies and a fixed
+	// overhead for each.
 	BodyBytes int64
-	// MaxRequestBytes bounds one body, whatever a template says.
+	// MaxRequestBytes bounds one body, in addition to the template's limit.
 	MaxRequestBytes int
-	// ClaimSlotTimeout is how long a granted slot is kept while the claim store
-	// does not answer.
+	// ClaimSlotTimeout is how long a request keeps its slot while it waits for the
+	// claim store.
 	ClaimSlotTimeout time.Duration
 	// ResumeWindow is how long a broken stream may stay without a new chunk.
 	ResumeWindow time.Duration
-	// MaxRunTime bounds a dispatched request, whatever its deadline.
+	// MaxRunTime bounds the time from dispatch to the end of the answer.
 	MaxRunTime time.Duration
-	// KeepaliveInterval is how often a silent stream gets a comment.
+	// KeepaliveInterval is the time without data after which a stream gets an SSE comment.
 	KeepaliveInterval time.Duration
-	// ProgressInterval is how often a running request's progress is reported.
+	// ProgressInterval is the initial interval of a running request's progress reports.
 	ProgressInterval time.Duration
 }
 
-// The defaults of Limits.
+// Defaults of Limits.
 const (
 	DefaultReadTimeout       = 10 * time.Second
 	DefaultIdleTimeout       = 60 * time.Second
@@ -97,9 +96,9 @@
 	}
 }
 
-// Deps are the parts that an entry works with.
+// Deps are the dependencies of an Entry.
 type Deps struct {
-	// Config holds the snapshot in force.
+	// Config holds the current configuration snapshot.
 	Config   *workspace.CurrentSnapshot
 	Broker   broker.Broker
 	Ledger   claim.Ledger
@@ -121,11 +120,11 @@
 	draining drainFlag
 }
 
-// maxHeaderBytes bounds a request's header; it is also the size of the read
-// buffer that each active connection has.
+// maxHeaderBytes bounds a request's header. It is also the size of each active
+// connection's read buffer.
 const maxHeaderBytes = 4 << 10
 
-// connectionMargin keeps the HTTP server's own bound out of reach.
+// connectionMargin keeps the HTTP server's own connection limit above MaxConnections.
 const connectionMargin = 1024
 
 // New returns an entry that does not listen yet.
@@ -136,8 +135,8 @@
 	e.counters.registerGauges(d.Metrics, e)
 	e.app = fiber.New(fiber.Config{
 		AppName: "lycheekeel",
-		// The body is read by the entry itself: after the caller's key was
-		// checked, and against the memory budget.
+		// The entry reads the body itself, after it has checked the caller's key, and
+		// within the memory budget.
 		StreamRequestBody: true,
 		BodyLimit:         e.limits.MaxRequestBytes,
 		ReadBufferSize:    maxHeaderBytes,
@@ -153,18 +152,18 @@
 	return e
 }
 
-// Serve serves callers on ln until Shutdown. It returns nil after one.
+// Serve serves callers on ln until Shutdown, and then returns nil.
 func (e *Entry) Serve(ln net.Listener) error {
 	err := e.app.Listener(&boundedListener{Listener: ln, entry: e}, fiber.ListenConfig{DisableStartupMessage: true})
 	return errors.Wrap(err, "serve callers")
 }
 
-// Drain makes every further answer ask its caller to connect anew, so that
-// kept-alive connections move to other entries while this one still serves.
+// Drain sets "Connection: close" on all further responses, so that callers reconnect
+// to other entries while this one still serves.
 func (e *Entry) Drain() { e.draining.set() }
 
-// Shutdown closes the listener, waits until every request has its whole
-// answer, and returns ctx's error where that takes longer than ctx allows.
+// Shutdown closes the listener and waits until every request is answered. It returns
+// ctx's error if ctx ends first.
 func (e *Entry) Shutdown(ctx context.Context) error {
 	e.Drain()
 	return errors.Wrap(e.app.ShutdownWithContext(ctx), "shut down entry")
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -18,7 +18,7 @@
 	standin "github.com/lycheekeel/lycheekeel/internal/standin/engine"
 )
 
-// client returns the official client, set not to send anything twice.
+// client returns the official OpenAI client, with retries turned off.
 func (r *rig) client() openai.Client {
 	return openai.NewClient(option.WithBaseURL(r.url+"/v1"), option.WithAPIKey(testKey), option.WithMaxRetries(0))
 }
@@ -30,7 +30,7 @@
 	}
 }
 
-// post sends a body with the test key and further headers.
+// post sends a body with the test key and additional headers.
 func (r *rig) post(path string, body []byte, header ...string) (*http.Response, []byte) {
 	req, err := http.NewRequest(http.MethodPost, r.url+path, bytes.NewReader(body))
 	if err != nil {
@@ -62,19 +62,19 @@
 }
 
 func TestOpenAIClient(t *testing.T) {
-	Convey("The official client gets what it expects", t, func() {
+	Convey("The official OpenAI client understands the responses", t, func() {
 		r := newRig(t, standin.Options{}, Limits{}, longSilence)
 		c := r.client()
 		ctx := context.Background()
 
-		Convey("plain", func() {
+		Convey("a plain completion of a chat", func() {
 			got, err := c.Chat.Completions.New(ctx, chatParams("echo:one tile"))
 			So(err, ShouldBeNil)
 			So(got.Choices[0].Message.Content, ShouldEqual, "one tile")
 			So(got.Choices[0].FinishReason, ShouldEqual, "stop")
 			So(got.Usage.CompletionTokens, ShouldBeGreaterThan, 0)
 		})
-		Convey("streamed, with usage", func() {
+		Convey("a streamed chat with usage", func() {
 			p := chatParams("echo:two tiles are cracked in the hall")
 			p.StreamOptions = openai.ChatCompletionStreamOptionsParam{IncludeUsage: openai.Bool(true)}
 			s := c.Chat.Completions.NewStreaming(ctx, p)
@@ -113,10 +113,10 @@
 	})
 }
 
-// Guards against this: a caller reads another caller's text.
+// Guards against: a caller receives another caller's answer.
 func TestEachCallerGetsItsOwnAnswer(t *testing.T) {
 	const callers = 2000
-	Convey("2,000 concurrent callers each get their own whole answer", t, func() {
+	Convey("2,000 concurrent callers each get their own complete answer", t, func() {
 		r := newRig(t, standin.Options{Slots: callers, PrefillPerSecond: 1e9, PrefillChunk: 1 << 20, SequenceMs: 0.001}, Limits{}, longSilence)
 		wrong := make(chan string, callers)
 		var all sync.WaitGroup
@@ -142,8 +142,8 @@
 	})
 }
 
-// echo asks for a text and returns the answer's, or an error where the answer
-// is not whole.
+// echo requests a text and returns the text of the answer, or an error if the answer is
+// incomplete.
 func (r *rig) echo(text string, stream bool) (string, error) {
 	c := r.client()
 	ctx := context.Background()
@@ -163,7 +163,7 @@
 		finish = choice.FinishReason
 	}
 	if s.Err() == nil && finish != "stop" {
-		return "", fmt.Errorf("stream ended without its finish reason")
+		return "", fmt.Errorf("stream ended without a finish reason")
 	}
 	return b.String(), s.Err()
 }
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -16,8 +16,8 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// exchange is one caller's request from its first byte to the last of its
-// answer. One goroutine at a time works on it.
+// exchange is one caller's request and its answer. It is used by one goroutine at a
+// time.
 type exchange struct {
 	entry       *Entry
 	id          request.ID
@@ -33,20 +33,19 @@
 	demand      broker.Demand
 	log         *logrus.Entry
 
-	// ctx ends when the caller leaves, or the request is evicted.
+	// ctx ends when the caller disconnects or the request is evicted.
 	ctx         context.Context
 	cancel      context.CancelCauseFunc
 	callerWatch *callerwatch.Watch
-	// runTimer ends the run; it starts with the dispatch.
+	// runTimer enforces MaxRunTime; it starts at the dispatch.
 	runTimer *time.Timer
 }
 
-// errRunTooLong is the cause of a context that ended because a dispatched
-// request took longer than any may.
-var errRunTooLong = errors.New("run too long")
+// errRunTooLong is the cancellation cause of a request that exceeded MaxRunTime.
+var errRunTooLong = errors.New("run exceeded its time limit")
 
-// begin makes the exchange of a request whose header was read: it takes the
-// snapshot and finds the workspace.
+// begin creates the exchange of a request whose header has been read. It takes the
+// configuration snapshot and looks up the workspace.
 func (e *Entry) begin(ctx *fasthttp.RequestCtx) (*exchange, error) {
 	e.counters.received.Add(1)
 	x := &exchange{entry: e, id: request.NewID(), received: time.Now(), header: readHeader(ctx)}
@@ -64,8 +63,8 @@
 	return x, nil
 }
 
-// readBody reads the body within the memory budget. The tier is that of the
-// header, else the template's default: the body itself may name another.
+// readBody reads the body within the memory budget. Until the body is parsed, the
+// request counts in the tier of its header, else in the template's default tier.
 func (x *exchange) readBody(ctx *fasthttp.RequestCtx) ([]byte, error) {
 	tier, err := x.header.pickTier(x.workspace, x.workspace.DefaultTier)
 	if err != nil {
@@ -74,7 +73,7 @@
 	conn := ctx.Conn()
 	x.body = x.entry.bodies.newReservation(tier.Tier, func() {
 		x.cancel(memoryRefusal())
-		_ = conn.SetReadDeadline(time.Unix(1, 0)) // ends a read under way
+		_ = conn.SetReadDeadline(time.Unix(1, 0)) // interrupts a read in progress
 	})
 	limit := min(x.workspace.MaxBodyBytes, x.entry.limits.MaxRequestBytes)
 	if x.workspace.MaxBodyBytes <= 0 {
@@ -83,7 +82,7 @@
 	return readBody(ctx, limit, x.body)
 }
 
-// classify fills the parts of the spec that do not depend on the kind of call.
+// classify fills the parts of the spec that all kinds of calls have in common.
 func (x *exchange) classify(tier *workspace.ResolvedTier, idempotent bool) error {
 	t, err := x.header.pickTier(x.workspace, tier)
 	if err != nil {
@@ -111,12 +110,12 @@
 	return nil
 }
 
-// watchCaller begins to watch for the caller's leaving.
+// watchCaller starts to watch for the caller's disconnect.
 func (x *exchange) watchCaller(ctx *fasthttp.RequestCtx) {
 	x.callerWatch = callerwatch.Start(ctx.Conn(), x.cancel)
 }
 
-// end frees what the exchange holds; the answer has been written or given up.
+// end releases the exchange's resources after its answer was written or abandoned.
 func (x *exchange) end() {
 	x.lifecycle.End()
 	if x.runTimer != nil {
@@ -134,7 +133,7 @@
 	}
 }
 
-// deadline returns when the request expires, and false where it never does.
+// deadline returns the time at which the request expires, and false if it has none.
 func (x *exchange) deadline() (time.Time, bool) {
 	if x.spec.Targets.Deadline <= 0 {
 		return time.Time{}, false
@@ -142,7 +141,7 @@
 	return x.received.Add(x.spec.Targets.Deadline), true
 }
 
-// waitContext ends at the request's deadline as well as with x.ctx.
+// waitContext returns a context that ends at the request's deadline or with x.ctx.
 func (x *exchange) waitContext() (context.Context, context.CancelFunc) {
 	if at, ok := x.deadline(); ok {
 		return context.WithDeadline(x.ctx, at)
--- a/internal/entry/failure_test.go
+++ b/internal/entry/failure_test.go
@@ -21,13 +21,13 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// slowEngine is an engine that takes a second or more for the long text.
+// slowEngine takes at least a second for longText.
 var slowEngine = standin.Options{StepMs: 10}
 
 // longText is a text of a few hundred tokens.
 var longText = strings.Repeat("cracked tile in the hall; ", 40)
 
-// openStream sends a streamed chat and returns the response once it has begun.
+// openStream sends a streamed chat and returns the response once its header has arrived.
 func (r *rig) openStream(ctx context.Context, text string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, r.url+pathChat, bytes.NewReader(chatBody(testModel, text, true)))
 	if err != nil {
@@ -37,11 +37,11 @@
 	return http.DefaultClient.Do(req)
 }
 
-// streamResult are what a stream brought.
+// streamResult is the content of a stream.
 type streamResult struct {
 	text, code string
 	done       bool
-	err        error // how the body ended
+	err        error // error at the end of the body
 }
 
 // readStream reads a stream to its end.
@@ -77,7 +77,7 @@
 	return e
 }
 
-// setFaults switches an engine's faults over HTTP, as only that reaches its
+// setFaults sets an engine's faults over HTTP; only this way do they affect its existing
 // connections.
 func (r *rig) setFaults(json string) {
 	resp, err := http.Post("http://"+r.engineAddr+standin.PathFaults, "application/json", strings.NewReader(json))
@@ -90,21 +90,21 @@
 	}
 }
 
-// Guards against this: prompts are computed for callers that have left.
+// Guards against: engines compute prompts for callers that have disconnected.
 func TestCallerDisconnectIsDetected(t *testing.T) {
-	Convey("A caller that leaves", t, func() {
+	Convey("A caller that disconnects", t, func() {
 		r := newRig(t, slowEngine, Limits{}, shortSilence)
 		ctx, disconnect := context.WithCancel(context.Background())
 		defer disconnect()
-		Convey("while its request waits: it is withdrawn and never dispatched", func() {
+		Convey("while its request waits: the request is withdrawn and not dispatched", func() {
 			r.broker.hold.Store(true)
 			go func() { _, _ = r.openStream(ctx, "echo:x") }()
 			r.eventually("request waits", func() bool { return r.broker.waiting.Load() == 1 })
 			disconnect()
 			r.eventually("request is withdrawn", func() bool { return r.broker.waiting.Load() == 0 })
-			r.eventually("it is counted", func() bool { return r.counter(groupRefusals, string(request.ReasonCallerGone)) == 1 })
+			r.eventually("refusal is counted", func() bool { return r.counter(groupRefusals, string(request.ReasonCallerGone)) == 1 })
 			So(r.engine.Runs(), ShouldBeEmpty)
-			r.eventually("memory is given back", func() bool { return r.entry.bodies.Used() == 0 })
+			r.eventually("memory is released", func() bool { return r.entry.bodies.Used() == 0 })
 		})
 		Convey("while its answer is streamed: the run is cancelled and the slot freed", func() {
 			resp, err := r.openStream(ctx, "echo:"+longText)
@@ -119,9 +119,9 @@
 	})
 }
 
-// Guards against this: a second request on a connection is lost.
+// Guards against: the watch for disconnects consumes the next request on the connection.
 func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
-	Convey("Two requests sent at once get their answers in order", t, func() {
+	Convey("Two pipelined requests are answered in order", t, func() {
 		r := newRig(t, standin.Options{}, Limits{}, longSilence)
 		one := func(text, more string) string {
 			body := string(chatBody(testModel, "echo:"+text, false))
@@ -133,7 +133,7 @@
 			conn := r.dial()
 			_, err := io.WriteString(conn, one("first", ""))
 			So(err, ShouldBeNil)
-			r.eventually("the first waits", func() bool { return r.broker.waiting.Load() == 1 })
+			r.eventually("first request waits", func() bool { return r.broker.waiting.Load() == 1 })
 			_, err = io.WriteString(conn, one("second", "Connection: close\r\n"))
 			So(err, ShouldBeNil)
 			runtime.Gosched()
@@ -149,11 +149,11 @@
 	})
 }
 
-// Guards against this: a caller gets half an answer, or its prompt is computed twice.
+// Guards against: an answer is incomplete, or its prompt is computed twice, after a connection is lost.
 func TestBrokenStreamIsResumed(t *testing.T) {
-	Convey("The whole answer comes, from one run", t, func() {
+	Convey("The complete answer arrives, from one run", t, func() {
 		r := newRig(t, slowEngine, Limits{}, shortSilence)
-		Convey("when the connection goes silent in the middle of it", func() {
+		Convey("when the connection goes silent in mid-answer", func() {
 			resp, err := r.openStream(context.Background(), "echo:"+longText)
 			So(err, ShouldBeNil)
 			defer resp.Body.Close()
@@ -165,7 +165,7 @@
 			So(r.counter(groupResumes, string(resumeConnectionLost)), ShouldBeGreaterThan, 0)
 			So(len(r.engine.Runs()), ShouldEqual, 1)
 		})
-		Convey("when it goes silent after a long time without a token", func() {
+		Convey("when the connection goes silent after a long time without a token", func() {
 			r := newRig(t, slowEngine, Limits{ResumeWindow: time.Second}, shortSilence)
 			r.setFaults(`{"answer_delay_ms":2500}`)
 			sent, got := time.Now(), make(chan string, 1)
@@ -173,12 +173,12 @@
 				answer, _ := r.echo("late but whole", false)
 				got <- answer
 			}()
-			r.eventually("longer than the window", func() bool { return time.Since(sent) > 1500*time.Millisecond })
+			r.eventually("resume window has passed", func() bool { return time.Since(sent) > 1500*time.Millisecond })
 			r.setFaults(`{"silent":"existing"}`)
 			So(<-got, ShouldEqual, "late but whole")
 			So(len(r.engine.Runs()), ShouldEqual, 1)
 		})
-		Convey("when two answers come crossed", func() {
+		Convey("when the engine swaps two answers", func() {
 			r.setFaults(`{"cross_answers":1,"answer_delay_ms":100}`)
 			got := make(chan string, 2)
 			texts := []string{longText + "one", longText + "two"}
@@ -199,7 +199,7 @@
 	})
 }
 
-// Guards against this: a caller takes half an answer for a whole one.
+// Guards against: a caller takes an incomplete answer for a complete one.
 func TestIncompleteAnswerIsReported(t *testing.T) {
 	Convey("When the engine loses the run", t, func() {
 		r := newRig(t, slowEngine, Limits{ResumeWindow: 3 * time.Second}, shortSilence)
@@ -214,14 +214,14 @@
 			So(e.err, ShouldNotBeNil)
 			So(strings.HasPrefix(longText, e.text), ShouldBeTrue)
 		})
-		Convey("a plain answer is a typed error that says that it ran", func() {
+		Convey("a plain request gets a refusal that says that it ran", func() {
 			refused := make(chan [2]any, 1)
 			go func() {
 				_, body := r.post(pathChat, chatBody(testModel, "echo:"+longText, false))
 				code, notRun := refusalOf(body)
 				refused <- [2]any{code, notRun}
 			}()
-			r.eventually("tokens come", func() bool { return r.broker.progressReports.Load() > 0 })
+			r.eventually("progress is reported", func() bool { return r.broker.progressReports.Load() > 0 })
 			r.engine.Crash()
 			So(<-refused, ShouldResemble, [2]any{string(request.ReasonEngineLost), false})
 		})
@@ -232,9 +232,9 @@
 	})
 }
 
-// Guards against this: a request runs on two engines, or is lost with the first one.
+// Guards against: a request is lost, or runs on two engines, after a failed connect.
 func TestFailedConnectIsRequeued(t *testing.T) {
-	Convey("A request whose connect failed is dispatched once, elsewhere", t, func() {
+	Convey("A request whose connect failed is dispatched once, to another server", t, func() {
 		r := newRig(t, standin.Options{}, Limits{}, longSilence)
 		unreachable := "127.0.0.1:1"
 		r.broker.nextAddress.Store(&unreachable)
@@ -248,7 +248,7 @@
 }
 
 func TestEngineRefusal(t *testing.T) {
-	Convey("A request that the engine refused ends, with what the engine said", t, func() {
+	Convey("A request that the engine refused gets a typed refusal", t, func() {
 		r := newRig(t, standin.Options{}, Limits{}, longSilence)
 		r.setFaults(`{"refuse":true}`)
 		resp, body := r.post(pathChat, chatBody(testModel, "echo:x", true))
@@ -261,9 +261,9 @@
 	})
 }
 
-// Guards against this: callers see broken answers whenever an entry is replaced.
+// Guards against: callers get incomplete answers whenever an entry is replaced.
 func TestShutdownCompletesOpenStreams(t *testing.T) {
-	Convey("A stream that runs when the entry stops comes whole", t, func() {
+	Convey("A stream that is open at shutdown is completed", t, func() {
 		r := newRig(t, slowEngine, Limits{}, shortSilence)
 		resp, err := r.openStream(context.Background(), "echo:"+longText)
 		So(err, ShouldBeNil)
@@ -279,11 +279,11 @@
 	})
 }
 
-// Guards against this: background requests are refused although engines are free again.
+// Guards against: background requests are refused for their waiting time, although engines are free again.
 func TestRunTimeLimitStartsAtDispatch(t *testing.T) {
-	Convey("The limit on a run", t, func() {
+	Convey("The run time limit", t, func() {
 		const longest = 300 * time.Millisecond
-		Convey("does not count the wait", func() {
+		Convey("does not include the waiting time", func() {
 			r := newRig(t, standin.Options{}, Limits{MaxRunTime: longest}, longSilence)
 			r.broker.hold.Store(true)
 			sent, got := time.Now(), make(chan string, 1)
@@ -291,11 +291,11 @@
 				answer, _ := r.echo("late", false)
 				got <- answer
 			}()
-			r.eventually("longer than a run may take", func() bool { return time.Since(sent) > 2*longest })
+			r.eventually("run time limit has passed", func() bool { return time.Since(sent) > 2*longest })
 			close(r.broker.freed)
 			So(<-got, ShouldEqual, "late")
 		})
-		Convey("ends a run that takes too long, with a cancel", func() {
+		Convey("cancels a run that takes too long", func() {
 			r := newRig(t, slowEngine, Limits{MaxRunTime: longest}, longSilence)
 			_, body := r.post(pathChat, chatBody(testModel, "echo:"+longText, false))
 			code, notRun := refusalOf(body)
@@ -307,7 +307,7 @@
 	})
 }
 
-// BenchmarkCallerLeaves measures how soon a caller's leaving is noticed.
+// BenchmarkCallerDisconnect measures how soon a caller's disconnect is detected.
 func BenchmarkCallerDisconnect(b *testing.B) {
 	r := newRig(b, standin.Options{}, Limits{}, longSilence)
 	r.broker.hold.Store(true)
--- a/internal/entry/format.go
+++ b/internal/entry/format.go
@@ -7,14 +7,14 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// usage counts tokens, as OpenAI's clients expect.
+// usage is the token count in OpenAI's format.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// generationResponse is an answer or a chunk of one, of either call.
+// generationResponse is a response or a stream chunk of either API.
 type generationResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -24,8 +24,8 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// choice is the one choice of an answer. Message and Delta are of a chat,
-// Text is of a completion.
+// choice is the only choice of an answer. Message and Delta belong to chats, Text to
+// completions.
 type choice struct {
 	Index        int          `json:"index"`
 	Message      *chatMessage `json:"message,omitempty"`
@@ -46,7 +46,7 @@
 	Content *string `json:"content,omitempty"`
 }
 
-// Objects and roles of the OpenAI API.
+// Object types and roles of the OpenAI API.
 const (
 	objectChat      = "chat.completion"
 	objectChatChunk = "chat.completion.chunk"
@@ -56,7 +56,7 @@
 	idPrefixText    = "cmpl-"
 )
 
-// Fixed lines of an event stream.
+// Fixed parts of an event stream.
 const (
 	sseData      = "data: "
 	sseEnd       = "\n\n"
@@ -64,8 +64,8 @@
 	sseKeepalive = ": keepalive\n\n"
 )
 
-// formatter writes one answer in the shape of its call. It keeps nothing of the
-// prompt, which would otherwise stay in memory as long as its answer streams.
+// formatter encodes the answer of one request. It does not reference the prompt, which
+// would otherwise stay in memory while the answer is streamed.
 type formatter struct {
 	api          api
 	model        string
@@ -84,7 +84,7 @@
 	}
 }
 
-// response returns a whole answer.
+// response returns a complete answer.
 func (f *formatter) response(text, finish string, u usage) *generationResponse {
 	c := choice{FinishReason: &finish}
 	object := objectText
@@ -106,7 +106,7 @@
 	return f.appendChoice(b, choice{Delta: &chatDelta{Role: roleAssistant, Content: &empty}})
 }
 
-// appendText appends an event with a piece of the answer.
+// appendText appends an event with a part of the answer's text.
 func (f *formatter) appendText(b []byte, text string) []byte {
 	if text == "" {
 		return b
@@ -117,8 +117,8 @@
 	return f.appendChoice(b, choice{Text: &text})
 }
 
-// appendFinish appends what ends a whole stream: the finish reason, the usage
-// where it was asked for, and the end marker.
+// appendFinish appends the end of a complete stream: the finish reason, the usage if
+// it was requested, and the end marker.
 func (f *formatter) appendFinish(b []byte, finish string, u usage) []byte {
 	c := choice{FinishReason: &finish}
 	if f.api == apiChat {
@@ -134,7 +134,7 @@
 	return append(b, sseDone...)
 }
 
-// appendError appends a refusal of a stream that had begun.
+// appendError appends a refusal to a stream that has already started.
 func appendError(b []byte, r *request.Refusal) []byte {
 	b = append(b, sseData...)
 	b = append(b, refusalJSON(r)...)
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -14,7 +14,7 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// generate serves a chat or a completion.
+// generate serves a chat or completion request.
 func (x *exchange) generate(ctx *fasthttp.RequestCtx, kind api) error {
 	g, err := x.readGeneration(ctx, kind)
 	if err != nil {
@@ -32,8 +32,8 @@
 	return x.writeWhole(ctx, a, format)
 }
 
-// readGeneration reads, checks and classifies the call. The body itself is
-// not kept: only the prompt that was made of it.
+// readGeneration reads, validates and classifies the request. Only the prompt is kept
+// of its body.
 func (x *exchange) readGeneration(ctx *fasthttp.RequestCtx, kind api) (*generation, error) {
 	body, err := x.readBody(ctx)
 	if err != nil {
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// hasServer tells whether a pool has a server. Where none has, a request would
-// only wait for its deadline: its caller is better told at once.
+// hasServer reports whether any of the pools has a server. Without one, the request is
+// refused at once instead of waiting until its deadline.
 func hasServer(pools []*workspace.ResolvedPool) bool {
 	for _, p := range pools {
 		if len(p.Servers) > 0 {
@@ -94,8 +94,8 @@
 	return false
 }
 
-// limitTokens returns the tokens that may be generated: the caller's wish within
-// what the template allows.
+// limitTokens returns the requested number of tokens, capped by the template's limit;
+// a value of zero or less means "not set".
 func limitTokens(requested, allowed int) int {
 	if requested > 0 && (allowed <= 0 || requested < allowed) {
 		return requested
@@ -116,8 +116,7 @@
 	}
 }
 
-// writeWhole collects the answer and writes it in one piece. Only an answer whose
-// end was seen is written.
+// writeWhole collects the answer and writes it as one response, only if it is complete.
 func (x *exchange) writeWhole(ctx *fasthttp.RequestCtx, a *answer, f *formatter) error {
 	var text strings.Builder
 	finish := ""
@@ -152,8 +151,8 @@
 	}
 }
 
-// storedAnswer returns the outcome of a run with a whole answer, with the
-// answer itself where it is short enough to be kept.
+// storedAnswer returns the claim outcome of a complete answer, including the answer
+// itself if it is short enough to be stored.
 func storedAnswer(body []byte, contentType string, status int) *claim.Outcome {
 	o := &claim.Outcome{State: claim.Ran, ContentType: contentType, Status: status}
 	if len(body) <= claim.MaxAnswerBytes {
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -11,28 +11,28 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Headers that callers send and get.
+// Request and response headers.
 const (
 	headerTier           = "X-Lycheekeel-Tier"
 	headerDeadline       = "X-Lycheekeel-Deadline-Ms"
 	headerWorkspace      = "X-Lycheekeel-Workspace"
 	headerIdempotencyKey = "Idempotency-Key"
 	headerRequestID      = "X-Request-Id"
-	// headerReplayed marks a stored answer that is given again.
+	// headerReplayed marks a response that repeats a stored answer.
 	headerReplayed = "Idempotent-Replayed"
 
-	// headerPrefix marks the headers that are this system's own.
+	// headerPrefix is the common prefix of lycheekeel's own headers.
 	headerPrefix = "X-Lycheekeel-"
 )
 
-// maxIdempotencyKey bounds an Idempotency-Key in bytes.
+// maxIdempotencyKey is the maximum length of an Idempotency-Key, in bytes.
 const maxIdempotencyKey = 255
 
-// maxDeadline is the longest deadline that makes sense; a longer one is taken
-// for a mistake in the unit.
+// maxDeadline is the longest deadline that is accepted; a longer one is probably given
+// in the wrong unit.
 const maxDeadline = 24 * time.Hour
 
-// callerHeader is what the entry takes from a request's header, copied.
+// callerHeader holds copies of the header fields that the entry uses.
 type callerHeader struct {
 	bearer         string
 	tier           string
@@ -40,8 +40,8 @@
 	idempotencyKey string
 }
 
-// readHeader copies what the entry needs. The HTTP server reuses its buffers:
-// a string that shared them would change under the request.
+// readHeader copies the fields, because the HTTP server reuses its buffers for later
+// requests.
 func readHeader(ctx *fasthttp.RequestCtx) callerHeader {
 	h := &ctx.Request.Header
 	return callerHeader{
@@ -61,7 +61,7 @@
 	return strings.TrimSpace(authorization[len(scheme):])
 }
 
-// pickTier returns the tier that the caller asks for, else the given default.
+// pickTier returns the tier requested by the caller, else the given default.
 func (h callerHeader) pickTier(w *workspace.ResolvedWorkspace, def *workspace.ResolvedTier) (*workspace.ResolvedTier, error) {
 	if h.tier == "" {
 		return def, nil
@@ -76,8 +76,8 @@
 	return t, nil
 }
 
-// targets returns the tier's targets with the caller's deadline, which can
-// only shorten the tier's.
+// targets returns the tier's targets. The caller's deadline applies if it is shorter
+// than the tier's.
 func (h callerHeader) targets(w *workspace.ResolvedWorkspace, t *workspace.ResolvedTier) (request.Targets, error) {
 	out := t.Targets
 	if h.deadline == "" {
@@ -98,7 +98,7 @@
 	return out, nil
 }
 
-// checkIdempotencyKey checks the caller's idempotency key for a request that needs one.
+// checkIdempotencyKey validates the key, which non-idempotent requests must have.
 func (h callerHeader) checkIdempotencyKey(idempotent bool) error {
 	if len(h.idempotencyKey) > maxIdempotencyKey {
 		return request.Refuse(request.ReasonBadRequest, "%s is over %d bytes", headerIdempotencyKey, maxIdempotencyKey)
--- a/internal/entry/input_test.go
+++ b/internal/entry/input_test.go
@@ -17,7 +17,7 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// sendRaw sends bytes as they are and returns the first response with its body.
+// sendRaw sends the text unchanged and returns the first response with its body.
 func (r *rig) sendRaw(text string) (*http.Response, []byte) {
 	conn := r.dial()
 	defer conn.Close()
@@ -75,7 +75,7 @@
 		{"encoded slash", "/services/booking/a%2Fb", "", nil, request.ReasonBadRequest},
 		{"not repeatable without key", "/services/booking/confirm", "", nil, request.ReasonClaimKeyMissing},
 	}
-	Convey("Each bad call gets its own refusal, which is counted, and nothing runs", t, func() {
+	Convey("Each invalid request gets its own refusal, which is counted, and nothing runs", t, func() {
 		r := newRig(t, standin.Options{}, Limits{}, longSilence)
 		for _, c := range calls {
 			Convey(c.name, func() {
@@ -91,7 +91,7 @@
 	})
 }
 
-// Guards against this: a caller gets an answer to a request that somebody else sent.
+// Guards against: request smuggling, by which a caller gets the answer to another's request.
 func TestAmbiguousFramingIsRefused(t *testing.T) {
 	body := string(chatBody(testModel, "echo:x", false))
 	length := strconv.Itoa(len(body))
@@ -117,7 +117,7 @@
 				So(r.engine.Runs(), ShouldBeEmpty)
 			})
 		}
-		Convey("a folded line is a header's value, never a header (RFC 9112, 5.2)", func() {
+		Convey("a folded line continues a header's value and is never a header (RFC 9112, 5.2)", func() {
 			resp, answer := r.sendRaw(requestHead + "X-A: b\r\n Content-Length: 3\r\nContent-Length: " + length + "\r\n\r\n" + body)
 			So(resp.StatusCode, ShouldEqual, http.StatusOK)
 			So(string(answer), ShouldContainSubstring, `"content":"x"`)
@@ -125,7 +125,7 @@
 	})
 }
 
-// Guards against this: an entry that answers nobody while its processor idles.
+// Guards against: slow callers occupy all connections while the entry is idle.
 func TestSlowCallersAreRefused(t *testing.T) {
 	Convey("A caller that does not send its request in time is refused", t, func() {
 		r := newRig(t, standin.Options{}, Limits{ReadTimeout: 50 * time.Millisecond}, longSilence)
@@ -142,7 +142,7 @@
 				So(r.entry.bodies.Used(), ShouldEqual, 0)
 			})
 		}
-		Convey("an announced body holds only what has arrived", func() {
+		Convey("memory is reserved for received bytes, not for the announced length", func() {
 			r := newRig(t, standin.Options{}, Limits{ReadTimeout: waitLimit}, longSilence)
 			conn := r.dial()
 			const sent = 20_000
@@ -150,18 +150,18 @@
 			r.eventually("body is read", func() bool { return r.entry.bodies.Used() >= sent+requestOverhead })
 			So(r.entry.bodies.Used(), ShouldBeLessThan, 2*sent+requestOverhead)
 			So(conn.Close(), ShouldBeNil)
-			r.eventually("memory is given back", func() bool { return r.entry.bodies.Used() == 0 })
+			r.eventually("memory is released", func() bool { return r.entry.bodies.Used() == 0 })
 		})
 	})
 }
 
-// Guards against this: an entry runs out of file descriptors and accepts nobody.
+// Guards against: an entry runs out of file descriptors and accepts no connection.
 func TestConnectionsAreBounded(t *testing.T) {
-	Convey("A connection over the bound gets a typed refusal, and a freed place is used again", t, func() {
+	Convey("A connection over the limit gets a typed refusal, and a closed one makes room for another", t, func() {
 		r := newRig(t, standin.Options{}, Limits{MaxConnections: 2}, longSilence)
 		first, second := r.dial(), r.dial()
 		defer second.Close()
-		r.eventually("both are open", func() bool { return r.entry.app.Server().GetOpenConnectionsCount() == 2 })
+		r.eventually("both connections are open", func() bool { return r.entry.app.Server().GetOpenConnectionsCount() == 2 })
 		body := string(chatBody(testModel, "echo:x", false))
 		text := fmt.Sprintf("%sConnection: close\r\nContent-Length: %d\r\n\r\n%s", requestHead, len(body), body)
 		resp, answer := r.sendRaw(text)
@@ -171,7 +171,7 @@
 		So(resp.Header.Get("Retry-After"), ShouldNotBeEmpty)
 		So(r.counter(groupRefusals, code), ShouldEqual, 1)
 		So(first.Close(), ShouldBeNil)
-		r.eventually("a place is free", func() bool {
+		r.eventually("a new connection is accepted", func() bool {
 			resp, _ := r.sendRaw(text)
 			return resp.StatusCode == http.StatusOK
 		})
@@ -179,7 +179,7 @@
 }
 
 func TestEveryReasonHasItsCounterAndStatus(t *testing.T) {
-	Convey("Each refusal reason has a counter from the start, a type, a status and its line for operators", t, func() {
+	Convey("Each refusal reason has a counter from the start, a type, a status and a line in the operators' page", t, func() {
 		r := newRig(t, standin.Options{}, Limits{}, longSilence)
 		seen := r.metrics.JSON()
 		page, err := os.ReadFile("../../docs/operators/refusals.md")
@@ -191,7 +191,7 @@
 			So(string(page), ShouldContainSubstring, fmt.Sprintf("\n| `%s` | %d |", reason, reason.Status()))
 			So(reason.Status(), ShouldBeBetween, 399, 600)
 		}
-		Convey("and Retry-After is whole seconds, spread, where to come back helps", func() {
+		Convey("and Retry-After is in whole seconds with jitter, for reasons where a retry can help", func() {
 			seen := map[int]bool{}
 			for range 200 {
 				s := retrySeconds(request.Refuse(request.ReasonShed, "x").WithRetryAfter(10 * time.Second))
--- a/internal/entry/listener.go
+++ b/internal/entry/listener.go
@@ -11,15 +11,15 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Bounds of telling a caller that there are too many connections.
+// Limits for refusing connections over the maximum.
 const (
 	lingerTimeout = time.Second
 	lingerBytes   = 64 << 10
-	maxLingering  = 256 // at once; further ones are closed without a word
+	maxLingering  = 256 // concurrent refusals; further connections are closed without a response
 )
 
-// boundedListener bounds the open connections. The HTTP server's own bound
-// answers with a plain text that no counter shows.
+// boundedListener limits the open connections. The HTTP server's own limit would answer
+// with plain text and without counting the refusal.
 type boundedListener struct {
 	net.Listener
 	entry     *Entry
@@ -46,8 +46,8 @@
 	}
 }
 
-// refuse tells a caller that there are too many connections. It reads what the
-// caller sends meanwhile: otherwise a reset overtakes the answer.
+// refuse answers that there are too many connections. It keeps reading what the caller
+// sends, because closing with unread data would send a reset before the answer is read.
 func (l *boundedListener) refuse(conn *net.TCPConn) {
 	l.entry.counters.countRefusal(request.ReasonTooManyConnections)
 	if l.lingering.Add(1) > maxLingering {
@@ -68,7 +68,7 @@
 	}()
 }
 
-// boundedConn counts itself out when it is closed.
+// boundedConn decrements the number of open connections when it is closed.
 type boundedConn struct {
 	*net.TCPConn
 	open   *atomic.Int64
--- a/internal/entry/measurements.go
+++ b/internal/entry/measurements.go
@@ -8,16 +8,16 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// measurements are the measurements of one dispatched request.
+// measurements are the timings and token counts of one dispatched request.
 type measurements struct {
-	sent            time.Time // its bytes left
-	first           time.Time // its first token came; zero: none yet
+	sent            time.Time // when the request was sent
+	first           time.Time // when the first token arrived; zero: not yet
 	tokens          int
 	promptTokens    int
 	prefillComputed int
 }
 
-// firstToken returns the time from dispatch to first token, zero before it.
+// firstToken returns the time from dispatch to the first token, or zero without one.
 func (m *measurements) firstToken() time.Duration {
 	if m.first.IsZero() {
 		return 0
@@ -25,7 +25,7 @@
 	return m.first.Sub(m.sent)
 }
 
-// perToken returns the mean time between the tokens until now.
+// perToken returns the mean time between tokens up to now.
 func (m *measurements) perToken(now time.Time) time.Duration {
 	if m.first.IsZero() || m.tokens < 2 {
 		return 0
@@ -33,7 +33,7 @@
 	return now.Sub(m.first) / time.Duration(m.tokens-1)
 }
 
-// metTargets tells whether the answer was in time for every target of its tier.
+// metTargets reports whether the answer met all targets of its tier.
 func (m *measurements) metTargets(s *request.Spec, now time.Time) bool {
 	t := s.Targets
 	switch {
@@ -47,7 +47,7 @@
 	return true
 }
 
-// completion returns the figures as the broker wants them.
+// completion returns the measurements in the broker's form.
 func (m *measurements) completion(o pool.Outcome, now time.Time) broker.Completion {
 	return broker.Completion{
 		Outcome:         o,
--- a/internal/entry/models.go
+++ b/internal/entry/models.go
@@ -18,7 +18,7 @@
 	contentSSE  = "text/event-stream"
 )
 
-// modelList and modelInfo are OpenAI's shapes of a list of models.
+// modelList and modelInfo follow OpenAI's format of a model list.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelInfo `json:"data"`
@@ -35,7 +35,7 @@
 	return modelInfo{ID: name, Object: "model", OwnedBy: x.workspace.Workspace}
 }
 
-// listModels answers with the models of the caller's workspace.
+// listModels returns the models of the caller's workspace.
 func (x *exchange) listModels(ctx *fasthttp.RequestCtx) error {
 	list := modelList{Object: "list", Data: []modelInfo{}}
 	for name := range x.workspace.Models {
@@ -45,7 +45,7 @@
 	return x.writeJSON(ctx, list)
 }
 
-// showModel answers with one model.
+// showModel returns one model.
 func (x *exchange) showModel(ctx *fasthttp.RequestCtx) error {
 	raw := strings.TrimPrefix(string(ctx.Path()), pathModels+"/")
 	name, err := url.PathUnescape(raw)
@@ -55,7 +55,7 @@
 	return x.writeJSON(ctx, x.modelInfo(name))
 }
 
-// writeJSON writes a whole answer that was made here.
+// writeJSON writes v as the response.
 func (x *exchange) writeJSON(ctx *fasthttp.RequestCtx, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/entry/openai.go
+++ b/internal/entry/openai.go
@@ -9,32 +9,32 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// api is one of the two OpenAI calls that generate text.
+// api is one of the two OpenAI APIs that generate text.
 type api uint8
 
-// The calls.
+// The APIs.
 const (
 	apiChat api = iota
 	apiCompletions
 )
 
-// maxRequestedTokens is the largest max_tokens that is taken for a number of
-// tokens rather than for a mistake. What a template allows caps it further.
+// maxRequestedTokens is the largest max_tokens that is accepted; a larger one is probably a
+// mistake. The template's limit caps it further.
 const maxRequestedTokens = 1 << 24
 
-// generation is a parsed call. Its strings are the entry's own.
+// generation is a parsed request. Its strings do not alias the HTTP server's buffers.
 type generation struct {
 	api          api
 	model        string
 	prompt       string
 	lastMessage  string
-	maxTokens    int // 0: not given
+	maxTokens    int // 0: not set
 	stream       bool
 	includeUsage bool
 }
 
-// generationBody is the JSON of both calls; members that the scheduler does
-// not need are left to the reader of the OpenAI reference.
+// generationBody is the JSON body of both APIs. It has only the fields that the
+// scheduler uses; see the OpenAI reference for the others.
 type generationBody struct {
 	Model               string          `json:"model"`
 	Messages            []message       `json:"messages"`
@@ -53,14 +53,14 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// contentPart is one part of a message's content; only text is understood.
+// contentPart is one part of a message's content; only text parts are supported.
 type contentPart struct {
 	Type string `json:"type"`
 	Text string `json:"text"`
 }
 
-// parseGeneration checks a body and returns the call. Every error is a
-// refusal that names what is wrong.
+// parseGeneration validates a body and parses it. Every error is a refusal that says
+// what is invalid.
 func parseGeneration(kind api, body []byte) (*generation, error) {
 	if len(body) == 0 {
 		return nil, badRequest("the body is empty; send JSON")
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// setMessages makes the canonical prompt of a chat: role and text of each
-// message in order.
+// setMessages builds the canonical prompt of a chat: role and text of each message, in
+// order.
 func (g *generation) setMessages(messages []message) error {
 	if len(messages) == 0 {
 		return badRequest("messages is missing or empty")
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// setPrompt takes a completion's prompt: a string, or a list with one.
+// setPrompt sets a completion's prompt, which is a string or a list of one string.
 func (g *generation) setPrompt(raw json.RawMessage) error {
 	var s string
 	if err := json.Unmarshal(raw, &s); err != nil {
@@ -143,8 +143,7 @@
 	return nil
 }
 
-// contentText returns a message's text. A message of a tool call may have
-// null content.
+// contentText returns a message's text. The content is null in messages with tool calls.
 func contentText(raw json.RawMessage) (string, bool) {
 	if len(raw) == 0 || bytes.Equal(raw, []byte("null")) {
 		return "", true
--- a/internal/entry/progress_test.go
+++ b/internal/entry/progress_test.go
@@ -9,7 +9,7 @@
 	"github.com/lycheekeel/lycheekeel/broker"
 )
 
-// progressRecorder notes when progress was reported.
+// progressRecorder records when progress was reported.
 type progressRecorder struct {
 	broker.Grant
 	now      time.Time
@@ -22,7 +22,7 @@
 	r.perToken = append(r.perToken, perToken)
 }
 
-// Guards against this: most of what daemons send each other is reports of long answers.
+// Guards against: progress reports of long answers are most of the messages between daemons.
 func TestProgressReportInterval(t *testing.T) {
 	Convey("Given an answer of 273 tokens at 62 ms", t, func() {
 		start := time.Unix(1000, 0)
--- a/internal/entry/prompt.go
+++ b/internal/entry/prompt.go
@@ -8,17 +8,16 @@
 	"github.com/lycheekeel/lycheekeel/engine"
 )
 
-// blockBytes is the text of one prefix block.
+// blockBytes is the length of one prefix block, in bytes of text.
 const blockBytes = engine.BlockTokens * engine.BytesPerToken
 
-// maxBlocks bounds the prefix blocks that are sent with a request. Where two
-// prompts share more than that, they share more than enough to choose a
-// server by.
+// maxBlocks bounds the number of block hashes sent with a request. A longer common
+// prefix would not change the choice of a server.
 const maxBlocks = 1024
 
-// blockHashes returns the chained hashes of the prompt's whole blocks. Each
-// hash covers the version and everything before it, so that an equal hash
-// means an equal prefix for the same model version.
+// blockHashes returns the chained hashes of the prompt's complete blocks. Each hash
+// covers the model version and all preceding text, so equal hashes mean an equal prefix
+// for the same model version.
 func blockHashes(version, prompt string) []uint64 {
 	n := min(len(prompt)/blockBytes, maxBlocks)
 	if n == 0 {
@@ -37,9 +36,8 @@
 	return out
 }
 
-// fingerprint identifies a request's content apart from its headers. It has
-// the workspace in it, so that no workspace can get another's requests
-// suspected.
+// fingerprint identifies a request by its content, without its headers. It includes the
+// workspace, so that one workspace cannot make another's requests suspected.
 func fingerprint(workspace, target, content string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/internal/entry/refuse.go
+++ b/internal/entry/refuse.go
@@ -15,7 +15,7 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// errorBody is a refusal in the shape that OpenAI's clients expect.
+// errorBody is a refusal in OpenAI's error format.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -27,7 +27,7 @@
 	NotRun  any    `json:"not_run"`
 }
 
-// The types of errors, as OpenAI's clients know them.
+// Error types of the OpenAI API.
 const (
 	typeInvalidRequest = "invalid_request_error"
 	typeAuthentication = "authentication_error"
@@ -38,8 +38,8 @@
 	typeServer         = "server_error"
 )
 
-// defaultRetryAfter holds, for reasons where to come back helps, when to do so if
-// nothing better is known.
+// defaultRetryAfter is the Retry-After of reasons for which a retry can help, unless the
+// refusal itself has a value.
 var defaultRetryAfter = map[request.Reason]time.Duration{
 	request.ReasonShed:               2 * time.Second,
 	request.ReasonWorkspaceLimit:     2 * time.Second,
@@ -57,7 +57,7 @@
 	request.ReasonShuttingDown:       time.Second,
 }
 
-// errorType returns the type that goes with a reason's status.
+// errorType returns the error type for a reason's HTTP status.
 func errorType(r request.Reason) string {
 	switch r.Status() {
 	case fasthttp.StatusUnauthorized:
@@ -77,8 +77,8 @@
 	return typeServer
 }
 
-// asRefusal returns err as a refusal. An error of an unexpected type does not
-// tell whether the request ran.
+// asRefusal returns err as a refusal. For an error of any other type it is unknown
+// whether the request ran.
 func asRefusal(err error) *request.Refusal {
 	var r *request.Refusal
 	if errors.As(err, &r) {
@@ -101,8 +101,8 @@
 	return b
 }
 
-// retrySeconds returns the value of Retry-After, or zero for none. Callers
-// that were refused together must not come back together, hence the jitter.
+// retrySeconds returns the value of Retry-After, or zero for none. Jitter keeps callers
+// that were refused together from retrying together.
 func retrySeconds(r *request.Refusal) int {
 	d := r.RetryAfter
 	if d <= 0 {
@@ -115,7 +115,7 @@
 	return int((jittered + time.Second - 1) / time.Second)
 }
 
-// writeRefusal counts a refusal and makes it the response.
+// writeRefusal counts a refusal and writes it as the response.
 func (e *Entry) writeRefusal(ctx *fasthttp.RequestCtx, id request.ID, r *request.Refusal) {
 	e.counters.countRefusal(r.Reason)
 	ctx.Response.ResetBody()
@@ -128,7 +128,7 @@
 	ctx.Response.SetBody(refusalJSON(r))
 }
 
-// finishHeader sets what every response carries, and bounds its writing.
+// finishHeader sets the headers common to all responses and the write deadline.
 func (e *Entry) finishHeader(ctx *fasthttp.RequestCtx, id request.ID) {
 	ctx.Response.Header.Set(headerRequestID, string(id))
 	if e.draining.isSet() {
@@ -137,14 +137,14 @@
 	_ = ctx.Conn().SetWriteDeadline(time.Now().Add(e.limits.WriteTimeout))
 }
 
-// httpError answers what never became a request: bad HTTP, wrong paths.
+// httpError handles errors before a handler runs, such as malformed HTTP or unknown paths.
 func (e *Entry) httpError(c fiber.Ctx, err error) error {
 	e.writeRefusal(c.RequestCtx(), request.NewID(), httpRefusal(err))
 	return nil
 }
 
-// httpRefusal maps an error of the HTTP server to a refusal. Nothing of such
-// a request was even queued.
+// httpRefusal maps an error of the HTTP server to a refusal. Such a request was never
+// queued.
 func httpRefusal(err error) *request.Refusal {
 	var f *fiber.Error
 	if !errors.As(err, &f) {
@@ -162,7 +162,7 @@
 	}
 }
 
-// contextRefusal returns why ctx ended, as a refusal of a request that did not run.
+// contextRefusal returns the refusal of a request whose ctx ended before it ran.
 func contextRefusal(ctx context.Context) *request.Refusal {
 	err := context.Cause(ctx)
 	var r *request.Refusal
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -12,27 +12,26 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Pauses between two tries to resume.
+// Backoff between attempts to resume a stream.
 const (
 	initialResumeBackoff = 20 * time.Millisecond
 	maxResumeBackoff     = time.Second
 )
 
-// unknownRunGrace is how long an engine may answer that it does not know a
-// run of which nothing was heard yet: an engine that is short of processor
-// time may read the request late, after the first resume.
+// unknownRunGrace is how long "unknown run" answers are retried while no response to the
+// run has arrived: an engine short of CPU may read the request after the first resume.
 const unknownRunGrace = time.Second
 
-// cancelTimeout bounds telling an engine to cancel a run.
+// cancelTimeout bounds the call that cancels a run.
 const cancelTimeout = 2 * time.Second
 
-// ensureStream resumes the stream where there is none. It never starts a run.
+// ensureStream resumes the stream if it is closed. It never starts a run.
 func (a *answer) ensureStream(ctx context.Context) error {
 	if a.stream != nil {
 		return nil
 	}
 	delay := newBackoff(initialResumeBackoff, maxResumeBackoff)
-	var firstUnknown time.Time // the first answer that the run is not known
+	var firstUnknown time.Time // when the engine first answered that the run is unknown
 	for {
 		stream, err := a.engine.Resume(ctx, string(a.x.id), a.nextOffset)
 		if err == nil {
@@ -55,10 +54,10 @@
 	}
 }
 
-// runRefusal says how a run that was dispatched ended without a whole answer.
+// runRefusal returns the refusal and outcome of a dispatched run without a complete answer.
 func (a *answer) runRefusal(err error) (*request.Refusal, pool.Outcome) {
 	ran := request.RanUnknown
-	if !a.first.IsZero() { // an engine that took the run may not have begun it
+	if !a.first.IsZero() { // without a token, the engine may have queued the run only
 		ran = request.NotRunFalse
 	}
 	refuse := func(reason request.Reason, notRun request.NotRun, message string) *request.Refusal {
@@ -78,7 +77,7 @@
 	case errors.Is(err, engine.ErrUnknownRun) && a.accepted:
 		return refuse(request.ReasonEngineLost, ran, "the engine lost the request"), pool.OutcomeCrashed
 	case errors.Is(err, engine.ErrUnknownRun):
-		// No proof of a crash, which would make suspects of all that ran there.
+		// This does not prove a crash, which would make suspects of all requests that ran there.
 		return refuse(request.ReasonEngineLost, ran, "the engine does not know the request"), pool.OutcomeStreamLost
 	case errors.Is(err, engine.ErrRunFailed):
 		return refuse(request.ReasonEngineFailed, ran, "the engine reports that it failed"), pool.OutcomeFailed
@@ -89,15 +88,15 @@
 	}
 }
 
-// cancelRun tells the engine that nobody reads the run any more. It does not
-// hold up the caller's goroutine.
+// cancelRun tells the engine that the run's answer is no longer needed. It does not block
+// the caller's goroutine.
 func (a *answer) cancelRun() {
 	eng, id, log := a.engine, string(a.x.id), a.x.log
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
 		if err := eng.Cancel(ctx, id); err != nil {
-			log.WithError(err).Debug("cancel failed")
+			log.WithError(err).Debug("failed to cancel run")
 		}
 	}()
 }
--- a/internal/entry/rig_test.go
+++ b/internal/entry/rig_test.go
@@ -29,16 +29,16 @@
 	testKey    = "test-key"
 	testModel  = "writer"
 	testRegion = "here"
-	waitLimit  = 20 * time.Second // generous: no test is decided by it
+	waitLimit  = 20 * time.Second // generous; only a failing test reaches it
 
-	// shortSilence and patient are silence limits of connections to stand-ins: for
-	// tests of silence, and for those that a starved machine must not fail.
+	// shortSilence and longSilence are silence timeouts of connections to stand-ins:
+	// for tests of silent connections, and for tests that must pass on a slow machine.
 	shortSilence = 500 * time.Millisecond
 	longSilence  = waitLimit
 )
 
-// rig is an entry between a caller and stand-ins over loopback HTTP, with a
-// broker that grants at once unless told otherwise.
+// rig is an entry with stand-in backend servers over loopback HTTP, and with a broker that
+// grants at once unless hold or refuse is set.
 type rig struct {
 	tb      testing.TB
 	entry   *Entry
@@ -54,7 +54,7 @@
 
 type standinServiceFaults = standinservice.Faults
 
-// newRig starts everything; the test's end stops it.
+// newRig starts all parts; they are stopped at the end of the test.
 func newRig(tb testing.TB, o standin.Options, l Limits, silence time.Duration) *rig {
 	r := &rig{tb: tb, metrics: metrics.New(), ledger: newTestLedger()}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -101,7 +101,8 @@
 	return ln
 }
 
-// testSnapshot is a workspace with one model, one service and two tiers.
+// testSnapshot returns a snapshot of one workspace with three models, one service and
+// two tiers.
 func testSnapshot(engineAddr, serviceAddr string) *workspace.Snapshot {
 	urgent := &workspace.ResolvedTier{Name: "urgent", Tier: 0, Targets: request.Targets{Deadline: waitLimit}}
 	late := &workspace.ResolvedTier{Name: "late", Tier: 3, Targets: request.Targets{Deadline: waitLimit}}
@@ -133,8 +134,8 @@
 	}
 }
 
-// testBroker grants the first candidate's first server at once, unless hold is
-// set: then it waits for ctx or freed. refuse, where set, ends every Acquire.
+// testBroker grants the first candidate's first server at once. While hold is set, Acquire
+// waits for ctx or freed. If refuse is set, every Acquire returns it.
 type testBroker struct {
 	hold     atomic.Bool
 	freed    chan struct{}
@@ -145,7 +146,7 @@
 	progressReports atomic.Int64
 	mu              sync.Mutex
 	completions     []broker.Completion
-	nextAddress     atomic.Pointer[string] // replaces the server's address
+	nextAddress     atomic.Pointer[string] // replaces the next granted server's address
 }
 
 func (b *testBroker) Acquire(ctx context.Context, d broker.Demand) (broker.Grant, error) {
@@ -170,7 +171,7 @@
 	return &testGrant{broker: b, server: s}, nil
 }
 
-// outcomes returns how the grants ended so far.
+// outcomes returns the outcomes of all released grants.
 func (b *testBroker) outcomes() []pool.Outcome {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -195,8 +196,8 @@
 	g.broker.completions = append(g.broker.completions, end)
 }
 
-// testLedger keeps claims in memory. While down is open, Claim waits for it
-// or for ctx.
+// testLedger keeps claims in memory. If unavailable is set, Claim waits until its channel
+// is closed or ctx ends.
 type testLedger struct {
 	mu          sync.Mutex
 	claims      map[claim.Key]*testClaim
@@ -242,7 +243,7 @@
 
 func (c *testClaim) Release() { c.Finish(claim.Outcome{State: claim.NotRun}) }
 
-// serviceCalls returns how many calls the service got.
+// serviceCalls returns the number of calls that the service has received.
 func (r *rig) serviceCalls() int {
 	n := 0
 	for _, c := range r.service.Calls() {
@@ -264,7 +265,7 @@
 // counter returns a counter's value.
 func (r *rig) counter(group, name string) int64 { return r.metrics.Counter(group, name).Value() }
 
-// eventually waits until the condition holds.
+// eventually waits until the condition holds, or fails the test after waitLimit.
 func (r *rig) eventually(what string, holds func() bool) {
 	r.tb.Helper()
 	limit := time.NewTimer(waitLimit)
@@ -280,7 +281,7 @@
 	}
 }
 
-// chatBody is a chat whose last user message is the text.
+// chatBody returns a chat request whose last user message is the text.
 func chatBody(model, text string, stream bool) []byte {
 	b, err := json.Marshal(map[string]any{
 		"model": model, "stream": stream,
--- a/internal/entry/routes.go
+++ b/internal/entry/routes.go
@@ -11,7 +11,7 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Paths that callers use.
+// Paths of the callers' API.
 const (
 	pathChat        = "/v1/chat/completions"
 	pathCompletions = "/v1/completions"
@@ -19,10 +19,9 @@
 	pathServices    = "/services/"
 )
 
-// routes registers the callers' paths.
+// routes registers the handlers.
 func (e *Entry) routes() {
-	// A panic in one request must not end the process, and with it every
-	// other request that waits in it.
+	// A panic in one request must not end the process, which would lose all others.
 	e.app.Use(recover.New(recover.Config{
 		EnableStackTrace: true,
 		StackTraceHandler: func(_ fiber.Ctx, p any) {
@@ -40,11 +39,10 @@
 	e.app.All(pathServices+"*", e.handler((*exchange).callService))
 }
 
-// errStreaming: the answer is being streamed; the stream ends the exchange.
+// errStreaming: the answer is being streamed; the stream ends the exchange itself.
 var errStreaming = errors.New("answer is streamed")
 
-// handler wraps the serving of one request: whatever ends it without an
-// answer is written as a refusal.
+// handler wraps the handling of one request. An error is written as a refusal.
 func (e *Entry) handler(serve func(*exchange, *fasthttp.RequestCtx) error) fiber.Handler {
 	return func(c fiber.Ctx) error {
 		ctx := c.RequestCtx()
@@ -64,7 +62,7 @@
 	}
 }
 
-// respondEarly writes the response of a request that ended early.
+// respondEarly writes the response of a request that ended before its answer started.
 func (x *exchange) respondEarly(ctx *fasthttp.RequestCtx, err error) {
 	var stored *replayError
 	if errors.As(err, &stored) {
--- a/internal/entry/rules.go
+++ b/internal/entry/rules.go
@@ -13,8 +13,8 @@
 	anyRest    = "**"
 )
 
-// ruleMatches tells whether a template's rule is about a call. A trailing
-// slash makes no difference: it must not make a call repeatable.
+// ruleMatches reports whether a template's rule applies to a call. Trailing slashes are
+// ignored, so that they cannot select another rule and make a call repeatable.
 func ruleMatches(r *workspace.ResolvedRule, method, path string) bool {
 	if r.Method != anyMethod && !strings.EqualFold(r.Method, method) {
 		return false
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -17,8 +17,8 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// droppedHeaders are about one connection and are not passed on, nor is the
-// caller's key, which is this system's own.
+// droppedHeaders are not forwarded: headers of a single connection, those that are set
+// anew, and the caller's key, which must not reach the service.
 var droppedHeaders = map[string]bool{
 	fasthttp.HeaderConnection:         true,
 	fasthttp.HeaderKeepAlive:          true,
@@ -37,16 +37,15 @@
 	headerRequestID:                   true,
 }
 
-// servicePath is the part of a call's target after /services/.
+// servicePath is a call's request target, relative to /services/.
 type servicePath struct {
 	service string
-	path    string // decoded, for the template's rules
-	target  string // as it is sent: path and query
+	path    string // decoded, matched against the template's rules
+	target  string // path and query as sent
 }
 
-// parseServicePath splits and checks the target. A path that two readers may
-// understand differently is refused: a rule that says which calls may not be
-// repeated must see the same path as the service.
+// parseServicePath splits and validates the target. Ambiguous paths are refused: the rule
+// that decides whether a call may be repeated must see the same path as the service.
 func parseServicePath(target string) (servicePath, error) {
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
@@ -71,7 +70,7 @@
 	return out, nil
 }
 
-// callService serves a call of a plain service.
+// callService handles a call to a plain service.
 func (x *exchange) callService(ctx *fasthttp.RequestCtx) error {
 	path, err := parseServicePath(string(ctx.Request.Header.RequestURI()))
 	if err != nil {
@@ -105,8 +104,8 @@
 	return nil
 }
 
-// classifyServiceCall makes the spec of a call by the template's rules: the first
-// that matches decides, else only GET and HEAD are idempotent.
+// classifyServiceCall makes the spec of a call. The template's first matching rule decides
+// whether it is idempotent; without one, only GET and HEAD are.
 func (x *exchange) classifyServiceCall(s *workspace.ResolvedService, method string, path servicePath, body []byte) error {
 	idempotent := method == fasthttp.MethodGet || method == fasthttp.MethodHead
 	tier := s.Tier
@@ -140,8 +139,8 @@
 	return nil
 }
 
-// dispatchCall dispatches the call. A reply that breaks off is never asked for again:
-// services can't resume.
+// dispatchCall dispatches the call. An incomplete reply is not requested again: services
+// cannot resume.
 func (x *exchange) dispatchCall(c service.Call) (service.Reply, error) {
 	var reply service.Reply
 	var m measurements
@@ -172,7 +171,7 @@
 	return reply, nil
 }
 
-// serviceCallRefusal says how a call that was dispatched ended without a reply.
+// serviceCallRefusal returns the refusal and outcome of a dispatched call without a reply.
 func (x *exchange) serviceCallRefusal(err error) (*request.Refusal, pool.Outcome) {
 	switch {
 	case errors.Is(err, engine.ErrRefusedNotRun):
@@ -189,7 +188,7 @@
 	}
 }
 
-// forwardedHeader copies the headers that go on to the service.
+// forwardedHeader returns the headers that are forwarded to the service.
 func (x *exchange) forwardedHeader(ctx *fasthttp.RequestCtx) [][2]string {
 	var out [][2]string
 	for k, v := range ctx.Request.Header.All() {
@@ -202,7 +201,7 @@
 	return append(out, [2]string{headerWorkspace, x.spec.Workspace})
 }
 
-// writeReply passes a service's reply on.
+// writeReply writes the service's reply as the response.
 func (x *exchange) writeReply(ctx *fasthttp.RequestCtx, r service.Reply) {
 	for _, h := range r.Header {
 		if !droppedHeaders[h[0]] {
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -14,35 +14,34 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// errIncomplete ends the body of a stream whose answer is not whole. It makes
-// the HTTP server close the connection without the body's last chunk, so that
-// the caller's library sees a broken body, never a finished one.
-var errIncomplete = errors.New("answer cut short")
+// errIncomplete ends the body of an incomplete answer. It makes the HTTP server close the
+// connection without the terminating chunk, so that the client reports a broken body.
+var errIncomplete = errors.New("answer is incomplete")
 
-// eventStream is the body of a streamed answer. A goroutine of its own reads
-// the engine's chunks into it; the HTTP server's goroutine reads it. So a
-// caller that reads slowly does not hold up the engine, and a silent engine
-// does not hold up keepalives. What it holds is bounded by max_tokens.
+// eventStream is the body of a streamed answer. The pump goroutine writes the engine's
+// chunks into it, and the HTTP server's goroutine reads them. So a slow caller does not
+// block the engine's stream, and a silent engine does not delay keepalives. Its size is
+// bounded by max_tokens.
 type eventStream struct {
 	x        *exchange
 	answer   *answer
 	format   *formatter
 	conn     interface{ SetWriteDeadline(time.Time) error }
-	pumpDone chan struct{} // closed when the pump has ended
-	ready    chan struct{} // holds a token when pending or err changed
+	pumpDone chan struct{} // closed when the pump goroutine has ended
+	ready    chan struct{} // signals that pending or err has changed
 
 	mu      sync.Mutex
-	pending []byte // events that the caller has not got
-	err     error  // set once; what Read returns after pending
+	pending []byte // events not yet passed to Read
+	err     error  // returned by Read after pending; set once
 
-	readable   []byte // what Read is giving out
-	scratch    []byte // the event being made, by the pump only
-	transcript []byte // all events, while short enough for a claim to keep
+	readable   []byte // the rest of the events that Read is returning
+	scratch    []byte // event buffer, used by the pump only
+	transcript []byte // all events, until too long to be stored with the claim
 	timer      *time.Timer
 }
 
-// stream waits for the first chunk, so that everything that ends a request
-// before it is still a refusal with its own status, and then streams.
+// stream waits for the first chunk before it starts the response, so that a failure up to
+// then is still a refusal with its own status.
 func (x *exchange) stream(ctx *fasthttp.RequestCtx, a *answer, f *formatter) error {
 	first, err := a.Next(x.ctx)
 	if err != nil {
@@ -64,7 +63,7 @@
 	return errStreaming
 }
 
-// pump moves the answer's chunks into the stream until it ends.
+// pump copies the answer's chunks to the stream until the answer ends.
 func (s *eventStream) pump(c engine.Chunk) {
 	defer close(s.pumpDone)
 	var err error
@@ -85,7 +84,7 @@
 	}
 }
 
-// complete ends a whole stream.
+// complete ends the stream of a complete answer.
 func (s *eventStream) complete(events []byte, finish string) {
 	events = s.format.appendFinish(events, finish, s.answer.usage())
 	s.answer.completeRun()
@@ -93,14 +92,14 @@
 	s.x.settleClaim(request.NotRunFalse, storedAnswer(s.transcript, contentSSE, fasthttp.StatusOK))
 }
 
-// recordEvents records events for the request's claim, if it has one.
+// recordEvents appends events to the transcript if the request has a claim.
 func (s *eventStream) recordEvents(events []byte) {
 	if s.x.heldClaim != nil && len(s.transcript) <= claim.MaxAnswerBytes {
 		s.transcript = append(s.transcript, events...)
 	}
 }
 
-// push hands events to the reader; err, if any, comes after them.
+// push passes events to the reader, followed by err if it is not nil.
 func (s *eventStream) push(events []byte, err error) {
 	s.recordEvents(events)
 	s.mu.Lock()
@@ -113,8 +112,8 @@
 	}
 }
 
-// Read implements io.Reader for the HTTP server. Each call returns what there
-// is, or a comment where there is nothing for the keepalive's time.
+// Read implements io.Reader for the HTTP server. It returns the available events, or an SSE
+// comment if there are none within the keepalive interval.
 func (s *eventStream) Read(p []byte) (int, error) {
 	for len(s.readable) == 0 {
 		if err := s.takePending(); err != nil {
@@ -136,7 +135,7 @@
 	return n, nil
 }
 
-// takePending takes what the pump has left, or its error where nothing is left.
+// takePending makes the pending events readable; without any, it returns the stream's error.
 func (s *eventStream) takePending() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,8 +146,8 @@
 	return nil
 }
 
-// Close implements io.Closer: the HTTP server calls it when the body was
-// written or could not be written. A run that still goes on is cancelled.
+// Close implements io.Closer. The HTTP server calls it after the body was written or a
+// write failed. A run that is still in progress is cancelled.
 func (s *eventStream) Close() error {
 	select {
 	case <-s.pumpDone:
