--- a/engine/httpengine/bench_test.go
+++ b/engine/httpengine/bench_test.go
@@ -19,10 +19,10 @@
 	standin "github.com/lycheekeel/lycheekeel/internal/standin/engine"
 )
 
-// instantEngine is a stand-in that computes as fast as the machine allows.
+// instantEngine is a stand-in without simulated computation time.
 var instantEngine = standin.Options{StepMs: 0.001, SequenceMs: 1e-6, PrefillPerSecond: 1e9, PrefillChunk: 1 << 20, Slots: 256}
 
-// BenchmarkSmallRequests runs requests of one token from many callers.
+// BenchmarkSmallRequests runs requests of one token from many concurrent callers.
 func BenchmarkSmallRequests(b *testing.B) {
 	core, adapter := serve(b, instantEngine, httpconn.Settings{})
 	for name, e := range map[string]engine.Engine{"direct": core, "http": adapter} {
@@ -60,7 +60,7 @@
 	}
 }
 
-// renderAnswer is a whole answer, one HTTP chunk for each token.
+// renderAnswer returns a complete HTTP response with one chunk for each token.
 func renderAnswer(tokens int) []byte {
 	var answer bytes.Buffer
 	answer.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -79,8 +79,8 @@
 	}
 }
 
-// BenchmarkAdapterToken is what one token costs the adapter alone: the peer
-// sends an answer that was rendered before.
+// BenchmarkAdapterToken measures the adapter's own cost per token: the server sends a
+// response that was rendered before.
 func BenchmarkAdapterToken(b *testing.B) {
 	const tokens = 1000
 	e := httpengine.New(newFakeServer(b, respondWith(renderAnswer(tokens))).address, httpconn.Settings{})
@@ -93,8 +93,8 @@
 	}
 }
 
-// BenchmarkOneCaller is the time of a request of one token, one at a time,
-// through the adapter and through fasthttp's client.
+// BenchmarkOneCaller measures sequential requests of one token, through the adapter and
+// through fasthttp's client.
 func BenchmarkOneCaller(b *testing.B) {
 	server := newFakeServer(b, respondWith(renderAnswer(1)))
 	b.Run("adapter", func(b *testing.B) {
@@ -133,8 +133,8 @@
 	})
 }
 
-// BenchmarkOpenStream is the memory of a stream that waits, its peer's end
-// (one goroutine and a connection) included.
+// BenchmarkOpenStream measures the memory of a waiting stream, including the server's end
+// (one goroutine and one connection).
 func BenchmarkOpenStream(b *testing.B) {
 	const streams = 1000
 	whole := renderAnswer(2)
--- a/engine/httpengine/engine.go
+++ b/engine/httpengine/engine.go
@@ -1,8 +1,8 @@
-// Package httpengine is the adapter of the engine port to engines that speak
-// HTTP/1.1 with newline-delimited JSON answers (package wire).
+// Package httpengine is the adapter of the engine port for engines that speak HTTP/1.1
+// with newline-delimited JSON answers (package wire).
 //
-// It never sends a request twice: every method is one exchange on one
-// connection, and its error says whether a byte can have left.
+// It never sends a request twice: each method is one HTTP exchange on one connection, and
+// its error says whether any byte can have left.
 package httpengine
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/lycheekeel/lycheekeel/internal/httpconn"
 )
 
-// maxResponseBytes bounds an answer that is read as a whole (not a stream).
+// maxResponseBytes bounds a response that is read as a whole rather than streamed.
 const maxResponseBytes = 64 << 20
 
 // Dialer keeps one Engine per address. It is safe for concurrent use.
@@ -41,14 +41,14 @@
 	return e.(*Engine)
 }
 
-// Forget closes and drops the engine of an address that has left.
+// Forget removes the engine at an address and closes its idle connections.
 func (d *Dialer) Forget(address string) {
 	if e, ok := d.engines.LoadAndDelete(address); ok {
 		e.(*Engine).pool.CloseIdle()
 	}
 }
 
-// Engine is one model engine reached over HTTP. It is safe for concurrent use.
+// Engine is one model engine accessed over HTTP. It is safe for concurrent use.
 type Engine struct {
 	pool *httpconn.Pool
 }
@@ -63,15 +63,14 @@
 // Address returns the engine's address.
 func (e *Engine) Address() string { return e.pool.Address() }
 
-// Counts returns how the engine's connections were used.
+// Counts returns the engine's connection counters.
 func (e *Engine) Counts() httpconn.Counts { return e.pool.Counts() }
 
 // Run implements engine.Engine. It always uses a new connection.
 //
-// What goes wrong with an idle one: the network may have lost track of it, and
-// no look at this end can tell. The request then vanishes and its outcome is
-// unknown; one would see engine_lost refusals after every silence. A connect
-// that has just succeeded proves the path, for one round trip more.
+// The network may have dropped an idle connection without any sign at this end. A request
+// sent on it would be lost with unknown outcome, which shows as engine_lost refusals after
+// idle periods. A connect costs one more round trip, but proves that the path works.
 func (e *Engine) Run(ctx context.Context, r engine.Run) (engine.Stream, error) {
 	return e.startStream(ctx, r.BeforeSend, httpconn.MustDial, r.RequestID, 0, wire.PathRun, wire.Run{
 		RequestID: r.RequestID, Model: r.Model, Version: r.Version, Prompt: r.Prompt, LastMessage: r.LastMessage,
@@ -144,7 +143,7 @@
 		return err
 	}
 	if err := json.Unmarshal(body, into); err != nil {
-		return errors.Wrapf(engine.ErrConnectionLost, "%s: answer of %s: %v", e.pool.Address(), path, err)
+		return errors.Wrapf(engine.ErrConnectionLost, "%s: decode response of %s: %v", e.pool.Address(), path, err)
 	}
 	return nil
 }
@@ -157,7 +156,7 @@
 	return e.roundTrip(ctx, fasthttp.MethodPost, path, body)
 }
 
-// roundTrip sends one request and reads its whole answer.
+// roundTrip sends one request and reads its whole response.
 func (e *Engine) roundTrip(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	conn, err := e.send(ctx, nil, httpconn.MayReuse, method, path, body)
 	if err != nil {
@@ -181,7 +180,7 @@
 	return append([]byte(nil), resp.Body()...), nil
 }
 
-// startStream sends one request and returns its answer's stream.
+// startStream sends one request and returns the stream of its answer.
 func (e *Engine) startStream(
 	ctx context.Context, beforeSend func() error, fresh httpconn.ReusePolicy, id string, offset int, path string, message any,
 ) (engine.Stream, error) {
@@ -211,7 +210,7 @@
 	return e.pool.Send(ctx, req, fresh, beforeSend)
 }
 
-// releaseConn keeps or closes the connection of an answer that was read wholly.
+// releaseConn keeps or closes the connection after a response was read to its end.
 func releaseConn(conn *httpconn.Conn, resp *fasthttp.Response) {
 	if resp.ConnectionClose() {
 		conn.Discard()
@@ -220,7 +219,7 @@
 	conn.Release()
 }
 
-// statusError turns an answer's status into the port's errors.
+// statusError maps a response's status to one of the port's errors.
 func statusError(address string, status int, body []byte) error {
 	if status == fasthttp.StatusOK {
 		return nil
@@ -232,9 +231,8 @@
 	return errors.Wrapf(errorForStatus(status, e.NotRun), "%s: status %d: %s", address, status, e.Message)
 }
 
-// errorForStatus maps a status to an error. Only the engine's own word (not_run)
-// proves that a request did not run; a bare 503 may come from something
-// between us and an engine that is running it.
+// errorForStatus maps a status to an error. Only not_run from the engine itself proves that
+// a request did not run; a 503 alone may come from an intermediary while the engine runs it.
 func errorForStatus(status int, notRun bool) error {
 	switch {
 	case status == fasthttp.StatusNotFound && !notRun:
--- a/engine/httpengine/engine_test.go
+++ b/engine/httpengine/engine_test.go
@@ -21,10 +21,10 @@
 	standin "github.com/lycheekeel/lycheekeel/internal/standin/engine"
 )
 
-// testTimeout bounds waits that end far earlier unless something is broken.
+// testTimeout bounds waits; only a failing test reaches it.
 const testTimeout = 20 * time.Second
 
-// fastEngine is a stand-in whose steps take next to no time.
+// fastEngine is a stand-in whose steps take almost no time.
 var fastEngine = standin.Options{StepMs: 0.2, SequenceMs: 0.001, PrefillPerSecond: 1e7, Slots: 64}
 
 func listen(t testing.TB) net.Listener {
@@ -35,7 +35,7 @@
 	return ln
 }
 
-// serve starts a stand-in behind HTTP and returns it with an adapter for it.
+// serve starts a stand-in behind HTTP and returns it with an adapter.
 func serve(t testing.TB, o standin.Options, s httpconn.Settings) (*standin.Engine, *httpengine.Engine) {
 	core, err := standin.New(o)
 	if err != nil {
@@ -80,7 +80,7 @@
 }
 
 func TestConcurrentRunsGetTheirOwnAnswers(t *testing.T) {
-	Convey("many concurrent runs through one adapter", t, func() {
+	Convey("concurrent runs through one adapter get their own answers", t, func() {
 		core, e := serve(t, fastEngine, longIdle)
 		ctx := testContext(t)
 		const callers, each = 64, 10
@@ -105,7 +105,7 @@
 		wg.Wait()
 		So(wrong.Load(), ShouldEqual, 0)
 		So(core.Runs(), ShouldHaveLength, callers*each)
-		So(e.Counts(), ShouldResemble, httpconn.Counts{Dialed: callers * each}) // none was reused
+		So(e.Counts(), ShouldResemble, httpconn.Counts{Dialed: callers * each}) // no connection was reused
 	})
 }
 
@@ -199,7 +199,7 @@
 			Outcome         string     `json:"outcome"`
 		}
 		So(json.NewDecoder(resp.Body).Decode(&runs), ShouldBeNil)
-		So(runs, ShouldHaveLength, 2) // the same id twice: nothing is hidden
+		So(runs, ShouldHaveLength, 2) // the log keeps both runs of the same id
 		for _, r := range runs {
 			So(r.RequestID+" "+r.Model+" "+r.Outcome, ShouldEqual, "same m stop")
 			So(r.PromptTokens, ShouldEqual, r.PrefillComputed)
@@ -209,7 +209,7 @@
 	})
 }
 
-// postFaults switches faults over HTTP, as a person would.
+// postFaults sets faults over HTTP.
 func postFaults(e *httpengine.Engine, body string) error { return post(e, standin.PathFaults, body) }
 
 func post(e *httpengine.Engine, path, body string) error {
--- a/engine/httpengine/fault_test.go
+++ b/engine/httpengine/fault_test.go
@@ -22,13 +22,13 @@
 	standin "github.com/lycheekeel/lycheekeel/internal/standin/engine"
 )
 
-// fakeServer is a server that hands each request it has read to answer, which
-// returns false to close the connection.
+// fakeServer passes each request that it has read to answer, which returns false to close
+// the connection.
 type fakeServer struct {
 	address  string
 	requests atomic.Int64
 	conns    atomic.Int64
-	closed   chan struct{} // one for each connection that it closed
+	closed   chan struct{} // receives a value for each connection that it closed
 }
 
 func newFakeServer(t testing.TB, answer func(c net.Conn, request int64) bool) *fakeServer {
@@ -63,11 +63,11 @@
 	_ = c.Close()
 	select {
 	case server.closed <- struct{}{}:
-	default: // more than any test waits for
+	default: // no test waits for so many
 	}
 }
 
-// writeAnswer sends lines as a whole streamed answer.
+// writeAnswer writes the lines as a complete streamed response.
 func writeAnswer(c net.Conn, lines ...string) bool {
 	var resp fasthttp.Response
 	resp.SetBodyStream(strings.NewReader(strings.Join(lines, "\n")+"\n"), -1)
@@ -75,7 +75,7 @@
 	return resp.Write(w) == nil && w.Flush() == nil
 }
 
-// longIdle keeps a test's connections however slow the machine is.
+// longIdle keeps idle connections open, however slow the machine is.
 var longIdle = httpconn.Settings{IdleTimeout: time.Hour}
 
 const endLine = `{"request_id":"r","offset":0,"tokens":1,"text":"word","end":true,"finish_reason":"stop"}`
@@ -90,9 +90,9 @@
 	return text, err
 }
 
-// Guards against this: one request runs on an engine twice.
+// Guards against: a request runs on an engine twice, after a connection closed without an answer.
 func TestClosedAfterReadIsNotRetried(t *testing.T) {
-	Convey("with an idle connection at hand and without one", t, func() {
+	Convey("with an idle connection and without one", t, func() {
 		server := newFakeServer(t, func(c net.Conn, n int64) bool { return n == 1 && writeAnswer(c, endLine) })
 		e := httpengine.New(server.address, longIdle)
 		_, err := runToEnd(testContext(t), e)
@@ -102,11 +102,11 @@
 			So(errors.Is(err, engine.ErrConnectionLost), ShouldBeTrue)
 			So(server.requests.Load(), ShouldEqual, sent)
 		}
-		So(server.conns.Load(), ShouldEqual, 4) // one each: none was reused
+		So(server.conns.Load(), ShouldEqual, 4) // one for each request; no connection was reused
 	})
 }
 
-// Guards against this: the outcome of requests is unknown although all engines are well.
+// Guards against: a request is sent on a dead idle connection and its outcome is unknown.
 func TestRunAlwaysUsesANewConnection(t *testing.T) {
 	Convey("the next run gets a new connection and is sent once", t, func() {
 		core, err := standin.New(fastEngine)
@@ -126,7 +126,7 @@
 	})
 }
 
-// proxyTo serves an engine behind a fault proxy.
+// proxyTo serves an engine behind a fault-injecting proxy.
 func proxyTo(t *testing.T, core *standin.Engine) *faultproxy.Proxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -144,9 +144,9 @@
 	return proxy
 }
 
-// Guards against this: load reports of a healthy engine fail now and then.
+// Guards against: calls such as load reports fail on idle connections that the engine has closed.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
-	Convey("the next question gets a new connection and is sent once", t, func() {
+	Convey("the next call gets a new connection and is sent once", t, func() {
 		server := newFakeServer(t, func(c net.Conn, n int64) bool { return writeAnswer(c, endLine) && n > 1 })
 		e := httpengine.New(server.address, longIdle)
 		_, err := runToEnd(testContext(t), e)
@@ -158,9 +158,9 @@
 	})
 }
 
-// Guards against this: a dispatch right is lost, or given back for a request that may run.
+// Guards against: a dispatch right is lost, or returned for a request that may run.
 func TestNotSent(t *testing.T) {
-	Convey("nobody listens", t, func() {
+	Convey("the connect is refused", t, func() {
 		ln := listen(t)
 		_ = ln.Close()
 		sending := 0
@@ -170,7 +170,7 @@
 		So(errors.Is(err, engine.ErrNotSent), ShouldBeTrue)
 		So(sending, ShouldEqual, 0)
 	})
-	Convey("Sending says no", t, func() {
+	Convey("BeforeSend returns an error", t, func() {
 		server := newFakeServer(t, func(c net.Conn, _ int64) bool { return writeAnswer(c, endLine) })
 		e := httpengine.New(server.address, longIdle)
 		r := echoRun("r", "x")
@@ -178,13 +178,13 @@
 		_, err := e.Run(testContext(t), r)
 		So(errors.Is(err, engine.ErrNotSent), ShouldBeTrue)
 		So(server.requests.Load(), ShouldEqual, 0)
-		_ = e.Cancel(testContext(t), "r") // on the same connection, which is unharmed
+		_ = e.Cancel(testContext(t), "r") // reuses the connection, on which nothing was sent
 		So(server.requests.Load(), ShouldEqual, 1)
 		So(server.conns.Load(), ShouldEqual, 1)
 	})
 }
 
-// Guards against this: a caller gets another's text, a torn text, or a cut one as whole.
+// Guards against: a caller gets another request's answer, a corrupted one, or an incomplete one as complete.
 func TestInvalidAnswersAreRejected(t *testing.T) {
 	first := `{"request_id":"r","offset":0,"tokens":2,"text":"wordword"}`
 	cases := []struct {
@@ -210,7 +210,7 @@
 	}
 }
 
-// Guards against this: a request is reported as not run and runs all the same.
+// Guards against: a request is reported as not run although it may be running.
 func TestOnlyTheEngineReportsNotRun(t *testing.T) {
 	answer := func(body string) func(net.Conn, int64) bool {
 		return func(c net.Conn, _ int64) bool {
@@ -221,7 +221,7 @@
 			return resp.Write(w) == nil && w.Flush() == nil
 		}
 	}
-	Convey("a bare 503 proves nothing, not_run does", t, func() {
+	Convey("a 503 alone does not prove that the request did not run; not_run does", t, func() {
 		_, err := runToEnd(testContext(t), httpengine.New(newFakeServer(t, answer("busy")).address, httpconn.Settings{}))
 		So(errors.Is(err, engine.ErrRunFailed), ShouldBeTrue)
 		_, err = runToEnd(testContext(t), httpengine.New(newFakeServer(t, answer(`{"not_run":true}`)).address, httpconn.Settings{}))
@@ -229,9 +229,9 @@
 	})
 }
 
-// Guards against this: callers who left hold connections and slots.
+// Guards against: requests of callers that disconnected keep connections and slots.
 func TestContextCancelsRunAndNext(t *testing.T) {
-	Convey("in Run and in Next, and only the context of the waiting call counts", t, func() {
+	Convey("in Run and in Next, where each call obeys only its own context", t, func() {
 		noTimeout := httpconn.Settings{SilenceTimeout: time.Hour}
 		got := make(chan struct{}, 1)
 		server := newFakeServer(t, func(net.Conn, int64) bool { got <- struct{}{}; return true })
@@ -260,9 +260,9 @@
 	})
 }
 
-// Guards against this: streams hang for good, or their prefill is thrown away.
+// Guards against: a stream hangs on a silent connection, or its prefill is computed again.
 func TestSilentConnectionIsDetectedAndResumed(t *testing.T) {
-	Convey("the stream breaks, goes on over a new connection, and ran once", t, func() {
+	Convey("the stream fails, is resumed on a new connection, and its request ran once", t, func() {
 		o := fastEngine
 		o.Faults.Speed = 0.002
 		core, e := serve(t, o, httpconn.Settings{})
@@ -290,9 +290,9 @@
 	})
 }
 
-// Guards against this: requests that wait inside a busy engine are taken for lost.
+// Guards against: a request that is queued inside a busy engine is treated as lost.
 func TestKeepalivePreventsSilenceTimeout(t *testing.T) {
-	Convey("an answer later than the silence limit arrives", t, func() {
+	Convey("an answer that takes longer than the silence timeout arrives", t, func() {
 		o := fastEngine
 		o.KeepaliveMs, o.Faults.AnswerDelayMs = 20, 2_500
 		_, e := serve(t, o, httpconn.Settings{SilenceTimeout: 2 * time.Second})
@@ -302,9 +302,9 @@
 	})
 }
 
-// Guards against this: after an engine's crash its requests hang, or run again by themselves.
+// Guards against: after an engine's crash its requests hang or are run again.
 func TestEngineCrash(t *testing.T) {
-	Convey("broken, then not sent while it is away, then unknown to the new incarnation", t, func() {
+	Convey("connection lost, then not sent until the restart, then unknown to the new incarnation", t, func() {
 		o := fastEngine
 		o.RestartMs, o.Faults.CrashText = 2_000, "poison"
 		core, e := serve(t, o, httpconn.Settings{})
@@ -331,7 +331,7 @@
 	})
 }
 
-// Guards against this: a request too large for the peer's buffers is reported as not sent.
+// Guards against: a partly written request is reported as not sent.
 func TestPartialWriteHasUnknownOutcome(t *testing.T) {
 	Convey("the outcome is unknown", t, func() {
 		ln := listen(t)
--- a/engine/httpengine/stream.go
+++ b/engine/httpengine/stream.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// lineBufferBytes is the usual size of a stream's line buffer.
+	// lineBufferBytes is the initial size of a stream's line buffer.
 	lineBufferBytes = 2 << 10
-	// maxLineBytes bounds one line of an answer.
+	// maxLineBytes bounds one line of a stream.
 	maxLineBytes = 1 << 20
-	// bodyEndTimeout is how long Close waits for the end of a whole answer's HTTP body
-	// before it closes the connection instead of keeping it.
+	// bodyEndTimeout is how long Close waits for the end of a complete answer's HTTP body
+	// before it closes the connection instead of keeping it for reuse.
 	bodyEndTimeout = 20 * time.Millisecond
 )
 
 var lineReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, lineBufferBytes) }}
 
-// stream is one answer on one connection. No goroutine belongs to it.
+// stream is the answer of one run on one connection. It has no goroutine of its own.
 type stream struct {
 	address  string
 	id       string
 	conn     *httpconn.Conn
 	resp     *fasthttp.Response
 	lines    *bufio.Reader
-	longLine []byte // a line longer than the buffer
+	longLine []byte // buffer for a line longer than lineBufferBytes
 	line     wire.Line
 	offset   int // of the next chunk
 	err      error
 }
 
-// readStreamHeader reads the answer's header.
+// readStreamHeader reads the response header and returns the stream.
 func readStreamHeader(ctx context.Context, conn *httpconn.Conn, address, id string, offset int) (engine.Stream, error) {
 	if err := conn.Bind(ctx); err != nil {
 		conn.Discard()
@@ -64,7 +64,7 @@
 	return nil, readErrorResponse(conn, resp, address)
 }
 
-// readErrorResponse reads the answer of a request that got no stream.
+// readErrorResponse reads the response to a request that got no stream.
 func readErrorResponse(conn *httpconn.Conn, resp *fasthttp.Response, address string) error {
 	body, err := io.ReadAll(io.LimitReader(resp.BodyStream(), maxLineBytes))
 	status := resp.StatusCode()
@@ -73,7 +73,7 @@
 		err = conn.WrapError(err)
 		conn.Discard()
 		return err
-	case len(body) == maxLineBytes: // there may be more to come
+	case len(body) == maxLineBytes: // the body may be longer
 		conn.Discard()
 	default:
 		releaseConn(conn, resp)
@@ -107,21 +107,21 @@
 	}
 }
 
-// checkLine refuses a line that is not the next one of this run's answer.
+// checkLine rejects a line that is not the next one of this run's answer.
 //
-// What goes wrong without it: an engine that mixes up two answers, or repeats
-// or loses a piece after a resume, gives a caller another's or a torn text.
+// Without this check, an engine that mixes up answers, or that repeats or loses a part after
+// a resume, would give a caller another request's text or a corrupted one.
 func (s *stream) checkLine() error {
 	l := &s.line
 	switch {
 	case string(l.RequestID) != s.id:
-		return errors.Wrapf(engine.ErrRequestMismatch, "%s: answer of %q for %q", s.address, l.RequestID, s.id)
+		return errors.Wrapf(engine.ErrRequestMismatch, "%s: got answer of request %q, want %q", s.address, l.RequestID, s.id)
 	case l.Keepalive:
 		return nil
 	case l.Error != "":
 		return errors.Wrapf(engine.ErrRunFailed, "%s: %s", s.address, l.Error)
 	case l.Offset != s.offset:
-		return errors.Wrapf(engine.ErrConnectionLost, "%s: chunk at %d, expected %d", s.address, l.Offset, s.offset)
+		return errors.Wrapf(engine.ErrConnectionLost, "%s: got chunk at offset %d, want %d", s.address, l.Offset, s.offset)
 	}
 	return nil
 }
@@ -143,8 +143,7 @@
 	return err
 }
 
-// readLine returns the next line without its newline, valid until the next
-// read.
+// readLine returns the next line without its newline. It is valid until the next read.
 func (s *stream) readLine() ([]byte, error) {
 	data, err := s.lines.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
@@ -172,16 +171,15 @@
 	}
 }
 
-// truncatedError names the end of a body that came before the End chunk.
+// truncatedError returns the error of a body that ended before the End chunk.
 func truncatedError(err error) error {
 	if err == io.EOF {
-		return errors.New("answer ended without its end mark")
+		return errors.New("answer ended without its End chunk")
 	}
 	return err
 }
 
-// Close implements engine.Stream. After a whole answer the connection is kept
-// for reuse.
+// Close implements engine.Stream. After a complete answer the connection is kept for reuse.
 func (s *stream) Close() error {
 	if s.conn == nil {
 		return nil
@@ -201,7 +199,7 @@
 	return nil
 }
 
-// bodyEnded reads the end of the HTTP body, which follows the End chunk at once.
+// bodyEnded reads the end of the HTTP body, which directly follows the End chunk.
 func (s *stream) bodyEnded() bool {
 	s.conn.SetSilenceTimeout(bodyEndTimeout)
 	_, err := s.lines.ReadByte()
--- a/engine/httpengine/wire/line.go
+++ b/engine/httpengine/wire/line.go
@@ -10,7 +10,7 @@
 
 // Line is one line of an answer stream.
 type Line struct {
-	// RequestID aliases the parsed buffer: it is valid until the next read.
+	// RequestID aliases the parsed buffer and is valid until the next read.
 	RequestID       []byte
 	Keepalive       bool
 	Offset          int
@@ -20,14 +20,14 @@
 	FinishReason    string
 	PromptTokens    int
 	PrefillComputed int
-	// Error is set where the engine reports that it failed the run.
+	// Error is set if the engine reports that the run failed.
 	Error string
 }
 
-// errUnsupported sends a line that the short parser does not know to encoding/json.
-var errUnsupported = errors.New("line not understood")
+// errUnsupported: fastParser does not support the line; encoding/json parses it instead.
+var errUnsupported = errors.New("line not supported by the fast parser")
 
-// lineJSON is Line as encoding/json sees it.
+// lineJSON is Line in the form for encoding/json.
 type lineJSON struct {
 	RequestID       string `json:"request_id"`
 	Keepalive       bool   `json:"keepalive"`
@@ -41,7 +41,7 @@
 	Error           string `json:"error"`
 }
 
-// AppendLine appends the line and its newline to b.
+// AppendLine appends the encoded line and a newline to b.
 func AppendLine(b []byte, l *Line) []byte {
 	b = append(b, `{"request_id":`...)
 	b = appendString(b, string(l.RequestID))
@@ -70,11 +70,11 @@
 	return append(b, "}\n"...)
 }
 
-// appendString appends s as a JSON string; a plain one without encoding/json.
+// appendString appends s as a JSON string. Text without escapes bypasses encoding/json.
 func appendString(b []byte, s string) []byte {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < ' ' || c == '"' || c == '\\' || c >= utf8.RuneSelf {
-			q, _ := json.Marshal(s) // a string always marshals
+			q, _ := json.Marshal(s) // encoding a string cannot fail
 			return append(b, q...)
 		}
 	}
@@ -83,8 +83,8 @@
 	return append(b, '"')
 }
 
-// ParseLine reads one line into l, replacing all of it. One allocation a line
-// (its text) in the usual case; anything unusual goes through encoding/json.
+// ParseLine parses one line into l, replacing its contents. Lines as AppendLine writes them
+// take one allocation, for the text; others are parsed by encoding/json.
 func ParseLine(data []byte, l *Line) error {
 	*l = Line{}
 	p := fastParser{data: data}
@@ -93,7 +93,7 @@
 	}
 	var j lineJSON
 	if err := json.Unmarshal(data, &j); err != nil {
-		return errors.Wrap(err, "answer line")
+		return errors.Wrap(err, "parse answer line")
 	}
 	*l = Line{
 		RequestID: []byte(j.RequestID), Keepalive: j.Keepalive, Offset: j.Offset, Tokens: j.Tokens,
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// fastParser reads a flat JSON object without white space, the form that
-// AppendLine writes. It gives up (errUnsupported) on anything else.
+// fastParser parses a flat JSON object without white space, as AppendLine writes it. It
+// returns errUnsupported for anything else.
 type fastParser struct {
 	data []byte
 	pos  int
@@ -173,7 +173,7 @@
 
 func (p *fastParser) atEnd() bool { return p.pos == len(p.data) }
 
-// rawString returns a string without escapes, aliasing the data.
+// rawString returns a string without escapes. The result aliases the data.
 func (p *fastParser) rawString() ([]byte, error) {
 	if !p.consume('"') {
 		return nil, errUnsupported
@@ -200,7 +200,7 @@
 	return string(s), nil
 }
 
-// maxDigits keeps a number within an int.
+// maxDigits keeps a number within the range of int.
 const maxDigits = 18
 
 func (p *fastParser) integer() (int, error) {
--- a/engine/httpengine/wire/line_test.go
+++ b/engine/httpengine/wire/line_test.go
@@ -29,13 +29,12 @@
 		}
 		var std any
 		if err := json.Unmarshal(data, &std); err != nil {
-			t.Fatalf("%s is no JSON: %v", data, err)
+			t.Fatalf("%s is not valid JSON: %v", data, err)
 		}
 	})
 }
 
-// FuzzParseLine checks that the short parser never understands a line
-// differently from encoding/json.
+// FuzzParseLine checks that ParseLine gives the same result as encoding/json.
 func FuzzParseLine(f *testing.F) {
 	f.Add([]byte(`{"request_id":"r","offset":0,"tokens":1,"text":"word","end":true,"finish_reason":"stop"}`))
 	f.Add([]byte(`{"request_id":"r","keepalive":true}`))
--- a/engine/httpengine/wire/wire.go
+++ b/engine/httpengine/wire/wire.go
@@ -1,10 +1,9 @@
-// Package wire holds the messages of the model engines' HTTP protocol: JSON
-// requests, and answers streamed as newline-delimited JSON.
+// Package wire defines the messages of the model engines' HTTP protocol: JSON requests, and
+// answers streamed as newline-delimited JSON.
 //
-// An answer stream has one JSON object a line. Each line carries the
-// request's id, so that a line that belongs to another request is noticed. A
-// keepalive line is sent whenever nothing was generated for a while, so that
-// a connection without any byte is known to be broken rather than slow.
+// An answer stream has one JSON object per line. Each line carries the request's id, so that
+// a line of another request is detected. The engine sends a keepalive line when it has
+// generated nothing for a while, so that a broken connection can be told from a slow answer.
 package wire
 
 import "github.com/lycheekeel/lycheekeel/engine"
@@ -39,12 +38,12 @@
 	Offset    int    `json:"offset"`
 }
 
-// Blocks names prefix blocks.
+// Blocks is a list of prefix blocks.
 type Blocks struct {
 	Blocks []uint64 `json:"blocks"`
 }
 
-// Model is a model that an engine holds.
+// Model is a model that an engine has loaded.
 type Model struct {
 	Model   string `json:"model"`
 	Version string `json:"version,omitempty"`
@@ -65,7 +64,7 @@
 	AgeMs       float64 `json:"age_ms"`
 }
 
-// CacheEvent tells that a prefix block was stored or evicted.
+// CacheEvent reports that a prefix block was stored or evicted.
 type CacheEvent struct {
 	Seq    uint64 `json:"seq"`
 	Block  uint64 `json:"block"`
@@ -87,9 +86,9 @@
 	Token   uint64           `json:"token"`
 }
 
-// Error is the body of every answer whose status is not 200.
+// Error is the body of every response whose status is not 200.
 type Error struct {
 	Message string `json:"message"`
-	// NotRun is true where the engine did not and will not run the request.
+	// NotRun is true if the engine did not and will not run the request.
 	NotRun bool `json:"not_run"`
 }
