--- a/service/httpservice/header.go
+++ b/service/httpservice/header.go
@@ -8,10 +8,10 @@
 	"github.com/lycheekeel/lycheekeel/internal/httpconn"
 )
 
-// adapterHeaders are set here, in canonical form.
+// adapterHeaders are set by the adapter itself; keys are in canonical form.
 var adapterHeaders = map[string]bool{"Host": true, "X-Request-Id": true}
 
-// endToEndHeaders returns the headers of a message that go on to the other side.
+// endToEndHeaders returns the headers of a message that are forwarded.
 func endToEndHeaders(header [][2]string) [][2]string {
 	connectionOptions := map[string]bool{}
 	for _, h := range header {
@@ -28,8 +28,8 @@
 	return out
 }
 
-// validToken reports whether s is a token of RFC 9110, as methods and header
-// names are.
+// validToken reports whether s is a token of RFC 9110, the syntax of methods and header
+// names.
 func validToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
@@ -41,7 +41,7 @@
 	return s != ""
 }
 
-// validValue reports whether s can stand in a header's value.
+// validValue reports whether s is a valid header value.
 func validValue(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
@@ -51,7 +51,7 @@
 	return true
 }
 
-// validPath reports whether s can stand in a request line.
+// validPath reports whether s is a valid path in a request line.
 func validPath(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c <= ' ' || c == 0x7f {
--- a/service/httpservice/service.go
+++ b/service/httpservice/service.go
@@ -1,6 +1,6 @@
-// Package httpservice is the adapter of the service port to plain services
-// that speak HTTP/1.1. A call is passed through as it is, and sent at most
-// once; an error says whether a byte of it can have left.
+// Package httpservice is the adapter of the service port for plain services that speak
+// HTTP/1.1. A call is forwarded unchanged and sent at most once. Its error says whether any
+// byte can have left.
 package httpservice
 
 import (
@@ -17,28 +17,28 @@
 )
 
 const (
-	// HeaderNotRun set to "true" on an answer is the service's word that it
-	// did not and will not run the call.
+	// HeaderNotRun, set to "true" on a response, means that the service did not and will not
+	// run the call.
 	HeaderNotRun = "X-Lycheekeel-Not-Run"
 	// HeaderRequestID carries Call.RequestID.
 	HeaderRequestID = "X-Request-Id"
 
-	// maxResponseBytes bounds an answer, which is held in memory.
+	// maxResponseBytes bounds a response, which is held in memory.
 	maxResponseBytes = 64 << 20
-	// DefaultResponseTimeout is the default of Settings.Answer.
+	// DefaultResponseTimeout is the default of Settings.ResponseTimeout.
 	DefaultResponseTimeout = 30 * time.Second
 )
 
-// Settings of a Dialer. A zero field takes its default.
+// Settings configure a Dialer. A zero field takes its default.
 type Settings struct {
 	httpconn.Settings
-	// ResponseTimeout is the longest wait for the next byte of an answer. A plain
-	// service sends no keepalive while it works, so this also bounds the
-	// work. Default 30 s.
+	// ResponseTimeout bounds the wait for the next byte of a response. A plain service
+	// sends no keepalive while it works, so this also bounds its processing time. The
+	// default is 30 s.
 	ResponseTimeout time.Duration
 }
 
-// Dialer keeps one Service per address. It is safe for concurrent use.
+// Dialer keeps one Service for each address. It is safe for concurrent use.
 type Dialer struct {
 	settings Settings
 	services sync.Map // address to *Service
@@ -56,7 +56,7 @@
 	return s.(*Service)
 }
 
-// Service is one plain service's server. It is safe for concurrent use.
+// Service is one server of a plain service. It is safe for concurrent use.
 type Service struct {
 	pool            *httpconn.Pool
 	responseTimeout time.Duration
@@ -70,9 +70,9 @@
 	return &Service{pool: httpconn.NewPool(address, s.Settings), responseTimeout: s.ResponseTimeout}
 }
 
-// Do implements service.Service. A call that is no well-formed HTTP fails
-// with ErrNotSent. It always uses a new connection: an idle one may be lost
-// without a sign, and the outcome of a call on it would be unknown.
+// Do implements service.Service. A call that is not well-formed HTTP fails with ErrNotSent.
+// Do always uses a new connection: an idle one may be dead without a sign, and the outcome
+// of a call on it would be unknown.
 func (s *Service) Do(ctx context.Context, c service.Call) (service.Reply, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
--- a/service/httpservice/service_test.go
+++ b/service/httpservice/service_test.go
@@ -49,7 +49,7 @@
 }
 
 func TestCallIsPassedThrough(t *testing.T) {
-	Convey("method, path, query and body arrive as they are, with our request id", t, func() {
+	Convey("method, path, query and body arrive unchanged, with the request id of the call", t, func() {
 		core, s := serve(t, httpservice.Settings{})
 		for range 2 {
 			reply, err := s.Do(testContext(t), call("r"))
@@ -73,7 +73,7 @@
 	})
 }
 
-// Guards against this: a site crew is sent twice.
+// Guards against: a call is sent twice, after a connection closed or went silent without an answer.
 func TestNoCallIsSentTwice(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -86,7 +86,7 @@
 		{"refused", standin.Faults{Refuse: true}, engine.ErrRefusedNotRun, 0},
 	}
 	for _, c := range cases {
-		Convey(c.name+", with an idle connection at hand and without one", t, func() {
+		Convey(c.name+", with an idle connection and without one", t, func() {
 			core, s := serve(t, httpservice.Settings{})
 			_, err := s.Do(testContext(t), call("first"))
 			So(err, ShouldBeNil)
@@ -94,7 +94,7 @@
 			for _, id := range []string{"a", "b"} {
 				ctx, cancel := context.WithCancel(testContext(t))
 				var wg conc.WaitGroup
-				wg.Go(func() { // a caller of a silent service gives up some time after the call came in
+				wg.Go(func() { // cancels the call to a silent service after it has arrived there
 					for c.faults.Silent && core.Count(id) == 0 && ctx.Err() == nil {
 						runtime.Gosched()
 					}
@@ -113,9 +113,9 @@
 	}
 }
 
-// Guards against this: one caller's call carries a second, hidden one; or a right is lost.
+// Guards against: one caller's call smuggles in a second one, or a dispatch right is lost.
 func TestNotSent(t *testing.T) {
-	Convey("nothing is sent, and Sending is not called", t, func() {
+	Convey("nothing is sent, and BeforeSend is not called", t, func() {
 		core, s := serve(t, httpservice.Settings{})
 		bad := []service.Call{
 			{Method: "GET", Path: "/a HTTP/1.1\r\nHost: x\r\n\r\nGET /b"},
--- a/service/service.go
+++ b/service/service.go
@@ -1,29 +1,29 @@
-// Package service is the port to plain services that stand beside the model
-// engines. Calls are passed through as HTTP; none is ever sent twice.
+// Package service is the port to plain services that run beside the model engines. Calls are
+// forwarded as HTTP and never sent twice.
 package service
 
 import "context"
 
-// Call is one call as a plain service gets it.
+// Call is one call in the form that a plain service receives.
 type Call struct {
 	RequestID string
 	Method    string
-	Path      string // path and query below /services/{service}
+	Path      string // path and query relative to /services/{service}
 	Header    [][2]string
 	Body      []byte
-	// BeforeSend is as in engine.Run.
+	// BeforeSend works as in engine.Run.
 	BeforeSend func() error
 }
 
-// Reply is a service's whole answer.
+// Reply is a service's complete response.
 type Reply struct {
 	Status int
 	Header [][2]string
 	Body   []byte
 }
 
-// Service is one plain service's server. Errors are those of package engine:
-// ErrNotSent, ErrRefusedNotRun and ErrBroken.
+// Service is one server of a plain service. Its errors are those of package engine:
+// ErrNotSent, ErrRefusedNotRun and ErrConnectionLost.
 type Service interface {
 	Do(ctx context.Context, c Call) (Reply, error)
 }
