--- a/objectstore/callonce/callonce.go
+++ b/objectstore/callonce/callonce.go
@@ -1,5 +1,5 @@
-// Package callonce is what the adapters of the stores share: an HTTP client
-// that sends each call once and says what a failed one proves of its outcome.
+// Package callonce is the HTTP client shared by the store adapters. It sends each call once,
+// and its errors say what is known about the outcome of a failed call.
 package callonce
 
 import (
@@ -13,18 +13,18 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// Options set up a Client.
+// Options configure a Client.
 type Options struct {
 	// Addr is the store's IP:port.
 	Addr string
-	// ConnectTimeout bounds a connect.
+	// ConnectTimeout bounds the time to connect.
 	ConnectTimeout time.Duration
-	// MaxConns bounds the connections; a call beyond them was not made. Zero
-	// takes the library's default of 512.
+	// MaxConns bounds the number of connections. A call beyond it fails without being
+	// sent. Zero takes fasthttp's default of 512.
 	MaxConns int
-	// IdleTimeout is how long a connection is kept for the next call.
+	// IdleTimeout is how long an idle connection is kept.
 	IdleTimeout time.Duration
-	// MaxResponseBytes bounds an answer.
+	// MaxResponseBytes bounds the size of a response body.
 	MaxResponseBytes int
 }
 
@@ -47,8 +47,8 @@
 		MaxConns:            o.MaxConns,
 		MaxIdleConnDuration: o.IdleTimeout,
 		MaxResponseBodySize: o.MaxResponseBytes,
-		// The library would repeat a GET and a PUT whose connection broke. Who
-		// repeats a call decides that with its outcome in mind.
+		// The library would retry a GET or PUT whose connection broke. Whether to retry
+		// depends on the outcome, which only the caller can judge.
 		MaxIdemponentCallAttempts: 1,
 		Dial: func(addr string) (net.Conn, error) {
 			c, err := dialer.Dial("tcp", addr)
@@ -60,10 +60,10 @@
 	}}
 }
 
-// connectError marks an error before any byte left.
+// connectError marks an error that occurred before any byte was sent.
 type connectError struct{ error }
 
-// Do makes a call and returns the body of a successful answer. The error is an
+// Do makes a call and returns the body of a successful response. Any error is an
 // *OutcomeError.
 func (c *Client) Do(call Call, deadline time.Time) ([]byte, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -93,12 +93,12 @@
 	}
 }
 
-// outcomeError says what a failed exchange proves: without a connection no byte
-// left, otherwise the outcome is unknown.
+// outcomeError classifies the error of a failed call: without a connection nothing was sent,
+// otherwise the outcome is unknown.
 //
-// A connection can go silent for good while new ones work; one would see calls
-// time out for minutes, until TCP gives up. So the idle connections, which were
-// opened through the same path, are closed with it.
+// A connection can go silent for good while new ones work. Calls on it would time out for
+// minutes, until TCP gives up. Other idle connections used the same path, so they are closed
+// as well.
 func (c *Client) outcomeError(err error) error {
 	var connectErr *connectError
 	if errors.As(err, &connectErr) || errors.Is(err, fasthttp.ErrNoFreeConns) {
@@ -108,8 +108,8 @@
 	return &OutcomeError{objectstore.ErrUnknownOutcome, err}
 }
 
-// OutcomeError joins a port's error, which says what is known of the outcome,
-// with its cause. errors.Is finds both.
+// OutcomeError combines an error of the ports, which says what is known about the outcome,
+// with its cause. errors.Is matches both.
 type OutcomeError struct {
 	Outcome error
 	Cause   error
@@ -118,5 +118,5 @@
 // Error implements error.
 func (e *OutcomeError) Error() string { return e.Outcome.Error() + ": " + e.Cause.Error() }
 
-// Unwrap lets errors.Is see the outcome and the cause.
+// Unwrap makes errors.Is match the outcome and the cause.
 func (e *OutcomeError) Unwrap() []error { return []error{e.Outcome, e.Cause} }
--- a/objectstore/callonce/callonce_test.go
+++ b/objectstore/callonce/callonce_test.go
@@ -15,7 +15,8 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// serveWithoutAnswer reads requests and closes their connections without an answer.
+// serveWithoutAnswer starts a server that reads requests and closes their connections
+// without an answer.
 func serveWithoutAnswer(t *testing.T) (address string, requests *atomic.Int64) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,9 +40,9 @@
 	return ln.Addr().String(), requests
 }
 
-// Guards against this: a call is priced, or a write done, more often than it was made.
+// Guards against: the HTTP client retries a call by itself, so that it is charged or done twice.
 func TestEachCallIsSentOnce(t *testing.T) {
-	Convey("A call whose connection breaks is not repeated, and its outcome is unknown", t, func() {
+	Convey("A call whose connection breaks is not retried, and its outcome is unknown", t, func() {
 		for _, method := range []string{"GET", "PUT", "POST", "DELETE"} {
 			address, requests := serveWithoutAnswer(t)
 			c := New(Options{Addr: address, ConnectTimeout: time.Second, IdleTimeout: time.Second})
@@ -50,7 +51,7 @@
 			So(requests.Load(), ShouldEqual, 1)
 		}
 	})
-	Convey("Without a connection nothing was done", t, func() {
+	Convey("Without a connection the call certainly had no effect", t, func() {
 		c := New(Options{Addr: "127.0.0.1:1", ConnectTimeout: time.Second})
 		_, err := c.Do(Call{Method: "PUT", Path: "/x"}, time.Now().Add(10*time.Second))
 		So(errors.Is(err, objectstore.ErrUnavailable), ShouldBeTrue)
--- a/objectstore/httpobjectstore/calls.go
+++ b/objectstore/httpobjectstore/calls.go
@@ -48,11 +48,11 @@
 	return c.write(ctx, operation{name: "delete", method: fasthttp.MethodDelete, args: conditionalArgs(kind, name, expected)})
 }
 
-// Watch implements objectstore.ObjectAPI by a long poll.
+// Watch implements objectstore.ObjectAPI with a long poll.
 func (c *Client) Watch(ctx context.Context, kinds []objectstore.Kind, after objectstore.Version, wait time.Duration) ([]objectstore.Event, objectstore.Version, error) {
 	names := make([]string, len(kinds))
-	for i, op := range kinds {
-		names[i] = string(op)
+	for i, k := range kinds {
+		names[i] = string(k)
 	}
 	var w wire.WatchResponse
 	err := c.doWithRetry(ctx, operation{name: "watch", method: fasthttp.MethodGet, path: wire.PathWatch, wait: wait, args: func(a *fasthttp.Args) {
@@ -70,8 +70,8 @@
 	return vms, err
 }
 
-// Reserve implements objectstore.WeightStore. A lost answer may have used up a
-// grant: it reads as an error and the caller asks again.
+// Reserve implements objectstore.WeightStore. If a response is lost, a grant may have been
+// used up; the caller gets an error and must ask again.
 func (c *Client) Reserve(ctx context.Context, model, version string) (time.Duration, error) {
 	var r wire.ReserveResponse
 	err := c.do(ctx, operation{name: "reserve", method: fasthttp.MethodPost, path: wire.PathReserve, args: func(a *fasthttp.Args) {
@@ -81,7 +81,8 @@
 	return time.Duration(r.WaitMs) * time.Millisecond, err
 }
 
-// write does a conditional write, once. An answer without a version is none.
+// write does a conditional write, once. Without a version in the response its outcome is
+// unknown.
 func (c *Client) write(ctx context.Context, op operation) (objectstore.Version, error) {
 	op.path = wire.PathObject
 	var w wire.WriteResponse
@@ -89,7 +90,7 @@
 		return 0, err
 	}
 	if w.Version == 0 {
-		return 0, errors.Wrap(objectstore.ErrUnknownOutcome, "answer without a version")
+		return 0, errors.Wrap(objectstore.ErrUnknownOutcome, "response without a version")
 	}
 	return w.Version, nil
 }
--- a/objectstore/httpobjectstore/httpobjectstore.go
+++ b/objectstore/httpobjectstore/httpobjectstore.go
@@ -1,5 +1,5 @@
-// Package httpobjectstore is the adapter of objectstore.Platform over HTTP+JSON. It
-// never repeats a write; it tells apart a write that certainly had no effect
+// Package httpobjectstore implements objectstore.Platform over HTTP and JSON. It never
+// repeats a write, and distinguishes a write that certainly had no effect
 // (objectstore.ErrUnavailable) from one whose outcome is unknown.
 package httpobjectstore
 
@@ -22,11 +22,11 @@
 	defaultConnectTimeout = time.Second
 	defaultCallTimeout    = 2 * time.Second
 	defaultMaxConns       = 64
-	// idleConnTimeout is short of any server's idle timeout: a connection that
-	// the server has closed looks healthy until a request is written to it,
-	// and the request's outcome is then unknown.
+	// idleConnTimeout is shorter than usual idle timeouts of servers. A connection that
+	// the server has closed looks usable until a request is written to it, and the
+	// outcome of that request is then unknown.
 	idleConnTimeout = 5 * time.Second
-	// maxResponseBytes bounds an answer: a listing holds many objects.
+	// maxResponseBytes bounds a response; a list can contain many objects.
 	maxResponseBytes = 256 << 20
 )
 
@@ -37,24 +37,24 @@
 	groupRetries = "platform_retries"
 )
 
-// Reasons of a read's one retry; a write has none.
+// Reasons for retrying a read. Writes are not retried.
 const (
 	retryBroken  = "broken"
 	retryTimeout = "timeout"
 )
 
-// Options set up an adapter.
+// Options configure a Client.
 type Options struct {
 	// Addr is the platform's IP:port.
 	Addr string
-	// ConnectTimeout and CallTimeout bound a connect and a call; a watch's
-	// call may take its wait longer. Zero takes the default of 1 s and 2 s.
+	// ConnectTimeout and CallTimeout bound a connect and a call. A watch may take its
+	// wait time in addition. Zero takes the defaults of 1 s and 2 s.
 	ConnectTimeout time.Duration
 	CallTimeout    time.Duration
-	// MaxConns bounds the connections; a call beyond them is refused with
+	// MaxConns bounds the number of connections; a call beyond it fails with
 	// objectstore.ErrUnavailable. Zero takes the default of 64.
 	MaxConns int
-	// Metrics gets the counters of calls, errors and retries.
+	// Metrics registers the counters of calls, errors and retries.
 	Metrics *metrics.Registry
 }
 
@@ -67,7 +67,7 @@
 
 var _ objectstore.Platform = (*Client)(nil)
 
-// New returns an adapter; it connects at the first call.
+// New returns a client, which connects at the first call.
 func New(o Options) *Client {
 	if o.ConnectTimeout == 0 {
 		o.ConnectTimeout = defaultConnectTimeout
@@ -92,16 +92,16 @@
 
 // operation is one HTTP call.
 type operation struct {
-	name   string // of its counter
+	name   string // name of its counter
 	method string
 	path   string
 	args   func(*fasthttp.Args)
 	body   []byte
-	wait   time.Duration // that the server may hold the answer
+	wait   time.Duration // how long the server may delay the response
 }
 
-// doWithRetry does a call without effect; it is repeated once on a new connection
-// when the first one broke or went silent.
+// doWithRetry does a call without side effects. It is retried once, on a new connection, if
+// the first one broke or went silent.
 func (c *Client) doWithRetry(ctx context.Context, op operation, out any) error {
 	err := c.do(ctx, op, out)
 	if !errors.Is(err, objectstore.ErrUnknownOutcome) || ctx.Err() != nil {
@@ -115,7 +115,7 @@
 	return c.do(ctx, op, out)
 }
 
-// do does a call once and decodes its answer.
+// do does a call once and decodes its response.
 func (c *Client) do(ctx context.Context, op operation, out any) error {
 	c.metrics.Counter(groupCalls, op.name).Add(1)
 	err := c.roundTrip(ctx, op, out)
@@ -125,8 +125,8 @@
 	return errors.Wrap(err, op.name)
 }
 
-// roundTrip sends the request from a goroutine of its own, since fasthttp knows no
-// contexts: a caller that gives up learns at once that the outcome is unknown.
+// roundTrip sends the request from a separate goroutine, because fasthttp does not support
+// contexts. When ctx ends, it returns at once with an unknown outcome.
 func (c *Client) roundTrip(ctx context.Context, op operation, out any) error {
 	if ctx.Err() != nil {
 		return &callonce.OutcomeError{Outcome: objectstore.ErrUnavailable, Cause: ctx.Err()}
@@ -140,7 +140,7 @@
 		err  error
 	}
 	done := make(chan result, 1)
-	sent := callonce.Call{Method: op.method, Path: op.path, Query: op.args, Body: bytes.Clone(op.body)} // the caller may reuse its own
+	sent := callonce.Call{Method: op.method, Path: op.path, Query: op.args, Body: bytes.Clone(op.body)} // the caller may reuse its buffer
 	go func() {
 		body, err := c.store.Do(sent, deadline)
 		done <- result{body, err}
--- a/objectstore/httpobjectstore/httpobjectstore_test.go
+++ b/objectstore/httpobjectstore/httpobjectstore_test.go
@@ -65,7 +65,7 @@
 			_, err = c.Create(ctx, kind, "large", make([]byte, objectstore.MaxValueBytes+1))
 			So(errors.Is(err, objectstore.ErrTooLarge), ShouldBeTrue)
 		})
-		Convey("a watch sees changes of its kinds, deletions too, and compaction", func() {
+		Convey("a watch reports changes and deletions of its kinds, and compaction", func() {
 			go func() {
 				_, _ = c.Create(ctx, "Other", "x", nil)
 				_, _ = c.Delete(ctx, kind, "a/b ü&", v1)
@@ -84,7 +84,7 @@
 			_, _, err = c.Watch(ctx, []objectstore.Kind{kind}, v1, time.Minute)
 			So(errors.Is(err, objectstore.ErrCompacted), ShouldBeTrue)
 		})
-		Convey("VMs and the weight store answer", func() {
+		Convey("the VM list and the weight store answer", func() {
 			vms, err := c.VMs(ctx)
 			So(err, ShouldBeNil)
 			So(vms[0].Name, ShouldEqual, "a")
@@ -95,7 +95,7 @@
 			So(err, ShouldBeNil)
 			So(wait, ShouldBeGreaterThan, time.Second)
 		})
-		Convey("faults show as the port's errors", func() {
+		Convey("faults are reported as the port's errors", func() {
 			s.SetFaults(standin.Faults{LoseNext: 1})
 			_, err := c.Create(ctx, kind, "lost", []byte("x"))
 			So(errors.Is(err, objectstore.ErrUnknownOutcome), ShouldBeTrue)
@@ -112,7 +112,7 @@
 	})
 }
 
-// Guards against this: a write is done twice although its caller sent it once.
+// Guards against: a write is repeated by the client, or a failed read is not retried.
 func TestNoWriteIsRepeated(t *testing.T) {
 	var requests atomic.Int64
 	ln := listen(t)
@@ -128,7 +128,7 @@
 			_ = conn.Close()
 		}
 	}()
-	Convey("Given a server that closes after reading", t, func() {
+	Convey("Given a server that closes each connection after reading a request", t, func() {
 		requests.Store(0)
 		reg := metrics.New()
 		c := httpobjectstore.New(httpobjectstore.Options{Addr: ln.Addr().String(), Metrics: reg})
@@ -151,7 +151,7 @@
 			So(reg.Counter("platform_retries", "broken").Value(), ShouldEqual, 1)
 		})
 	})
-	Convey("A refused connect certainly had no effect", t, func() {
+	Convey("A write whose connect was refused certainly had no effect", t, func() {
 		closed := listen(t)
 		_ = closed.Close()
 		_, err := httpobjectstore.New(httpobjectstore.Options{Addr: closed.Addr().String()}).Create(context.Background(), kind, "a", nil)
@@ -159,8 +159,8 @@
 	})
 }
 
-// relay forwards connections; those opened before silence stay open and
-// forward nothing more.
+// relay forwards connections. After silence, the existing ones stay open but forward
+// nothing more.
 type relay struct {
 	mu     sync.Mutex
 	silent []*atomic.Bool
@@ -207,7 +207,7 @@
 	}
 }
 
-// Guards against this: the store seems down for minutes while others reach it.
+// Guards against: calls on silent connections time out for minutes while the store is reachable.
 func TestSilentConnectionsAreReplaced(t *testing.T) {
 	Convey("Given open connections that go silent for good", t, func() {
 		ln, r := listen(t), &relay{}
--- a/objectstore/httpobjectstore/wire/wire.go
+++ b/objectstore/httpobjectstore/wire/wire.go
@@ -1,12 +1,11 @@
-// Package wire holds the HTTP+JSON wire format of the platform's ports, as
-// the HTTP adapter sends it and the platform stand-in answers it. The real
-// platform's format is not known yet: only this package and its two users
-// change with it.
+// Package wire defines the HTTP and JSON format of the platform's ports, used by the HTTP
+// adapter and by the platform stand-in. The real platform's format is not known yet; only
+// this package and these two users need to change for it.
 package wire
 
 import "github.com/lycheekeel/lycheekeel/objectstore"
 
-// The paths of the ports.
+// Paths of the ports.
 const (
 	PathObject  = "/api/object"
 	PathObjects = "/api/objects"
@@ -15,8 +14,7 @@
 	PathReserve = "/api/weights/reserve"
 )
 
-// The query arguments. A write carries either ArgCreate or ArgExpected; its
-// body is the raw value.
+// Query arguments. A write has either ArgCreate or ArgExpected; its body is the raw value.
 const (
 	ArgKind     = "kind"
 	ArgName     = "name"
@@ -29,18 +27,18 @@
 	ArgVersion  = "version"
 )
 
-// WriteResponse answers a write.
+// WriteResponse is the response to a write.
 type WriteResponse struct {
 	Version objectstore.Version `json:"version"`
 }
 
-// WatchResponse answers a watch.
+// WatchResponse is the response to a watch.
 type WatchResponse struct {
 	Events  []objectstore.Event `json:"events"`
 	Version objectstore.Version `json:"version"`
 }
 
-// ReserveResponse answers a weight store's reservation; zero is a grant.
+// ReserveResponse is the response to a weight store's reservation. Zero means granted.
 type ReserveResponse struct {
 	WaitMs int64 `json:"wait_ms"`
 }
--- a/objectstore/objectstore.go
+++ b/objectstore/objectstore.go
@@ -1,6 +1,6 @@
-// Package objectstore holds the ports to the platform that the system runs on:
-// its object API, its VM list and its weight store. Adapters translate a wire
-// format; aggregates see only these interfaces and their typed errors.
+// Package objectstore defines the ports to the platform that the system runs on: its object
+// API, its VM list and its weight store. Adapters implement the wire formats; all other code
+// uses only these interfaces and their typed errors.
 package objectstore
 
 import (
@@ -12,31 +12,31 @@
 
 // Errors of the ports. Adapters wrap them; callers test with errors.Is.
 var (
-	// ErrNotFound: no such object.
+	// ErrNotFound: the object does not exist.
 	ErrNotFound = errors.New("object not found")
-	// ErrConflict: the object's version is not the expected one; the write
-	// certainly had no effect.
-	ErrConflict = errors.New("object version conflict")
-	// ErrUnavailable: the platform did not take the call; a write certainly
+	// ErrConflict: the object's version is not the expected one. The write certainly
 	// had no effect.
+	ErrConflict = errors.New("object version conflict")
+	// ErrUnavailable: the platform did not accept the call. A write certainly had no
+	// effect.
 	ErrUnavailable = errors.New("platform unavailable")
-	// ErrUnknownOutcome: no answer came after the call may have been taken; a
-	// write may or may not have had effect. Settle it by reading back.
+	// ErrUnknownOutcome: the call may have been accepted, but no response arrived. A
+	// write may or may not have had an effect; read the object back to find out.
 	ErrUnknownOutcome = errors.New("outcome unknown")
-	// ErrCompacted: a watch asked for a version older than the platform keeps.
+	// ErrCompacted: a watch asked for a version older than the platform's history.
 	ErrCompacted = errors.New("watch version compacted")
-	// ErrTooLarge: the value is over MaxValueBytes.
+	// ErrTooLarge: the value is larger than MaxValueBytes.
 	ErrTooLarge = errors.New("value too large")
 )
 
-// MaxValueBytes is the largest value that the object API holds.
+// MaxValueBytes is the maximum size of a value, in bytes.
 const MaxValueBytes = 1 << 20
 
-// Version orders the writes of the whole object API: each write gets a larger
-// one. Zero means "absent".
+// Version orders all writes of the object API: each write gets a larger one. Zero means
+// that there is no object.
 type Version uint64
 
-// Kind groups objects, e.g. "Template" or "Claim".
+// Kind is the type of an object, e.g. "Template" or "Claim".
 type Kind string
 
 // Object is one stored object.
@@ -44,62 +44,62 @@
 	Kind    Kind
 	Name    string
 	Version Version
-	// Created is the version of the object's creation: it changes when an
+	// Created is the version at which the object was created. It changes when an
 	// object is deleted and created again under the same name.
 	Created Version
 	Value   []byte
-	// Status is what the system has written beside the value; empty: nothing.
+	// Status is what the system has written beside the value; it may be empty.
 	Status []byte
 }
 
-// Event is one change seen by a watch.
+// Event is one change reported by a watch.
 type Event struct {
 	Object  Object // for a deletion: Kind, Name and the deletion's Version
 	Deleted bool
 }
 
-// List is a consistent listing of one kind.
+// List is a consistent list of the objects of one kind.
 type List struct {
 	Objects []Object
-	// Version is the object API's version as of the listing; a watch may
-	// start after it.
+	// Version is the object API's version at the time of the listing. A watch may
+	// start from it.
 	Version Version
 }
 
-// ObjectAPI is the platform's object store. Each call, a waiting watch as
-// one, counts against its rates. Implementations are safe for concurrent use
-// and never repeat a write by themselves.
+// ObjectAPI is the platform's object store. Each call counts against its rate limits; a
+// waiting watch counts as one call. Implementations are safe for concurrent use and never
+// repeat a write by themselves.
 type ObjectAPI interface {
 	Get(ctx context.Context, kind Kind, name string) (Object, error)
 	List(ctx context.Context, kind Kind, namePrefix string) (List, error)
-	// Create stores a new object; ErrConflict if it exists.
+	// Create stores a new object. It returns ErrConflict if the object exists.
 	Create(ctx context.Context, kind Kind, name string, value []byte) (Version, error)
-	// Update replaces the object if its version is still expected.
+	// Update replaces the object if its version is the expected one.
 	Update(ctx context.Context, kind Kind, name string, value []byte, expected Version) (Version, error)
-	// Delete removes the object if its version is still expected.
+	// Delete removes the object if its version is the expected one.
 	Delete(ctx context.Context, kind Kind, name string, expected Version) (Version, error)
-	// Watch waits for changes of the kinds after the version and returns
-	// them, oldest first, with the version to continue from. It returns no
-	// events when the wait ended without a change. ErrCompacted: list anew.
+	// Watch waits for changes of the given kinds after the given version. It returns
+	// them, oldest first, with the version to continue from. It returns no events if
+	// the wait ended without a change. After ErrCompacted the caller must list again.
 	Watch(ctx context.Context, kinds []Kind, after Version, wait time.Duration) ([]Event, Version, error)
 }
 
-// StatusWriter replaces an object's status, and leaves its value to whoever wrote that.
+// StatusWriter replaces an object's status and leaves its value unchanged.
 type StatusWriter interface {
-	// UpdateStatus replaces the status if the object's version is still expected.
+	// UpdateStatus replaces the status if the object's version is the expected one.
 	UpdateStatus(ctx context.Context, kind Kind, name string, status []byte, expected Version) (Version, error)
 }
 
-// StaleReader reads what may be seconds old, at less cost than ObjectAPI. It
-// proves that the platform answers, and nothing about what is in force.
+// StaleReader reads objects that may be seconds old, at a lower cost than ObjectAPI. A
+// response proves that the platform answers, but not which version is current.
 type StaleReader interface {
 	GetStale(ctx context.Context, kind Kind, name string) (Object, error)
 }
 
-// VMState is a VM's state in the platform's list.
+// VMState is the state of a VM in the platform's list.
 type VMState string
 
-// The states of a VM. The list lags.
+// The states of a VM. The list lags behind the actual state.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
@@ -115,19 +115,19 @@
 	State            VMState
 }
 
-// VMList is the platform's list of VMs; it lags behind the truth.
+// VMList is the platform's list of VMs. It lags behind the actual state.
 type VMList interface {
 	VMs(ctx context.Context) ([]VM, error)
 }
 
-// WeightStore rations the loading of model weights.
+// WeightStore limits the rate at which model weights are loaded.
 type WeightStore interface {
-	// Reserve asks to load bytes of a model now. It returns zero when
-	// granted, else how long to wait before asking again.
+	// Reserve asks for permission to load a model's weights now. It returns zero if
+	// granted, else the time to wait before the next attempt.
 	Reserve(ctx context.Context, model, version string) (time.Duration, error)
 }
 
-// Platform is everything that the platform offers.
+// Platform combines all ports of the platform.
 type Platform interface {
 	ObjectAPI
 	VMList
--- a/objectstore/status.go
+++ b/objectstore/status.go
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrorFromStatus maps the HTTP status of a store's answer to an error of the
-// ports; nil is success. A status that is not known proves nothing.
+// ErrorFromStatus maps the HTTP status of a store's response to one of the ports' errors, or
+// nil for success. Any other status means that the outcome is unknown.
 func ErrorFromStatus(status int) error {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
@@ -27,7 +27,7 @@
 	}
 }
 
-// ErrorName names an error's counter.
+// ErrorName returns the name of the counter of an error.
 func ErrorName(err error) string {
 	for _, e := range []struct {
 		err  error
