--- a/engine/httpengine/fault_test.go
+++ b/engine/httpengine/fault_test.go
@@ -192,13 +192,13 @@
 		lines []string
 		want  error
 	}{
-		{"another id", []string{`{"request_id":"other","offset":0,"tokens":1,"text":"word","end":true}`}, engine.ErrRequestMismatch},
-		{"another id's keepalive", []string{`{"request_id":"other","keepalive":true}`}, engine.ErrRequestMismatch},
-		{"a gap", []string{first, `{"request_id":"r","offset":3,"tokens":1,"text":"word","end":true}`}, engine.ErrConnectionLost},
-		{"a repeat", []string{first, first}, engine.ErrConnectionLost},
-		{"no end", []string{first}, engine.ErrConnectionLost},
-		{"no JSON", []string{first, `{"request_id":"r",`}, engine.ErrConnectionLost},
-		{"a failure", []string{first, `{"request_id":"r","error":"out of memory"}`}, engine.ErrRunFailed},
+		{"another request's id", []string{`{"request_id":"other","offset":0,"tokens":1,"text":"word","end":true}`}, engine.ErrRequestMismatch},
+		{"another request's keepalive", []string{`{"request_id":"other","keepalive":true}`}, engine.ErrRequestMismatch},
+		{"a gap in the offsets", []string{first, `{"request_id":"r","offset":3,"tokens":1,"text":"word","end":true}`}, engine.ErrConnectionLost},
+		{"a repeated chunk", []string{first, first}, engine.ErrConnectionLost},
+		{"no End chunk", []string{first}, engine.ErrConnectionLost},
+		{"invalid JSON", []string{first, `{"request_id":"r",`}, engine.ErrConnectionLost},
+		{"a reported failure", []string{first, `{"request_id":"r","error":"out of memory"}`}, engine.ErrRunFailed},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -134,7 +134,7 @@
 // maxProgressDoublings bounds the growth of the interval between reports.
 const maxProgressDoublings = 3
 
-// progressInterval returns the time from the last of so many reports to the next.
+// progressInterval returns the time until the next report after the given number of reports.
 func progressInterval(base time.Duration, reports int) time.Duration {
 	return base << min(max(reports-1, 0), maxProgressDoublings)
 }
