--- a/broker/simulation_test.go
+++ b/broker/simulation_test.go
@@ -33,7 +33,7 @@
 	// oldVersion holds the nodes of a version that neither announces heartbeat
 	// intervals nor reads them. Heartbeats to and from them have a fixed interval.
 	oldVersion map[string]bool
-	// heartbeat is poolhost.Config.Heartbeat.
+	// heartbeat is poolhost.Config.HeartbeatInterval.
 	heartbeat func(sessions int) time.Duration
 	// degradedAfter is poolhost.Config.DegradedAfter.
 	degradedAfter time.Duration
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -116,7 +116,7 @@
 }
 
 // authorize finds the workspace of the key. A key is accepted only while the configuration
-// is known to be in force, because it may have been withdrawn.
+// is known to be active, because it may have been withdrawn.
 func (x *exchange) authorize() error {
 	if x.route.Public || !x.table.NeedsKeys() {
 		return nil
--- a/internal/forward/hedge_test.go
+++ b/internal/forward/hedge_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// withdrawKey puts a configuration without the caller's key in force.
+// withdrawKey activates a configuration without the caller's key.
 func withdrawKey(r *harness) {
 	d := testDocument(2)
 	d.Workspaces[0].Keys = []string{"another"}
--- a/internal/forward/refuse.go
+++ b/internal/forward/refuse.go
@@ -13,7 +13,7 @@
 	// defaultRetryAfter is for refusals after which a retry is likely to find a free slot.
 	defaultRetryAfter = 300 * time.Millisecond
 	// staleRetryAfter is for refusals while this daemon does not know whether its
-	// configuration is in force. Another daemon may know.
+	// configuration is still active. Another daemon may know.
 	staleRetryAfter = 200 * time.Millisecond
 )
 
--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -39,7 +39,7 @@
 // Admission tells whether this daemon may rely on its configuration for a request that is
 // about to be sent.
 type Admission interface {
-	// Fresh tells whether the configuration was proved to be in force recently enough to
+	// Fresh tells whether the configuration was proved to be active recently enough to
 	// trust a key.
 	Fresh() bool
 	// MayUse tells whether, as far as this daemon knows, a server exists and is not leaving,
--- a/internal/gateway/pacer_test.go
+++ b/internal/gateway/pacer_test.go
@@ -59,7 +59,7 @@
 				}, objectstore.Version(revision))
 			}
 		}
-		testwait.Until(t, convergeLimit, "the last change is in force", func() bool {
+		testwait.Until(t, convergeLimit, "the last change is active", func() bool {
 			slots := 0
 			for _, p := range snapshot.Load().Pools {
 				for _, b := range p.Servers {
--- a/internal/gateway/poolremovals.go
+++ b/internal/gateway/poolremovals.go
@@ -38,7 +38,7 @@
 }
 
 // update compares the snapshot with the one that it has replaced, which may be nil. It must
-// be called after next is in force, so that waiters that wake find it.
+// be called after next has been stored, so that waiters that wake find it.
 func (r *poolRemovals) update(prev, next *workspace.Snapshot) {
 	if prev == nil {
 		return
--- a/internal/gateway/reflector.go
+++ b/internal/gateway/reflector.go
@@ -225,7 +225,7 @@
 	}
 }
 
-// applyConfigList reports whether the list proves that the configuration in force is
+// applyConfigList reports whether the list proves that the active configuration is
 // current.
 func (r *reflector) applyConfigList(l objectstore.List) bool {
 	current := false
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -217,7 +217,7 @@
 	return planFromWire(&m), nil
 }
 
-// applyPlan puts a plan in force.
+// applyPlan makes a plan the active one.
 func (r *rollouts) applyPlan(service string, a *activeRollout, p rollout.Plan) {
 	prev := a.plan.Swap(&receivedPlan{p, time.Now()})
 	a.budget.SetShare(p.CanaryShare)
--- a/internal/gateway/rolloutstate_test.go
+++ b/internal/gateway/rolloutstate_test.go
@@ -142,7 +142,7 @@
 	})
 }
 
-// stateWithRollouts returns a state with rollouts enabled and a configuration in force.
+// stateWithRollouts returns a state with rollouts enabled and an active configuration.
 func stateWithRollouts() *state {
 	s := stateWithConfig()
 	s.rollouts = newRolloutState(true)
@@ -154,7 +154,7 @@
 	return rollout.Rollout{ID: rollout.ID{Service: "app", To: "v2", Created: 80}, Revision: revision, State: state}
 }
 
-// Guards against a withdrawn rollout that stays in force.
+// Guards against a withdrawn rollout that stays active.
 func TestBatchedRolloutChanges(t *testing.T) {
 	Convey("Each event of a batch is applied, and a list of the same revision", t, func() {
 		s := stateWithRollouts()
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -91,8 +91,8 @@
 	return partitioner{arm: s.rollouts.arm, canaryServers: s.canaryServers}
 }
 
-// applyConfig puts a configuration in force unless it is older, and reports
-// whether the one in force is at least as new.
+// applyConfig activates a configuration unless it is older than the active one, and
+// reports whether the active one is at least as new.
 func (s *state) applyConfig(o objectstore.Object) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/state_test.go
+++ b/internal/gateway/state_test.go
@@ -14,8 +14,8 @@
 	"github.com/lycheekeel/lycheekeel/route"
 )
 
-// stateWithConfig returns a state with a configuration of one service in force. The value
-// of a configuration's object is its version.
+// stateWithConfig returns a state whose active configuration has one service. The value of
+// a configuration's object is its version.
 func stateWithConfig() *state {
 	s := emptyState()
 	s.platform.DecodeConfiguration = func(value []byte) (route.Document, error) {
@@ -34,7 +34,7 @@
 		s.putServer(discovery.Server{ID: "c", Service: "app"}, 48)
 		So(*s.usable.Load(), ShouldResemble, map[string]serverUse{"a": {arm: rollout.Stable}})
 	})
-	Convey("An older configuration is neither put in force nor sent to others", t, func() {
+	Convey("An older configuration is neither activated nor sent to others", t, func() {
 		s := stateWithConfig()
 		So(s.applyConfig(objectstore.Object{Version: 60, Value: []byte{6}}), ShouldBeTrue)
 		So(s.config.Version, ShouldEqual, 70)
--- a/pool/config.go
+++ b/pool/config.go
@@ -31,8 +31,8 @@
 	// DefaultSlots is the number of slots of a server whose configuration has none; 0
 	// means a default.
 	DefaultSlots int
-	// LimitAlgorithm is the algorithm that sets the servers' concurrency limits; empty means the
-	// default.
+	// LimitAlgorithm is the algorithm that sets the servers' concurrency limits; empty
+	// means the default.
 	LimitAlgorithm limit.Name
 	// SuspectTTL is how long a request stays suspected or confirmed to crash servers; 0
 	// means a default.
--- a/pool/late_retry.go
+++ b/pool/late_retry.go
@@ -15,15 +15,15 @@
 	// with them.
 	deadlineMinSamples = 8
 	// firstAttemptShare is the smallest share of the usual deadline that a first attempt
-	// has left. The deadlines within one mix differ by up to a sixth; a retry after
+	// has left. The deadlines within one key differ by up to a sixth; a retry after
 	// a refusal and its Retry-After has less left.
 	firstAttemptShare = 0.75
-	// maxDeadlineKeys limits the number of mixes kept in memory. When it is reached, all of them
-	// are forgotten.
+	// maxDeadlineKeys limits the number of keys kept in memory. When it is reached, all
+	// of them are forgotten.
 	maxDeadlineKeys = 10_000
 )
 
-// deadlines tracks the usual deadline of each mix (workspace, template and model), to
+// deadlines tracks the usual deadline of each key (workspace, template and model), to
 // detect retries: requests that were refused before and come with a shorter deadline.
 //
 // Without it, a retry in an overload would look like a new request. Its target has
--- a/pool/observe.go
+++ b/pool/observe.go
@@ -36,6 +36,8 @@
 	minStepShare = 0.2
 )
 
+// initialProfile returns the profile from which the latency model of a new server of a
+// generation starts.
 func (p *Pool) initialProfile(generation string) score.Profile {
 	if profile, ok := p.profiles[generation]; ok {
 		return profile
--- a/revision/publisher.go
+++ b/revision/publisher.go
@@ -21,7 +21,7 @@
 	logged   map[workspace.Finding]bool
 }
 
-// NewPublisher returns a Publisher that stores snapshots in live.
+// NewPublisher returns a Publisher that stores snapshots in current.
 func NewPublisher(current *workspace.CurrentSnapshot, m *metrics.Registry) *Publisher {
 	p := &Publisher{current: current, compiler: workspace.NewCompiler(), log: logs.For("config")}
 	if m != nil {
