--- a/broker/broker.go
+++ b/broker/broker.go
@@ -39,7 +39,7 @@
 	// token, the tokens so far, and the mean time per token since the last report.
 	Progress(firstToken time.Duration, tokens int, perToken time.Duration)
 	// Release frees the slot after the request was dispatched and has ended.
-	Release(end Completion)
+	Release(c Completion)
 	// ReturnUnused frees the slot; the request was not dispatched.
 	ReturnUnused()
 }
--- a/broker/grant.go
+++ b/broker/grant.go
@@ -40,11 +40,11 @@
 }
 
 // Release implements Grant.
-func (g *grant) Release(end Completion) {
+func (g *grant) Release(c Completion) {
 	g.finish(pool.Release{
-		Request: g.spec.ID, Grant: g.id, Server: g.server.Name, Outcome: end.Outcome,
-		FirstToken: end.FirstToken, Total: end.Total, OutputTokens: end.OutputTokens,
-		PromptTokens: end.PromptTokens, PrefillComputed: end.PrefillComputed, RefusedLeaving: end.RefusedLeaving,
+		Request: g.spec.ID, Grant: g.id, Server: g.server.Name, Outcome: c.Outcome,
+		FirstToken: c.FirstToken, Total: c.Total, OutputTokens: c.OutputTokens,
+		PromptTokens: c.PromptTokens, PrefillComputed: c.PrefillComputed, RefusedLeaving: c.RefusedLeaving,
 	})
 }
 
--- a/internal/forward/harness_test.go
+++ b/internal/forward/harness_test.go
@@ -186,7 +186,7 @@
 
 func (g *fakeGrant) Server() workspace.BackendServer            { return g.server }
 func (g *fakeGrant) Progress(time.Duration, int, time.Duration) {}
-func (g *fakeGrant) Release(e broker.Completion)                { g.broker.recordRelease(e.Outcome) }
+func (g *fakeGrant) Release(c broker.Completion)                { g.broker.recordRelease(c.Outcome) }
 func (g *fakeGrant) ReturnUnused()                              { g.broker.recordRelease(pool.OutcomeNotDispatched) }
 func (b *fakeBroker) recordRelease(o pool.Outcome) {
 	b.mu.Lock()
--- a/internal/gateway/deciders.go
+++ b/internal/gateway/deciders.go
@@ -104,11 +104,11 @@
 	return x.plan
 }
 
-func (d *deciders) logDecision(id rollout.ID, x rollout.Decision, f rollout.ServiceStatus) {
+func (d *deciders) logDecision(id rollout.ID, x rollout.Decision, status rollout.ServiceStatus) {
 	d.log.WithFields(logrus.Fields{
 		"service": id.Service, "to": id.To, "outcome": x.State.String(), "reason": x.Reason, "route": x.Route,
 		"new_runs": x.Canary.Runs, "new_failed": x.Canary.Failed, "new_broken": x.Canary.Broken, "new_slow": x.Canary.Slow,
 		"stable_runs": x.Stable.Runs, "stable_failed": x.Stable.Failed, "stable_broken": x.Stable.Broken, "stable_slow": x.Stable.Slow,
-		"value": x.Value, "new_servers": f.NewServers, "stable_servers": f.StableServers,
+		"value": x.Value, "new_servers": status.NewServers, "stable_servers": status.StableServers,
 	}).Info("Rollout decided.")
 }
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -293,8 +293,8 @@
 	a.recorder.Record(run, limit)
 }
 
-func (r *rollouts) countCanary(e rollout.Outcome) {
-	switch e {
+func (r *rollouts) countCanary(outcome rollout.Outcome) {
+	switch outcome {
 	case rollout.Failed, rollout.Broken:
 		r.counters.failed.Add(1)
 	case rollout.Abandoned:
--- a/internal/gateway/rolloutstate.go
+++ b/internal/gateway/rolloutstate.go
@@ -227,7 +227,7 @@
 func (s *state) serviceStatus(service string) rollout.ServiceStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var f rollout.ServiceStatus
+	var status rollout.ServiceStatus
 	to := s.rollouts.all[service].To
 	for _, x := range s.directory.Servers() {
 		if x.Service != service || x.Leaving {
@@ -236,18 +236,18 @@
 		switch arm := s.rollouts.arm(x); {
 		case arm == rollout.Off:
 		case x.Version != to:
-			f.StableServers++
-			f.StableSlots += x.Slots
+			status.StableServers++
+			status.StableSlots += x.Slots
 		default:
-			f.ServedBefore = arm == rollout.Stable
-			f.NewServers++
-			f.NewSlots += x.Slots
+			status.ServedBefore = arm == rollout.Stable
+			status.NewServers++
+			status.NewSlots += x.Slots
 			if !x.Cold {
-				f.WarmServers++
+				status.WarmServers++
 			}
 		}
 	}
-	return f
+	return status
 }
 
 // rebuild rebuilds the pools after the set of canary servers has changed.
--- a/pool/estimate/hint.go
+++ b/pool/estimate/hint.go
@@ -10,7 +10,7 @@
 	unknownHighRatio = 2 * ratioUnit
 )
 
-// Hints predicts the length of answers from the callers' own estimates (hints),
+// HintEstimator predicts the length of answers from the callers' own estimates (hints),
 // corrected by the ratio of length to hint of recent answers with the same key.
 //
 // Answers with one key can differ a hundredfold. With the key's mean, a long answer
@@ -20,14 +20,14 @@
 // factor of 1.4.
 //
 // Hints is not safe for concurrent use.
-type Hints struct{ ratios *Estimator } // lengths over hints, in units of 1/ratioUnit
+type HintEstimator struct{ ratios *Estimator } // lengths over hints, in units of 1/ratioUnit
 
-// NewHints returns Hints without observations.
-func NewHints() *Hints { return &Hints{ratios: New()} }
+// NewHintEstimator returns Hints without observations.
+func NewHintEstimator() *HintEstimator { return &HintEstimator{ratios: New()} }
 
 // Observe records the length of a complete answer, in tokens. hint must be above
 // zero.
-func (h *Hints) Observe(key Key, hint, tokens int) {
+func (h *HintEstimator) Observe(key Key, hint, tokens int) {
 	h.ratios.Observe(key, min(maxRatio, tokens*ratioUnit/hint))
 }
 
@@ -35,7 +35,7 @@
 // estimate is never Known: the time per token that a single answer needs to end in
 // time must not become a target, or long answers would wait for fast servers while
 // slow ones idle.
-func (h *Hints) Estimate(key Key, hint, maxTokens int) Length {
+func (h *HintEstimator) Estimate(key Key, hint, maxTokens int) Length {
 	l := Length{Mean: hint, High: scale(hint, unknownHighRatio)}
 	if ratio := h.ratios.Estimate(key, unknownHighRatio); ratio.Known {
 		l = Length{Mean: scale(hint, ratio.Mean), High: scale(hint, ratio.High)}
@@ -48,7 +48,7 @@
 
 // Remaining estimates how many tokens an answer still needs after those it has
 // produced.
-func (h *Hints) Remaining(key Key, hint, maxTokens, produced int) int {
+func (h *HintEstimator) Remaining(key Key, hint, maxTokens, produced int) int {
 	remaining := scale(hint, h.ratios.Remaining(key, 0, produced*ratioUnit/hint))
 	if maxTokens > 0 {
 		remaining = min(remaining, maxTokens-produced)
--- a/pool/estimate/hint_test.go
+++ b/pool/estimate/hint_test.go
@@ -8,7 +8,7 @@
 
 func TestHints(t *testing.T) {
 	Convey("Given hints without observations", t, func() {
-		h := NewHints()
+		h := NewHintEstimator()
 		Convey("a hint is the mean and twice the hint is reserved, up to the cap", func() {
 			So(h.Estimate(testKey, 100, 0), ShouldResemble, Length{Mean: 100, High: 200})
 			So(h.Estimate(testKey, 100, 150), ShouldResemble, Length{Mean: 100, High: 150})
--- a/pool/length.go
+++ b/pool/length.go
@@ -6,7 +6,7 @@
 // without one, from recent answers for the same workspace, template and model.
 func (p *Pool) expectLength(key estimate.Key, hint, maxTokens int) estimate.Length {
 	if hint > 0 {
-		return p.hints.Estimate(key, hint, maxTokens)
+		return p.hintEstimator.Estimate(key, hint, maxTokens)
 	}
 	return p.lengths.Estimate(key, maxTokens)
 }
@@ -14,7 +14,7 @@
 // remainingTokens estimates the tokens that a run has still to generate.
 func (p *Pool) remainingTokens(r *run) int {
 	if r.hint > 0 {
-		return p.hints.Remaining(r.estimateKey, r.hint, r.maxTokens, r.generated)
+		return p.hintEstimator.Remaining(r.estimateKey, r.hint, r.maxTokens, r.generated)
 	}
 	return p.lengths.Remaining(r.estimateKey, r.maxTokens, r.generated)
 }
@@ -40,7 +40,7 @@
 		return
 	}
 	if r.hint > 0 {
-		p.hints.Observe(r.estimateKey, r.hint, e.OutputTokens)
+		p.hintEstimator.Observe(r.estimateKey, r.hint, e.OutputTokens)
 	} else {
 		p.lengths.Observe(r.estimateKey, e.OutputTokens)
 	}
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -76,7 +76,7 @@
 // observations holds statistics of requests and of server latencies.
 type observations struct {
 	lengths           *estimate.Estimator
-	hints             *estimate.Hints
+	hintEstimator     *estimate.HintEstimator
 	profiles          map[string]score.Profile // measured latency profile by generation
 	fastest           score.Profile            // best latencies of all servers; zero means unknown
 	comparedAt        time.Time
@@ -116,12 +116,12 @@
 			computing: make(map[uint64]*run),
 		},
 		observations: observations{
-			lengths:    estimate.New(),
-			hints:      estimate.NewHints(),
-			profiles:   make(map[string]score.Profile),
-			deadlines:  make(deadlines),
-			servedWork: decay.Rate{TimeConstant: servedWorkWindow},
-			rates:      newTierRates(),
+			lengths:       estimate.New(),
+			hintEstimator: estimate.NewHintEstimator(),
+			profiles:      make(map[string]score.Profile),
+			deadlines:     make(deadlines),
+			servedWork:    decay.Rate{TimeConstant: servedWorkWindow},
+			rates:         newTierRates(),
 		},
 		suspects:  suspect.NewRegistry(cfg.SuspectTTL),
 		siblings:  make(map[string]*sibling),
