--- a/pool/estimate/hint.go
+++ b/pool/estimate/hint.go
@@ -10,8 +10,9 @@
 	unknownHighRatio = 2 * ratioUnit
 )
 
-// HintEstimator predicts the length of answers from the callers' own estimates (hints),
-// corrected by the ratio of length to hint of recent answers with the same key.
+// HintEstimator predicts the length of answers from the callers' own estimates
+// (hints), corrected by the ratio of length to hint of recent answers with the same
+// key.
 //
 // Answers with one key can differ a hundredfold. With the key's mean, a long answer
 // goes to a slow server and does not end before its deadline, and a short one
@@ -19,10 +20,10 @@
 // the logarithms correlate by 0.88 to 0.91, and half of the hints are within a
 // factor of 1.4.
 //
-// Hints is not safe for concurrent use.
+// HintEstimator is not safe for concurrent use.
 type HintEstimator struct{ ratios *Estimator } // lengths over hints, in units of 1/ratioUnit
 
-// NewHintEstimator returns Hints without observations.
+// NewHintEstimator returns a HintEstimator without observations.
 func NewHintEstimator() *HintEstimator { return &HintEstimator{ratios: New()} }
 
 // Observe records the length of a complete answer, in tokens. hint must be above
--- a/pool/server.go
+++ b/pool/server.go
@@ -33,7 +33,7 @@
 	prefillTotal   int // prefill tokens computed since the start
 
 	latency       *score.LatencyModel
-	latencyLimit  limit.Algorithm // limit on running requests, from the time between tokens or, without tokens, of a call
+	latencyLimit  limit.Algorithm // limit on running requests, from the time between tokens or of a call
 	queueingLimit limit.Algorithm // limit on running requests, from queueing inside the engine
 	memoryLimit   limit.Algorithm // limit on KV memory, in thousands of tokens
 	kvCapacity    float64         // measured KV capacity, in tokens; zero means unknown
