--- a/internal/capacity/cost.go
+++ b/internal/capacity/cost.go
@@ -7,11 +7,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// heapGCRuns is how many collections make the heap figure steady: the first
-// frees, the second lets finalizers' memory go.
+// heapGCRuns is the number of collections before the heap is read. The first frees
+// garbage, the second the memory that finalizers held.
 const heapGCRuns = 2
 
-// liveHeapBytes returns the live heap after collection.
+// liveHeapBytes returns the live heap after garbage collection.
 func liveHeapBytes() float64 {
 	for range heapGCRuns {
 		runtime.GC()
@@ -21,7 +21,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// retainedHeap returns how many bytes of heap the value made by build holds.
+// retainedHeap returns the bytes of heap that the value returned by build retains.
 func retainedHeap(build func() any) float64 {
 	before := liveHeapBytes()
 	v := build()
@@ -30,8 +30,8 @@
 	return max(after-before, 0)
 }
 
-// cpuTime returns the processor time that this process has used. Other
-// processes on a busy machine do not count into it.
+// cpuTime returns the CPU time of this process. Unlike wall time it leaves out other
+// processes on a busy machine.
 func cpuTime() time.Duration {
 	var usage unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
@@ -40,7 +40,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// cpuPerOp returns the processor seconds of one of n operations done by run.
+// cpuPerOp returns the CPU seconds of one operation, where run executes n of them.
 func cpuPerOp(n int, run func()) float64 {
 	start := cpuTime()
 	run()
--- a/internal/capacity/counting.go
+++ b/internal/capacity/counting.go
@@ -5,10 +5,10 @@
 	"sync/atomic"
 )
 
-// countingListener counts the bytes of the connections that it accepts.
+// countingListener counts the bytes that its accepted connections transfer.
 type countingListener struct {
 	net.Listener
-	bytesIn, bytesOut atomic.Int64 // as the accepting side sees them
+	bytesIn, bytesOut atomic.Int64 // from the accepting side's view
 }
 
 // Accept implements net.Listener.
--- a/internal/capacity/failures.go
+++ b/internal/capacity/failures.go
@@ -2,31 +2,33 @@
 
 import "math"
 
-// Failure is one kind of failure and what it does at a size.
+// Failure is one kind of failure and its effects in a deployment of a given size.
 type Failure struct {
 	Name      string
 	Frequency string
-	// LostNodes is how many daemons are gone.
+	// LostNodes is the number of daemons that fail.
 	LostNodes float64
-	// LostStreams are the answers that end with their entries; Moved is how
-	// many pools get another owner; Again is how many requests are enqueued or
-	// reported again, with Bytes altogether.
+	// LostStreams is the number of answers that are lost with their entries.
+	// MovedPools is the number of pools that change owner. ResentRequests is the
+	// number of requests that entries enqueue or report again, ResentBytes the total
+	// size of these messages.
 	LostStreams, MovedPools, ResentRequests, ResentBytes float64
-	// DetectSeconds is how long until its region believes it, in seconds; Rebuilt is
-	// the processor time of the busiest new owner for the storm, in seconds.
+	// DetectSeconds is the time until the region has detected the failure.
+	// RebuildSeconds is the CPU time that the busiest new owner spends on the resent
+	// requests.
 	DetectSeconds, RebuildSeconds float64
 }
 
-// The assumed extent of failures; the users gave only how often they come.
+// The extent of failures is assumed; their frequency was given by the operators.
 const (
 	nodesPerRack         = 8
-	waitingPerEntry      = 50 // requests that wait in one entry in a busy minute
+	waitingPerEntry      = 50 // requests that wait in one entry at a busy time
 	rackFailureFrequency = "every month or two"
 	zoneFailureFrequency = "a few times a year"
 	regionCutFrequency   = "several times a year"
 )
 
-// failures returns the failure days of a size.
+// failures returns the failure scenarios of a size.
 func (c *model) failures() []Failure {
 	s := c.size
 	rows := []Failure{
@@ -36,17 +38,17 @@
 		c.nodeLoss("an availability zone is lost", zoneFailureFrequency, s.Nodes/s.Zones),
 		{Name: "a region is cut off", Frequency: regionCutFrequency, DetectSeconds: c.cost(seriesClusterDetect, s.Nodes)},
 	}
-	rows[1].LostStreams = 0 // it drains first: its streams end by themselves
+	rows[1].LostStreams = 0 // the daemon drains first, so its streams end normally
 	return rows
 }
 
-// nodeLoss works out what n daemons of one region that die take along.
+// nodeLoss computes the effects of n daemons of one region failing together.
 func (c *model) nodeLoss(name, frequency string, n float64) Failure {
 	s := c.size
 	alive := s.NodesPerRegion() - n
 	running := s.NodeRequests() * c.streamSeconds()
 	moved := n * s.PoolsPerRegion() / s.NodesPerRegion()
-	share := moved / s.PoolsPerRegion() // of the region's requests whose owner is gone
+	share := moved / s.PoolsPerRegion() // of the region's requests whose owner failed
 	resent := share * alive * (running + waitingPerEntry)
 	enqueue := c.wireBytes(c.cost(seriesEnqueueBytes, s.PromptTokens/promptBlockTokens))
 	perPool := resent / math.Max(moved, 1)
--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// formatCount writes a count with as many digits as mean something.
+// formatCount formats a count with two or three significant digits; from 100 on it
+// rounds to an integer.
 func formatCount(v float64) string {
 	switch {
 	case v == 0:
@@ -16,7 +17,7 @@
 	}
 }
 
-// formatBytes writes a size in the largest unit that leaves at least one.
+// formatBytes formats a size in the largest unit in which it is at least 1.
 func formatBytes(v float64) string {
 	const step = 1024
 	switch {
@@ -31,10 +32,10 @@
 	}
 }
 
-// formatPercent writes a share of a core.
+// formatPercent formats a fraction of a core as a percentage.
 func formatPercent(v float64) string { return fmt.Sprintf("%.2g%%", 100*v) }
 
-// formatSeconds writes a time.
+// formatSeconds formats a time in seconds; 0 becomes "-".
 func formatSeconds(v float64) string {
 	if v == 0 {
 		return "-"
@@ -45,7 +46,7 @@
 	return fmt.Sprintf("%.1f s", v)
 }
 
-// formatBounded writes a value and marks it where it is over its bound.
+// formatBounded formats a value and marks it if it exceeds its bound.
 func formatBounded(v, bound float64, format func(float64) string) string {
 	if v > bound {
 		return fmt.Sprintf("**%s, over**", format(v))
--- a/internal/capacity/measure_config.go
+++ b/internal/capacity/measure_config.go
@@ -12,7 +12,7 @@
 	"github.com/lycheekeel/lycheekeel/workspace/workspacetest"
 )
 
-// Names of the configuration's series.
+// Names of the configuration series.
 const (
 	seriesSnapshotHeap     = "snapshot_heap_by_workspaces"
 	seriesRecordsHeap      = "records_heap_by_workspaces"
@@ -24,18 +24,18 @@
 	seriesConfigStoreCalls = "config_store_calls_per_second_by_members"
 )
 
-// compileRounds is how many single changes are timed.
+// compileRounds is the number of single changes that are timed.
 const compileRounds = 40
 
-// sizeWithWorkspaces returns the target's configuration with some of its workspaces.
+// sizeWithWorkspaces returns the target size with another number of workspaces.
 func sizeWithWorkspaces(workspaces int) workspacetest.Size {
 	f := workspacetest.TargetSize
 	f.Workspaces = workspaces
 	return f
 }
 
-// measureSnapshots measures what a daemon holds of the configuration, and
-// the processor time to put one change in force.
+// measureSnapshots measures the heap that a daemon needs for the configuration, and
+// the CPU time of compiling one change.
 func measureSnapshots(m *Measurements) error {
 	var snapshot, records, compile []Point
 	for _, n := range []int{100, 600, 1200, 2400} {
@@ -48,7 +48,7 @@
 			return s
 		})
 		if err := findings.Err(); err != nil {
-			return errors.Wrap(err, "measured configuration")
+			return errors.Wrap(err, "compile configuration")
 		}
 		snapshot = append(snapshot, Point{float64(n), heapSize})
 		records = append(records, Point{float64(n), retainedHeap(func() any { return newRecordSet(objects) })})
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// newRecordSet returns a record set that holds copies of the objects.
+// newRecordSet returns a record set with copies of the objects.
 func newRecordSet(objects []objectstore.Object) *revision.Set {
 	set := revision.NewSet(workspace.Kinds(), revision.Check)
 	for _, o := range objects {
@@ -70,7 +70,7 @@
 	return set
 }
 
-// compileCPU changes one workspace at a time and compiles.
+// compileCPU returns the CPU seconds of compiling after one changed workspace.
 func compileCPU(c *workspace.Compiler, objects []objectstore.Object) float64 {
 	index := 0
 	for objects[index].Kind != workspace.KindWorkspace {
@@ -87,16 +87,16 @@
 	})
 }
 
-// propagatedChanges is how many changes each cluster size spreads.
+// propagatedChanges is the number of changes per cluster size.
 const propagatedChanges = 10
 
-// measurePropagation measures how changes reach all members.
+// measurePropagation measures the propagation of changes to all members.
 func measurePropagation(ctx context.Context, m *Measurements) error {
 	var bytes, messages, active, idle, calls []Point
 	for _, size := range []struct{ members, regions int }{{9, 1}, {65, 1}, {130, 2}, {390, 6}} {
 		r, err := revisiontest.MeasurePropagation(ctx, size.members, size.regions, propagatedChanges)
 		if err != nil {
-			return errors.Wrapf(err, "spread over %d members", size.members)
+			return errors.Wrapf(err, "propagation over %d members", size.members)
 		}
 		x := float64(size.members)
 		bytes = append(bytes, Point{x, r.BytesPerChange})
--- a/internal/capacity/measure_heap.go
+++ b/internal/capacity/measure_heap.go
@@ -14,16 +14,16 @@
 // seriesStreamHeap is the heap of one open stream.
 const seriesStreamHeap = "stream_heap"
 
-// The heap's rig: so many streams that last longer than the measurement.
+// The streams that are open during the heap measurement; each lasts longer than it.
 const (
 	heapStreams      = 200
 	heapStreamTokens = 1500
-	streamStartDelay = 3 * time.Second // until all streams have begun
+	streamStartDelay = 3 * time.Second // time for all streams to start
 )
 
-// measureStreamHeap measures the heap of open and waiting requests with their
-// callers' and the stand-ins' ends, which run in this process too; it is an
-// upper bound of the entry's own part.
+// measureStreamHeap measures the heap per open or waiting request. Callers and
+// stand-in engines run in this process too, so the result is an upper bound of the
+// entry's own heap.
 func measureStreamHeap(ctx context.Context, m *Measurements, info demo.Info) error {
 	client := &fasthttp.Client{StreamResponseBody: true, MaxConnsPerHost: heapStreams}
 	before := liveHeapBytes()
@@ -40,5 +40,5 @@
 	}
 	perStream := max(liveHeapBytes()-before, 0) / heapStreams
 	m.Add(NewSeries(seriesStreamHeap, "live heap of one request, open or waiting, of 200 at once; daemon, stand-in and caller in one process", "requests", "B", []Point{{1, perStream}}))
-	return errors.Wrap(p.Wait(), "streams")
+	return errors.Wrap(p.Wait(), "heap streams")
 }
--- a/internal/capacity/measure_member.go
+++ b/internal/capacity/measure_member.go
@@ -9,7 +9,7 @@
 	"github.com/lycheekeel/lycheekeel/member/membertest"
 )
 
-// Names of the membership's series.
+// Names of the membership series.
 const (
 	seriesMemberBytes    = "member_bytes_per_second_by_members"
 	seriesMemberMaxBytes = "member_worst_bytes_per_second_by_members"
@@ -21,13 +21,13 @@
 	seriesJoin           = "member_join_seconds_by_members"
 )
 
-// memberVirtualTime is the virtual time that the quiet cost is measured over.
+// memberVirtualTime is the virtual time over which the idle cost is measured.
 const (
 	memberVirtualTime = 60 * time.Second
 	memberSeed        = 1
 )
 
-// measureMembers measures membership from 10 to 390 members.
+// measureMembers measures membership with 10 to 390 members.
 func measureMembers(_ context.Context, m *Measurements) error {
 	series := map[string][]Point{}
 	add := func(name string, x int, y float64) { series[name] = append(series[name], Point{float64(x), y}) }
--- a/internal/capacity/measure_owner.go
+++ b/internal/capacity/measure_owner.go
@@ -15,7 +15,7 @@
 	"github.com/lycheekeel/lycheekeel/pool"
 )
 
-// Names of the owner's and the controller's series.
+// Names of the series of pool owners and the placement controller.
 const (
 	seriesTickSeconds = "tick_seconds_by_waiting"
 	seriesProbeBytes  = "probe_bytes"
@@ -23,7 +23,7 @@
 	seriesPlanSeconds = "plan_seconds_by_servers"
 )
 
-// How often each thing is repeated.
+// Rounds per measurement, and the pools of a planned region.
 const (
 	tickRounds  = 2000
 	probeRounds = 2000
@@ -31,8 +31,8 @@
 	planPools   = 22
 )
 
-// measureOwner measures what a pool costs while nothing happens in it, and
-// the probes of its servers.
+// measureOwner measures the cost of an idle pool, of probes to its servers and of
+// placement plans.
 func measureOwner(ctx context.Context, m *Measurements) error {
 	var ticks []Point
 	for _, n := range []int{100, 1000, maxRigWaiting} {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// measureProbes asks one stand-in for its load report again and again.
+// measureProbes measures load reports requested from one stand-in engine.
 func measureProbes(ctx context.Context, m *Measurements) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// measurePlans plans regions of several sizes.
+// measurePlans measures placement plans for regions of several sizes.
 func measurePlans(m *Measurements) {
 	var points []Point
 	for _, n := range []int{44, 110, 220} {
@@ -96,7 +96,7 @@
 	m.Add(NewSeries(seriesPlanSeconds, "one plan of a region with 22 pools whose demand is uneven", "servers", "s", points))
 }
 
-// placementInput returns a region with the servers spread evenly over its pools.
+// placementInput returns a region whose servers are spread evenly over its pools.
 func placementInput(servers int) placement.Input {
 	var in placement.Input
 	for i := range planPools {
--- a/internal/capacity/measure_peer.go
+++ b/internal/capacity/measure_peer.go
@@ -9,21 +9,21 @@
 	"github.com/lycheekeel/lycheekeel/internal/peer"
 )
 
-// Names of the transport's series.
+// Names of the transport series.
 const (
 	seriesWireBytes = "peer_wire_bytes_by_payload"
 	seriesWireCPU   = "peer_message_cpu_seconds_by_payload"
 	seriesPeerHeap  = "peer_heap_by_connections"
 )
 
-// The transport rig's sizes.
+// Parameters of the transport measurement.
 const (
 	wireMessages = 5000
 	clusterKey   = "a cluster key for measuring"
 	peerMetrics  = "peer"
 )
 
-// peerPair is two transports over loopback; the second answers each message.
+// peerPair is two transports over loopback; b acknowledges each message.
 type peerPair struct {
 	a, b    *peer.TCP
 	metrics *metrics.Registry // of a
@@ -56,7 +56,7 @@
 	return p, nil
 }
 
-// roundTrips sends messages of a size, each after the last one's answer.
+// roundTrips sends n messages of the size, each after the previous one's ack.
 func (p *peerPair) roundTrips(n, size int) error {
 	payload := make([]byte, size)
 	for range n {
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// bytesSent returns the bytes that a has sent, with framing and encryption but
-// without TCP's and IP's headers.
+// bytesSent returns the bytes that a has sent, with framing and encryption but without
+// TCP and IP headers.
 func (p *peerPair) bytesSent() float64 {
 	return float64(p.metrics.Counter(peerMetrics, "wire_bytes_out").Value())
 }
@@ -79,14 +79,14 @@
 	p.b.Close()
 }
 
-// measurePeers measures what a message costs beyond its payload.
+// measurePeers measures the bytes and CPU time of a message against its payload.
 func measurePeers(_ context.Context, m *Measurements) error {
 	p, err := newPeerPair()
 	if err != nil {
 		return err
 	}
 	defer p.close()
-	if err := p.roundTrips(1, 1); err != nil { // dials
+	if err := p.roundTrips(1, 1); err != nil { // opens the connection
 		return err
 	}
 	var bytes, cpu []Point
@@ -105,7 +105,7 @@
 	return measurePeerHeap(m)
 }
 
-// measurePeerHeap measures what open connections hold, both ends together.
+// measurePeerHeap measures the heap of open connections, per end.
 func measurePeerHeap(m *Measurements) error {
 	var points []Point
 	for _, n := range []int{1, 8, 24} {
--- a/internal/capacity/measure_pool.go
+++ b/internal/capacity/measure_pool.go
@@ -8,7 +8,7 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Names of the pool's series.
+// Names of the pool series.
 const (
 	seriesDecisionServers = "decision_seconds_by_servers"
 	seriesDecisionWaiting = "decision_seconds_by_waiting"
@@ -16,22 +16,22 @@
 	seriesServerHeap      = "pool_heap_by_servers"
 )
 
-// The pool rig's sizes.
+// Parameters of the pool measurement.
 const (
 	rigSlots        = 16
 	rigWorkspaces   = 50
 	rigTiers        = 4
 	rigPromptTokens = 1500
-	rigBlocks       = 24 // the prompt's tokens in blocks of 64
+	rigBlocks       = 24 // prompt blocks of 64 tokens
 	rigCycles       = 4000
 	rigEntry        = pool.EntryID("capacity#1")
 	maxRigServers   = 32
 	maxRigWaiting   = 10000
-	rigDeadline     = time.Hour // nothing expires while it is measured
+	rigDeadline     = time.Hour // nothing expires during the measurement
 )
 
-// poolRig drives one pool whose servers are full, so that every grant comes
-// from a release.
+// poolRig drives one pool whose servers are full, so that each grant follows a
+// release.
 type poolRig struct {
 	pool     *pool.Pool
 	now      time.Time
@@ -41,7 +41,7 @@
 	commands []pool.Command
 }
 
-// newPoolRig returns a pool with full servers and the number waiting.
+// newPoolRig returns a pool of full servers with the given number of waiting requests.
 func newPoolRig(servers, waiting int) *poolRig {
 	r := &poolRig{
 		pool: pool.New(pool.Config{Name: "capacity", Epoch: 1, MaxWaiting: 2 * maxRigWaiting}),
@@ -63,7 +63,7 @@
 	return r
 }
 
-// handle passes one event and keeps the grants that follow.
+// handle passes one event to the pool and records its grants.
 func (r *poolRig) handle(ev pool.Event) {
 	r.now = r.now.Add(time.Microsecond)
 	r.commands = r.pool.Handle(r.now, ev, r.commands[:0])
@@ -80,7 +80,8 @@
 	r.enqueued++
 }
 
-// cycle ends the oldest run, which grants a waiting request, and enqueues one.
+// cycle releases the oldest grant, which lets a waiting request run, and enqueues
+// another request.
 func (r *poolRig) cycle() {
 	g := r.running[0]
 	r.running = r.running[1:]
@@ -92,8 +93,8 @@
 	r.enqueue()
 }
 
-// rigRequest returns the n-th request. Half of its blocks are its
-// workspace's shared prefix.
+// rigRequest returns the n-th request. Half of its blocks are a prefix shared within
+// its workspace.
 func rigRequest(n int) pool.Enqueue {
 	blocks := make([]uint64, rigBlocks)
 	for i := range blocks {
@@ -112,7 +113,7 @@
 	}
 }
 
-// decisionCPU is the processor time of one enqueue-grant-release cycle.
+// decisionCPU returns the CPU seconds of one enqueue-grant-release cycle.
 func decisionCPU(servers, waiting int) float64 {
 	r := newPoolRig(servers, waiting)
 	return cpuPerOp(rigCycles, func() {
@@ -122,8 +123,8 @@
 	})
 }
 
-// measurePool measures the scheduler: time against servers and waiting, heap
-// against both.
+// measurePool measures the scheduler's CPU time and heap against the numbers of
+// servers and of waiting requests.
 func measurePool(m *Measurements) {
 	var byServers, byWaiting, heapServers, heapWaiting []Point
 	for _, n := range []int{4, 8, 16, maxRigServers} {
--- a/internal/capacity/measure_prefix.go
+++ b/internal/capacity/measure_prefix.go
@@ -6,11 +6,11 @@
 	"github.com/lycheekeel/lycheekeel/pool/prefix"
 )
 
-// seriesPrefixHeap is the heap of what a pool knows of cached prefixes.
+// seriesPrefixHeap is the heap of a pool's prefix index.
 const seriesPrefixHeap = "prefix_heap_by_blocks"
 
-// measurePrefixes measures the memory of known prefix blocks, spread over the
-// servers of a full pool.
+// measurePrefixes measures the heap of a prefix index with blocks spread over a full
+// pool's servers.
 func measurePrefixes(m *Measurements) {
 	var points []Point
 	for _, n := range []int{1_000, 10_000, 40_000} {
@@ -19,7 +19,7 @@
 	m.Add(NewSeries(seriesPrefixHeap, "live heap of an index of cached blocks of 32 servers", "blocks", "B", points))
 }
 
-// prefixIndex returns an index that was told of so many different blocks.
+// prefixIndex returns an index with the given number of distinct blocks.
 func prefixIndex(blocks int) *prefix.Index {
 	x := prefix.NewIndex()
 	now := time.Unix(0, 0)
--- a/internal/capacity/measure_store.go
+++ b/internal/capacity/measure_store.go
@@ -15,14 +15,14 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Names of the store's series.
+// Names of the object store series.
 const (
 	seriesClaimCalls  = "store_calls_by_claims"
 	seriesLeaseCalls  = "store_calls_by_lease_seconds"
 	seriesChangeCalls = "store_calls_by_applied_changes"
 )
 
-// callCount returns the calls that a stand-in has answered.
+// callCount returns the number of calls that the stand-in has answered.
 func callCount(s *standin.Standin) float64 {
 	sum := int64(0)
 	for _, n := range s.Calls() {
@@ -31,7 +31,7 @@
 	return float64(sum)
 }
 
-// measureStore measures the calls that claims and leases make.
+// measureStore measures the object API calls of claims, applied changes and leases.
 func measureStore(ctx context.Context, m *Measurements) error {
 	var claims []Point
 	for _, n := range []int{100, 400, 1000} {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// claimCalls makes claims and records their outcomes.
+// claimCalls returns the calls for n claims and their outcomes.
 func claimCalls(ctx context.Context, n int) (float64, error) {
 	store := standin.New(standin.Options{})
 	ledger := claim.NewLedger(store, claim.Options{})
@@ -73,7 +73,8 @@
 	return callCount(store), nil
 }
 
-// changeCalls applies some changed pools at once, as the tool does.
+// changeCalls returns the calls for applying several changed pools at once, as the
+// apply command does.
 func changeCalls(ctx context.Context) ([]Point, error) {
 	var points []Point
 	for _, n := range []int{1, 5, 20} {
@@ -100,7 +101,7 @@
 	return points, nil
 }
 
-// poolDocuments returns new pools as files hold them.
+// poolDocuments returns n new pools, parsed as from a file.
 func poolDocuments(n int) []workspace.Document {
 	var docs []workspace.Document
 	for i := range n {
@@ -111,10 +112,11 @@
 	return docs
 }
 
-// leaseHoldTime is how long a lease is held in real time.
+// leaseHoldTime is how long the lease is held, in real time.
 const leaseHoldTime = 12 * time.Second
 
-// leaseCalls counts a holder's calls at intervals, renewals by their jitter.
+// leaseCalls counts the holder's calls at regular intervals. Renewal times are
+// jittered.
 func leaseCalls(ctx context.Context) ([]Point, error) {
 	store := standin.New(standin.Options{})
 	elector, err := lease.NewElector(store, lease.Options{Name: "controller", Holder: "entry-1"})
--- a/internal/capacity/measure_stream.go
+++ b/internal/capacity/measure_stream.go
@@ -20,42 +20,40 @@
 	standin "github.com/lycheekeel/lycheekeel/internal/standin/engine"
 )
 
-// Names of the streams' series.
+// Names of the stream series.
 const (
 	seriesStreamDaemon = "stream_cpu_seconds_by_tokens"
 	seriesStreamDirect = "stream_direct_cpu_seconds_by_tokens"
 )
 
-// The streams' sizes: each point runs some streams at the same time.
+// Number of concurrent streams per point, and the size of a token.
 const (
 	concurrentStreams = 40
 	bytesPerToken     = 4
 )
 
-// streamLengths are the lengths that are measured.
+// streamLengths are the measured answer lengths in tokens.
 var streamLengths = []int{100, 400, 1200}
 
-// measureStreams measures the processor time of a streamed answer against its
-// length, once through a whole daemon and once straight from the stand-in. All
-// ends run in this process, so the difference of the slopes is the entry's
-// own cost of a token plus that of the caller's parsing of events, and the
-// first series is an upper bound.
+// measureStreams measures the CPU time of a streamed answer against its length, once
+// through a whole daemon and once directly from the stand-in engine. All parties run
+// in this process, so the first series is an upper bound. The difference of the slopes
+// is the entry's cost per token plus the caller's cost of parsing events.
 func measureStreams(ctx context.Context, m *Measurements) error {
 	through, err := streamThroughDaemon(ctx, m)
 	if err != nil {
-		return errors.Wrap(err, "through the daemon")
+		return errors.Wrap(err, "stream through the daemon")
 	}
 	direct, err := streamDirect(ctx)
 	if err != nil {
-		return errors.Wrap(err, "straight")
+		return errors.Wrap(err, "stream from the stand-in")
 	}
 	m.Add(NewSeries(seriesStreamDaemon, "a streamed answer through daemon, stand-in and caller in one process", "tokens", "s", through))
 	m.Add(NewSeries(seriesStreamDirect, "the same from the stand-in through the engine adapter alone", "tokens", "s", direct))
 	return nil
 }
 
-// streamPoints runs one by itself first, to warm up, and then many at once
-// for each length.
+// streamPoints runs one stream to warm up, then concurrent streams of each length.
 func streamPoints(run func(tokens int) error) ([]Point, error) {
 	if err := run(streamLengths[0]); err != nil {
 		return nil, err
@@ -78,7 +76,7 @@
 	return points, nil
 }
 
-// streamThroughDaemon streams through a demonstration, and measures its heap.
+// streamThroughDaemon measures streams through a demo daemon, and their heap.
 func streamThroughDaemon(ctx context.Context, m *Measurements) ([]Point, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -102,7 +100,7 @@
 	return points, err
 }
 
-// streamOnce reads one streamed echo of so many tokens.
+// streamOnce reads one streamed echo of the given number of tokens.
 func streamOnce(client *fasthttp.Client, info demo.Info, tokens int) error {
 	workspace := slices.Sorted(maps.Keys(info.Keys))[0]
 	body, err := json.Marshal(map[string]any{
@@ -110,7 +108,7 @@
 		"messages": []map[string]string{{"role": "user", "content": standin.PrefixEcho + echoText(tokens)}},
 	})
 	if err != nil {
-		return errors.Wrap(err, "body")
+		return errors.Wrap(err, "encode request")
 	}
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -121,14 +119,14 @@
 	req.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+info.Keys[workspace])
 	req.SetBody(body)
 	if err := client.Do(req, resp); err != nil {
-		return errors.Wrap(err, "stream")
+		return errors.Wrap(err, "send request")
 	}
 	var answer bytes.Buffer
 	if _, err := answer.ReadFrom(resp.BodyStream()); err != nil {
-		return errors.Wrap(err, "stream")
+		return errors.Wrap(err, "read stream")
 	}
 	if !bytes.Contains(answer.Bytes(), []byte("[DONE]")) {
-		return errors.Errorf("stream of %d tokens: status %d, not whole: %.200s", tokens, resp.StatusCode(), answer.Bytes())
+		return errors.Errorf("incomplete stream of %d tokens: status %d: %.200s", tokens, resp.StatusCode(), answer.Bytes())
 	}
 	return nil
 }
@@ -137,7 +135,7 @@
 	return string(bytes.Repeat([]byte("a"), tokens*bytesPerToken))
 }
 
-// streamDirect streams from a stand-in through the engine adapter.
+// streamDirect measures streams from a stand-in through the engine adapter alone.
 func streamDirect(ctx context.Context) ([]Point, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/capacity/measure_wire.go
+++ b/internal/capacity/measure_wire.go
@@ -8,8 +8,8 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Names of the pool messages' series. Each is the payload of one message
-// that carries one event or command; the envelope is a series of its own.
+// Names of the pool message series. Each is the payload of a message with one event or
+// command; the envelope is in the transport series.
 const (
 	seriesEnqueueBytes        = "enqueue_bytes_by_blocks"
 	seriesGrantBytes          = "grant_bytes"
@@ -20,14 +20,13 @@
 	seriesCodecSeconds        = "codec_seconds"
 )
 
-// wireRequestID is an identifier as request.NewID makes them.
+// wireRequestID is a generated request ID, for its real length.
 var wireRequestID = request.NewID()
 
-// wireGrantID is a grant's identifier with an epoch drawn at random, as owners
-// draw it.
+// wireGrantID is a grant ID whose epoch has the size of the random epochs of owners.
 var wireGrantID = pool.GrantID{Epoch: 1 << 62, Seq: 100_000}
 
-// codecRounds is how many encodings and decodings are timed.
+// codecRounds is the number of timed encodings and decodings.
 const codecRounds = 20_000
 
 func eventsBatch(events ...pool.Event) poolwire.Events {
@@ -60,7 +59,7 @@
 	return e
 }
 
-// measureWire measures the messages between entries and owners.
+// measureWire measures the messages between entries and pool owners.
 func measureWire(m *Measurements) {
 	var enqueue []Point
 	for _, blocks := range []int{0, 8, 24, 64, 128} {
--- a/internal/capacity/measurements.go
+++ b/internal/capacity/measurements.go
@@ -1,7 +1,7 @@
-// Package capacity measures what the parts cost on one machine, as slopes, and
-// works out from them what each role costs at a given size. The page
-// docs/CAPACITY.md is rendered from one measured file, and a test checks that
-// page and file agree.
+// Package capacity measures the costs of the components on one machine, fits each to a
+// line, and computes from them the cost of each role in a deployment of a given size.
+// The page docs/CAPACITY.md is rendered from one measurements file, and a test checks
+// that the page matches it.
 package capacity
 
 import (
@@ -13,40 +13,40 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measured value y at the size x.
+// Point is one measured value Y at size X.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// Series is one measured cost over one size, with its fitted line.
+// Series is one cost measured over one size, with a fitted line.
 type Series struct {
 	Name string `json:"name"`
-	// Description was run, in one sentence.
+	// Description says in one sentence what was run.
 	Description string  `json:"what"`
 	XUnit       string  `json:"x_unit"`
 	YUnit       string  `json:"y_unit"`
 	Points      []Point `json:"points"`
-	// Slope and Base are the least-squares line y = Base + Slope·x. With a
-	// single point Slope is zero and Base the value.
+	// Slope and Intercept are the least-squares line y = Intercept + Slope·x. With a
+	// single point Slope is 0 and Intercept is its value.
 	Slope     float64 `json:"slope"`
 	Intercept float64 `json:"base"`
 }
 
-// Machine says where a file was measured, as far as it matters.
+// Machine describes where and when the measurements were taken.
 type Machine struct {
 	Cores int    `json:"cores"`
 	Go    string `json:"go"`
 	Date  string `json:"date"`
 }
 
-// Measurements is one run's results.
+// Measurements are the results of one run.
 type Measurements struct {
 	Machine Machine           `json:"machine"`
 	Series  map[string]Series `json:"series"`
 }
 
-// NewSeries fits the points, which it sorts by x.
+// NewSeries returns a series with a line fitted to the points, which it sorts by X.
 func NewSeries(name, description, xUnit, yUnit string, points []Point) Series {
 	s := Series{Name: name, Description: description, XUnit: xUnit, YUnit: yUnit, Points: points}
 	sort.Slice(s.Points, func(i, j int) bool { return s.Points[i].X < s.Points[j].X })
@@ -70,10 +70,10 @@
 	return stat.LinearRegression(xs, ys, nil, false)
 }
 
-// At returns the cost at x: between measured points by straight lines, above
-// them by the fitted slope from the last point, so that a curve that is not a
-// line is not hidden inside the measured range. Below them it is the first
-// point's cost: no cost falls below zero, and none is made smaller than seen.
+// At returns the cost at x. It interpolates between points, so that a nonlinear curve
+// stays visible within the measured range, and extrapolates above the last point by
+// the fitted slope. Below the first point it returns that point's cost, so that no
+// result is negative or below the smallest measured size's.
 func (s Series) At(x float64) float64 {
 	n := len(s.Points)
 	if n == 0 {
@@ -92,7 +92,7 @@
 	return last.Y + s.Slope*(x-last.X)
 }
 
-// Add puts a series into the results.
+// Add adds a series, replacing one of the same name.
 func (m *Measurements) Add(s Series) {
 	if m.Series == nil {
 		m.Series = map[string]Series{}
@@ -100,7 +100,7 @@
 	m.Series[s.Name] = s
 }
 
-// Get returns a series, or an error that names the missing one.
+// Get returns a series, or an error with the name of the missing one.
 func (m *Measurements) Get(name string) (Series, error) {
 	s, ok := m.Series[name]
 	if !ok {
@@ -109,24 +109,24 @@
 	return s, nil
 }
 
-// ReadFile reads a measured file.
+// ReadFile reads a measurements file.
 func ReadFile(path string) (*Measurements, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "measured file")
+		return nil, errors.Wrap(err, "read measurements file")
 	}
 	var m Measurements
 	if err := json.Unmarshal(data, &m); err != nil {
-		return nil, errors.Wrapf(err, "measured file %s", path)
+		return nil, errors.Wrapf(err, "parse measurements file %s", path)
 	}
 	return &m, nil
 }
 
-// WriteFile writes a measured file.
+// WriteFile writes a measurements file.
 func (m *Measurements) WriteFile(path string) error {
 	data, err := json.MarshalIndent(m, "", "  ")
 	if err != nil {
-		return errors.Wrap(err, "measured file")
+		return errors.Wrap(err, "encode measurements")
 	}
-	return errors.Wrap(os.WriteFile(path, append(data, '\n'), 0o644), "measured file")
+	return errors.Wrap(os.WriteFile(path, append(data, '\n'), 0o644), "write measurements file")
 }
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -11,7 +11,7 @@
 	"github.com/lycheekeel/lycheekeel/placement"
 )
 
-// Role is one of the parts that a daemon plays.
+// Role is one of the roles of a daemon.
 type Role string
 
 // The roles.
@@ -23,38 +23,38 @@
 	RoleController Role = "controller"
 )
 
-// NodeCost is one cost of one node in a role.
+// NodeCost is one cost of a node in a role.
 type NodeCost struct {
 	Role Role
 	Name string
-	// Control is true for what a node spends whatever its callers ask; the
-	// rest grows with requests and tokens.
+	// Control marks costs that do not depend on the request rate. The others grow with
+	// requests and tokens.
 	Control bool
-	// Mechanism names what carries or bounds it.
+	// Mechanism names what causes or bounds the cost.
 	Mechanism string
-	// Messages and Bytes are sent in a second, CPU is in cores, Memory in
-	// bytes.
+	// Messages and Bytes are sent per second, CPU is in cores, Memory in bytes.
 	Messages, Bytes, CPU, Memory float64
 }
 
-// Bound is what the users allow for control on a node.
+// Bound limits a node's control costs: CPU in cores, Memory in bytes, Bytes sent per
+// second.
 type Bound struct{ CPU, Memory, Bytes float64 }
 
-// ControlBound is the users' bound.
+// ControlBound is the required bound.
 var ControlBound = Bound{CPU: 0.026, Memory: 32 << 20, Bytes: 4 << 10}
 
-// model works a size out from measured slopes. A series that was not
-// measured is remembered as the first error.
+// model computes the costs of a size from measured series. err is the first series
+// that is missing.
 type model struct {
 	measurements *Measurements
 	size         Size
-	// fixedHeartbeatInterval computes with the interval that sessions had at first,
-	// whatever their number, to show what the present one saves.
+	// fixedHeartbeatInterval uses the minimum session heartbeat interval whatever the
+	// number of sessions, to show what the adaptive interval saves.
 	fixedHeartbeatInterval bool
 	err                    error
 }
 
-// cost returns a series' value.
+// cost returns the value of a series at x.
 func (c *model) cost(name string, x float64) float64 {
 	s, err := c.measurements.Get(name)
 	if err != nil && c.err == nil {
@@ -63,7 +63,7 @@
 	return s.At(x)
 }
 
-// slope returns a series' slope.
+// slope returns the slope of a series.
 func (c *model) slope(name string) float64 {
 	s, err := c.measurements.Get(name)
 	if err != nil && c.err == nil {
@@ -72,23 +72,23 @@
 	return s.Slope
 }
 
-// wireBytes returns what a message of a payload costs on the wire.
+// wireBytes returns the bytes on the wire of a message with the payload size.
 func (c *model) wireBytes(payload float64) float64 { return c.cost(seriesWireBytes, payload) }
 
-// messageCPU is one side's part of a message's processor time.
+// messageCPU returns the CPU seconds of a message on one side.
 func (c *model) messageCPU(payload float64) float64 { return c.cost(seriesWireCPU, payload) / 2 }
 
-// NodeLoad is what the two kinds of nodes have to carry.
+// NodeLoad is the work assigned to a node.
 type NodeLoad struct {
-	pools               float64 // owned
-	servers             float64 // in all of them together
-	poolRequests        float64 // a second, in all of them together
-	poolWaiting         float64 // in the busiest
-	holdsPlacementLease bool    // holds the placement lease
+	pools               float64 // owned pools
+	servers             float64 // servers of all owned pools
+	poolRequests        float64 // per second, all owned pools
+	poolWaiting         float64 // waiting requests of the busiest owned pool
+	holdsPlacementLease bool
 	watchesObjectAPI    bool
 }
 
-// meanNodeLoad has the mean of everything.
+// meanNodeLoad returns the load of a node with the mean share of everything.
 func (c *model) meanNodeLoad() NodeLoad {
 	s := c.size
 	return NodeLoad{
@@ -97,8 +97,8 @@
 	}
 }
 
-// worstNodeLoad owns as many pools as rendezvous hashing gives to the fullest,
-// the busiest pool among them with a burst waiting, watches the object API and
+// worstNodeLoad returns the load of the node that owns the most pools under rendezvous
+// hashing, including the busiest one with a burst waiting, watches the object API and
 // holds the placement lease.
 func (c *model) worstNodeLoad() NodeLoad {
 	s := c.size
@@ -112,7 +112,7 @@
 	}
 }
 
-// nodeCosts returns every cost of a node.
+// nodeCosts returns all costs of a node.
 func (c *model) nodeCosts(l NodeLoad) []NodeCost {
 	items := []NodeCost{c.membership(), c.heartbeats(l), c.configuration(), c.snapshot()}
 	items = append(items, c.entrySessions(), c.entryRequests(), c.streams())
@@ -128,7 +128,7 @@
 
 func (c *model) membership() NodeCost {
 	n := c.size.Nodes
-	messages := c.cost(seriesMemberMessages, n) / 2 // sent; the series has both ways
+	messages := c.cost(seriesMemberMessages, n) / 2 // sent only; the series counts both directions
 	payload := c.cost(seriesMemberMaxBytes, n) / 2
 	return NodeCost{
 		Role: RoleMember, Name: "probes and gossip", Control: true, Mechanism: "fixed probe rate in rings, bounded piggyback",
@@ -137,12 +137,11 @@
 	}
 }
 
-// assumedProbeConnections is how many connections membership keeps beside those of
-// requests: as many as a member had in docs/design/membership.md's run of 60
-// members over TCP (21.2), rounded. This package does not measure it.
+// assumedProbeConnections is the number of membership connections besides those for
+// requests (docs/design/membership.md: 21.2 with 60 members over TCP).
 const assumedProbeConnections = 21.0
 
-// connections is how many daemons a node has a connection with: the owners
+// connections is the number of daemons that a node is connected to: the pool owners
 // that its entry uses, the entries that use its pools, and its probe ring.
 func (c *model) connections(l NodeLoad) float64 {
 	peers := c.size.NodesPerRegion() - 1
@@ -157,7 +156,7 @@
 }
 
 func (c *model) heartbeats(l NodeLoad) NodeCost {
-	const pings = peer.DefaultPingsPerSecond // and as many answers
+	const pings = peer.DefaultPingsPerSecond // and as many pongs
 	return NodeCost{
 		Role: RoleMember, Name: "connections and their heartbeats", Control: true, Mechanism: "one rate limit over all connections",
 		Messages: 2 * pings, Bytes: 2 * pings * c.wireBytes(0), CPU: 4 * pings * c.messageCPU(0),
@@ -179,14 +178,14 @@
 
 func (c *model) snapshot() NodeCost {
 	w := c.size.Workspaces
-	values := (w + c.size.Servers) * c.size.ConfigBytes // values as large as assumed, on top of the measured small ones
+	values := (w + c.size.Servers) * c.size.ConfigBytes // assumed value sizes, on top of the small measured ones
 	return NodeCost{
 		Role: RoleMember, Name: "snapshot and records", Control: true, Mechanism: "resolutions shared between workspaces",
 		Memory: c.cost(seriesSnapshotHeap, w) + c.cost(seriesRecordsHeap, w) + values,
 	}
 }
 
-// sessionRate is how many messages a second one side of so many idle sessions
+// sessionRate returns the messages per second that one side of the idle sessions
 // sends.
 func (c *model) sessionRate(sessions float64) float64 {
 	if sessions <= 0 {
@@ -217,15 +216,15 @@
 	}
 }
 
-// progressMessages is how many Progress events a request sends.
+// progressMessages returns the number of Progress events per request.
 func (c *model) progressMessages() float64 {
 	return float64(entry.ProgressReports(time.Duration(c.streamSeconds() * float64(time.Second))))
 }
 
-// streamSeconds is how long a request streams at the target pace.
+// streamSeconds returns how long a request streams at the target rate.
 func (c *model) streamSeconds() float64 { return c.size.TokensPerRequest() * targetPerToken.Seconds() }
 
-// targetPerToken is the users' bound between two tokens.
+// targetPerToken is the required bound on the time between two tokens.
 const targetPerToken = 62 * time.Millisecond
 
 func (c *model) entryRequests() NodeCost {
@@ -242,7 +241,7 @@
 	}
 }
 
-// promptBlockTokens is the tokens in one block of a prompt's hashes.
+// promptBlockTokens is the number of tokens per hashed prompt block.
 const promptBlockTokens = 64
 
 func (c *model) streams() NodeCost {
@@ -268,8 +267,8 @@
 	}
 }
 
-// cachedBlocksPerServer is how many cached blocks a pool's owner knows of a server:
-// the engine stand-in's cache, 1,024 blocks of 64 tokens.
+// cachedBlocksPerServer is the number of cached blocks per server that a pool's owner
+// indexes. It equals the stand-in engine's cache: 1,024 blocks of 64 tokens.
 const cachedBlocksPerServer = 1024
 
 func (c *model) probes(l NodeLoad) NodeCost {
@@ -280,8 +279,8 @@
 	}
 }
 
-// briefs are what owners tell each other of pools of the same model. Only the
-// busiest model has more than one pool in a region.
+// briefs returns the cost of the load briefs that owners of pools of the same model
+// exchange. Only the busiest model has more than one pool in a region.
 func (c *model) briefs(l NodeLoad) NodeCost {
 	siblings := c.size.HotPools() - 1
 	owned := c.size.HotPools() / c.size.NodesPerRegion()
@@ -315,8 +314,7 @@
 	}
 }
 
-// assumedWatchBytes is about what one HTTP request of a watch is long; it was
-// not measured.
+// assumedWatchBytes is the approximate size of one HTTP request of a watch.
 const assumedWatchBytes = 250
 
 func (c *model) placement() NodeCost {
@@ -330,22 +328,22 @@
 	}
 }
 
-// ownerShare is the share of nodes that own a pool at all.
+// ownerShare returns the fraction of nodes that own at least one pool.
 func (c *model) ownerShare() float64 {
 	return 1 - math.Exp(-c.size.PoolsPerRegion()/c.size.NodesPerRegion())
 }
 
-// StoreCalls is one use of the object API by the whole system.
+// StoreCalls is one use of the object API by the whole deployment.
 type StoreCalls struct {
 	Name, Mechanism string
-	Writes, Reads   float64 // a second
+	Writes, Reads   float64 // per second
 }
 
-// storeCalls returns every use.
+// storeCalls returns all uses of the object API.
 func (c *model) storeCalls() []StoreCalls {
 	s := c.size
 	claims := s.RequestsPerSec * s.NonIdempotentShare * c.slope(seriesClaimCalls)
-	leases := s.Regions + 1 // a placement lease a region, one for the collector
+	leases := s.Regions + 1 // one placement lease per region and one for the collector
 	return []StoreCalls{
 		{Name: "claims", Mechanism: "an object a claim: create, then outcome", Writes: claims},
 		{Name: "leases", Mechanism: "renewals by the holder", Writes: leases * c.slope(seriesLeaseCalls)},
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -29,14 +29,14 @@
 	return blocks, nil
 }
 
-// The page's marks around a generated block.
+// Markers around a generated block of the page.
 const (
 	beginMarker = "<!-- begin: %s -->\n"
 	endMarker   = "<!-- end: %s -->"
 )
 
-// Render puts the blocks of a measured file into a page's text. A mark that is
-// missing, or a block that is not known, is an error.
+// Render replaces the generated blocks of a page's text. It returns an error if a
+// marker is missing.
 func Render(page string, m *Measurements) (string, error) {
 	blocks, err := Blocks(m)
 	if err != nil {
@@ -46,18 +46,18 @@
 		begin, end := fmt.Sprintf(beginMarker, name), fmt.Sprintf(endMarker, name)
 		head, rest, ok := strings.Cut(page, begin)
 		if !ok {
-			return "", errors.Errorf("page has no %q", strings.TrimSpace(begin))
+			return "", errors.Errorf("page has no marker %q", strings.TrimSpace(begin))
 		}
 		_, tail, ok := strings.Cut(rest, end)
 		if !ok {
-			return "", errors.Errorf("page has no %q", end)
+			return "", errors.Errorf("page has no marker %q", end)
 		}
 		page = head + begin + block + end + tail
 	}
 	return page, nil
 }
 
-// table renders rows as Markdown.
+// table renders a Markdown table.
 func table(header []string, rows [][]string) string {
 	var b strings.Builder
 	line := func(cells []string) { fmt.Fprintf(&b, "| %s |\n", strings.Join(cells, " | ")) }
@@ -113,7 +113,7 @@
 		"Changes a day", "Pools a region", "Servers in the busiest pool", "Requests/s in it", "Pools on the fullest node"}, rows)
 }
 
-// rolesBlock shows every cost of the mean and the worst node.
+// rolesBlock lists all costs of the mean and the worst node.
 func (c *model) rolesBlock() string {
 	mean, worst := c.nodeCosts(c.meanNodeLoad()), c.nodeCosts(c.worstNodeLoad())
 	byName := map[string]NodeCost{}
@@ -140,7 +140,7 @@
 	return table([]string{"Role", "Cost", "Kind", "Messages/s", "Sent/s", "Core", "Memory", "Mechanism"}, rows)
 }
 
-// controlCost sums up what a node spends on control.
+// controlCost sums up the control costs of a node.
 func (c *model) controlCost(l NodeLoad) NodeCost {
 	var sum NodeCost
 	for _, i := range c.nodeCosts(l) {
@@ -191,8 +191,8 @@
 		"Requests enqueued or reported again", "Sent for it", "Known to the region after", "Work of a new owner for it"}, rows)
 }
 
-// growthBlock grows the target's fleet at its own proportions and shows where
-// a node's control goes over its bound.
+// growthBlock scales the target and shows where a node's control costs exceed their
+// bound.
 func (c *model) growthBlock() string {
 	var rows [][]string
 	for _, factor := range []float64{0.25, 0.5, 1, 2, 4} {
@@ -206,9 +206,10 @@
 	return table([]string{"Nodes", "Servers", "Workspaces", "Sent/s, mean", "Sent/s, worst", "Core, worst", "Memory, worst"}, rows)
 }
 
-// separationBlock shows what the worst node would cost if its parts were kept
-// apart: ownership with a bound a node, and a controller that is told by the
-// owners what it asks the servers now.
+// separationBlock shows the worst node's control costs if roles were separated: first
+// if it owned the busiest pool only, then also without the watch and the placement
+// lease. That would need a bound on the pools per node, and a controller that gets the
+// servers' state from the pool owners instead of probing them.
 func (c *model) separationBlock() string {
 	worst := c.worstNodeLoad()
 	singlePool := worst
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -7,14 +7,15 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The committed page and the measured file that it cites.
+// The committed page and the measurements file that it is rendered from.
 const (
 	pageFile         = "../../docs/CAPACITY.md"
 	measurementsFile = "../../docs/measurements/capacity.json"
 )
 
+// Guards against a page whose tables no longer follow from the measurements file.
 func TestPageMatchesMeasurements(t *testing.T) {
-	Convey("every table follows from the file by the model", t, func() {
+	Convey("Rendering the measurements file reproduces the page", t, func() {
 		m, err := ReadFile(measurementsFile)
 		So(err, ShouldBeNil)
 		page, err := os.ReadFile(pageFile)
@@ -23,7 +24,7 @@
 		So(err, ShouldBeNil)
 		So(rendered, ShouldEqual, string(page))
 	})
-	Convey("a changed figure shows", t, func() {
+	Convey("A changed measurement changes the page", t, func() {
 		m, err := ReadFile(measurementsFile)
 		So(err, ShouldBeNil)
 		page, err := os.ReadFile(pageFile)
@@ -34,7 +35,7 @@
 		So(err, ShouldBeNil)
 		So(rendered, ShouldNotEqual, string(page))
 	})
-	Convey("the fitted lines follow from their points", t, func() {
+	Convey("The fitted lines match their points", t, func() {
 		m, err := ReadFile(measurementsFile)
 		So(err, ShouldBeNil)
 		for name, s := range m.Series {
@@ -45,14 +46,14 @@
 }
 
 func TestSeries(t *testing.T) {
-	Convey("values between and beyond the points", t, func() {
+	Convey("Values are interpolated between points and extrapolated above them", t, func() {
 		s := NewSeries("n", "w", "x", "y", []Point{{30, 60}, {10, 20}})
 		So(s.Slope, ShouldAlmostEqual, 2)
 		So(s.At(20), ShouldAlmostEqual, 40)
 		So(s.At(50), ShouldAlmostEqual, 100)
 		So(s.At(0), ShouldAlmostEqual, 20)
 	})
-	Convey("the fullest node has more pools than the mean", t, func() {
+	Convey("The fullest node owns at least the mean number of pools", t, func() {
 		for _, size := range Sizes() {
 			So(size.MaxPoolsPerNode(), ShouldBeGreaterThanOrEqualTo, size.PoolsPerRegion()/size.NodesPerRegion())
 			So(size.MaxPoolsPerNode(), ShouldBeLessThanOrEqualTo, size.PoolsPerRegion())
--- a/internal/capacity/run.go
+++ b/internal/capacity/run.go
@@ -16,7 +16,7 @@
 	run  func(context.Context, *Measurements) error
 }
 
-// groups in the order in which they run.
+// groups returns all groups in run order.
 func groups() []group {
 	return []group{
 		{"scheduler", func(_ context.Context, m *Measurements) error { measurePool(m); return nil }},
@@ -32,7 +32,7 @@
 	}
 }
 
-// Groups names what Run can measure by itself.
+// Groups returns the names that Run accepts.
 func Groups() []string {
 	var names []string
 	for _, s := range groups() {
@@ -41,10 +41,10 @@
 	return names
 }
 
-// Run measures the named groups, or all where none is named, into m, and
-// reports each group's time to progress. All of them take a few minutes and
-// are best run on a quiet machine: processor times leave out other processes,
-// but not the caches that they displace.
+// Run runs the selected groups, or all if none is selected, stores the results in m,
+// and reports each group's duration to progress. All groups take a few minutes. Run
+// them on an idle machine: CPU times leave out other processes, but not their effect
+// on the CPU caches.
 func Run(ctx context.Context, progress io.Writer, m *Measurements, selected []string) error {
 	m.Machine = Machine{
 		Cores: runtime.NumCPU(), Go: runtime.Version(), Date: time.Now().UTC().Format(time.DateOnly),
--- a/internal/capacity/size.go
+++ b/internal/capacity/size.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Size is a deployment that the page works out.
+// Size describes a deployment.
 type Size struct {
 	Name           string
 	Nodes          float64
@@ -11,26 +11,27 @@
 	Servers        float64
 	Workspaces     float64
 	Models         float64
-	RequestsPerSec float64 // at the peak, whole system
+	RequestsPerSec float64 // at peak, whole deployment
 	TokensPerSec   float64
 	ChangesPerDay  float64
-	// HotModelShare is the share of requests for the busiest model; the worst
-	// pool owner holds that model's pool.
+	// HotModelShare is the share of requests for the busiest model. The worst node
+	// owns a pool of that model.
 	HotModelShare float64
 	// NonIdempotentShare is the share of requests that need a claim.
 	NonIdempotentShare float64
-	// PromptTokens is the mean prompt.
+	// PromptTokens is the mean prompt length.
 	PromptTokens float64
-	// ConfigBytes is the mean size of one changed object.
+	// ConfigBytes is the mean size of a changed object.
 	ConfigBytes float64
-	// WaitingAtPeak is how many requests wait in the worst pool in a burst.
+	// WaitingAtPeak is the number of requests that wait in the busiest pool during a
+	// burst.
 	WaitingAtPeak float64
 }
 
-// maxPoolServers is the most servers that a pool has.
+// maxPoolServers is the maximum number of servers per pool.
 const maxPoolServers = 32
 
-// Assumptions that the users did not give; the page states them.
+// Assumptions where the operators gave no figure; the page states them.
 const (
 	assumedHotModelShare      = 0.25
 	assumedNonIdempotentShare = 0.05
@@ -39,7 +40,7 @@
 	assumedWaitingAtPeak      = 2000
 )
 
-// Sizes returns today's two deployments and the target.
+// Sizes returns the two present deployments and the target.
 func Sizes() []Size {
 	return []Size{
 		withAssumptions(Size{Name: "Punchline today", Nodes: 9, Regions: 1, Zones: 3, Servers: 23, Workspaces: 5,
@@ -66,17 +67,18 @@
 // ServersPerRegion is the mean number of backend servers in a region.
 func (s Size) ServersPerRegion() float64 { return s.Servers / s.Regions }
 
-// TokensPerRequest is the mean answer.
+// TokensPerRequest is the mean answer length.
 func (s Size) TokensPerRequest() float64 { return s.TokensPerSec / s.RequestsPerSec }
 
-// RegionRequests is a region's requests per second at the peak.
+// RegionRequests is a region's requests per second at peak.
 func (s Size) RegionRequests() float64 { return s.RequestsPerSec / s.Regions }
 
-// NodeRequests is one entry's requests per second at the peak.
+// NodeRequests is one entry's requests per second at peak.
 func (s Size) NodeRequests() float64 { return s.RequestsPerSec / s.Nodes }
 
-// PoolsPerRegion counts a region's pools: every model's servers, split so that
-// no pool is over the limit. The busiest model has its share of the servers.
+// PoolsPerRegion is the number of pools in a region if each model's servers are split
+// into pools within the server limit. The busiest model gets HotModelShare of the
+// servers.
 func (s Size) PoolsPerRegion() float64 {
 	hot := math.Ceil(s.ServersPerRegion() * s.HotModelShare / maxPoolServers)
 	others := s.Models - 1
@@ -87,27 +89,26 @@
 	return hot + others*math.Ceil(each/maxPoolServers)
 }
 
-// HotPools is how many pools the busiest model has in a region.
+// HotPools is the number of pools of the busiest model in a region.
 func (s Size) HotPools() float64 {
 	return math.Ceil(s.ServersPerRegion() * s.HotModelShare / maxPoolServers)
 }
 
-// HotPoolServers and HotPoolRequests describe the busiest pool of a region.
+// HotPoolServers is the number of servers in the busiest pool of a region.
 func (s Size) HotPoolServers() float64 {
 	hot := s.ServersPerRegion() * s.HotModelShare
 	return math.Ceil(hot / math.Ceil(hot/maxPoolServers))
 }
 
-// HotPoolRequests is the busiest pool's requests per second at the peak.
+// HotPoolRequests is the busiest pool's requests per second at peak.
 func (s Size) HotPoolRequests() float64 {
 	hot := s.ServersPerRegion() * s.HotModelShare
 	return s.RegionRequests() * s.HotModelShare / math.Ceil(hot/maxPoolServers)
 }
 
-// MaxPoolsPerNode is how many pools the unluckiest node owns. Rendezvous
-// hashing places pools like balls in bins at random; with M pools on N nodes
-// the fullest bin holds about the k at which N·P(Poisson(M/N) ≥ k) falls to
-// one in a hundred.
+// MaxPoolsPerNode is the number of pools on the node that owns the most. Rendezvous
+// hashing places pools like balls into bins at random: with M pools on N nodes the
+// fullest bin holds about the k at which N·P(Poisson(M/N) ≥ k) falls to 0.01.
 func (s Size) MaxPoolsPerNode() float64 {
 	const rare = 0.01
 	lambda := s.PoolsPerRegion() / s.NodesPerRegion()
@@ -126,8 +127,8 @@
 
 const secondsPerDay = 24 * 60 * 60
 
-// Scaled returns the size with everything that grows with the fleet times the
-// factor. Regions and models stay: a larger fleet has larger regions.
+// Scaled multiplies everything that grows with the fleet by the factor. The numbers of
+// regions and models stay, so regions grow.
 func (s Size) Scaled(factor float64) Size {
 	s.Nodes *= factor
 	s.Servers *= factor
