--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -9,31 +9,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Arrival is one request to be offered. Its texts follow from its fields, so
-// that a long run does not hold them in memory.
+// Arrival is one request to send. Its texts are generated from its fields on demand,
+// so that a long run does not hold them in memory.
 type Arrival struct {
-	// Seq numbers the arrivals of a run by time, from 0.
+	// Seq numbers the arrivals of a run in time order, from 0.
 	Seq   int
 	Class *Class
-	// At is when it is to be sent, from the run's start.
+	// At is the intended send time, relative to the run's start.
 	At           time.Duration
 	PromptTokens int
 	OutputTokens int
-	// Prefix is the number of its shared prefix, or -1.
+	// Prefix is the index of its shared prefix, or -1 for none.
 	Prefix int
 	Stream bool
 	Echo   bool
-	// DisconnectAfter is when the caller leaves, from At; 0: it stays.
+	// DisconnectAfter is the time from sending until the caller disconnects; 0 means
+	// that it stays.
 	DisconnectAfter time.Duration
-	// IdempotencyKey is its Idempotency-Key, or empty.
+	// IdempotencyKey is the Idempotency-Key header, or empty.
 	IdempotencyKey string
-	// textSeed makes its texts, prefixSeed the shared ones.
+	// textSeed seeds the request's own texts, prefixSeed the shared prefixes.
 	textSeed, prefixSeed uint64
 }
 
-// Arrivals returns the arrivals of a run in time order. The same mix, seed
-// and duration give the same arrivals; each class draws from its own source,
-// so that a change of one class leaves the others' arrivals as they were.
+// Arrivals returns the arrivals of a run in time order. The same mix, seed and
+// duration give the same arrivals. Each class has its own random source, so that
+// changing one class does not change the others' arrivals.
 func Arrivals(m *Mix, seed uint64, duration time.Duration) []Arrival {
 	var out []Arrival
 	for i := range m.Classes {
@@ -49,9 +50,8 @@
 	return out
 }
 
-// classArrivals draws a Poisson process of changing rate by thinning: it
-// draws at the peak rate and keeps each arrival with the share that the rate
-// has of the peak at that moment.
+// classArrivals draws a nonhomogeneous Poisson process by thinning: it draws at the
+// peak rate and keeps each arrival with the probability rate/peak at that time.
 func classArrivals(c *Class, rng *rand.Rand, duration time.Duration) []Arrival {
 	var out []Arrival
 	peak := c.peakRate()
@@ -91,8 +91,8 @@
 	return int(min(max(math.Round(v), float64(l.Min)), float64(l.Max)))
 }
 
-// rotationShare is how many of a class's prefixed requests take the prefix
-// whose turn it is.
+// rotationShare is the fraction of a class's prefixed requests that use the prefix
+// favoured at that time.
 const rotationShare = 0.8
 
 func (p *Prefix) draw(rng *rand.Rand, at time.Duration) int {
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -6,23 +6,24 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Bounds of a mix, against typing errors rather than against use.
+// Upper bounds of a mix's numbers. They catch typing errors and are above any real
+// use.
 const (
 	maxRate   = 100_000
 	maxTokens = 1 << 20
 	maxFactor = 1000
 )
 
-// ParseMix decodes and checks a mix file. The error is workspace.Findings
-// with every finding of the file.
+// ParseMix decodes and checks a mix file. The error is a workspace.Findings with all
+// findings of the file.
 func ParseMix(file string, data []byte) (*Mix, error) {
 	return ParseFile(file, data, func(m *Mix) workspace.Findings { return m.Check(file, "") })
 }
 
-// ParseFile decodes a file strictly and checks it. The error is
-// workspace.Findings with every finding. An unknown field, which is only a
-// warning in a stored object that a newer release may have written, is a
-// mistake in a file that somebody typed.
+// ParseFile decodes a file strictly and checks it. The error is a workspace.Findings
+// with all findings. An unknown field is an error here, because the file is written by
+// hand. In a stored object it is only a warning, because a newer release may have
+// written it.
 func ParseFile[T any](file string, data []byte, check func(*T) workspace.Findings) (*T, error) {
 	v, f := workspace.Decode[T](file, data)
 	if len(f.Fatal()) == 0 {
@@ -37,18 +38,18 @@
 	return &v, nil
 }
 
-// Check returns every finding of the mix; prefix is its JSON path in the file.
+// Check returns all findings of the mix; prefix is its JSON path in the file.
 func (m *Mix) Check(file, prefix string) workspace.Findings {
 	var f workspace.Findings
 	c := checker{file: file, findings: &f}
 	if len(m.Tiers) == 0 {
-		c.add(join(prefix, "tiers"), "at least one tier is needed")
+		c.add(join(prefix, "tiers"), "at least one tier is required")
 	}
 	for name, t := range m.Tiers {
 		c.checkTargets(join(prefix, "tiers."+name), t)
 	}
 	if len(m.Classes) == 0 {
-		c.add(join(prefix, "classes"), "at least one class is needed")
+		c.add(join(prefix, "classes"), "at least one class is required")
 	}
 	names := map[string]bool{}
 	for i := range m.Classes {
@@ -56,14 +57,14 @@
 		cl := &m.Classes[i]
 		c.checkClass(path, cl, m.Tiers)
 		if names[cl.Name] {
-			c.add(path+".name", "%q is used twice", cl.Name)
+			c.add(path+".name", "duplicate class name %q", cl.Name)
 		}
 		names[cl.Name] = true
 	}
 	return f
 }
 
-// join appends a member's name to a JSON path.
+// join appends a field name to a JSON path.
 func join(path, name string) string {
 	if path == "" {
 		return name
@@ -71,7 +72,7 @@
 	return path + "." + name
 }
 
-// checker collects findings about one file.
+// checker collects the findings of one file.
 type checker struct {
 	file     string
 	findings *workspace.Findings
@@ -81,7 +82,7 @@
 	c.findings.Add(c.file, path, format, args...)
 }
 
-// inRange adds a finding where v is not in [lo, hi].
+// inRange adds a finding if v is not in [lo, hi].
 func (c checker) inRange(path string, v, lo, hi float64) {
 	if !(v >= lo && v <= hi) {
 		c.add(path, "%g is not between %g and %g", v, lo, hi)
@@ -90,7 +91,7 @@
 
 func (c checker) required(path, v string) {
 	if v == "" {
-		c.add(path, "is needed")
+		c.add(path, "is required")
 	}
 }
 
@@ -102,7 +103,7 @@
 		}
 	}
 	if t.DeadlineMs == 0 {
-		c.add(path+".deadline_ms", "is needed: answers are not waited for without end")
+		c.add(path+".deadline_ms", "is required: callers do not wait indefinitely")
 	}
 }
 
@@ -111,16 +112,16 @@
 	c.required(path+".workspace", cl.Workspace)
 	c.required(path+".model", cl.Model)
 	if _, ok := tiers[cl.Tier]; !ok {
-		c.add(path+".tier", "%q is not among the tiers", cl.Tier)
+		c.add(path+".tier", "tier %q is not defined", cl.Tier)
 	}
 	if cl.Rate <= 0 || cl.Rate > maxRate {
-		c.add(path+".rate", "%g is not above 0 and at most %d", cl.Rate, maxRate)
+		c.add(path+".rate", "%g must be above 0 and at most %d", cl.Rate, maxRate)
 	}
 	c.checkLength(path+".prompt_tokens", cl.PromptTokens)
 	c.checkLength(path+".output_tokens", cl.OutputTokens)
 	c.inRange(path+".max_tokens", float64(cl.MaxTokens), 0, maxTokens)
 	if cl.MaxTokens > 0 && cl.OutputTokens.Max > cl.MaxTokens {
-		c.add(path+".output_tokens.max", "%d is over max_tokens %d: answers would be cut", cl.OutputTokens.Max, cl.MaxTokens)
+		c.add(path+".output_tokens.max", "%d is over max_tokens %d: answers would be truncated", cl.OutputTokens.Max, cl.MaxTokens)
 	}
 	c.checkShares(path, cl)
 	c.checkTimes(path, cl)
@@ -136,7 +137,7 @@
 	case cl.DisconnectAfterMs != nil:
 		c.checkLength(path+".leave_after_ms", *cl.DisconnectAfterMs)
 	case cl.DisconnectShare > 0:
-		c.add(path+".leave_after_ms", "is needed with leave_share")
+		c.add(path+".leave_after_ms", "is required with leave_share")
 	}
 }
 
@@ -149,10 +150,10 @@
 		}
 	}
 	if cl.StartMs < 0 || (cl.EndMs != 0 && cl.EndMs <= cl.StartMs) {
-		c.add(path+".to_ms", "from_ms %d to to_ms %d is no span of time", cl.StartMs, cl.EndMs)
+		c.add(path+".to_ms", "from_ms %d and to_ms %d are not a valid time range", cl.StartMs, cl.EndMs)
 	}
 	if r := cl.Resend; r != nil && (r.Times < 1 || r.Times > 100 || r.DelayMs < 0) {
-		c.add(path+".resend", "want 1 to 100 times and no negative after_ms")
+		c.add(path+".resend", "times must be between 1 and 100 and after_ms must not be negative")
 	}
 }
 
@@ -170,7 +171,7 @@
 
 func (c checker) checkLength(path string, l LengthDistribution) {
 	if l.Min < 1 || l.Max < l.Min || l.Max > maxTokens {
-		c.add(path, "want 1 <= min <= max <= %d, not min %d, max %d", maxTokens, l.Min, l.Max)
+		c.add(path, "1 <= min <= max <= %d is required, not min %d, max %d", maxTokens, l.Min, l.Max)
 	}
 	if l.Median < float64(l.Min) || l.Median > float64(l.Max) {
 		c.add(path+".median", "%g is not between min %d and max %d", l.Median, l.Min, l.Max)
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -16,7 +16,8 @@
 	"github.com/lycheekeel/lycheekeel/internal/httpconn"
 )
 
-// The parts of the callers' protocol that the client uses.
+// The parts of the callers' protocol that the client uses, and a limit on answers in
+// bytes.
 const (
 	chatPath      = "/v1/chat/completions"
 	headerTier    = "X-Lycheekeel-Tier"
@@ -26,33 +27,33 @@
 	maxBody       = 64 << 20
 )
 
-// client sends requests to one target. It sends nothing twice by itself.
+// client sends requests to one target. It does not retry.
 type client struct {
 	host  string
 	conns *httpconn.Pool
 }
 
 func newClient(host string) *client {
-	// Callers wait for as long as their context allows, so silence is no
-	// error here; it is for the entry to send keepalives.
+	// The context limits how long a caller waits, so a long time without a byte is not
+	// an error here; the entry has to send keepalives.
 	return &client{host: host, conns: httpconn.NewPool(host, httpconn.Settings{SilenceTimeout: time.Hour})}
 }
 
-// call is one try under way.
+// call is one attempt in progress.
 type call struct {
 	arrival *Arrival
-	// start is the moment that times count from.
+	// start is the intended send time, from which times count.
 	start        time.Time
-	wantText     string // expected; empty: any
+	wantText     string // expected text; empty if any text is accepted
 	attempt      Attempt
 	text         strings.Builder
-	finished     bool // the answer's end mark was seen
-	trailingText bool // text came after the end mark
-	streamError  bool // an error came in the stream
+	finished     bool // the answer's end marker was read
+	trailingText bool // text followed the end marker
+	streamError  bool // the stream contained an error event
 }
 
 // send sends the arrival once and reads its answer. ctx ends when the caller
-// leaves or gives up.
+// disconnects or gives up.
 func (c *client) send(ctx context.Context, a *Arrival, key string, start time.Time) Attempt {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -73,7 +74,7 @@
 	Content string `json:"content"`
 }
 
-// readBody is a chat request as callers send it.
+// chatRequest is the body of a chat request.
 type chatRequest struct {
 	Model         string         `json:"model"`
 	Messages      []chatMessage  `json:"messages"`
@@ -113,7 +114,8 @@
 	req.SetBodyRaw(raw)
 }
 
-// read reads the whole answer from the connection, which it gives back.
+// read reads the whole answer from the connection, then releases or discards the
+// connection.
 func (k *call) read(ctx context.Context, conn *httpconn.Conn) error {
 	if err := conn.Bind(ctx); err != nil {
 		conn.Discard()
@@ -162,7 +164,7 @@
 // readPlain reads an answer that is not streamed.
 func (k *call) readPlain(raw []byte) error {
 	if !gjson.ValidBytes(raw) {
-		return errors.New("answer is no valid JSON")
+		return errors.New("answer is not valid JSON")
 	}
 	v := gjson.ParseBytes(raw)
 	k.text.WriteString(v.Get("choices.0.message.content").Str)
@@ -171,7 +173,7 @@
 	return nil
 }
 
-// readEvents reads a stream of server-sent events to its end.
+// readEvents reads a stream of server-sent events until it ends.
 func (k *call) readEvents(r io.Reader) error {
 	lines := bufio.NewReader(r)
 	done := false
@@ -225,7 +227,8 @@
 	k.attempt.NotRun = v.Get("error.not_run").String()
 }
 
-// outcome judges the try after its answer was read as far as it came.
+// outcome returns the outcome of the attempt after reading its answer; err is the read
+// error.
 func (k *call) outcome(err error) Outcome {
 	text := k.text.String()
 	if k.attempt.Tokens == 0 {
@@ -251,8 +254,8 @@
 	}
 }
 
-// nonSuccessOutcome judges an answer that is no success: without a typed reason the
-// caller can't know what to do, which is as bad as no answer.
+// nonSuccessOutcome returns the outcome of an error status. Without a typed reason the
+// caller cannot know whether to retry, which counts as no answer.
 func (k *call) nonSuccessOutcome() Outcome {
 	if k.attempt.Reason == "" {
 		return OutcomeNoAnswer
@@ -274,7 +277,7 @@
 	}
 }
 
-// compareLength judges an answer whose text is not known before by its length.
+// compareLength checks an answer by its length where its text is not known in advance.
 func (k *call) compareLength(text string) Outcome {
 	if estimateTokens(text) >= k.arrival.OutputTokens {
 		return OutcomeComplete
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestArrivals(t *testing.T) {
-	Convey("The same seed gives the same arrivals and texts, another gives others", t, func() {
+	Convey("The same seed gives the same arrivals and texts, another seed other arrivals", t, func() {
 		m := testMix()
 		a, b, c := Arrivals(m, 7, 10*time.Second), Arrivals(m, 7, 10*time.Second), Arrivals(m, 8, 10*time.Second)
 		So(a, ShouldResemble, b)
@@ -89,7 +89,7 @@
 }
 
 func TestParseMixFindings(t *testing.T) {
-	Convey("Every mistake of a mix is a finding with its place, all in one go", t, func() {
+	Convey("All errors of a mix are reported at once, each with its JSON path", t, func() {
 		_, err := ParseMix("mix.json", []byte(`{
 			"name": "x", "colour": 1,
 			"tiers": {"urgent": {"priority": 0, "first_token_ms": -5, "deadline_ms": 1000}},
@@ -115,11 +115,12 @@
 	})
 }
 
-// Guards against this: a caller gets the answer of another request, a torn one or one twice, and nobody notices.
+// Guards against a misrouted, truncated or duplicated answer that the load tool counts
+// as complete.
 func TestAttemptOutcome(t *testing.T) {
 	event := func(text string) string { return `data: {"choices":[{"delta":{"content":"` + text + `"}}]}` + "\n\n" }
 	const end = `data: {"choices":[{"delta":{},"finish_reason":"stop"}]}` + "\n\ndata: [DONE]\n\n"
-	Convey("Each way in which an answer can be wrong is told apart", t, func() {
+	Convey("Each kind of invalid answer gets its own outcome", t, func() {
 		for _, x := range []struct {
 			stream string
 			want   Outcome
@@ -140,14 +141,14 @@
 			So(k.outcome(err), ShouldEqual, x.want)
 		}
 	})
-	Convey("A failure without a typed reason is no refusal", t, func() {
+	Convey("An error status without a typed reason is not a refusal", t, func() {
 		k := call{arrival: &Arrival{}, attempt: Attempt{Status: 500}}
 		So(k.outcome(nil), ShouldEqual, OutcomeNoAnswer)
 		k.attempt.Reason = "shed"
 		So(k.outcome(nil), ShouldEqual, OutcomeRefused)
 		So(k.outcome(errors.New("broken")), ShouldEqual, OutcomeTruncated)
 	})
-	Convey("Only a caller that cut its answer short itself is not counted as lost or cut", t, func() {
+	Convey("An answer that its caller ended does not count as truncated, or as missing if the caller intended it", t, func() {
 		So(endedByCaller(OutcomeTruncated, false, true), ShouldEqual, OutcomeTruncated)
 		So(endedByCaller(OutcomeTruncated, true, false), ShouldEqual, OutcomeTooLate)
 		So(endedByCaller(OutcomeNoAnswer, true, false), ShouldEqual, OutcomeNoAnswer)
@@ -157,7 +158,7 @@
 }
 
 func TestGoodput(t *testing.T) {
-	Convey("Goodput counts whole answers within every target, and no caller that left", t, func() {
+	Convey("Goodput counts complete answers within all targets and excludes callers that disconnected", t, func() {
 		m := testMix()
 		a := &Arrival{Class: &m.Classes[0], Stream: true}
 		ms := time.Millisecond
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -16,32 +16,32 @@
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
-// Sizes of a plot, and how it is drawn.
+// Dimensions and style of a plot.
 const (
 	plotWidth  = 9 * vg.Inch
 	plotHeight = 7 * vg.Inch
 	plotDPI    = 110
 	lineWidth  = 1.6
-	// plotBuckets is the number of points in time of a plot, at most.
+	// plotBuckets is the maximum number of points in time.
 	plotBuckets = 40
-	// minShare is the share of callers at which the latency plot ends.
+	// minShare is the lowest share of callers in the latency plot.
 	minShare = 0.001
-	// minLatencyMs is where the latency plot begins, in milliseconds.
+	// minLatencyMs is the lowest latency in the latency plot, in milliseconds.
 	minLatencyMs  = 10.0
 	legendPadding = 2 * vg.Millimeter
-	// legendHeadroom is how much higher a plot is than its highest line.
+	// legendHeadroom is the ratio of a plot's height to its highest line.
 	legendHeadroom = 1.35
 )
 
-// Colors are told apart by people who see colors differently (Okabe and Ito).
+// Colors is a color-blind safe palette (Okabe and Ito).
 var Colors = []color.Color{
 	color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
 	color.RGBA{204, 121, 167, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{86, 180, 233, 255},
 }
 
-// WritePlot writes a PNG: above, what was offered and what was good over time
-// by tier; below, the share of callers that waited longer for the first token
-// (of a streamed answer) or the whole answer (of a plain one).
+// WritePlot writes a PNG with two plots. The upper one shows offered and good requests
+// over time by tier. The lower one shows the share of callers that waited longer than
+// x for the first token (streamed answers) or the whole answer (others).
 func WritePlot(path string, m *Mix, duration time.Duration, results []Result) error {
 	ratePlot, latencyPlot := plot.New(), plot.New()
 	ratePlot.Title.Text = m.Name + ": offered (dashed) and good (solid) requests by tier"
@@ -55,7 +55,7 @@
 	return SavePlots(path, plotWidth, plotHeight, []*plot.Plot{ratePlot}, []*plot.Plot{latencyPlot})
 }
 
-// SavePlots writes rows of plots into one PNG, their axes aligned.
+// SavePlots writes rows of plots into one PNG with aligned axes.
 func SavePlots(path string, width, height vg.Length, rows ...[]*plot.Plot) error {
 	img := vgimg.NewWith(vgimg.UseWH(width, height), vgimg.UseDPI(plotDPI))
 	dc := vgdraw.New(img)
@@ -79,7 +79,7 @@
 	return errors.Wrap(f.Close(), "plot")
 }
 
-// TiersByPriority returns the names of the tiers, the most urgent first.
+// TiersByPriority returns the names of the tiers, highest priority first.
 func TiersByPriority(m *Mix) []string {
 	out := make([]string, 0, len(m.Tiers))
 	for t := range m.Tiers {
@@ -99,8 +99,8 @@
 	return AddLatencyTail(latencyPlot, tier, tier, c, results)
 }
 
-// AddRates draws a tier's good requests over time under the label and, dashed,
-// the offered ones where these are wanted.
+// AddRates draws a tier's good requests over time with the label, and optionally the
+// offered ones as a dashed line.
 func AddRates(p *plot.Plot, m *Mix, tier, label string, c color.Color, withOffered bool, duration time.Duration, results []Result) error {
 	offered, good := rates(m, tier, duration, results)
 	if withOffered {
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// RateAxes finishes a plot after the last AddRates: room for the legend above
-// the lines.
+// RateAxes sets the axes after the last AddRates, with room for the legend above the
+// lines.
 func RateAxes(p *plot.Plot, duration time.Duration) {
 	p.X.Label.Text, p.Y.Label.Text = "seconds from the start", "requests/s"
 	p.X.Min, p.X.Max = 0, duration.Seconds()
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// rates returns a tier's offered and good requests a second over time, each
-// counted at the time of its arrival.
+// rates returns a tier's offered and good requests per second over time, each counted
+// at its arrival time.
 func rates(m *Mix, tier string, duration time.Duration, results []Result) (offered, good plotter.XYs) {
 	step := max(duration/plotBuckets, 500*time.Millisecond)
 	n := max(1, int(duration/step))
@@ -210,7 +210,7 @@
 	return out
 }
 
-// logTicks marks 1, 2 and 5 of each decade, with plain numbers.
+// logTicks places ticks at 1, 2 and 5 of each decade, labelled with plain numbers.
 type logTicks struct{}
 
 // Ticks implements plot.Ticker.
--- a/internal/load/print.go
+++ b/internal/load/print.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Print writes the report for a person.
+// Print writes the report as text tables.
 func (rep *Report) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintf(w, "mix %s, seed %d: %d sent in %s (%.1f/s), tool late by p99 %.1f ms\n\n",
@@ -28,7 +28,7 @@
 	return w.Flush()
 }
 
-// FormatCounts writes counts in the order of their names.
+// FormatCounts formats counts, sorted by name.
 func FormatCounts[K ~string](m map[K]int) string {
 	if len(m) == 0 {
 		return "none"
@@ -41,7 +41,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// Line returns the progress as one line for a terminal.
+// Line formats the progress as one terminal line.
 func (p Progress) Line() string {
 	return fmt.Sprintf("%6.1fs  sent %d of %d  waiting %d  good %d", p.Elapsed.Seconds(), p.Sent, p.Planned, p.Sent-p.Finished, p.Good)
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -7,50 +7,50 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the histograms, in microseconds.
+// Range and precision of the histograms; the range is in microseconds.
 const (
 	histogramMin    = 1
 	histogramMax    = int64(time.Hour / time.Microsecond)
 	histogramDigits = 3
 )
 
-// Report is what a run showed. Its times are milliseconds.
+// Report summarizes a run. Times are in milliseconds.
 type Report struct {
 	Mix        string  `json:"mix"`
 	Seed       uint64  `json:"seed"`
 	DurationMs int64   `json:"duration_ms"`
 	Sent       int     `json:"sent"`
 	PerSecond  float64 `json:"sent_per_second"`
-	// Tiers by priority; All is all of them together.
+	// Tiers is sorted by priority; All covers all tiers.
 	Tiers []TierReport `json:"tiers"`
 	All   TierReport   `json:"all"`
-	// Outcomes counts what callers were left with; Refusals counts every
-	// typed refusal, those before a resend included.
+	// Outcomes counts the final outcomes of callers. Refusals counts all typed
+	// refusals, including those followed by a resend.
 	Outcomes map[Outcome]int `json:"endings"`
 	Refusals map[string]int  `json:"refusals"`
-	// NoRetryAfter counts refusals of reasons shed, expired and the like that
-	// did not say when to come back.
+	// NoRetryAfter counts retryable refusals without a Retry-After header.
 	NoRetryAfter int `json:"refusals_without_retry_after"`
-	// SendLag is how late the load tool itself was; where it is not far below the
-	// latencies, the tool was the limit and the run says little.
+	// SendLag is the delay of the load tool itself. If it is not far below the
+	// latencies, the tool was the bottleneck and the results are not meaningful.
 	SendLag Percentiles `json:"send_lag_ms"`
 }
 
-// TierReport is one tier's part of a report.
+// TierReport covers one tier.
 type TierReport struct {
 	Tier     string `json:"tier"`
 	Priority int    `json:"priority"`
-	// Offered excludes callers that left on purpose, counted in Left.
+	// Offered excludes callers that disconnected on purpose; Disconnected counts
+	// those.
 	Offered      int     `json:"offered"`
 	Disconnected int     `json:"left"`
 	Complete     int     `json:"whole"`
 	Good         int     `json:"good"`
 	Goodput      float64 `json:"goodput"`
-	// Missed counts the offered requests that are not good by the first
-	// target that they missed.
+	// Missed counts the offered requests that are not good by their first missed
+	// target.
 	Missed map[Miss]int `json:"missed"`
-	// FirstToken and PerToken are of streamed whole answers, Total of all
-	// whole ones.
+	// FirstToken and PerToken cover streamed complete answers, Total all complete
+	// answers.
 	FirstToken Percentiles `json:"first_token_ms"`
 	PerToken   Percentiles `json:"per_token_ms"`
 	Total      Percentiles `json:"total_ms"`
@@ -66,7 +66,7 @@
 	Max   float64 `json:"max"`
 }
 
-// tierStats collects one tier's figures.
+// tierStats collects the figures of one tier.
 type tierStats struct {
 	report                      TierReport
 	firstToken, perToken, total *hdrhistogram.Histogram
@@ -77,7 +77,7 @@
 }
 
 func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), histogramMin), histogramMax)) // in bounds
+	_ = h.RecordValue(min(max(d.Microseconds(), histogramMin), histogramMax)) // the value is in range
 }
 
 func percentiles(h *hdrhistogram.Histogram) Percentiles {
@@ -85,7 +85,7 @@
 	return Percentiles{Count: h.TotalCount(), P50: at(50), P90: at(90), P95: at(95), P99: at(99), Max: float64(h.Max()) / 1000}
 }
 
-// Summarize makes the report of a run's results.
+// Summarize returns the report of a run's results.
 func Summarize(m *Mix, seed uint64, duration time.Duration, results []Result) *Report {
 	rep := &Report{
 		Mix: m.Name, Seed: seed, DurationMs: duration.Milliseconds(), Sent: len(results),
@@ -131,8 +131,8 @@
 	}
 }
 
-// retryableReasons are refusals after which coming back later helps, so that the
-// caller must be told when.
+// retryableReasons are refusals after which a later retry helps, so the response needs
+// a Retry-After header.
 var retryableReasons = map[string]bool{
 	"shed": true, "workspace_limit": true, "expired": true, "no_server": true,
 	"no_owner": true, "suspect_busy": true, "entry_memory": true,
@@ -184,8 +184,8 @@
 	return r
 }
 
-// InvalidOutcomes returns how many callers got something that must never happen: an
-// answer that is lost, cut, doubled, another's or wrong.
+// InvalidOutcomes returns the number of callers with an outcome that must never occur:
+// no answer, or a truncated, duplicated, misrouted or wrong one.
 func (rep *Report) InvalidOutcomes() int {
 	n := 0
 	for _, e := range []Outcome{OutcomeTruncated, OutcomeMisrouted, OutcomeDuplicated, OutcomeWrong, OutcomeNoAnswer} {
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -6,81 +6,82 @@
 	"github.com/lycheekeel/lycheekeel/engine"
 )
 
-// Outcome is how one try of a request ended for its caller.
+// Outcome is how one attempt ended for its caller.
 type Outcome string
 
-// The endings.
+// The outcomes.
 const (
-	// OutcomeComplete: the caller got its own whole answer.
+	// OutcomeComplete: the caller got its whole answer.
 	OutcomeComplete Outcome = "whole"
-	// OutcomeRefused: a typed refusal and nothing else.
+	// OutcomeRefused: a typed refusal before any answer.
 	OutcomeRefused Outcome = "refused"
-	// OutcomeDisconnected: the caller left before the end, as the mix wanted.
+	// OutcomeDisconnected: the caller disconnected before the end, as the mix
+	// demanded.
 	OutcomeDisconnected Outcome = "left"
 	// OutcomeFailed: an answer began and ended with a typed error.
 	OutcomeFailed Outcome = "failed"
-	// OutcomeTruncated: an answer began and just stopped.
+	// OutcomeTruncated: an answer began and stopped before its end.
 	OutcomeTruncated Outcome = "cut"
-	// OutcomeTooLate: the answer was still on its way so long after its deadline
-	// that the caller gave up.
+	// OutcomeTooLate: the answer was still streaming when the caller gave up, long
+	// after the deadline.
 	OutcomeTooLate Outcome = "too_late"
-	// OutcomeMisrouted: the answer of another request.
+	// OutcomeMisrouted: the caller got the answer to another request.
 	OutcomeMisrouted Outcome = "crossed"
-	// OutcomeDuplicated: more text came after the answer's end.
+	// OutcomeDuplicated: more text followed the answer's end.
 	OutcomeDuplicated Outcome = "doubled"
-	// OutcomeWrong: an answer that ended and is neither the expected text nor known
-	// to be another's.
+	// OutcomeWrong: a finished answer that is neither the expected text nor
+	// recognizable as another request's.
 	OutcomeWrong Outcome = "wrong"
-	// OutcomeNoAnswer: sent, and no answer came.
+	// OutcomeNoAnswer: the request was sent, and no answer came.
 	OutcomeNoAnswer Outcome = "lost"
-	// OutcomeNotSent: no connection to the target.
+	// OutcomeNotSent: the connection to the target failed.
 	OutcomeNotSent Outcome = "not_sent"
 )
 
-// Outcomes returns all endings, for reports that show zeros.
+// Outcomes returns all outcomes, for reports that include zeros.
 func Outcomes() []Outcome {
 	return []Outcome{OutcomeComplete, OutcomeRefused, OutcomeDisconnected, OutcomeFailed, OutcomeTruncated, OutcomeTooLate, OutcomeMisrouted, OutcomeDuplicated, OutcomeWrong, OutcomeNoAnswer, OutcomeNotSent}
 }
 
-// Attempt is one sending of a request. Its times count from the moment when the
-// request was meant to be sent first.
+// Attempt is one sending of a request. Times count from the intended time of the first
+// attempt.
 type Attempt struct {
 	Outcome Outcome
-	// RequestID is the system's id for it, where the answer told it.
+	// RequestID is the server's request ID, if the response carried one.
 	RequestID string
-	// Status, Reason and NotRun are a refusal's; NotRun is "true", "false" or
+	// Status, Reason and NotRun describe a refusal; NotRun is "true", "false" or
 	// "unknown".
 	Status int
 	Reason string
 	NotRun string
-	// RetryAfter tells whether a refusal said when to come back.
+	// RetryAfter is true if the response had a Retry-After header.
 	RetryAfter bool
-	// FirstToken is zero where none came, or the answer was not streamed.
+	// FirstToken is 0 if no token came or the answer was not streamed.
 	FirstToken time.Duration
 	Total      time.Duration
 	Tokens     int
 }
 
-// Result is what became of one arrival.
+// Result is the result of one arrival.
 type Result struct {
 	Arrival *Arrival
-	// SendLag is how late the load tool itself sent the first try.
+	// SendLag is how late the load tool sent the first attempt.
 	SendLag time.Duration
-	// Attempts in order; the last one is what the caller was left with.
+	// Attempts in order; the last one is final for the caller.
 	Attempts []Attempt
 }
 
-// LastAttempt returns the last try.
+// LastAttempt returns the last attempt.
 func (r *Result) LastAttempt() *Attempt { return &r.Attempts[len(r.Attempts)-1] }
 
-// Offered tells whether the request counts as offered: one whose caller meant
-// to leave does not, unless its answer was there before.
+// Offered reports whether the request counts as offered. A request whose caller
+// disconnected on purpose does not, unless its answer came first.
 func (r *Result) Offered() bool { return r.LastAttempt().Outcome != OutcomeDisconnected }
 
-// Miss is why a request does not count as good.
+// Miss is the reason why a request does not count as good.
 type Miss string
 
-// The misses, in the order in which they are looked for.
+// The misses, in the order of the checks.
 const (
 	NoMiss         Miss = ""
 	MissIncomplete Miss = "not_whole"
@@ -89,13 +90,12 @@
 	MissDeadline   Miss = "deadline"
 )
 
-// Good tells whether the caller got its whole answer within the tier's
-// targets.
+// Good reports whether the caller got its whole answer within the tier's targets.
 func (r *Result) Good(t Targets) bool { return r.Miss(t) == NoMiss }
 
-// Miss returns the first target that was missed. The first token of an answer
-// that is not streamed can't be seen: it must be whole by the time at which a
-// streamed one would have to be.
+// Miss returns the first missed target. The first token of an answer that is not
+// streamed cannot be observed: the whole answer must arrive by the time that the
+// targets allow a streamed one.
 func (r *Result) Miss(t Targets) Miss {
 	a := r.LastAttempt()
 	switch {
@@ -121,7 +121,7 @@
 	return within(a.Total, t.FirstTokenMs+t.PerTokenMs*max(0, a.Tokens-1))
 }
 
-// PerToken is the mean time between the tokens after the first, or zero.
+// PerToken returns the mean time between tokens after the first, or 0.
 func (a *Attempt) PerToken() time.Duration {
 	if a.Tokens < 2 || a.FirstToken == 0 {
 		return 0
@@ -129,10 +129,10 @@
 	return (a.Total - a.FirstToken) / time.Duration(a.Tokens-1)
 }
 
-// within tells whether d is at most limit milliseconds; 0 limits nothing.
+// within reports whether d is at most limit milliseconds; 0 means no limit.
 func within(d time.Duration, limit int) bool {
 	return limit == 0 || d <= milliseconds(limit)
 }
 
-// estimateTokens counts an answer's tokens where nobody told their number.
+// estimateTokens estimates the tokens of an answer without a usage figure.
 func estimateTokens(text string) int { return engine.EstimateTokens(text) }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -9,33 +9,33 @@
 	"github.com/sourcegraph/conc"
 )
 
-// DefaultDeadlineGrace is how long after its deadline a caller waits for its answer.
+// DefaultDeadlineGrace is the default of Run.DeadlineGrace.
 const DefaultDeadlineGrace = 10 * time.Second
 
-// Run offers arrivals to targets.
+// Run sends arrivals to targets.
 type Run struct {
 	Mix      *Mix
 	Arrivals []Arrival
-	// Targets are the entries' addresses, host:port, used in turn.
+	// Targets are the entries' addresses, host:port, used round-robin.
 	Targets []string
 	// Keys are the bearer keys by workspace.
 	Keys map[string]string
-	// DeadlineGrace is how long after its deadline a caller waits before its
-	// answer counts as lost; zero means DefaultDeadlineGrace.
+	// DeadlineGrace is how long a caller waits beyond its deadline before it gives up;
+	// 0 means DefaultDeadlineGrace.
 	DeadlineGrace time.Duration
 
 	sent, finished, good atomic.Int64
 	start                time.Time
 }
 
-// Progress is how far a run is.
+// Progress is the progress of a run.
 type Progress struct {
 	Elapsed              time.Duration
 	Sent, Finished, Good int64
 	Planned              int
 }
 
-// Progress may be called while Do runs.
+// Progress returns the progress; it may be called while Do runs.
 func (r *Run) Progress(now time.Time) Progress {
 	return Progress{
 		Elapsed: now.Sub(r.start), Sent: r.sent.Load(), Finished: r.finished.Load(),
@@ -43,8 +43,7 @@
 	}
 }
 
-// Check returns an error where a workspace of the mix has no key, or there is
-// no target.
+// Check returns an error if there is no target, or no key for a workspace of the mix.
 func (r *Run) Check() error {
 	if len(r.Targets) == 0 {
 		return errors.New("no target")
@@ -57,9 +56,8 @@
 	return nil
 }
 
-// Do sends every arrival at its time and returns when all have ended. When
-// ctx ends it sends nothing more and the results hold what was sent. Call it
-// once.
+// Do sends every arrival at its time and returns when all are finished. When ctx ends,
+// it sends no more and returns the results of those sent. It may be called only once.
 func (r *Run) Do(ctx context.Context) []Result {
 	clients := make([]*client, len(r.Targets))
 	for i, t := range r.Targets {
@@ -111,9 +109,9 @@
 	return attempt
 }
 
-// endedByCaller tells an answer that the caller itself cut short from one that
-// the system did: the caller left on purpose, or gave up long after the
-// deadline. One that had nothing by then stays lost.
+// endedByCaller corrects the outcome of an attempt that its caller ended, on purpose
+// or by giving up long after the deadline. If the caller gave up before any answer
+// came, the outcome stays OutcomeNoAnswer.
 func endedByCaller(e Outcome, byCaller, intended bool) Outcome {
 	switch {
 	case !byCaller || (e != OutcomeNoAnswer && e != OutcomeTruncated && e != OutcomeNotSent):
@@ -127,7 +125,7 @@
 	}
 }
 
-// waitForResend tells whether the caller sends its request again, and waits before it.
+// waitForResend waits and returns true if the caller sends its request again.
 func (r *Run) waitForResend(ctx context.Context, a *Arrival, res *Result) bool {
 	resend := a.Class.Resend
 	if resend == nil || len(res.Attempts) > resend.Times {
@@ -139,7 +137,7 @@
 	return waitUntil(ctx, time.Now().Add(milliseconds(resend.DelayMs)))
 }
 
-// waitUntil returns false where ctx ended before.
+// waitUntil returns false if ctx ends first.
 func waitUntil(ctx context.Context, at time.Time) bool {
 	d := time.Until(at)
 	if d <= 0 {
--- a/internal/load/text.go
+++ b/internal/load/text.go
@@ -10,20 +10,19 @@
 	"github.com/lycheekeel/lycheekeel/engine"
 )
 
-// letters make the words of generated texts. A word and its space are one
-// token of engine.BytesPerToken bytes.
+// letters are the letters of generated words. A word with its space is one token of
+// engine.BytesPerToken bytes.
 const letters = "abcdefghijklmnopqrstuvwxyz"
 
-// What begins a last user message that a stand-in engine answers with the rest
-// of it, word for word, or with a number of tokens.
+// Prefixes of a last user message that tell a stand-in engine to echo the rest or to
+// generate a number of tokens.
 const (
 	echoPrefix     = "echo:"
 	generatePrefix = "gen:"
 )
 
-// Texts returns the request's system message (its shared prefix and its own
-// part), its user message and the answer to expect; the answer is empty where
-// the request asks for no echo.
+// Texts returns the request's system message (shared prefix and own part), its user
+// message and the expected answer, which is empty if the request asks for no echo.
 func (a *Arrival) Texts() (system, user, answer string) {
 	rng := rand.New(rand.NewPCG(a.textSeed, uint64(a.OutputTokens)))
 	if a.Echo {
@@ -38,10 +37,11 @@
 	return prefix + a.Class.FaultText + words(rng, ownTokens), user, answer
 }
 
-// answerMarker begins each answer, so that an answer to another request shows.
+// answerMarker begins each answer and identifies its request, so that a misrouted
+// answer is detected.
 func (a *Arrival) answerMarker() string { return "<" + a.Class.Name + "-" + hex(a.textSeed) + "> " }
 
-// prefixText returns the shared beginning of the prompt.
+// prefixText returns the shared prefix of the prompt.
 func (a *Arrival) prefixText() string {
 	if a.Prefix < 0 {
 		return ""
@@ -54,7 +54,7 @@
 	return words(rng, a.Class.Prefix.Tokens)
 }
 
-// words returns n words, or none where n is not positive.
+// words returns n random words, or none if n is not positive.
 func words(rng *rand.Rand, n int) string {
 	if n <= 0 {
 		return ""
@@ -74,7 +74,7 @@
 
 func hex(v uint64) string { return strconv.FormatUint(v, 16) }
 
-// SentPromptTokens returns the tokens of the whole prompt as it is sent: at least the
+// SentPromptTokens returns the tokens of the prompt as sent, which is at least the
 // shared prefix and the user message.
 func (a *Arrival) SentPromptTokens() int {
 	minimum := 0
