--- a/internal/experiment/callercheck.go
+++ b/internal/experiment/callercheck.go
@@ -5,8 +5,8 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// CheckCallers compares what callers got with the engines' run logs: runs
-// counts how often each request stands in them.
+// CheckCallers checks what callers got against the engines' run logs. runs counts the
+// log entries of each request.
 func CheckCallers(results []load.Result, runs map[request.ID]int) []Violation {
 	var out []Violation
 	add := func(rule Rule, id, detail string) {
@@ -36,9 +36,9 @@
 	return out
 }
 
-// isFinal tells whether a try ended as it may: a whole answer, a typed refusal
-// (within a stream too, where the engine was lost), or by its caller's leaving
-// or giving up.
+// isFinal reports whether an attempt ended as allowed: with a complete answer, with a
+// typed refusal (also within a stream, if the engine was lost), or because its caller
+// disconnected or gave up.
 func isFinal(attempt *load.Attempt) bool {
 	switch attempt.Outcome {
 	case load.OutcomeComplete, load.OutcomeRefused, load.OutcomeFailed, load.OutcomeDisconnected, load.OutcomeTooLate:
--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -7,18 +7,18 @@
 	standin "github.com/lycheekeel/lycheekeel/internal/standin/engine"
 )
 
-// OfferedLoad is what is offered against what the fleet can do: 1 is capacity.
-// It is worked out from the engines' options, for full batches:
-// a request takes an engine computed/prefill rate, plus for each token of its
-// answer the step's time divided by the batch. Mean is over the whole run,
-// Peak over the busiest second.
+// OfferedLoad is the offered load as a multiple of the fleet's capacity. It is
+// computed from the engines' options for full batches: a request takes its computed
+// prompt tokens divided by the prefill rate, plus for each token of its answer the
+// step time divided by the batch size. Mean covers the whole run, Peak the busiest
+// second.
 type OfferedLoad struct {
 	Mean float64 `json:"mean"`
 	Peak float64 `json:"peak"`
 }
 
-// OfferedLoads holds the offered load of all requests and of each tier alone,
-// where no prefix is reused, and of all requests where all shared ones are.
+// OfferedLoads holds the offered load of all requests and of each tier alone without
+// prefix reuse, and of all requests if all shared prefixes are cached.
 type OfferedLoads struct {
 	All            OfferedLoad            `json:"all"`
 	PrefixesCached OfferedLoad            `json:"all_prefixes_cached"`
@@ -26,10 +26,10 @@
 	TopTierPeak    float64                `json:"top_tier_peak"`
 }
 
-// peakWindow is the time over which a peak is taken.
+// peakWindow is the window over which a peak is computed.
 const peakWindow = time.Second
 
-// offeredLoads works out a scenario's capacity figures for arrivals.
+// offeredLoads computes the offered load of arrivals.
 func (s *Scenario) offeredLoads(arrivals []load.Arrival, duration time.Duration) OfferedLoads {
 	all := newLoadMeter(s, duration)
 	cached := newLoadMeter(s, duration)
@@ -57,19 +57,19 @@
 	return c
 }
 
-// loadMeter sums work by second, as shares of the fleet's capacity.
+// loadMeter sums up fleet time per window.
 type loadMeter struct {
 	scenario *Scenario
 	duration time.Duration
-	windows  []float64 // seconds of the whole fleet
+	windows  []float64 // fleet time in seconds
 }
 
 func newLoadMeter(s *Scenario, duration time.Duration) *loadMeter {
 	return &loadMeter{scenario: s, duration: duration, windows: make([]float64, int(duration/peakWindow)+1)}
 }
 
-// add adds a request: the time that the whole fleet takes for it is one over
-// the sum of the rates at which its engines could do such requests.
+// add adds a request. The fleet time of a request is one over the sum of its engines'
+// rates for such requests.
 func (m *loadMeter) add(a *load.Arrival, prefill int) {
 	rate := 0.0
 	for _, g := range m.scenario.Engines {
@@ -88,7 +88,7 @@
 	return o
 }
 
-// engineSeconds is how much of an engine's time a request takes at full batch.
+// engineSeconds returns the engine time of a request at full batch, in seconds.
 func engineSeconds(o standin.Options, prefill, output int) float64 {
 	step := (o.StepMs + o.SequenceMs*float64(o.Slots)) / 1000
 	return float64(prefill)/o.PrefillPerSecond + float64(output)*step/float64(o.Slots)
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -12,51 +12,52 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Options say how to run an experiment.
+// Options configure an experiment.
 type Options struct {
 	Scenario *Scenario
 	Policies []pool.Policy
 	Seed     uint64
-	// Long takes the scenario's long duration.
+	// Long selects the scenario's long duration.
 	Long bool
-	// WithoutFaults leaves the scenario's faults out, for a run to compare with.
+	// WithoutFaults omits the scenario's faults, for a comparison run.
 	WithoutFaults bool
-	// Progress, where not nil, is called now and then while a policy runs.
+	// Progress, if not nil, is called regularly while a policy runs.
 	Progress func(policy pool.Policy, p load.Progress)
 }
 
-// Outcome is what an experiment showed.
+// Outcome is the result of an experiment.
 type Outcome struct {
 	Scenario   string `json:"scenario"`
 	Seed       uint64 `json:"seed"`
 	DurationMs int64  `json:"duration_ms"`
-	// WithoutFaults tells that the scenario's faults were left out.
+	// WithoutFaults is true if the scenario's faults were omitted.
 	WithoutFaults bool `json:"without_faults"`
 	Arrivals      int  `json:"arrivals"`
-	// Offered is the offered load against the fleet's capacity.
+	// Offered is the offered load relative to the fleet's capacity.
 	Offered  OfferedLoads                   `json:"offered_load"`
 	Policies map[pool.Policy]*PolicyOutcome `json:"policies"`
-	// Order is the order in which the policies ran, one after the other.
+	// Order is the order in which the policies ran.
 	Order []pool.Policy `json:"order"`
 
 	mix *load.Mix
 }
 
-// PolicyOutcome is one policy's part of an outcome.
+// PolicyOutcome is the result of one policy.
 type PolicyOutcome struct {
-	// Goodput by tier: whole answers within all targets of the tier, over the
-	// requests offered in it, without those whose callers left on purpose.
+	// Goodput by tier is the fraction of offered requests that got a complete answer
+	// within all targets of the tier. Callers that disconnected on purpose are
+	// excluded.
 	Goodput      map[string]float64 `json:"goodput"`
 	TotalGoodput float64            `json:"total_goodput"`
 	// WastedPrefillFraction is Prefill.WastedFraction.
 	WastedPrefillFraction float64 `json:"wasted_prefill_fraction"`
-	// FirstTokenP95Ms and TpotP95Ms are of streamed whole answers, all tiers.
+	// FirstTokenP95Ms and TpotP95Ms cover streamed complete answers of all tiers.
 	FirstTokenP95Ms float64        `json:"first_token_p95_ms"`
 	TpotP95Ms       float64        `json:"tpot_p95_ms"`
 	Refusals        map[string]int `json:"refusals"`
 	Prefill         Prefill        `json:"prefill"`
-	// Violations counts breaches by rule; Examples holds the first of them.
-	// Baselines break RuleTierOrder by design.
+	// Violations counts violations by rule; Examples holds the first ones. Baseline
+	// policies violate RuleTierOrder by design.
 	Violations map[Rule]int `json:"violations"`
 	Examples   []Violation  `json:"violation_examples,omitempty"`
 	Report     *load.Report `json:"report"`
@@ -64,15 +65,14 @@
 	results []load.Result
 }
 
-// deadlineGrace is how long callers wait after their deadline: long enough that an
-// answer which is only slow is not taken for a lost one.
+// deadlineGrace is how long callers wait beyond their deadline. It is long enough that
+// a slow answer is not mistaken for a missing one.
 const deadlineGrace = 20 * time.Second
 
-// maxExamples bounds the violations that are written out.
+// maxExamples limits the number of violations in the outcome.
 const maxExamples = 20
 
-// Run runs the scenario once for each policy, one after the other, with the
-// same arrivals.
+// Run runs the scenario once per policy, sequentially and with the same arrivals.
 func Run(ctx context.Context, o Options) (*Outcome, error) {
 	s, duration := o.Scenario, o.Scenario.Duration(o.Long)
 	arrivals := load.Arrivals(&s.Mix, o.Seed, duration)
@@ -86,7 +86,7 @@
 			return nil, errors.Wrapf(err, "policy %s", p)
 		}
 		if err := ctx.Err(); err != nil {
-			return nil, errors.Wrap(err, "experiment")
+			return nil, errors.Wrap(err, "run experiment")
 		}
 		out.Policies[p] = res
 		out.Order = append(out.Order, p)
@@ -112,7 +112,7 @@
 	return evaluate(o, sys, duration, results), nil
 }
 
-// runLoad sends the arrivals while the scenario's faults come about.
+// runLoad sends the arrivals while the scenario's faults are injected.
 func runLoad(ctx context.Context, o Options, p pool.Policy, sys *system, run *load.Run) ([]load.Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -146,7 +146,7 @@
 	}
 }
 
-// evaluate makes a policy's outcome from what callers got, the trace and the
+// evaluate computes a policy's outcome from the callers' results, the trace and the
 // run logs.
 func evaluate(o Options, sys *system, duration time.Duration, results []load.Result) *PolicyOutcome {
 	rep := load.Summarize(&o.Scenario.Mix, o.Seed, duration, results)
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -17,7 +17,7 @@
 )
 
 func TestShippedScenarios(t *testing.T) {
-	Convey("Every shipped scenario and mix has no findings", t, func() {
+	Convey("No shipped scenario or mix has findings", t, func() {
 		for _, name := range scenarios.Names() {
 			data, _ := scenarios.Scenario(name)
 			s, err := Parse(name, data)
@@ -58,7 +58,7 @@
 }
 
 func TestScenarioFindings(t *testing.T) {
-	Convey("Every mistake of a scenario is a finding with its place, all in one go", t, func() {
+	Convey("All errors of a scenario are reported at once, each with its JSON path", t, func() {
 		data := []byte(`{"name": "", "duration_ms": 0, "engines": [{"count": 40, "generation": "g", "slots": 0, "engine": {"slots": 1}}],
 			"mix": {"tiers": {"a": {"deadline_ms": 10}}, "classes": []},
 			"faults": [{"at_ms": -1, "engine": 99}]}`)
@@ -75,7 +75,7 @@
 	})
 }
 
-// spacedTrace makes records a millisecond apart.
+// spacedTrace sets the records' times a millisecond apart.
 func spacedTrace(records ...TraceRecord) []TraceRecord {
 	for i := range records {
 		records[i].At = time.Unix(1000, 0).Add(time.Duration(i) * time.Millisecond)
@@ -107,19 +107,20 @@
 	return out
 }
 
+// Guards against a trace check that misses a violation or reports a false one.
 func TestCheckTrace(t *testing.T) {
 	servers := record(pool.ServerSet{Servers: []pool.ServerInfo{{Name: "s"}}})
 	release := record(pool.Release{Request: "a", Entry: "e", Grant: pool.GrantID{Epoch: 1, Seq: 1}})
 	limited := enqueue("a", 1)
 	limited.MaxWaiting = 2
-	Convey("A trace that keeps the rules has no violation", t, func() {
+	Convey("A trace that follows the rules has no violations", t, func() {
 		So(CheckTrace(spacedTrace(servers,
 			record(enqueue("a", 0), grant("a", 1)), record(enqueue("b", 1)), record(enqueue("c", 0), shed("b", request.ReasonShed)),
 			release, record(enqueue("a", 1)), record(pool.Withdraw{Request: "a"}), record(enqueue("d", 2), shed("d", request.ReasonShed)),
 			record(pool.Tick{}), record(pool.Tick{}), record(pool.Tick{}), record(pool.Tick{}), record(pool.Tick{}), record(pool.Tick{}),
 			record(pool.Tick{}, shed("c", request.ReasonExpired))), true), ShouldBeEmpty)
 	})
-	Convey("Each breach is found, and nothing else", t, func() {
+	Convey("Each violation is reported, and nothing else", t, func() {
 		for _, x := range []struct {
 			rule    Rule
 			records []TraceRecord
@@ -141,21 +142,22 @@
 			So(countByRule(CheckTrace(x.records, true)), ShouldResemble, map[Rule]int{x.rule: 1})
 		}
 	})
-	Convey("Requests of an entry that died are not forgotten ones", t, func() {
+	Convey("Requests of a failed entry do not count as unresolved", t, func() {
 		So(CheckTrace(spacedTrace(record(enqueue("a", 0)), record(pool.EntrySet{})), true), ShouldBeEmpty)
 	})
 }
 
+// Guards against a caller check that misses a violation or reports a false one.
 func TestCheckCallers(t *testing.T) {
 	result := func(tries ...load.Attempt) load.Result { return load.Result{Arrival: &load.Arrival{}, Attempts: tries} }
-	Convey("Callers and run logs that agree have no violation", t, func() {
+	Convey("Callers and run logs that agree have no violations", t, func() {
 		So(CheckCallers([]load.Result{
 			result(load.Attempt{Outcome: load.OutcomeComplete, RequestID: "a"}), result(load.Attempt{Outcome: load.OutcomeRefused, RequestID: "b", NotRun: "true"}),
 			result(load.Attempt{Outcome: load.OutcomeRefused, RequestID: "c", NotRun: "false"}, load.Attempt{Outcome: load.OutcomeFailed, RequestID: "d", Reason: "engine_lost"}),
 			result(load.Attempt{Outcome: load.OutcomeDisconnected}), result(load.Attempt{Outcome: load.OutcomeDisconnected}),
 		}, map[request.ID]int{"a": 1, "c": 1, "d": 1}), ShouldBeEmpty)
 	})
-	Convey("Each breach is found, and nothing else", t, func() {
+	Convey("Each violation is reported, and nothing else", t, func() {
 		whole := load.Attempt{Outcome: load.OutcomeComplete, RequestID: "a"}
 		for _, x := range []struct {
 			rule    Rule
@@ -180,12 +182,12 @@
 			RequestID: id, StartedAt: time.Unix(int64(at), 0), PromptTokens: prompt, PrefillComputed: computed,
 		}}
 	}
-	Convey("What was thrown away and what was computed again are counted", t, func() {
+	Convey("Unfinished and recomputed prefill tokens are counted", t, func() {
 		runs := []engineRun{
 			run("a", 1, 128, 128, 1, 2),
-			run("b", 2, 192, 192, 1, 2, 3), // another engine: two blocks again
+			run("b", 2, 192, 192, 1, 2, 3), // another engine computes two blocks again
 			run("c", 3, 128, 64, 1, 4),     // one block cached
-			run("d", 4, 64, 64, 9),         // its caller left
+			run("d", 4, 64, 64, 9),         // its caller disconnected
 			run("e", 5, 100, 0, 1),         // never got a slot
 		}
 		p := countPrefill(runs, map[request.ID]bool{"a": true, "b": true, "c": true}, map[request.ID]bool{"d": true}, 10)
@@ -197,20 +199,20 @@
 		So(p.Reuse, ShouldAlmostEqual, 64.0/512)
 		So(p.ReuseBound, ShouldAlmostEqual, 3*64.0/512)
 	})
-	Convey("The all-knowing cache keeps what is used soonest", t, func() {
+	Convey("The optimal cache keeps the blocks that are used soonest", t, func() {
 		var runs []engineRun
 		for i, b := range []uint64{1, 2, 3, 1, 2, 3} {
 			runs = append(runs, run("x", i, 64, 64, b))
 		}
 		So(optimalHits(runs, 3), ShouldEqual, 3)
-		So(optimalHits(runs, 2), ShouldEqual, 2) // least recently used would have none
+		So(optimalHits(runs, 2), ShouldEqual, 2) // LRU would have none
 		So(optimalHits(runs, 0), ShouldEqual, 0)
 	})
 }
 
-// TestSmoke runs the whole path shortly for two policies; no timing decides.
+// TestSmoke runs two policies briefly from end to end. It checks no timing.
 func TestSmoke(t *testing.T) {
-	Convey("An experiment runs, keeps the rules and writes its plot", t, func() {
+	Convey("An experiment runs without violations and writes its plot", t, func() {
 		data, _ := scenarios.Scenario("server-crash")
 		s, err := Parse("server-crash", data)
 		So(err, ShouldBeNil)
--- a/internal/experiment/objects.go
+++ b/internal/experiment/objects.go
@@ -14,7 +14,8 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// The names of a scenario's configuration objects.
+// Names and limits of a scenario's configuration objects; the limits are in bytes and
+// tokens.
 const (
 	region       = "experiment"
 	poolName     = "pool"
@@ -24,17 +25,17 @@
 	maxAnswer    = 1 << 16
 )
 
-// serverName returns the name of the engine with the number.
+// serverName returns the name of the i-th engine's server.
 func serverName(i int) string { return fmt.Sprintf("server-%02d", i) }
 
-// serverAddress returns where the engine is dialed; nothing listens there,
-// the engines are in this process.
+// serverAddress returns the address of the i-th engine. Nothing listens there, because
+// the engines run in this process.
 func serverAddress(i int) string { return fmt.Sprintf("127.0.0.1:%d", 20000+i) }
 
 // bearerKey returns a workspace's bearer key.
 func bearerKey(name string) string { return "experiment-key-" + name }
 
-// snapshot compiles the scenario's configuration as a daemon would.
+// snapshot compiles the scenario's configuration as a daemon does.
 func (s *Scenario) snapshot(policy pool.Policy) (*workspace.Snapshot, error) {
 	var b objectList
 	b.add(workspace.KindTemplate, templateName, s.template())
@@ -55,7 +56,7 @@
 	}
 	snap, findings := workspace.Compile(b.objects)
 	if f := findings.Fatal(); len(f) > 0 {
-		return nil, errors.Wrapf(f, "scenario %s", s.Name)
+		return nil, errors.Wrapf(f, "compile scenario %s", s.Name)
 	}
 	return snap, nil
 }
@@ -90,7 +91,7 @@
 	return t
 }
 
-// keys returns the workspaces' bearer keys.
+// keys returns the bearer keys by workspace.
 func (s *Scenario) keys() map[string]string {
 	out := map[string]string{}
 	for _, c := range s.Mix.Classes {
@@ -101,7 +102,7 @@
 
 func numberValue(v int) workspace.Number { return workspace.Number{Value: int64(v)} }
 
-// objectList collects objects as the object API would hold them.
+// objectList collects objects in the form in which the object API stores them.
 type objectList struct {
 	objects []objectstore.Object
 	err     error
@@ -110,7 +111,7 @@
 func (b *objectList) add(kind objectstore.Kind, name string, v any) {
 	value, err := json.Marshal(v)
 	if err != nil && b.err == nil {
-		b.err = errors.Wrapf(err, "%s %s", kind, name)
+		b.err = errors.Wrapf(err, "marshal %s %s", kind, name)
 	}
 	version := objectstore.Version(len(b.objects) + 1)
 	b.objects = append(b.objects, objectstore.Object{Kind: kind, Name: name, Version: version, Created: version, Value: value})
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -17,12 +17,12 @@
 	plotWidth  = 13 * vg.Inch
 	plotHeight = 8.5 * vg.Inch
 	barWidth   = 14
-	// barHeadroom is how much higher a plot is than its highest bar.
+	// barHeadroom is the ratio of a plot's height to its highest bar.
 	barHeadroom = 1.3
 )
 
-// WritePlot writes a PNG that compares the policies: goodput by tier, prompt
-// work, and for the top tier its good requests over time and its waits.
+// WritePlot writes a PNG that compares the policies: goodput by tier, prefill work,
+// and for the top tier good requests over time and latency.
 func (o *Outcome) WritePlot(path string) error {
 	tiers := load.TiersByPriority(o.mix)
 	goodput, err := o.bars(o.Scenario+": goodput by tier", append(tiers, "all"), func(p *PolicyOutcome, label string) float64 {
@@ -69,7 +69,7 @@
 	}
 }
 
-// bars draws one group of bars a label, one bar a policy.
+// bars draws one group of bars per label, with one bar per policy.
 func (o *Outcome) bars(title string, labels []string, value func(*PolicyOutcome, string) float64) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = title
@@ -96,13 +96,13 @@
 		p.Legend.Add(string(policy), b)
 	}
 	p.NominalX(labels...)
-	// Room for the legend above the bars, and for whole bars at both sides.
+	// Leave room for the legend above the bars and for whole bars at both sides.
 	p.Y.Min, p.Y.Max = 0, highest*barHeadroom
 	p.X.Min, p.X.Max = -0.5, float64(len(labels))-0.5
 	return p, nil
 }
 
-// fractionTicks marks the fifths from 0 to 1.
+// fractionTicks places ticks at every fifth from 0 to 1.
 func fractionTicks() plot.ConstantTicks {
 	var out plot.ConstantTicks
 	for i := range 6 {
--- a/internal/experiment/prefill.go
+++ b/internal/experiment/prefill.go
@@ -10,36 +10,36 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// engineRun is one run of the engines' logs, with its prompt's blocks.
+// engineRun is one entry of an engine's run log, with its prompt's blocks.
 type engineRun struct {
 	standin.RunRecord
 	blocks []uint64
 }
 
-// Prefill is what became of the prompt work, in tokens.
+// Prefill accounts for the prefill work, in tokens.
 type Prefill struct {
-	// PromptTokens is the prompts' length of all runs that got a slot; Computed is
-	// what was computed of them, the rest was found cached.
+	// PromptTokens is the total prompt length of the runs that got a slot.
+	// ComputedTokens is the part that was computed; the rest was cached.
 	PromptTokens   int `json:"prompt_tokens"`
 	ComputedTokens int `json:"computed_tokens"`
-	// UnfinishedTokens was computed for requests whose caller got no whole answer;
-	// Left is the part of it whose caller had left on purpose.
+	// UnfinishedTokens were computed for requests whose caller got no complete answer.
+	// Disconnected is the part whose caller disconnected on purpose.
 	UnfinishedTokens int `json:"unfinished_tokens"`
 	Disconnected     int `json:"left_tokens"`
-	// RecomputedTokens is blocks of prompts (of whole answers) that had been
-	// computed before in the same run, by any engine.
+	// RecomputedTokens are in blocks of complete requests' prompts that any engine had
+	// computed before in the same experiment run.
 	RecomputedTokens int `json:"recomputed_tokens"`
-	// WastedFraction is Unfinished and Recomputed over Computed.
+	// WastedFraction is (UnfinishedTokens + RecomputedTokens) / ComputedTokens.
 	WastedFraction float64 `json:"wasted_fraction"`
-	// Reuse is the fraction of the prompts' tokens found cached. ReuseBound
-	// is what one cache as large as all engines' together would give, that
-	// knows the future and is filled at once.
+	// Reuse is the fraction of prompt tokens found cached. ReuseBound is the fraction
+	// with one optimal (Belady) cache as large as all engines' caches together, which
+	// holds a block from the start of its first run.
 	Reuse      float64 `json:"reuse_fraction"`
 	ReuseBound float64 `json:"reuse_fraction_all_knowing"`
 }
 
-// countPrefill follows the runs in the order in which they started. whole
-// tells which requests' answers were delivered whole, left whose callers left.
+// countPrefill follows the runs in start order. complete holds the requests with
+// complete answers, disconnected those whose callers disconnected.
 func countPrefill(runs []engineRun, complete, disconnected map[request.ID]bool, cacheBlocks int) Prefill {
 	runs = startedRuns(runs)
 	var p Prefill
@@ -71,8 +71,8 @@
 	return p
 }
 
-// startedRuns returns the runs that got a slot, by their start. A run computes at
-// least one token of its prompt once it has a slot.
+// startedRuns returns the runs that got a slot, sorted by start time. A run with a
+// slot computes at least one token of its prompt.
 func startedRuns(runs []engineRun) []engineRun {
 	out := make([]engineRun, 0, len(runs))
 	for _, x := range runs {
@@ -84,7 +84,7 @@
 	return out
 }
 
-// recomputedTokens counts the tokens of the blocks that this run computed although
+// recomputedTokens returns the tokens of the blocks that this run computed although
 // they had been computed before.
 func recomputedTokens(x engineRun, seen map[uint64]bool) int {
 	cached := (x.PromptTokens - x.PrefillComputed) / engine.BlockTokens
@@ -97,12 +97,12 @@
 	return min(tokens, x.PrefillComputed)
 }
 
-// optimalHits counts the leading blocks of prompts that a cache of the
-// size would hold which, when full, evicts the block whose next use is
-// furthest away (Belady's rule), and never keeps one without a next use.
+// optimalHits counts the leading prompt blocks found in a cache of the given size with
+// Belady's rule: when full, it evicts the block whose next use is furthest away, and
+// it never keeps a block without a next use.
 func optimalHits(runs []engineRun, size int) int {
 	next := nextUses(runs)
-	cached := map[uint64]int{} // block: its next use
+	cached := map[uint64]int{} // block to its next use
 	var byUse useHeap
 	hits := 0
 	for i, x := range runs {
@@ -125,8 +125,8 @@
 	return hits
 }
 
-// evict drops the blocks of furthest next use until the cache fits. Entries
-// of the heap that are out of date are passed over.
+// evict drops the blocks with the furthest next use until the cache fits. It skips
+// stale heap entries.
 func evict(cached map[uint64]int, byUse *useHeap, size int) {
 	for len(cached) > size {
 		u := heap.Pop(byUse).(blockUse)
@@ -138,7 +138,7 @@
 
 const noNextUse = int(^uint(0) >> 1)
 
-// nextUses returns, for each block of each run, which run uses it next.
+// nextUses returns for each block of each run the index of the next run that uses it.
 func nextUses(runs []engineRun) [][]int {
 	out := make([][]int, len(runs))
 	last := map[uint64]int{}
@@ -162,7 +162,7 @@
 	next  int
 }
 
-// useHeap has the block of furthest next use on top.
+// useHeap is a heap with the furthest next use on top.
 type useHeap []blockUse
 
 func (h useHeap) Len() int           { return len(h) }
@@ -176,8 +176,8 @@
 	return x
 }
 
-// classifyRequests returns which requests' answers were delivered whole, and whose
-// callers left.
+// classifyRequests returns the requests with complete answers and those whose callers
+// disconnected.
 func classifyRequests(results []load.Result) (complete, disconnected map[request.ID]bool) {
 	complete, disconnected = map[request.ID]bool{}, map[request.ID]bool{}
 	for i := range results {
--- a/internal/experiment/print.go
+++ b/internal/experiment/print.go
@@ -9,7 +9,7 @@
 	"github.com/lycheekeel/lycheekeel/internal/load"
 )
 
-// Print writes the outcome for a person.
+// Print writes the outcome as text tables.
 func (o *Outcome) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	tiers := load.TiersByPriority(o.mix)
--- a/internal/experiment/rollouts.go
+++ b/internal/experiment/rollouts.go
@@ -10,57 +10,58 @@
 	"github.com/lycheekeel/lycheekeel/rollout"
 )
 
-// RolloutCase is a version that a service is moved to, in simulated rollouts that the
-// product's own recorder and decider go through.
+// RolloutCase is a new version of a service, for simulated rollouts with the
+// production recorder and decider.
 type RolloutCase struct {
 	Name string
-	// Rate is the service's requests a second.
+	// Rate is the service's requests per second.
 	Rate int
-	// FailureShare is the part of the new version's answers that fail, Slow the part that take
-	// Factor times as long; both from a time after the request on.
+	// FailureShare is the fraction of the new version's answers that fail, SlowShare
+	// the fraction that take SlowFactor times as long. Both apply from FaultStart on,
+	// counted from the start of the rollout.
 	FailureShare, SlowShare, SlowFactor float64
 	FaultStart                          time.Duration
-	// UnderLoad is set where it is so only while the new servers that are used have at
-	// least half of the load of a stable one.
+	// UnderLoad limits the fault to the time while the new servers in use have at
+	// least half the load of a stable one.
 	UnderLoad bool
-	// SlowServer is set where only the first of the new servers is slow, as a server of
-	// any version may be.
+	// SlowServer limits slowness to the first new server, as any version may run on a
+	// slow server.
 	SlowServer bool
 }
 
-// RolloutSetting is what all cases have in common.
+// RolloutSetting holds the parameters that all cases share.
 type RolloutSetting struct {
 	Duration time.Duration
 	Bounds   rollout.Bounds
-	// StableFailureShare is the part of the stable version's answers that fail.
+	// StableFailureShare is the fraction of the stable version's answers that fail.
 	StableFailureShare float64
-	// Servers is how many each version has.
+	// Servers is the number of servers of each version.
 	Servers int
 }
 
-// RolloutOutcome sums up many rollouts of one case.
+// RolloutOutcome summarizes many rollouts of one case.
 type RolloutOutcome struct {
 	Case       RolloutCase
 	Runs       int
 	RolledBack int
-	// MeanTimeToRollback is the mean time from the request until it was rolled back.
+	// MeanTimeToRollback is the mean time from the start of a rollout to its rollback.
 	MeanTimeToRollback time.Duration
-	// MaxExposed is the most requests that the new version got by the decision in one
-	// rollout, Bound what it may get by the deadline.
+	// MaxExposed is the highest number of requests that the new version got before the
+	// decision in any rollout. Bound is the number that it may get by the deadline.
 	MaxExposed int
 	Bound      float64
 }
 
 const (
-	// reportInterval is how often daemons report.
+	// reportInterval is the interval of the daemons' reports.
 	reportInterval = 400 * time.Millisecond
-	// latencyMedian and latencySigma are of the stable version's lognormal answer times.
+	// latencyMedian and latencySigma describe the stable version's lognormal latency.
 	latencyMedian = 50 * time.Millisecond
 	latencySigma  = 0.4
 	rolloutRoute  = "route"
 )
 
-// SimulateRollouts plays a case n times. Equal seeds give equal outcomes.
+// SimulateRollouts simulates a case n times. Equal seeds give equal outcomes.
 func SimulateRollouts(s RolloutSetting, c RolloutCase, n int, seed uint64) RolloutOutcome {
 	out := RolloutOutcome{Case: c, Runs: n, Bound: s.Bounds.Share*float64(c.Rate)*s.Duration.Seconds() + s.Bounds.Slack}
 	var sum time.Duration
@@ -100,7 +101,7 @@
 	}
 }
 
-// run plays until the decision, and returns it with when it came.
+// run simulates until the decision and returns it with its time.
 func (p *rolloutSimulation) run() (rollout.Decision, time.Duration) {
 	slots := p.setting.Servers * 8
 	status := rollout.ServiceStatus{
@@ -122,7 +123,7 @@
 	return p.decider.Decision(), p.setting.Duration
 }
 
-// request sends one request, so long after the plan.
+// request simulates one request, sent the given time after the plan was made.
 func (p *rolloutSimulation) request(at, sincePlan time.Duration) {
 	canary := p.plan.AllToNew(rolloutRoute, sincePlan) || p.plan.HasCanaries() && p.budget.Take()
 	p.budget.RecordSent()
@@ -146,10 +147,12 @@
 	p.recorder.Record(run, p.plan.Routes[rolloutRoute].Slow)
 }
 
-// loadedThreshold is the part of a stable server's load from which on a new one counts as loaded.
+// loadedThreshold is the fraction of a stable server's load from which a new server
+// counts as loaded.
 const loadedThreshold = 0.5
 
-// loaded tells whether the new servers that are used have about the usual load.
+// loaded reports whether the new servers in use have at least loadedThreshold of a
+// stable server's load.
 func (p *rolloutSimulation) loaded(sincePlan time.Duration) bool {
 	if p.plan.AllToNew(rolloutRoute, sincePlan) {
 		return true
@@ -158,8 +161,7 @@
 	return p.plan.CanaryShare*float64(p.setting.Servers) >= loadedThreshold*float64(used)
 }
 
-// RolloutCases are versions that are bad in the ways that versions are known to be,
-// and one that is good, at a rate.
+// RolloutCases returns known kinds of bad versions, and good ones, at a request rate.
 func RolloutCases(rate int) []RolloutCase {
 	faultStart := 6 * time.Second
 	return []RolloutCase{
@@ -177,10 +179,10 @@
 	}
 }
 
-// RolloutHeader names the columns of RolloutOutcome's line.
+// RolloutHeader is the header of the table that Line writes.
 const RolloutHeader = "new version                 requests/s  rolled back    after  most exposed  bound"
 
-// Line returns the outcome as a line of a table.
+// Line formats the outcome as a table row.
 func (o RolloutOutcome) Line() string {
 	after := "-"
 	if o.RolledBack > 0 {
--- a/internal/experiment/rollouts_test.go
+++ b/internal/experiment/rollouts_test.go
@@ -12,7 +12,7 @@
 	Duration: 12 * time.Second, Bounds: rollout.Bounds{Share: 0.1, Slack: 50}, StableFailureShare: 0.01, Servers: 20,
 }
 
-// Guards against this: good versions are rolled back, or bad ones promoted.
+// Guards against rollbacks of good versions and promotions of bad ones.
 func TestRolloutDecisions(t *testing.T) {
 	const played = 60
 	for _, rate := range []int{100, 600} {
@@ -25,13 +25,13 @@
 			case !good && !mild && o.RolledBack < played*9/10:
 				t.Errorf("bad version promoted: %s", o.Line())
 			case float64(o.MaxExposed) > o.Bound:
-				t.Errorf("beyond the bound: %s", o.Line())
+				t.Errorf("bound exceeded: %s", o.Line())
 			}
 		}
 	}
 }
 
-// Guards against this: a version that is bad under load alone is promoted.
+// Guards against the promotion of a version that fails only under load.
 func TestRollbackOfVersionBadUnderLoad(t *testing.T) {
 	const played = 40
 	s := rolloutSetting
@@ -39,6 +39,6 @@
 	c := RolloutCase{Name: "fails 50% under load", Rate: 180, FailureShare: 0.5, UnderLoad: true}
 	o := SimulateRollouts(s, c, played, 3)
 	if o.RolledBack < played || o.MeanTimeToRollback > s.Duration*2/3 || float64(o.MaxExposed) > o.Bound {
-		t.Errorf("%s", o.Line())
+		t.Errorf("version that fails under load not rolled back in time or within the bound: %s", o.Line())
 	}
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -1,8 +1,8 @@
-// Package experiment compares scheduling policies. For each policy it runs
-// the product's own entry, broker, pool host and pool in this process, in real
-// time, over stand-in engines, and offers the same arrivals to each. What
-// callers got is judged by package load; that the rules were kept is judged
-// by a replay of the pools' events and commands and of the engines' run logs.
+// Package experiment compares scheduling policies. For each policy it runs the
+// production entry, broker, pool host and pool in this process, in real time, with
+// stand-in engines and the same arrivals. Package load evaluates what callers got. A
+// replay of the pool's events and commands and of the engines' run logs checks that
+// the scheduling rules were kept.
 package experiment
 
 import (
@@ -14,39 +14,40 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Scenario is a fleet, what is offered to it, and what goes wrong.
+// Scenario describes a fleet, its offered load and its faults.
 type Scenario struct {
 	Name        string `json:"name"`
 	Description string `json:"about"`
-	// DurationMs is how long requests arrive; LongDurationMs replaces it
-	// where a long run is asked for (0: none).
+	// DurationMs is how long requests arrive. LongDurationMs replaces it in long runs;
+	// 0 means that there is none.
 	DurationMs     int `json:"duration_ms"`
 	LongDurationMs int `json:"long_duration_ms,omitempty"`
-	// MaxWaiting bounds the pool's queue; 0 means the default.
+	// MaxWaiting limits the pool's queue; 0 means the default.
 	MaxWaiting int `json:"max_waiting,omitempty"`
-	// Engines make up the one pool; they are numbered in this order, from 0.
+	// Engines make up the scenario's only pool. They are numbered in this order, from
+	// 0.
 	Engines []EngineGroup `json:"engines"`
 	Mix     load.Mix      `json:"mix"`
 	Faults  []Fault       `json:"faults,omitempty"`
 }
 
-// EngineGroup is a number of equal engines.
+// EngineGroup is a number of identical engines.
 type EngineGroup struct {
 	Count      int    `json:"count"`
 	Generation string `json:"generation"`
-	// Slots is what configuration says of them; their own batch may be
+	// Slots is the configured number of slots; the engine's actual batch may be
 	// smaller or larger.
 	Slots  int             `json:"slots"`
 	Engine standin.Options `json:"engine"`
 }
 
-// Fault is something that goes wrong with one engine.
+// Fault is a fault of one engine.
 type Fault struct {
 	AtMs   int `json:"at_ms"`
 	Engine int `json:"engine"`
-	// Crash makes it lose its runs and restart.
+	// Crash makes the engine lose its runs and restart.
 	Crash bool `json:"crash,omitempty"`
-	// Faults replace those that the engine has.
+	// Faults replace the engine's current faults.
 	Faults *standin.Faults `json:"faults,omitempty"`
 }
 
@@ -59,20 +60,20 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// maxDurationMs bounds a run: an experiment is no soak test.
+// maxDurationMs limits a run, because experiments are not soak tests.
 const maxDurationMs = 10 * 60 * 1000
 
-// Parse decodes and checks a scenario file. The error is workspace.Findings
-// with every finding of the file.
+// Parse decodes and checks a scenario file. The error is a workspace.Findings with all
+// findings of the file.
 func Parse(file string, data []byte) (*Scenario, error) {
 	return load.ParseFile(file, data, func(s *Scenario) workspace.Findings { return s.Check(file) })
 }
 
-// Check returns every finding.
+// Check returns all findings.
 func (s *Scenario) Check(file string) workspace.Findings {
 	f := s.Mix.Check(file, "mix")
 	if s.Name == "" {
-		f.Add(file, "name", "is needed")
+		f.Add(file, "name", "is required")
 	}
 	if s.DurationMs <= 0 || s.DurationMs > maxDurationMs || s.LongDurationMs < 0 || s.LongDurationMs > maxDurationMs {
 		f.Add(file, "duration_ms", "durations must be above 0 and at most %d ms", maxDurationMs)
@@ -87,12 +88,12 @@
 			f.Add(file, path+".engine", "%d is not between 0 and %d", x.Engine, engines-1)
 		}
 		if x.AtMs < 0 || (x.Crash == (x.Faults != nil)) {
-			f.Add(file, path, "want at_ms not negative, and either crash or faults")
+			f.Add(file, path, "at_ms must not be negative, and exactly one of crash and faults is required")
 		}
 	}
 	for i := range s.Mix.Classes {
 		if m := s.Mix.Classes[i].Model; m != s.Mix.Classes[0].Model {
-			f.Add(file, fmt.Sprintf("mix.classes[%d].model", i), "an experiment has one pool, and so one model, %q", s.Mix.Classes[0].Model)
+			f.Add(file, fmt.Sprintf("mix.classes[%d].model", i), "all classes must use the model of the experiment's only pool, %q", s.Mix.Classes[0].Model)
 		}
 	}
 	return f
@@ -102,10 +103,10 @@
 	engines := 0
 	for i, g := range s.Engines {
 		if g.Count < 1 || g.Slots < 1 || g.Generation == "" {
-			f.Add(file, fmt.Sprintf("engines[%d]", i), "count and slots must be above 0, generation is needed")
+			f.Add(file, fmt.Sprintf("engines[%d]", i), "count and slots must be above 0, generation is required")
 		}
 		if o := g.Engine; o.Slots < 1 || o.StepMs <= 0 || o.PrefillPerSecond <= 0 || o.CacheBlocks < 1 {
-			f.Add(file, fmt.Sprintf("engines[%d].engine", i), "slots, step_ms, prefill_per_second and cache_blocks are needed: the offered load is worked out from them")
+			f.Add(file, fmt.Sprintf("engines[%d].engine", i), "slots, step_ms, prefill_per_second and cache_blocks are required to compute the offered load")
 		}
 		engines += max(0, g.Count)
 	}
--- a/internal/experiment/system.go
+++ b/internal/experiment/system.go
@@ -18,19 +18,19 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Times of starting and stopping a system.
+// Timeouts and intervals of starting and stopping a system.
 const (
 	readyTimeout = 10 * time.Second
 	stopTimeout  = 30 * time.Second
 	pollInterval = 20 * time.Millisecond
-	// settleTimeout is how long after the callers' last answer the engines' runs
-	// may go on before their logs are read.
+	// settleTimeout is how long after the callers' last answer the engines may still
+	// run requests before their logs are read.
 	settleTimeout = 2 * time.Second
 )
 
-// system is one daemon's path from callers to engines, for one policy: an
-// entry that listens on loopback, its broker, the pool's host, and stand-in
-// engines that are called in the process.
+// system is one daemon's path from callers to engines, for one policy: an entry that
+// listens on loopback, its broker, the pool host, and stand-in engines in this
+// process.
 type system struct {
 	scenario *Scenario
 	engines  []*standin.Engine
@@ -42,7 +42,7 @@
 	cancel   context.CancelFunc
 }
 
-// startSystem returns once the pool takes requests. Call stop on it.
+// startSystem returns when the pool accepts requests. The caller must call stop.
 func startSystem(ctx context.Context, s *Scenario, policy pool.Policy) (*system, error) {
 	snapshot, err := s.snapshot(policy)
 	if err != nil {
@@ -75,7 +75,7 @@
 	sys.tasks.Go(func() { _ = sys.entry.Serve(ln) })
 	if !waitFor(readyTimeout, func() bool { return sys.host.Owned(poolName) != nil }) {
 		sys.stop()
-		return nil, errors.New("the pool did not start")
+		return nil, errors.New("pool did not start")
 	}
 	return sys, nil
 }
@@ -86,7 +86,7 @@
 		for range g.Count {
 			e, err := standin.New(g.Engine)
 			if err != nil {
-				return nil, errors.Wrap(err, "stand-in engine")
+				return nil, errors.Wrap(err, "create stand-in engine")
 			}
 			fleet.Add(serverAddress(len(sys.engines)), e)
 			sys.engines = append(sys.engines, e)
@@ -95,8 +95,8 @@
 	return fleet, nil
 }
 
-// injectFaults brings the scenario's faults about, counted from begin, until all
-// have come or ctx ends.
+// injectFaults injects the scenario's faults, timed from start, until all are injected
+// or ctx ends.
 func (sys *system) injectFaults(ctx context.Context, start time.Time) error {
 	for _, f := range sys.scenario.Faults {
 		t := time.NewTimer(time.Until(start.Add(time.Duration(f.AtMs) * time.Millisecond)))
@@ -110,14 +110,14 @@
 		if f.Crash {
 			e.Crash()
 		} else if err := e.SetFaults(*f.Faults); err != nil {
-			return errors.Wrapf(err, "fault at %d ms", f.AtMs)
+			return errors.Wrapf(err, "inject fault at %d ms", f.AtMs)
 		}
 	}
 	return nil
 }
 
-// waitIdle waits until no engine runs anything and no request waits, as far as
-// the trace tells; after a time it gives up, and the checks will show why.
+// waitIdle waits until no engine runs a request and no request waits according to the
+// trace. After settleTimeout it returns anyway; the checks then report what is left.
 func (sys *system) waitIdle() {
 	waitFor(settleTimeout, func() bool {
 		for _, e := range sys.engines {
@@ -136,7 +136,7 @@
 	})
 }
 
-// runs returns the run logs of all engines, with the prompts' blocks.
+// runs returns the run logs of all engines with the prompts' blocks.
 func (sys *system) runs() []engineRun {
 	blocks := blocksByRequest(sys.trace.Records())
 	var out []engineRun
@@ -163,7 +163,7 @@
 	}
 }
 
-// waitFor polls until ok returns true, or for at most the limit.
+// waitFor polls until ok returns true or the limit has passed.
 func waitFor(limit time.Duration, ok func() bool) bool {
 	for end := time.Now().Add(limit); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
--- a/internal/experiment/trace.go
+++ b/internal/experiment/trace.go
@@ -9,21 +9,21 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// TraceRecord is one event that a pool handled, and the commands that followed.
+// TraceRecord is one event of a pool and the commands that it caused.
 type TraceRecord struct {
 	At       time.Time
 	Event    pool.Event
 	Commands []pool.Command
 }
 
-// Trace collects the records of one pool in their order. It is safe for
-// concurrent use.
+// Trace collects the records of one pool in order. It is safe for concurrent use.
 type Trace struct {
 	mu      sync.Mutex
 	records []TraceRecord
 }
 
-// Record takes one record; it copies the commands.
+// Record appends a record with a copy of the commands. It omits ticks without
+// commands.
 func (t *Trace) Record(_ string, now time.Time, ev pool.Event, cmds []pool.Command) {
 	if _, tick := ev.(pool.Tick); tick && len(cmds) == 0 {
 		return
@@ -33,7 +33,7 @@
 	t.records = append(t.records, TraceRecord{At: now, Event: ev, Commands: slices.Clone(cmds)})
 }
 
-// Records returns what was collected so far.
+// Records returns a copy of the records so far.
 func (t *Trace) Records() []TraceRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/experiment/tracecheck.go
+++ b/internal/experiment/tracecheck.go
@@ -8,7 +8,7 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// Rule is what a violation breaks.
+// Rule is a rule that a violation breaks.
 type Rule string
 
 // The rules.
@@ -17,37 +17,37 @@
 	RuleTierOrder Rule = "higher_tier_shed_before_lower"
 	// RuleExpiry: a request expires only after its deadline.
 	RuleExpiry Rule = "expired_before_deadline"
-	// RuleWorkspaceLimit: a request is refused for its workspace's bound only
-	// where that bound is met.
+	// RuleWorkspaceLimit: a request is refused for its workspace's limit only if that
+	// limit would be exceeded.
 	RuleWorkspaceLimit Rule = "workspace_limit_not_met"
-	// RuleKnownRequest: a command is about a request that waits.
+	// RuleKnownRequest: a command refers to a waiting request.
 	RuleKnownRequest Rule = "command_for_request_not_waiting"
-	// RuleGrantOnce: no grant id is used twice, and no request runs under
-	// two grants at once.
+	// RuleGrantOnce: no grant ID is reused, and no request runs under two grants at
+	// once.
 	RuleGrantOnce Rule = "granted_twice"
-	// RuleRelease: what is released was granted and not yet released.
+	// RuleRelease: a released grant was granted and not released before.
 	RuleRelease Rule = "release_without_grant"
-	// RuleServerUp: only a server that is up gets a grant.
+	// RuleServerUp: only a server that is up gets grants.
 	RuleServerUp Rule = "grant_to_server_not_up"
-	// RuleUnresolved: a request that was enqueued is granted, shed or withdrawn.
+	// RuleUnresolved: an enqueued request is granted, shed, redirected or withdrawn.
 	RuleUnresolved Rule = "request_forgotten"
-	// RuleRunOnce: a request stands at most once in all run logs together.
+	// RuleRunOnce: a request is at most once in all run logs together.
 	RuleRunOnce Rule = "request_run_twice"
-	// RuleNotRun: a request refused as not run stands in no run log.
+	// RuleNotRun: a request refused as not run is in no run log.
 	RuleNotRun Rule = "not_run_but_ran"
-	// RuleOneAnswer: each caller gets one final answer: its own whole one, or
-	// a typed refusal.
+	// RuleOneAnswer: each caller gets one final answer, which is its own complete one
+	// or a typed refusal.
 	RuleOneAnswer Rule = "caller_without_final_answer"
 )
 
-// Violation is one breach of a rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule    Rule   `json:"rule"`
 	Request string `json:"request"`
 	Detail  string `json:"detail"`
 }
 
-// Rules returns every rule.
+// Rules returns all rules.
 func Rules() []Rule {
 	return []Rule{
 		RuleTierOrder, RuleExpiry, RuleWorkspaceLimit, RuleKnownRequest, RuleGrantOnce, RuleRelease,
@@ -55,7 +55,7 @@
 	}
 }
 
-// waitingRequest is what the checker knows of one.
+// waitingRequest is the checker's state of a waiting request.
 type waitingRequest struct {
 	tier      request.Tier
 	workspace string
@@ -64,8 +64,8 @@
 	expires   time.Time
 }
 
-// traceChecker follows a trace with its own books; it shares no code with the
-// scheduler, so that an error in the scheduler's counts does not hide itself.
+// traceChecker replays a trace with its own state. It shares no code with the
+// scheduler, so that a miscount in the scheduler cannot hide itself.
 type traceChecker struct {
 	waiting        map[request.ID]waitingRequest
 	waitingByTier  [request.MaxTiers]int
@@ -77,8 +77,8 @@
 	violations     []Violation
 }
 
-// CheckTrace replays a trace and returns what it violates. complete tells
-// that the trace goes on until every caller had its answer.
+// CheckTrace replays a trace and returns its violations. complete means that the trace
+// lasts until every caller got its answer.
 func CheckTrace(records []TraceRecord, complete bool) []Violation {
 	r := &traceChecker{
 		waiting: map[request.ID]waitingRequest{}, running: map[pool.GrantID]request.ID{},
@@ -198,8 +198,8 @@
 	r.grantByRequest[c.Request] = c.Grant
 }
 
-// shed checks a refusal by its reason: a bound of the pool takes the lowest
-// tier first; the other reasons must be true by themselves.
+// shed checks a refusal by its reason. The pool's limit must shed the lowest tier
+// first; any other reason must hold for the request itself.
 func (r *traceChecker) shed(now time.Time, c pool.Shed) {
 	sameTier := r.countWaiting(c.Request)
 	w, ok := r.removeWaiting(c.Request)
@@ -223,7 +223,8 @@
 	}
 }
 
-// lowestWaitingTier returns the lowest tier below the given one of which requests wait.
+// lowestWaitingTier returns the lowest tier below the given one that has waiting
+// requests, and their number.
 func (r *traceChecker) lowestWaitingTier(above request.Tier) (tier request.Tier, waiting int) {
 	for t := request.Tier(request.MaxTiers - 1); t > above; t-- {
 		if r.waitingByTier[t] > 0 {
@@ -233,7 +234,7 @@
 	return 0, 0
 }
 
-// countWaiting counts the waiting requests of a request's workspace and tier.
+// countWaiting counts the waiting requests of the request's workspace and tier.
 func (r *traceChecker) countWaiting(id request.ID) int {
 	me, n := r.waiting[id], 0
 	if me.limit == 0 {
