--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,7 +1,8 @@
-// Package examples embeds the shipped configurations: punchline, a snagging
-// app's report writing in Colombo, and bang-xanh, a cover desk for schools in
-// Ho Chi Minh City. They are what `lycheekeel apply -f examples/punchline`
-// reads and what the demo starts from.
+// Package examples embeds the shipped example configurations: punchline, which
+// serves the report writing of a defect-tracking app in Colombo, and bang-xanh,
+// which serves a substitute-teacher desk for schools in Ho Chi Minh City.
+// `lycheekeel apply -f examples/punchline` reads the same files, and the demo
+// starts from them.
 package examples
 
 import (
@@ -17,7 +18,7 @@
 //go:embed punchline/*.json bang-xanh/*.json
 var files embed.FS
 
-// The examples' names.
+// Names of the examples.
 const (
 	Punchline = "punchline"
 	BangXanh  = "bang-xanh"
@@ -26,8 +27,8 @@
 // Names returns the names of all examples.
 func Names() []string { return []string{Punchline, BangXanh} }
 
-// Documents returns every object of an example. An unknown name or a file
-// with findings is an error.
+// Documents returns every object of an example. It returns an error if the
+// example is unknown or if one of its files has findings.
 func Documents(name string) ([]workspace.Document, error) {
 	entries, err := files.ReadDir(name)
 	if err != nil {
@@ -52,14 +53,14 @@
 	return ofType[workspace.Template](name)
 }
 
-// Workspaces returns an example's workspaces; the bearer key of each is
-// "change-me-" and its name.
+// Workspaces returns an example's workspaces. The bearer key of each one is
+// "change-me-" followed by its name.
 func Workspaces(name string) ([]workspace.Workspace, error) {
 	return ofType[workspace.Workspace](name)
 }
 
-// Objects returns an example's objects as they would be stored, with
-// versions in the order of its files.
+// Objects returns an example's objects in their stored form. Versions are
+// assigned from 1 in the order of the files.
 func Objects(name string) ([]objectstore.Object, error) {
 	docs, err := Documents(name)
 	if err != nil {
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestExamples(t *testing.T) {
-	Convey("Each example checks without a finding, and its keys work", t, func() {
+	Convey("Each example has no findings, and its keys resolve to their workspaces", t, func() {
 		servers := map[string]int{Punchline: 23, BangXanh: 14}
 		for _, name := range Names() {
 			docs, err := Documents(name)
@@ -37,7 +37,7 @@
 		}
 	})
 
-	Convey("Both examples fit together", t, func() {
+	Convey("Both examples can be applied together", t, func() {
 		var all []workspace.Document
 		for _, name := range Names() {
 			docs, err := Documents(name)
