--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,5 +1,5 @@
-// Package scenarios embeds the experiments' scenarios and the load tool's
-// mixes that are shipped, so that the tool finds them by name.
+// Package scenarios embeds the shipped experiment scenarios and the traffic
+// mixes of the load tool. Both are looked up by name.
 package scenarios
 
 import (
@@ -16,16 +16,16 @@
 	extension = ".json"
 )
 
-// Names returns the scenarios' names.
+// Names returns the names of all scenarios.
 func Names() []string { return names(".") }
 
-// Mixes returns the mixes' names.
+// Mixes returns the names of all mixes.
 func Mixes() []string { return names(mixDir) }
 
-// Scenario returns the scenario of the name, or false.
+// Scenario returns the JSON of a scenario, or false if there is none of that name.
 func Scenario(name string) ([]byte, bool) { return read(name) }
 
-// Mix returns the mix of the name, or false.
+// Mix returns the JSON of a mix, or false if there is none of that name.
 func Mix(name string) ([]byte, bool) { return read(path.Join(mixDir, name)) }
 
 func read(name string) ([]byte, bool) {
