--- a/test/basic_test.go
+++ b/test/basic_test.go
@@ -9,10 +9,11 @@
 	engine "github.com/lycheekeel/lycheekeel/internal/standin/engine"
 )
 
+// Guards against: a caller of a healthy cluster gets no answer or a wrong one.
 func TestClusterServesItsCallers(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 3})
-	Convey("every caller at every entry gets its own whole answer", t, func() {
+	Convey("every caller at every entry gets its own complete answer", t, func() {
 		l := startLoad(t.Context(), 12, 5, func(caller, n int) string {
 			return c.nodes[(caller+n)%len(c.nodes)].callerLink.proxy.Addr()
 		})
@@ -24,7 +25,7 @@
 		So(complete, ShouldEqual, len(results))
 		So(len(c.runs()), ShouldEqual, len(results))
 	})
-	Convey("a wrong key and an unknown path are refused with their reasons", t, func() {
+	Convey("a wrong key is refused as unauthorized and not run", t, func() {
 		address := c.nodes[0].callerLink.proxy.Addr()
 		a := chat(t.Context(), address, call{prompt: "echo:x", header: map[string]string{"Authorization": "Bearer wrong"}})
 		So(a.status, ShouldEqual, http.StatusUnauthorized)
@@ -33,20 +34,20 @@
 	})
 }
 
-// Guards against this: callers get errors when an engine goes away in a moment of load.
+// Guards against: an engine crash under load fails requests on other engines.
 func TestEngineCrashUnderLoad(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 3, options: engine.Options{StepMs: 8}})
-	Convey("only what ran there is lost, and is said to be; nothing runs twice", t, func() {
+	Convey("only requests on that engine are lost, and nothing runs twice", t, func() {
 		l := startLoad(t.Context(), 12, 20, func(caller, n int) string {
 			return c.nodes[(caller+n)%len(c.nodes)].callerLink.proxy.Addr()
 		})
-		eventually(t, "the first answers", func() bool { return l.count() >= 50 })
+		eventually(t, "50 answers", func() bool { return l.count() >= 50 })
 		killed := c.engines[0]
 		logged := c.runsOf(killed)
 		killed.kill()
 		before := l.count()
-		eventually(t, "answers from the other engines", func() bool { return l.count() >= before+150 })
+		eventually(t, "the other engines answer", func() bool { return l.count() >= before+150 })
 		results := l.stop()
 		complete, refused, failed := checkAnswers(t, c, results)
 		So(len(logged), ShouldBeGreaterThan, 0)
--- a/test/burst_test.go
+++ b/test/burst_test.go
@@ -11,11 +11,11 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// occupyingTokens makes an answer that outlasts every test: its caller leaves.
+// occupyingTokens makes an answer longer than any test; its caller disconnects.
 const occupyingTokens = 4000
 
-// occupySlots takes slots with answers that stream until their callers
-// leave, which cancel does.
+// occupySlots occupies n slots with answers that stream until their callers
+// disconnect. Calling cancel disconnects them.
 func (c *cluster) occupySlots(n int) (s *streams, cancel context.CancelFunc) {
 	c.t.Helper()
 	s = &streams{}
@@ -28,12 +28,12 @@
 		})
 	}
 	c.t.Cleanup(func() { cancel(); s.wg.Wait() })
-	eventually(c.t, "every slot is taken", func() bool { return int(s.started.Load()) == n })
+	eventually(c.t, "every slot is occupied", func() bool { return int(s.started.Load()) == n })
 	return s, cancel
 }
 
-// waitingRequests returns how many requests wait at the pool's owner; tests use it to
-// order their steps, never for a verdict.
+// waitingRequests returns how many requests wait at the pool's owner. Tests use
+// it to order their steps, not in assertions.
 func (c *cluster) waitingRequests(pool string) int {
 	sum := 0
 	for _, n := range c.nodes {
@@ -48,8 +48,8 @@
 	return sum
 }
 
-// sendConcurrently sends a number of requests of one tier at the same time, one from
-// each of as many callers.
+// sendConcurrently sends n requests of one tier concurrently, each from its
+// own caller.
 func (c *cluster) sendConcurrently(ctx context.Context, tier string, caller, n int) *streams {
 	s := &streams{}
 	for i := range n {
@@ -62,23 +62,24 @@
 	return s
 }
 
-// Guards against this: at dawn urgent requests are refused while tags are computed.
+// Guards against: urgent requests are refused in a burst while low-tier requests
+// are run.
 //
-// The check is sound from outside: slots are held until every refusal has
-// come, and all low-tier requests waited before the burst began. So one that
-// runs after all was waiting while a higher one was refused.
+// All slots stay occupied until every refusal has arrived, and all low-tier
+// requests wait before the burst begins. So a low-tier request that runs was
+// waiting while a higher one was refused.
 func TestBurstShedsLowestTierFirst(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 1, options: slowEngine, slots: burstSlots})
-	Convey("no higher tier is shed while a lower one waits", t, func() {
+	Convey("no higher tier is shed while a lower tier waits", t, func() {
 		urgent, tags := c.burst("")
 		So(urgent.complete, ShouldEqual, burstQueue)
 		So(urgent.refused, ShouldResemble, map[string]int{"shed": burstSize - burstQueue})
 		So(tags.complete, ShouldEqual, 0)
 		So(tags.refused, ShouldResemble, map[string]int{"shed": burstQueue})
 	})
-	// Guards against this: an accepted change of a pool's policy changes nothing.
-	Convey("a changed policy is in force: who came first keeps its place", t, func() {
+	// Guards against: an accepted change of a pool's policy has no effect.
+	Convey("under the fifo policy the requests that came first stay queued", t, func() {
 		urgent, tags := c.burst("fifo")
 		So(tags.complete, ShouldEqual, burstQueue)
 		So(tags.refused, ShouldBeEmpty)
@@ -89,15 +90,15 @@
 
 const burstSlots, burstQueue, burstSize = 4, 12, 40
 
-// outcome is what callers got.
+// outcome counts complete answers, and refusals by code.
 type outcome struct {
 	complete int
 	refused  map[string]int
 }
 
-// burst fills the queue with tags while every slot is held, sends a burst of
-// the highest tier, and frees the slots once all that found no place were
-// refused.
+// burst fills the queue with requests of tier "tag" while every slot is
+// occupied, sends a burst of the highest tier, and releases the slots once all
+// excess requests are refused.
 func (c *cluster) burst(policy string) (urgent, tags outcome) {
 	c.awaitVersion(uint64(c.put(workspace.KindPool, testPool, workspace.Pool{
 		Name: testPool, Region: testRegion, Model: testModel, Version: "v1", MaxWaiting: burstQueue, Policy: policy,
@@ -105,10 +106,10 @@
 	_, cancel := c.occupySlots(burstSlots)
 	before := len(c.runs())
 	low := c.sendConcurrently(c.t.Context(), "tag", 1, burstQueue)
-	eventually(c.t, "the queue is full of tags", func() bool { return c.waitingRequests(testPool) == burstQueue })
+	eventually(c.t, "the queue is full of low-tier requests", func() bool { return c.waitingRequests(testPool) == burstQueue })
 	high := c.sendConcurrently(c.t.Context(), "handover", 2, burstSize)
-	eventually(c.t, "what finds no place is refused", func() bool { return low.count()+high.count() >= burstSize })
-	So(len(c.runs()), ShouldEqual, before) // every slot was held all the time
+	eventually(c.t, "the excess requests are refused", func() bool { return low.count()+high.count() >= burstSize })
+	So(len(c.runs()), ShouldEqual, before) // no request ran: every slot was occupied
 	cancel()
 	low.wg.Wait()
 	high.wg.Wait()
@@ -124,11 +125,11 @@
 	return outcome{complete, refused}
 }
 
-// Guards against this: some answers take ten times as long as the others.
+// Guards against: a straggler keeps its share of requests, so its answers take ten times as long.
 func TestStragglerWithLateAndMissingReports(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 3, options: slowEngine, slots: 6})
-	Convey("its share falls, and every caller gets its own whole answer", t, func() {
+	Convey("its share falls, and every caller gets its own complete answer", t, func() {
 		for i, e := range c.engines {
 			c.engineFaults(e, fmt.Sprintf(`{"report_lag_ms": 1500, "drop_events": %d}`, i+1))
 		}
@@ -137,7 +138,7 @@
 		slow := c.engines[0]
 		c.engineFaults(slow, `{"speed": 0.1}`)
 		before, ran, all := l.count(), len(c.runsOf(slow)), len(c.runs())
-		eventually(t, "traffic goes on", func() bool { return l.count() >= before+300 })
+		eventually(t, "traffic continues", func() bool { return l.count() >= before+300 })
 		share := float64(len(c.runsOf(slow))-ran) / float64(len(c.runs())-all)
 		results := l.stop()
 		complete, refused, failed := checkAnswers(t, c, results)
@@ -145,6 +146,6 @@
 		So(refused, ShouldBeEmpty)
 		So(failed, ShouldEqual, 0)
 		So(complete, ShouldEqual, len(results))
-		So(share, ShouldBeLessThan, 0.2) // a third before; by speed it would be 0.05
+		So(share, ShouldBeLessThan, 0.2) // from one third; a share in proportion to speed would be 0.05
 	})
 }
--- a/test/caller_test.go
+++ b/test/caller_test.go
@@ -20,9 +20,9 @@
 	status      int
 	requestID   string
 	text        string
-	complete    bool // the end of a whole answer was seen
+	complete    bool // the answer arrived completely
 	code        string
-	notRun      any // true, false or "unknown", of a refusal
+	notRun      any // of a refusal: true, false or "unknown"
 	err         error
 	firstAt     time.Time // of the first text
 	endAt       time.Time
@@ -36,17 +36,17 @@
 	stream    bool
 	maxTokens int
 	header    map[string]string
-	// onFirstText is called at the first text, where set.
+	// onFirstText, if set, is called when the first text arrives.
 	onFirstText func()
 }
 
-// newClient opens a connection for every request, as callers behind a balancer
-// do, and never repeats one by itself.
+// newClient returns a client that opens a connection for every request, as
+// callers behind a load balancer do, and never retries.
 func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// chat sends one request to an address and reads its whole answer.
+// chat sends one chat request to an address and reads the answer to its end.
 func chat(ctx context.Context, address string, c call) answer {
 	body, _ := json.Marshal(map[string]any{
 		"model": testModel, "stream": c.stream, "max_tokens": max(c.maxTokens, 16),
@@ -55,13 +55,13 @@
 	return send(ctx, address, "/v1/chat/completions", body, c)
 }
 
-// send posts a body and reads the answer, plain or streamed.
+// send posts a body and reads the plain or streamed answer.
 func send(ctx context.Context, address, path string, body []byte, c call) answer {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return answer{err: err}
 	}
-	req.GetBody = nil // the transport may not send it again
+	req.GetBody = nil // keeps the transport from retrying
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Authorization", "Bearer "+testKey)
 	if c.tier != "" {
@@ -85,7 +85,7 @@
 	return a
 }
 
-// apiResponse is the part of OpenAI's answers, chunks and errors that tests read.
+// apiResponse holds the fields of OpenAI answers, chunks and errors that tests read.
 type apiResponse struct {
 	Choices []struct {
 		Message      struct{ Content string }
@@ -157,18 +157,18 @@
 	answer answer
 }
 
-// echoCall returns a call whose answer is known: a text that no other call
-// of the test has, streamed every second time.
+// echoCall returns a call and its expected answer, a text that is unique within
+// the test. Calls with an even n are streamed.
 func echoCall(caller, n, words int) (call, string) {
 	text := fmt.Sprintf("lane %d call %d%s.", caller, n, strings.Repeat(" snag list", words))
 	tiers := []string{"handover", "report", "summary", "tag"}
 	return call{prompt: "echo:" + text, stream: n%2 == 0, tier: tiers[n%len(tiers)], maxTokens: 4096}, text
 }
 
-// checkAnswers fails the test where a caller got another's answer or a part
-// of its own, where a refusal "not run" is false, or where a request stands in
-// the engines' run logs twice. It returns the counts of whole answers, of
-// refusals by code, and of answers that broke off.
+// checkAnswers fails the test if a caller received another caller's text or a
+// truncated answer marked as complete, if a request refused as not run did run,
+// or if the engines' run logs list a request twice. It returns the number of
+// complete answers, of refusals by code, and of requests that ended with neither.
 func checkAnswers(t testing.TB, c *cluster, results []result) (complete int, refused map[string]int, failed int) {
 	t.Helper()
 	runs := map[string]int{}
@@ -184,7 +184,7 @@
 		want := strings.TrimPrefix(r.call.prompt, engine.PrefixEcho)
 		switch {
 		case a.complete && a.text != want:
-			t.Errorf("a caller got a wrong answer as whole: want %q, got %q", want, a.text)
+			t.Errorf("a complete answer has the wrong text: want %q, got %q", want, a.text)
 		case a.complete:
 			complete++
 		case a.code != "":
@@ -194,9 +194,9 @@
 			}
 		default:
 			failed++
-			t.Logf("broken: request %q, status %d, error %v, got %q of %q", a.requestID, a.status, a.err, a.text, want)
+			t.Logf("failed: request %q, status %d, error %v, got %q of %q", a.requestID, a.status, a.err, a.text, want)
 			if !strings.HasPrefix(want, a.text) {
-				t.Errorf("a caller got another's text: want a part of %q, got %q", want, a.text)
+				t.Errorf("a partial answer has the wrong text: want a prefix of %q, got %q", want, a.text)
 			}
 		}
 	}
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -16,7 +16,7 @@
 	"github.com/lycheekeel/lycheekeel/objectstore/httpobjectstore"
 )
 
-// The names in the test configuration.
+// Names in the test configuration.
 const (
 	testRegion  = "colombo"
 	testModel   = "report-writer"
@@ -26,15 +26,15 @@
 	clusterKey  = "a-cluster-key-for-tests-only"
 )
 
-// link is one address behind a fault proxy.
+// link is a network link: one listening address behind a fault proxy.
 type link struct {
 	proxy  *faultproxy.Proxy
-	target string // where the process itself listens
+	target string // the address the process listens on
 }
 
 func newLink(t testing.TB, target string) *link { return newLinkAt(t, "127.0.0.1", target) }
 
-// newLinkAt is a link whose dialers see an address of its own.
+// newLinkAt returns a link whose proxy listens on the given IP.
 func newLinkAt(t testing.TB, ip, target string) *link {
 	t.Helper()
 	p, err := faultproxy.New(net.JoinHostPort(ip, "0"), target)
@@ -45,46 +45,47 @@
 	return &link{proxy: p, target: target}
 }
 
-// node is one lycheekeeld with the links that lead to it.
+// node is one lycheekeeld with its network links.
 type node struct {
 	*process
 	settings     daemon.Settings
 	settingsFile string
-	callerLink   *link // callerLink to the daemon
-	peerLink     *link // the other daemons to this one
-	platformLink *link // the daemon to the platform
+	callerLink   *link // from callers to the daemon
+	peerLink     *link // from the other daemons to this one
+	platformLink *link // from the daemon to the platform
 }
 
-// backend is one engine stand-in behind its link.
+// backend is an engine or service stand-in behind its link.
 type backend struct {
 	*process
 	name string
 	link *link
 }
 
-// cluster is everything that a test runs.
+// cluster holds all processes of one test.
 type cluster struct {
 	t            testing.TB
 	spec         clusterSpec
 	platform     *process
-	platformAddr string // the platform's own address, without a proxy
+	platformAddr string // not behind a proxy
 	api          objectstore.Platform
 	engines      []*backend
 	service      *backend // the plain service
 	nodes        []*node
 }
 
-// clusterSpec says what a cluster consists of. Zero fields take small defaults.
+// clusterSpec describes the processes of a cluster and their configuration. Zero
+// fields of options take the stand-in's defaults.
 type clusterSpec struct {
 	nodes, engines int
 	options        engine.Options // of every engine
-	slots          int            // a server's bound in the configuration
+	slots          int            // per server, in the configuration; 0: the daemon's default
 	checksTokens   bool
 	placement      bool // every daemon is a candidate for the controller
-	ownIPs         bool // every engine has an IP of its own, as VMs have
+	ownIPs         bool // every engine has its own IP address, like a VM
 }
 
-// engineIP returns the IP at which daemons find an engine.
+// engineIP returns the IP address on which daemons reach an engine.
 func (p clusterSpec) engineIP(number int) string {
 	if !p.ownIPs {
 		return "127.0.0.1"
@@ -92,11 +93,12 @@
 	return fmt.Sprintf("127.0.1.%d", number+1)
 }
 
-// clusterSlots bounds the clusters that run at the same time.
+// clusterSlots limits the number of clusters that run concurrently.
 var clusterSlots = make(chan struct{}, 3)
 
-// newCluster starts a cluster and waits until every daemon is ready. It waits
-// for a place first: a test uses one cluster only.
+// newCluster waits for one of clusterSlots, starts a cluster and waits until
+// every daemon is ready. A test must create one cluster only: with a second one,
+// tests could deadlock on the slots.
 func newCluster(t testing.TB, p clusterSpec) *cluster {
 	t.Helper()
 	clusterSlots <- struct{}{}
@@ -142,7 +144,7 @@
 	c.awaitHTTP(address, "/standin/calls")
 }
 
-// addNode starts one more daemon; every other daemon is its seed.
+// addNode starts one more daemon, with all existing daemons as its seeds.
 func (c *cluster) addNode(name string) *node {
 	c.t.Helper()
 	n := c.prepareNode(name)
@@ -150,7 +152,7 @@
 	return n
 }
 
-// prepareNode adds a daemon that does not run yet.
+// prepareNode adds a daemon without starting it.
 func (c *cluster) prepareNode(name string) *node {
 	c.t.Helper()
 	n := &node{
@@ -176,7 +178,7 @@
 	return n
 }
 
-// startNode starts a node's daemon, or starts it again with nothing kept.
+// startNode starts or restarts a node's daemon. No state survives a restart.
 func (c *cluster) startNode(n *node) {
 	c.t.Helper()
 	data, err := json.Marshal(n.settings)
@@ -194,7 +196,7 @@
 	c.awaitHTTP(n.settings.Admin, "/readyz")
 }
 
-// awaitMembers waits until every running daemon sees all of them alive.
+// awaitMembers waits until every daemon sees all daemons alive.
 func (c *cluster) awaitMembers() {
 	c.t.Helper()
 	eventually(c.t, "every daemon sees all others alive", func() bool {
@@ -207,7 +209,7 @@
 	})
 }
 
-// countAlive counts the members that a daemon sees alive.
+// countAlive returns the number of members that a daemon sees alive.
 func (c *cluster) countAlive(n *node) int {
 	alive := 0
 	for _, m := range c.status(n).Members {
@@ -218,14 +220,14 @@
 	return alive
 }
 
-// status returns a daemon's own status, empty where it does not answer.
+// status returns a daemon's status, or a zero status if it does not answer.
 func (c *cluster) status(n *node) daemon.Status {
 	var s daemon.Status
 	c.getJSON(n.settings.Admin, "/status", &s)
 	return s
 }
 
-// owner returns the node that a pool's owner runs on, as the others see it.
+// owner waits until the daemons agree on a pool's owner, and returns its node.
 func (c *cluster) owner(pool string) *node {
 	c.t.Helper()
 	var found *node
@@ -248,7 +250,7 @@
 	return found
 }
 
-// runs returns the run logs of all engines together.
+// runs returns the concatenated run logs of all engines.
 func (c *cluster) runs() []engine.RunRecord {
 	var all []engine.RunRecord
 	for _, e := range c.engines {
@@ -263,7 +265,7 @@
 	return runs
 }
 
-// engineFaults changes an engine's faults; only the named fields change.
+// engineFaults sets the fault fields of an engine that the JSON object names.
 func (c *cluster) engineFaults(e *backend, faults string) {
 	c.t.Helper()
 	c.post(e.link.target, engine.PathFaults, faults)
--- a/test/config_change_test.go
+++ b/test/config_change_test.go
@@ -15,7 +15,7 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// apply runs lycheekeel apply on one object and returns its exit code.
+// apply runs "lycheekeel apply" on one object and returns its exit code and output.
 func (c *cluster) apply(kind, expect string, v any) (int, string) {
 	c.t.Helper()
 	value, err := json.Marshal(v)
@@ -40,11 +40,11 @@
 	return cmd.ProcessState.ExitCode(), string(out)
 }
 
-// Guards against this: an operator's accepted change is gone, and nobody was told.
+// Guards against: a concurrent change silently overwrites an accepted one.
 func TestConcurrentApplyOfOneTemplate(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 1})
-	Convey("one wins, the others are told of a conflict, and the winner's is in force", t, func() {
+	Convey("one change is accepted and becomes active; the others get a conflict", t, func() {
 		stored, err := c.api.Get(t.Context(), workspace.KindTemplate, "snagging")
 		So(err, ShouldBeNil)
 		codes := make([]int, 5)
@@ -78,11 +78,12 @@
 	})
 }
 
-// Guards against this: a daemon that was replaced during an outage of the store serves nobody, or serves an old configuration.
+// Guards against: a daemon that restarts during a store outage serves no requests
+// or an old configuration.
 func TestDaemonStartsWhileStoreIsDownOrStale(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 1})
-	Convey("it gets the newest configuration from its peers and never goes back", t, func() {
+	Convey("it gets the latest configuration from its peers and never reverts to an older one", t, func() {
 		var version uint64
 		for i := range 4 {
 			version = uint64(c.put(workspace.KindPool, testPool, workspace.Pool{
@@ -111,11 +112,11 @@
 	})
 }
 
-// Guards against this: a process that does not belong to the cluster gets requests or grants.
+// Guards against: a process that is not a member of the cluster gets requests or grants.
 func TestDaemonWithAnotherClusterKeyIsNotAMember(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 2, engines: 1})
-	Convey("the members never see it, and it can't see them", t, func() {
+	Convey("the members don't see it, and it doesn't see them", t, func() {
 		members := append([]*node(nil), c.nodes...)
 		stranger := c.prepareNode("stranger")
 		stranger.settings.Peer.ClusterKeys = []string{"another-key-of-the-same-length"}
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -7,11 +7,11 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// testDeadlineMs is every tier's deadline.
+// testDeadlineMs is the deadline of every tier, in milliseconds.
 const testDeadlineMs = 30_000
 
-// testTemplate has four tiers, one model, and a plain service whose POSTs may
-// not be repeated.
+// testTemplate returns a template with four tiers, one model, and a plain
+// service whose POSTs under /dispatch/ are not idempotent.
 func testTemplate() workspace.Template {
 	number := func(v int64) workspace.Number { return workspace.Number{Value: v} }
 	t := workspace.Template{
--- a/test/disconnect_test.go
+++ b/test/disconnect_test.go
@@ -10,7 +10,7 @@
 	engine "github.com/lycheekeel/lycheekeel/internal/standin/engine"
 )
 
-// running counts the runs that the engines have not ended.
+// running returns the number of runs that no engine has ended.
 func (c *cluster) running() int {
 	n := 0
 	for _, r := range c.runs() {
@@ -21,23 +21,23 @@
 	return n
 }
 
-// Guards against this: engines compute for nobody while callers wait.
+// Guards against: engines run requests of disconnected callers while others wait.
 func TestCallersDisconnect(t *testing.T) {
 	t.Parallel()
 	const slots, left, stay = 3, 9, 6
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 1, options: slowEngine, slots: slots})
-	Convey("their runs are cancelled, and what waited never runs", t, func() {
+	Convey("their runs are cancelled, and their waiting requests never run", t, func() {
 		_, cancel := c.occupySlots(slots)
 		before := len(c.runs())
 		queueCtx, cancelQueued := context.WithCancel(t.Context())
 		defer cancelQueued()
 		abandoned := c.sendConcurrently(queueCtx, "handover", 1, left)
-		eventually(t, "they wait", func() bool { return c.waitingRequests(testPool) == left })
+		eventually(t, "the first group waits", func() bool { return c.waitingRequests(testPool) == left })
 		remaining := c.sendConcurrently(t.Context(), "tag", 2, stay)
-		eventually(t, "others wait behind them", func() bool { return c.waitingRequests(testPool) == left+stay })
+		eventually(t, "the second group waits behind it", func() bool { return c.waitingRequests(testPool) == left+stay })
 		cancelQueued()
 		abandoned.wg.Wait()
-		eventually(t, "those that left wait no more", func() bool { return c.waitingRequests(testPool) == stay })
+		eventually(t, "the disconnected callers' requests have left the queue", func() bool { return c.waitingRequests(testPool) == stay })
 		cancel()
 		remaining.wg.Wait()
 		complete, refused, failed := checkAnswers(t, c, remaining.all())
@@ -57,14 +57,14 @@
 	})
 }
 
-// Guards against this: slots and a daemon's exit hang on callers that are not there.
+// Guards against: lost caller connections hold slots and block the daemon's exit.
 func TestSilentCallerConnectionsMidStream(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 2, engines: 1, options: slowEngine, slots: 6})
-	Convey("others are served on new connections, every slot comes free, the daemon ends", t, func() {
+	Convey("new connections are served, every slot is released, and the daemon exits", t, func() {
 		ctx, cancel := context.WithCancel(t.Context())
 		silenced := startStreams(ctx, 6, 0, roundRobin(c.nodes[:1]))
-		eventually(t, "every stream has begun", func() bool { return silenced.started.Load() == 6 })
+		eventually(t, "every stream has started", func() bool { return silenced.started.Load() == 6 })
 		c.nodes[0].callerLink.proxy.Silence(faultproxy.Both)
 		others := c.sendConcurrently(t.Context(), "tag", 7, 20)
 		others.wg.Wait()
@@ -80,9 +80,9 @@
 	})
 }
 
-// Guards against this: a release cuts answers off, or loses requests that waited.
+// Guards against: a graceful stop truncates answers or loses waiting requests.
 func TestGracefulStopWithWaitingAndStreamingRequests(t *testing.T) {
-	for name, nodes := range map[string]int{"the last one": 1, "one of three": 3} {
+	for name, nodes := range map[string]int{"the only daemon": 1, "one of three": 3} {
 		t.Run(name, func(t *testing.T) { testGracefulStop(t, nodes) })
 	}
 }
@@ -90,10 +90,10 @@
 func testGracefulStop(t *testing.T, nodes int) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: nodes, engines: 1, options: slowEngine, slots: 4})
-	Convey("every request gets its whole answer and the exit code is 0", t, func() {
+	Convey("every request gets its complete answer and the exit code is 0", t, func() {
 		victim := c.owner(testPool)
 		s := startStreams(t.Context(), 16, 0, roundRobin([]*node{victim}))
-		eventually(t, "some stream and others wait", func() bool {
+		eventually(t, "some requests stream and others wait", func() bool {
 			return s.started.Load() >= 1 && c.waitingRequests(testPool) >= 4
 		})
 		So(victim.stop(), ShouldBeNil)
--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -11,10 +11,10 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// awaitVersion waits until a configuration version is in force everywhere.
+// awaitVersion waits until the configuration version, or a later one, is active at every daemon.
 func (c *cluster) awaitVersion(version uint64) {
 	c.t.Helper()
-	eventually(c.t, "the version is in force at every daemon", func() bool {
+	eventually(c.t, "the version is active at every daemon", func() bool {
 		for _, n := range c.nodes {
 			if uint64(c.status(n).Configuration.Version) < version {
 				return false
@@ -24,8 +24,8 @@
 	})
 }
 
-// balancer sends callers to the nodes whose /readyz answers, as the
-// platform's does; it looks again at intervals.
+// balancer sends callers to the nodes whose /readyz returned 200 at the last
+// refresh, as the platform's load balancer does.
 type balancer struct {
 	ready atomic.Pointer[[]*node]
 }
@@ -35,7 +35,7 @@
 	return ready[(caller+n)%len(ready)].callerLink.proxy.Addr()
 }
 
-// refresh looks once which nodes are ready. It keeps the last ones where none is.
+// refresh probes which nodes are ready. If none is, it keeps the previous set.
 func (lb *balancer) refresh(nodes []*node) {
 	var ready []*node
 	for _, n := range nodes {
@@ -53,11 +53,11 @@
 	}
 }
 
-// Guards against this: callers get resets and errors while operators roll out a release.
+// Guards against: a rolling restart causes connection resets or errors for callers.
 func TestRollingRestartUnderLoad(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 2, options: slowEngine, slots: 6})
-	Convey("no caller notices", t, func() {
+	Convey("every caller gets complete answers", t, func() {
 		lb := &balancer{}
 		lb.refresh(c.nodes)
 		nodes := append([]*node(nil), c.nodes...)
@@ -90,11 +90,11 @@
 	})
 }
 
-// Guards against this: requests are sent to a backend server that is about to go.
+// Guards against: requests are sent to a backend server that is leaving.
 func TestBackendServerDrainsMidStream(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 3, options: slowEngine, slots: 6})
-	Convey("its streams end whole and it gets nothing new after the change is in force", t, func() {
+	Convey("its streams complete, and it gets no new requests once the change is active", t, func() {
 		l := startLoad(t.Context(), 16, 20, roundRobin(c.nodes))
 		eventually(t, "traffic flows", func() bool { return l.count() >= 48 })
 		leaving := c.engines[0]
@@ -103,7 +103,7 @@
 		c.awaitVersion(uint64(c.put(workspace.KindBackendServer, leaving.name, s)))
 		activeAt := time.Now()
 		before := l.count()
-		eventually(t, "traffic goes on", func() bool { return l.count() >= before+150 })
+		eventually(t, "traffic continues", func() bool { return l.count() >= before+150 })
 		results := l.stop()
 		complete, refused, failed := checkAnswers(t, c, results)
 		So(refused, ShouldBeEmpty)
--- a/test/fault_pairs_test.go
+++ b/test/fault_pairs_test.go
@@ -15,8 +15,8 @@
 	service "github.com/lycheekeel/lycheekeel/internal/standin/service"
 )
 
-// fault is one failure that can be brought about together with another. The
-// victim is the daemon that owned the pool at first; no caller is sent to it.
+// fault is one injected failure that can overlap with another. The victim is the
+// daemon that owned the pool at first. It gets no requests from callers.
 type fault struct {
 	begin, end func(c *cluster, victim *node)
 }
@@ -57,7 +57,7 @@
 	c.awaitReady(victim)
 }
 
-// faults are the failures by name.
+// faults are the injected failures by name.
 var faults = map[string]fault{
 	"owner dies": {func(_ *cluster, v *node) { v.kill() }, restart},
 	"owner paused": {
@@ -91,8 +91,8 @@
 	},
 }
 
-// faultPairs are the combinations. The seed decides how far the first has come when
-// the second one begins.
+// faultPairs are the combinations under test. The seed decides after how many
+// answers the second fault follows the first.
 var faultPairs = []struct {
 	seed          uint64
 	first, second string
@@ -106,13 +106,13 @@
 	{7, "owner paused", "store slow and stale"},
 }
 
-// Guards against this: the system stands one failure, but not two at once.
+// Guards against: the system tolerates one fault, but not two at the same time.
 func TestConcurrentFaults(t *testing.T) {
 	for _, p := range faultPairs {
 		t.Run(fmt.Sprintf("%d: %s, %s", p.seed, p.first, p.second), func(t *testing.T) {
 			t.Parallel()
 			c := newCluster(t, clusterSpec{nodes: 4, engines: 3, options: slowEngine, slots: 6})
-			Convey("no request is lost, doubled or misreported", t, func() {
+			Convey("no request is lost, run twice or misreported", t, func() {
 				rng := rand.New(rand.NewPCG(p.seed, 0))
 				victim := c.owner(testPool)
 				l := startLoad(t.Context(), 20, 8, roundRobin(c.others(victim)))
@@ -121,20 +121,20 @@
 				first, second := faults[p.first], faults[p.second]
 				first.begin(c, victim)
 				before := l.count() + rng.IntN(30)
-				eventually(t, "traffic goes on under the first", func() bool { return l.count() >= before })
+				eventually(t, "traffic continues under the first fault", func() bool { return l.count() >= before })
 				second.begin(c, victim)
 				before = l.count()
-				eventually(t, "traffic goes on under both", func() bool { return l.count() >= before+100 })
+				eventually(t, "traffic continues under both faults", func() bool { return l.count() >= before+100 })
 				first.end(c, victim)
 				second.end(c, victim)
 				before = l.count()
-				eventually(t, "traffic goes on after both", func() bool { return l.count() >= before+100 })
+				eventually(t, "traffic continues after both faults", func() bool { return l.count() >= before+100 })
 				results := l.stop()
 				nonIdempotent.check()
 				complete, refused, failed := checkAnswers(t, c, results)
-				t.Logf("%d whole, %v refused, %d broken", complete, refused, failed)
+				t.Logf("%d complete, %v refused, %d failed", complete, refused, failed)
 				if p.first == "crashing request" {
-					So(complete, ShouldBeGreaterThan, len(results)*3/4) // innocents run beside it
+					So(complete, ShouldBeGreaterThan, len(results)*3/4) // other requests on a crashed engine are lost
 					return
 				}
 				lost := 0
@@ -150,11 +150,11 @@
 	}
 }
 
-// lostInTransit counts the requests that were on their way to an engine when
-// its connections went silent: no engine ever got them, and their callers were
-// told that the outcome is unknown. Nothing can bring them back: to send one
-// again would be a second dispatch. One that an engine did get must be whole,
-// so an engine_lost refusal of such a one is not counted and fails the test.
+// lostInTransit counts the requests that were in transit to an engine when its
+// connections went silent. No engine received them, and their callers were told
+// that the outcome is unknown. They can't be retried, because a retry could be a
+// second dispatch. A request that an engine did receive must get a complete
+// answer, so its engine_lost refusal is not counted and fails the test.
 func lostInTransit(c *cluster, results []result) int {
 	ran := map[string]bool{}
 	for _, r := range c.runs() {
@@ -169,8 +169,8 @@
 	return lost
 }
 
-// nonIdempotentLoad are calls that may not be repeated, each sent to one entry
-// and then again to another.
+// nonIdempotentLoad sends non-idempotent calls, each to one entry and then again
+// to another one.
 type nonIdempotentLoad struct {
 	c     *cluster
 	stop  chan struct{}
@@ -201,7 +201,7 @@
 	return s
 }
 
-// check compares what callers were told with the calls that the service got.
+// check compares the answers to callers with the calls that the service received.
 func (s *nonIdempotentLoad) check() {
 	close(s.stop)
 	s.wg.Wait()
@@ -220,10 +220,10 @@
 			notRun = notRun && a.notRun == true
 		}
 		if n > 1 || succeeded && n == 0 || notRun && n > 0 {
-			s.c.t.Errorf("confirmation %s ran %d times; its callers were told %+v", key, n, answers)
+			s.c.t.Errorf("non-idempotent call %s ran %d times; its answers are %+v", key, n, answers)
 		}
 		total += n
 	}
-	s.c.t.Logf("%d confirmations, %d ran", len(s.byKey), total)
+	s.c.t.Logf("%d non-idempotent calls, %d ran", len(s.byKey), total)
 	So(total, ShouldBeGreaterThan, 0)
 }
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -17,23 +17,23 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// measureEnv switches the measurement on.
+// measureEnv enables the measurement when set.
 const measureEnv = "LYCHEEKEEL_MEASURE"
 
 const (
-	measureRate    = 120 // requests a second
+	measureRate    = 120 // requests per second
 	measureCallers = 120
 	measureWindow  = 15 * time.Second
 	measureChanges = 10
 	measureKills   = 3
-	clockTicks     = 100 // of /proc/PID/stat, a second
+	clockTicks     = 100 // ticks per second in /proc/PID/stat
 )
 
-// TestMeasureCluster measures real daemons of the same load at several sizes;
-// it judges nothing. Its figures are in docs/measurements/cluster.md.
+// TestMeasureCluster measures clusters of several sizes under the same load. It
+// asserts nothing. The results are in docs/measurements/cluster.md.
 func TestMeasureCluster(t *testing.T) {
 	if os.Getenv(measureEnv) == "" {
-		t.Skip("a measurement; set " + measureEnv)
+		t.Skip("this is a measurement; to run it, set " + measureEnv)
 	}
 	for _, size := range []int{3, 5, 9} {
 		t.Run(strconv.Itoa(size), func(t *testing.T) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// startMeasuredLoad offers requests at a steady rate to some nodes.
+// startMeasuredLoad sends requests to the nodes at a steady rate.
 func (c *cluster) startMeasuredLoad(nodes []*node) *load {
 	l := &load{}
 	sendCtx, cancel := context.WithCancel(c.t.Context())
@@ -65,10 +65,10 @@
 	return l
 }
 
-// usage is what a daemon has used since its start.
+// usage is a daemon's resource usage since its start.
 type usage struct {
 	cpu   time.Duration
-	bytes int64 // in and out
+	bytes int64 // to and from peers
 }
 
 func (c *cluster) usageOf(n *node) usage {
@@ -103,7 +103,7 @@
 	return sum
 }
 
-// measureSteady prints what the daemons use without and with load.
+// measureSteady logs the daemons' resource usage without and with load.
 func (c *cluster) measureSteady() {
 	for _, loaded := range []bool{false, true} {
 		var l *load
@@ -130,18 +130,18 @@
 		}
 		slices.Sort(cpu)
 		slices.Sort(bytes)
-		c.t.Logf("%d daemons, loaded %v: store calls %.1f/s; CPU of a daemon, %% of a core: median %.1f, most %.1f; peer bytes/s of a daemon, in and out: median %.0f, most %.0f",
+		c.t.Logf("%d daemons, loaded %v: store calls %.1f/s; CPU per daemon, %% of a core: median %.1f, max %.1f; peer bytes/s per daemon, in and out: median %.0f, max %.0f",
 			len(c.nodes), loaded, float64(c.storeCalls()-calls)/seconds, cpu[len(cpu)/2], cpu[len(cpu)-1], bytes[len(bytes)/2], bytes[len(bytes)-1])
 		if loaded {
 			rate := float64(l.count()-answers) / seconds
 			complete, refused, failed := checkAnswers(c.t, c, l.stop())
-			c.t.Logf("%d daemons: %.0f answers/s; %d whole, %v refused, %d broken", len(c.nodes), rate, complete, refused, failed)
+			c.t.Logf("%d daemons: %.0f answers/s; %d complete, %v refused, %d failed", len(c.nodes), rate, complete, refused, failed)
 		}
 	}
 }
 
-// measureChanges prints how long changes took to be in force everywhere, seen
-// at the daemons' status every 10 ms.
+// measureChanges logs how long configuration changes take to become active at
+// every daemon. It polls the daemons' status every 10 ms.
 func (c *cluster) measureChanges() {
 	var took []time.Duration
 	for i := range measureChanges {
@@ -152,18 +152,19 @@
 		took = append(took, time.Since(from).Round(time.Millisecond))
 	}
 	slices.Sort(took)
-	c.t.Logf("%d daemons: configuration in force everywhere after: median %v, most %v of %d", len(c.nodes), took[len(took)/2], took[len(took)-1], len(took))
+	c.t.Logf("%d daemons: configuration active everywhere after: median %v, max %v of %d", len(c.nodes), took[len(took)/2], took[len(took)-1], len(took))
 }
 
-// measureOwnerKill prints when the first request started under a new owner:
-// the end of the longest pause in the engines' run logs, since the kill.
+// measureOwnerKill logs the time from the owner's kill to the first request
+// that started under the new owner, which is the end of the longest pause in
+// the engines' run logs.
 func (c *cluster) measureOwnerKill() {
 	owner := c.owner(testPool)
 	l := c.startMeasuredLoad(c.others(owner))
 	before := l.count()
 	killed := time.Now()
 	owner.kill()
-	eventually(c.t, "traffic flows again", func() bool { return l.count() >= before+5*measureRate })
+	eventually(c.t, "traffic resumes", func() bool { return l.count() >= before+5*measureRate })
 	complete, refused, failed := checkAnswers(c.t, c, l.stop())
 	var starts []time.Time
 	for _, r := range c.runs() {
@@ -179,7 +180,7 @@
 			longest, first = pause, starts[i]
 		}
 	}
-	c.t.Logf("%d daemons: first grant %v after the owner's kill, longest pause %v; %d whole, %v refused, %d broken",
+	c.t.Logf("%d daemons: first grant %v after the owner was killed, longest pause %v; %d complete, %v refused, %d failed",
 		len(c.nodes), first.Sub(killed).Round(time.Millisecond), longest.Round(time.Millisecond), complete, refused, failed)
 	c.startNode(owner)
 	c.awaitReady(owner)
--- a/test/objects_test.go
+++ b/test/objects_test.go
@@ -11,7 +11,7 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// put writes a configuration object, whatever its version is.
+// put creates a configuration object or replaces its current version.
 func (c *cluster) put(kind objectstore.Kind, name string, v any) objectstore.Version {
 	c.t.Helper()
 	value, err := json.Marshal(v)
@@ -44,7 +44,7 @@
 	})
 }
 
-// getJSON reads a JSON answer; v stays as it is where none comes.
+// getJSON reads a JSON response into v. It leaves v unchanged if there is no response.
 func (c *cluster) getJSON(address, path string, v any) {
 	resp, err := http.Get("http://" + address + path)
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-// configure writes the test's configuration.
+// configure writes the configuration of the test.
 func (c *cluster) configure(p clusterSpec) {
 	c.t.Helper()
 	c.put(workspace.KindTemplate, "snagging", testTemplate())
@@ -83,7 +83,7 @@
 	})
 }
 
-// backendServer returns the configuration of an engine.
+// backendServer returns the configuration object of an engine.
 func (c *cluster) backendServer(e *backend, number int, p clusterSpec) workspace.BackendServer {
 	return workspace.BackendServer{
 		Name: e.name, Address: e.link.proxy.Addr(), Region: testRegion, Generation: "g1",
--- a/test/owner_test.go
+++ b/test/owner_test.go
@@ -10,11 +10,11 @@
 	engine "github.com/lycheekeel/lycheekeel/internal/standin/engine"
 )
 
-// slowEngine makes answers take a second or two, so that failures meet
-// requests that run and requests that wait.
+// slowEngine makes answers take one to two seconds, so that faults hit both
+// running and waiting requests.
 var slowEngine = engine.Options{StepMs: 20, Slots: 8}
 
-// others returns every node but one.
+// others returns every node except one.
 func (c *cluster) others(excluded *node) []*node {
 	var out []*node
 	for _, n := range c.nodes {
@@ -25,13 +25,13 @@
 	return out
 }
 
-// roundRobin picks the caller address of nodes in turn.
+// roundRobin returns a function that picks the nodes' caller addresses in turn.
 func roundRobin(nodes []*node) func(caller, n int) string {
 	return func(caller, n int) string { return nodes[(caller+n)%len(nodes)].callerLink.proxy.Addr() }
 }
 
-// firstRunAfter returns how long after a moment the first run started that
-// the engines took on later than it.
+// firstRunAfter returns the time from at to the start of the first later run, or
+// false if there is none.
 func (c *cluster) firstRunAfter(at time.Time) (time.Duration, bool) {
 	var first time.Time
 	for _, r := range c.runs() {
@@ -42,17 +42,17 @@
 	return first.Sub(at), !first.IsZero()
 }
 
-// Guards against this: after a VM's death, callers of the other entries get errors or wait for ever.
+// Guards against: after the loss of a VM, callers of the other entries get errors or wait forever.
 func TestOwnerCrash(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 4, engines: 2, options: slowEngine, slots: 4})
-	Convey("the requests of the other entries are all answered whole, once", t, func() {
+	Convey("all requests of the other entries are answered completely and run once", t, func() {
 		owner := c.owner(testPool)
 		l := startLoad(t.Context(), 30, 10, roundRobin(c.others(owner)))
 		eventually(t, "traffic flows", func() bool { return l.count() >= 60 })
 		owner.kill()
 		before, killed := l.count(), time.Now()
-		eventually(t, "traffic flows again", func() bool { return l.count() >= before+120 })
+		eventually(t, "traffic resumes", func() bool { return l.count() >= before+120 })
 		results := l.stop()
 		complete, refused, failed := checkAnswers(t, c, results)
 		So(refused, ShouldBeEmpty)
@@ -60,25 +60,25 @@
 		So(complete, ShouldEqual, len(results))
 		after, ok := c.firstRunAfter(killed)
 		So(ok, ShouldBeTrue)
-		t.Logf("first run after the owner's death: %v", after)
+		t.Logf("first run after the owner was killed: %v", after)
 		for _, e := range c.engines {
 			peak := maxConcurrent(c.runsOf(e))
-			t.Logf("%s: at most %d runs at once, 4 slots", e.name, peak)
-			So(peak, ShouldBeLessThanOrEqualTo, 2*4) // the old owner's and the new one's
+			t.Logf("%s: at most %d concurrent runs, 4 slots", e.name, peak)
+			So(peak, ShouldBeLessThanOrEqualTo, 2*4) // runs of the old owner and of the new one
 		}
 	})
 }
 
-// Guards against this: servers are overrun, or requests run twice, after a daemon comes back from a pause.
+// Guards against: requests are lost or run twice after a paused owner resumes.
 func TestOwnerPauseAndResume(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 4, engines: 2, options: slowEngine, slots: 4})
-	Convey("no request is lost or doubled while there are two owners", t, func() {
+	Convey("no request is lost or run twice while there are two owners", t, func() {
 		owner := c.owner(testPool)
 		l := startLoad(t.Context(), 30, 10, roundRobin(c.others(owner)))
 		eventually(t, "traffic flows", func() bool { return l.count() >= 60 })
 		owner.signal(syscall.SIGSTOP)
-		eventually(t, "another owner", func() bool {
+		eventually(t, "the other nodes see a new owner", func() bool {
 			for _, n := range c.others(owner) {
 				for _, p := range c.status(n).Pools {
 					if p.Pool == testPool && p.Owner == owner.settings.Name {
@@ -89,11 +89,11 @@
 			return true
 		})
 		before := l.count()
-		eventually(t, "traffic flows again", func() bool { return l.count() >= before+90 })
+		eventually(t, "traffic resumes", func() bool { return l.count() >= before+90 })
 		owner.signal(syscall.SIGCONT)
 		c.awaitMembers()
 		before = l.count()
-		eventually(t, "traffic goes on", func() bool { return l.count() >= before+90 })
+		eventually(t, "traffic continues", func() bool { return l.count() >= before+90 })
 		results := l.stop()
 		complete, refused, failed := checkAnswers(t, c, results)
 		So(refused, ShouldBeEmpty)
@@ -102,26 +102,26 @@
 	})
 }
 
-// Guards against this: a caller's request is run by nobody or by two after its entry died.
+// Guards against: a request is never run, or is run twice, after its entry crashed.
 func TestEntryCrashWithWaitingRequests(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 4, engines: 2, options: slowEngine, slots: 3})
-	Convey("only its own callers notice, and its slots are free again", t, func() {
+	Convey("only its own callers are affected, and its slots are released", t, func() {
 		victim := c.others(c.owner(testPool))[0]
 		lost := startLoad(t.Context(), 9, 10, roundRobin([]*node{victim}))
 		l := startLoad(t.Context(), 9, 10, roundRobin(c.others(victim)))
 		eventually(t, "traffic flows", func() bool { return l.count() >= 30 && lost.count() >= 10 })
-		lost.cancel() // what was sent stays; nobody calls a dead entry again and again
+		lost.cancel() // stops new requests, which would only fail at a dead entry; those in flight stay
 		victim.kill()
 		before := l.count()
-		eventually(t, "traffic goes on at the others", func() bool { return l.count() >= before+120 })
+		eventually(t, "traffic continues at the other entries", func() bool { return l.count() >= before+120 })
 		results := l.stop()
 		complete, refused, failed := checkAnswers(t, c, results)
 		So(refused, ShouldBeEmpty)
 		So(failed, ShouldEqual, 0)
 		So(complete, ShouldEqual, len(results))
 		checkAnswers(t, c, lost.stop())
-		eventually(t, "nothing runs at the owner any more", func() bool {
+		eventually(t, "the owner has no running requests", func() bool {
 			for _, s := range c.status(c.owner(testPool)).Owned {
 				if s.Pool == testPool {
 					return s.Running == 0
--- a/test/partition_test.go
+++ b/test/partition_test.go
@@ -10,8 +10,8 @@
 	engine "github.com/lycheekeel/lycheekeel/internal/standin/engine"
 )
 
-// maxConcurrent returns the most runs that an engine had at the same time, by its
-// run log.
+// maxConcurrent returns the maximum number of concurrent runs in an engine's run
+// log.
 func maxConcurrent(runs []engine.RunRecord) int {
 	type edge struct {
 		at   time.Time
@@ -33,8 +33,8 @@
 	return peak
 }
 
-// degradedEntries adds up how often daemons served from their own share; tests log
-// it, verdicts don't rest on it.
+// degradedEntries returns how often daemons entered degraded mode, in which they
+// serve from their own static share. Tests log it and assert nothing on it.
 func (c *cluster) degradedEntries() (sum int) {
 	for _, n := range c.nodes {
 		var vars struct {
@@ -50,12 +50,13 @@
 	return sum
 }
 
-// Guards against this: callers of some entries wait in vain, or servers are overrun, while the network between daemons fails.
+// Guards against: during a network partition between daemons, callers of some
+// entries are not served, or servers are overloaded.
 func TestPartitionBetweenDaemons(t *testing.T) {
 	t.Parallel()
 	const slots, nodes = 4, 3
 	c := newCluster(t, clusterSpec{nodes: nodes, engines: 2, options: slowEngine, slots: slots})
-	Convey("every entry goes on, nothing is lost or doubled, and they find together again", t, func() {
+	Convey("every entry serves, no request is lost or run twice, and the members rejoin", t, func() {
 		l := startLoad(t.Context(), 18, 5, roundRobin(c.nodes))
 		awaitAnswers := func(n int) {
 			before := l.count()
@@ -65,15 +66,15 @@
 		owner := c.owner(testPool)
 		owner.peerLink.proxy.ResetAndRefuse()
 		awaitAnswers(120)
-		t.Logf("owner cut off: %d times degraded", c.degradedEntries())
+		t.Logf("owner partitioned: degraded mode entered %d times", c.degradedEntries())
 		for _, n := range c.nodes {
 			n.peerLink.proxy.ResetAndRefuse()
 		}
-		eventually(t, "every daemon is alone", func() bool {
+		eventually(t, "every daemon sees no other daemon alive", func() bool {
 			return !slices.ContainsFunc(c.nodes, func(n *node) bool { return c.countAlive(n) > 1 })
 		})
 		awaitAnswers(120)
-		t.Logf("all cut off: %d times degraded", c.degradedEntries())
+		t.Logf("all daemons partitioned: degraded mode entered %d times", c.degradedEntries())
 		for _, n := range c.nodes {
 			n.peerLink.proxy.ClearFaults()
 		}
@@ -87,8 +88,8 @@
 		So(complete, ShouldEqual, len(results))
 		for _, e := range c.engines {
 			peak := maxConcurrent(c.runsOf(e))
-			t.Logf("%s: at most %d runs at once, %d slots", e.name, peak, slots)
-			So(peak, ShouldBeLessThanOrEqualTo, nodes*slots) // an owner each
+			t.Logf("%s: at most %d concurrent runs, %d slots", e.name, peak, slots)
+			So(peak, ShouldBeLessThanOrEqualTo, nodes*slots) // every daemon may own the pool
 		}
 	})
 }
--- a/test/placement_test.go
+++ b/test/placement_test.go
@@ -22,14 +22,14 @@
 	return orders
 }
 
-// hasLoaded tells whether an engine has a version of the test's model loaded.
+// hasLoaded reports whether an engine has loaded a version of the test model.
 func (c *cluster) hasLoaded(e *backend, version string) bool {
 	var load enginewire.Load
 	c.getJSON(e.link.target, enginewire.PathLoad, &load)
 	return slices.ContainsFunc(load.Models, func(m enginewire.Model) bool { return m.Model == testModel && m.Version == version })
 }
 
-// controller returns the node that holds the placement lease.
+// controller returns the node that holds the placement lease, or nil.
 func (c *cluster) controller() *node {
 	o, err := c.api.Get(c.t.Context(), lease.Kind, "placement-"+testRegion)
 	if err != nil {
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// firstOrderToken returns the token of the first order of an engine that satisfies
-// a condition, zero where there is none.
+// firstOrderToken returns the fencing token of the first order in an engine's log
+// for which cond holds, or 0 if there is none.
 func (c *cluster) firstOrderToken(e *backend, cond func(engine.OrderRecord) bool) uint64 {
 	for _, o := range c.ordersOf(e) {
 		if cond(o) {
@@ -58,8 +58,8 @@
 	return 0
 }
 
-// controllerStats is what a daemon's placement controller did; the test waits by
-// it and judges by the engines' order logs.
+// controllerStats holds a placement controller's counters. The test uses them
+// only to wait; its assertions rest on the engines' order logs.
 type controllerStats struct {
 	Rounds    int
 	LeaseLost int `json:"lease_lost"`
@@ -73,20 +73,21 @@
 	return vars.Lycheekeel.Placement
 }
 
-// Guards against this: engines load and unload models in turns, or lose their model.
+// Guards against: orders from an expired lease holder make engines load and unload
+// models alternately, or lose their model.
 func TestPlacementLeaseExpiresWhileHolderIsPaused(t *testing.T) {
 	t.Parallel()
 	options := slowEngine
 	options.Models = []enginewire.Model{{Model: testModel, Version: "v1"}}
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 3, options: options, placement: true, checksTokens: true})
-	Convey("no old order has effect where tokens are checked; elsewhere the levels converge", t, func() {
+	Convey("engines that check tokens ignore stale orders; the others converge to the wanted versions", t, func() {
 		fenced, unfenced := c.engines[0], c.engines[1]
 		s := c.backendServer(unfenced, 1, clusterSpec{})
 		s.ChecksTokens = false
 		c.put(workspace.KindBackendServer, unfenced.name, s)
 		c.engineFaults(unfenced, `{"ignore_fencing": true}`)
 		var oldToken uint64
-		eventually(t, "the controller gives an order", func() bool {
+		eventually(t, "the controller sends an order", func() bool {
 			oldToken = c.firstOrderToken(fenced, func(engine.OrderRecord) bool { return true })
 			return oldToken != 0
 		})
@@ -101,7 +102,7 @@
 		template.Models[0].Version = "v2"
 		c.put(workspace.KindTemplate, "snagging", template)
 		var upgraded *backend
-		eventually(t, "a new controller rolls the version out", func() bool {
+		eventually(t, "a new controller rolls out the version", func() bool {
 			for _, e := range c.engines {
 				if c.hasLoaded(e, "v2") {
 					upgraded = e
@@ -111,7 +112,7 @@
 		})
 		paused.signal(syscall.SIGCONT)
 		c.awaitMembers()
-		eventually(t, "the lapsed holder has noticed, or goes on regardless", func() bool {
+		eventually(t, "the expired holder has lost the lease, or has run two more rounds", func() bool {
 			now := c.controllerStatsOf(paused)
 			return now.LeaseLost > before.LeaseLost || now.Rounds >= before.Rounds+2
 		})
@@ -126,7 +127,7 @@
 			c.sendOrder(e, lateUnload)
 			c.sendOrder(e, lateLoad)
 		}
-		eventually(t, "every engine serves a version that is wanted there", func() bool {
+		eventually(t, "every engine has loaded one of the two versions", func() bool {
 			for _, e := range c.engines {
 				if !c.hasLoaded(e, "v1") && !c.hasLoaded(e, "v2") {
 					return false
@@ -141,7 +142,7 @@
 				sawNewer = sawNewer || o.Token > oldToken
 				injected := o.Version == "v0" || o.Kind == port.OrderUnloadModel && o.Token == oldToken
 				if sawNewer && o.Token <= oldToken && !injected {
-					t.Errorf("%s: order %d came from the lapsed holder: %+v", e.name, i, o)
+					t.Errorf("%s: order %d came from the expired lease holder: %+v", e.name, i, o)
 				}
 				So(sawNewer && o.Token <= oldToken && !o.Refused && e != unfenced, ShouldBeFalse)
 			}
@@ -149,7 +150,7 @@
 	})
 }
 
-// sendOrder gives an engine an order; a refusal is no failure of the test.
+// sendOrder sends an order to an engine. A refusal does not fail the test.
 func (c *cluster) sendOrder(e *backend, order []byte) {
 	c.t.Helper()
 	resp, err := newClient().Post("http://"+e.link.target+enginewire.PathOrder, "application/json", bytes.NewReader(order))
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -15,11 +15,11 @@
 	"github.com/lycheekeel/lycheekeel/internal/testwait"
 )
 
-// waitTimeout is how long a test waits for something that must come; only a fault
-// of the product, or a machine that stands still, makes a test wait so long.
+// waitTimeout is how long a test waits for an expected event. Only a fault or a
+// stalled machine makes a test wait this long.
 const waitTimeout = 60 * time.Second
 
-// binDir is the directory of the programs under test.
+// binDir is the directory of the binaries under test.
 var binDir string
 
 func TestMain(m *testing.M) {
@@ -41,18 +41,17 @@
 	code = m.Run()
 }
 
-// process is one started program. Its output is kept and shown when its test
-// fails.
+// process is one started program. A failed test logs the end of its output.
 type process struct {
 	t      testing.TB
 	name   string
 	cmd    *exec.Cmd
 	output lockedBuffer
 	done   chan struct{}
-	err    error // of Wait, valid once done is closed
+	err    error // from Wait; valid once done is closed
 }
 
-// start runs a program until the test's end.
+// start starts a program that runs until the end of the test at the latest.
 func start(t testing.TB, name, program string, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, done: make(chan struct{})}
@@ -81,7 +80,7 @@
 	}
 }
 
-// signal sends a signal to this process, if it still runs.
+// signal sends a signal to the process if it is still running.
 func (p *process) signal(s syscall.Signal) {
 	select {
 	case <-p.done:
@@ -90,13 +89,13 @@
 	}
 }
 
-// kill ends the process as a VM's death does, and waits until it is gone.
+// kill sends SIGKILL, as abrupt as the loss of a VM, and waits until the process has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// stop asks the process to end and waits until it has.
+// stop sends SIGTERM and waits until the process has exited.
 func (p *process) stop() error {
 	p.signal(syscall.SIGTERM)
 	select {
@@ -107,7 +106,7 @@
 	}
 }
 
-// lockedBuffer keeps what a process writes.
+// lockedBuffer is a bytes.Buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -125,7 +124,7 @@
 	return bytes.Clone(l.b.Bytes())
 }
 
-// tailBytes is how much of a process's output a failed test shows.
+// tailBytes is how many bytes of a process's output a failed test logs.
 const tailBytes = 6000
 
 func (l *lockedBuffer) tail() []byte {
@@ -133,7 +132,7 @@
 	return b[max(0, len(b)-tailBytes):]
 }
 
-// freeAddress returns a loopback address that nobody else listens at.
+// freeAddress returns an unused loopback address.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	address, err := testport.Process.Address()
@@ -143,8 +142,7 @@
 	return address
 }
 
-// eventually waits until the condition holds, and fails the test where it
-// does not within the limit.
+// eventually waits until the condition holds. It fails the test after waitTimeout.
 func eventually(t testing.TB, what string, cond func() bool) {
 	t.Helper()
 	testwait.Until(t, waitTimeout, what, cond)
--- a/test/race_off_test.go
+++ b/test/race_off_test.go
@@ -2,5 +2,5 @@
 
 package test
 
-// raceFlags are empty: the programs are built as they ship.
+// raceFlags is empty: without -race the programs are built as released.
 var raceFlags []string
--- a/test/race_on_test.go
+++ b/test/race_on_test.go
@@ -2,5 +2,5 @@
 
 package test
 
-// raceFlags build the programs under test with the race detector too.
+// raceFlags makes the programs under test use the race detector, as the tests do.
 var raceFlags = []string{"-race"}
--- a/test/ready_test.go
+++ b/test/ready_test.go
@@ -7,7 +7,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against this: in the first moments after a daemon's start its callers' requests run beside those that the pools' owners know of.
+// Guards against: a daemon that has just started runs requests that the pools'
+// owners don't count.
 func TestDaemonIsReadyAfterContactingItsPeers(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 1})
@@ -22,13 +23,13 @@
 		})
 		return members, bytes.Contains(n.process.output.bytes(), []byte("members met"))
 	}
-	Convey("a daemon that is started again knows the others when it serves", t, func() {
+	Convey("a restarted daemon knows the other members when it starts to serve", t, func() {
 		c.awaitMembers()
 		members, joined := restart()
 		So(members, ShouldEqual, 3)
 		So(joined, ShouldBeTrue)
 
-		Convey("and, where nobody answers, has tried", func() {
+		Convey("and it serves after it has tried, if no member answers", func() {
 			c.nodes[0].kill()
 			c.nodes[1].kill()
 			_, joined := restart()
--- a/test/silence_test.go
+++ b/test/silence_test.go
@@ -10,15 +10,16 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// Guards against this: streams stop in the middle and their callers wait until they give up; prompts are computed twice.
+// Guards against: streams on silent connections stall until their callers time
+// out, or their requests run twice.
 func TestSilentEngineConnectionsMidStream(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 2, engines: 2, options: slowEngine})
-	Convey("every stream is resumed on a new connection and none is run again", t, func() {
+	Convey("every stream resumes on a new connection and none runs twice", t, func() {
 		for round, d := range []faultproxy.Direction{faultproxy.Both, faultproxy.ToClient} {
 			before := len(c.runs())
 			l := startStreams(t.Context(), 12, round, roundRobin(c.nodes))
-			eventually(t, "every stream has begun", func() bool { return l.started.Load() == 12 })
+			eventually(t, "every stream has started", func() bool { return l.started.Load() == 12 })
 			for _, e := range c.engines {
 				e.link.proxy.Silence(d)
 			}
@@ -32,11 +33,11 @@
 	})
 }
 
-// Guards against this: the first requests after a quiet moment are lost, outcome unknown.
+// Guards against: requests sent on silent idle connections are lost with unknown outcome.
 func TestSilentIdleEngineConnections(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 2, engines: 2})
-	Convey("no request is sent into them", t, func() {
+	Convey("no request is lost on them", t, func() {
 		l := &recorder{}
 		for n := range 30 {
 			request, _ := echoCall(0, n, 3)
@@ -52,11 +53,11 @@
 	})
 }
 
-// Guards against this: requests hang at entries whose owner seems alive.
+// Guards against: requests hang at an entry whose connection to a live owner is silent.
 func TestSilentPeerConnections(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 2, options: slowEngine, slots: 6})
-	Convey("sessions are opened again on new connections; nothing is lost or doubled", t, func() {
+	Convey("sessions reopen on new connections; no request is lost or run twice", t, func() {
 		l := startLoad(t.Context(), 20, 5, roundRobin(c.nodes))
 		for _, d := range []faultproxy.Direction{faultproxy.ToTarget, faultproxy.ToClient, faultproxy.Both} {
 			before := l.count()
@@ -66,7 +67,7 @@
 			}
 		}
 		before := l.count()
-		eventually(t, "traffic goes on", func() bool { return l.count() >= before+120 })
+		eventually(t, "traffic continues", func() bool { return l.count() >= before+120 })
 		results := l.stop()
 		complete, refused, failed := checkAnswers(t, c, results)
 		So(refused, ShouldBeEmpty)
@@ -75,11 +76,11 @@
 	})
 }
 
-// Guards against this: a change of configuration reaches some daemons only, without error.
+// Guards against: a configuration change silently misses some daemons.
 func TestSilentPlatformConnections(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 1})
-	Convey("the next change is in force everywhere all the same", t, func() {
+	Convey("the next change still becomes active at every daemon", t, func() {
 		for _, n := range c.nodes {
 			n.platformLink.proxy.Silence(faultproxy.Both)
 		}
@@ -90,17 +91,17 @@
 	})
 }
 
-// Guards against this: callers receive another caller's text, or a late answer as theirs.
+// Guards against: a caller receives the answer, or a late answer, of another request.
 func TestDelayedAndMismatchedAnswers(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 2, engines: 2, options: engine.Options{StepMs: 10}})
-	Convey("crossed answers are discarded and every caller gets its own", t, func() {
+	Convey("mismatched answers are discarded and every caller gets its own", t, func() {
 		l := startLoad(t.Context(), 12, 10, roundRobin(c.nodes))
 		eventually(t, "traffic flows", func() bool { return l.count() >= 30 })
 		c.engineFaults(c.engines[0], `{"answer_delay_ms": 300}`)
 		c.engineFaults(c.engines[1], `{"cross_answers": 10}`)
 		before := l.count()
-		eventually(t, "traffic goes on", func() bool { return l.count() >= before+200 })
+		eventually(t, "traffic continues", func() bool { return l.count() >= before+200 })
 		results := l.stop()
 		complete, _, failed := checkAnswers(t, c, results)
 		So(failed, ShouldEqual, 0)
--- a/test/store_test.go
+++ b/test/store_test.go
@@ -15,17 +15,17 @@
 	service "github.com/lycheekeel/lycheekeel/internal/standin/service"
 )
 
-// dispatchPath is a path of the plain service whose POSTs may not be repeated.
+// dispatchPath is a path of the plain service whose POSTs are not idempotent.
 const dispatchPath = "/services/" + testService + "/dispatch/site-7"
 
-// dispatch sends a call that may not be repeated.
+// dispatch sends a non-idempotent call.
 func dispatch(ctx context.Context, address, key, body string) answer {
 	return send(ctx, address, dispatchPath, []byte(body), call{header: map[string]string{
 		"Idempotency-Key": key, "X-Lycheekeel-Deadline-Ms": "8000",
 	}})
 }
 
-// serviceRuns counts the calls that reached the plain service on a path.
+// serviceRuns returns the number of POSTs that reached the plain service.
 func (c *cluster) serviceRuns() int {
 	var calls []service.CallCount
 	c.getJSON(c.service.link.target, service.PathCalls, &calls)
@@ -38,11 +38,11 @@
 	return sum
 }
 
-// Guards against this: two crews are sent to one site.
+// Guards against: a call that a caller repeats at several entries runs more than once.
 func TestNonIdempotentCallSentToEveryEntryRunsOnce(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 1})
-	Convey("it runs once; resends get the same answer or the truth", t, func() {
+	Convey("it runs once; repeats get its answer or a truthful refusal", t, func() {
 		for n := range 5 {
 			before := c.serviceRuns()
 			key, body := fmt.Sprintf("confirm-%d", n), fmt.Sprintf("send crew %d", n)
@@ -69,11 +69,12 @@
 	})
 }
 
-// Guards against this: confirmations run twice, or are refused although they ran, on days when the store loses answers.
+// Guards against: calls run twice, or are refused as not run although they ran,
+// while the store loses answers to writes.
 func TestStoreLosesAnswersAfterWrites(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 1})
-	Convey("each confirmation runs at most once, and what is said of it is true", t, func() {
+	Convey("each call runs at most once, and its answer tells whether it ran", t, func() {
 		c.storeFaults(standin.Faults{LoseFraction: 0.3})
 		var ran, refusedNotRun atomic.Int32
 		var wg conc.WaitGroup
@@ -98,11 +99,11 @@
 	})
 }
 
-// Guards against this: everything stands still while the platform's store is down.
+// Guards against: a store outage stops requests that don't need the store.
 func TestStoreDown(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 2})
-	Convey("ordinary requests go on; a confirmation is refused, truly not run", t, func() {
+	Convey("other requests are served; a non-idempotent call is refused and does not run", t, func() {
 		l := startLoad(t.Context(), 9, 5, roundRobin(c.nodes))
 		eventually(t, "traffic flows", func() bool { return l.count() >= 50 })
 		c.storeFaults(standin.Faults{Down: true})
@@ -111,9 +112,9 @@
 		So(a.code, ShouldEqual, "store_unavailable")
 		So(a.notRun, ShouldEqual, true)
 		So(c.serviceRuns(), ShouldEqual, 0)
-		eventually(t, "traffic goes on without the store", func() bool { return l.count() >= before+300 })
+		eventually(t, "traffic continues without the store", func() bool { return l.count() >= before+300 })
 		c.storeFaults(standin.Faults{})
-		eventually(t, "the same confirmation runs once the store is back", func() bool {
+		eventually(t, "the same call runs after the store has recovered", func() bool {
 			return dispatch(t.Context(), c.nodes[1].callerLink.proxy.Addr(), "down-1", "send crew").status == http.StatusOK
 		})
 		So(c.serviceRuns(), ShouldEqual, 1)
@@ -125,15 +126,15 @@
 	})
 }
 
-// Guards against this: a confirmation that a dead entry had sent runs a second time.
+// Guards against: a call that a crashed entry had sent runs a second time.
 func TestEntryCrashDuringNonIdempotentCall(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 1})
-	Convey("the resend is refused as unknown and nothing runs again", t, func() {
+	Convey("the repeat is refused with unknown outcome and does not run", t, func() {
 		c.post(c.service.link.target, service.PathFaults, `{"delay_ms": 60000}`)
 		victim := c.nodes[0]
 		go dispatch(t.Context(), victim.callerLink.proxy.Addr(), "dies-1", "send crew")
-		eventually(t, "the confirmation reaches the service", func() bool { return c.serviceRuns() == 1 })
+		eventually(t, "the call reaches the service", func() bool { return c.serviceRuns() == 1 })
 		victim.kill()
 		c.post(c.service.link.target, service.PathFaults, `{"delay_ms": 0}`)
 		for _, n := range c.nodes[1:] {
@@ -145,11 +146,11 @@
 	})
 }
 
-// Guards against this: a confirmation that was refused as not run stays blocked, or runs although it was refused.
+// Guards against: a call that was refused as not run stays blocked, or runs.
 func TestStoreSlowerThanCallerDeadlines(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 1})
-	Convey("refusals are true, and each confirmation runs once after all", t, func() {
+	Convey("refused calls don't run, and each runs once when repeated", t, func() {
 		c.storeFaults(standin.Faults{SlowMs: 4000})
 		const calls = 9
 		var wg conc.WaitGroup
@@ -173,10 +174,10 @@
 			return err == nil && len(claims.Objects) >= calls
 		})
 		for i := range answers {
-			eventually(t, "the confirmation runs once the store is fast", func() bool {
+			eventually(t, "the call runs after the store has recovered", func() bool {
 				a := dispatch(t.Context(), c.nodes[(i+1)%3].callerLink.proxy.Addr(), fmt.Sprint("slow-", i), "send crew")
 				if a.status != http.StatusOK {
-					t.Logf("again: %s, not_run %v", a.code, a.notRun)
+					t.Logf("repeat refused: %s, not_run %v", a.code, a.notRun)
 				}
 				return a.status == http.StatusOK
 			})
--- a/test/traffic_test.go
+++ b/test/traffic_test.go
@@ -26,22 +26,23 @@
 	return append([]result(nil), r.results...)
 }
 
-// count returns how many answers came so far.
+// count returns the number of results so far.
 func (r *recorder) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.results)
 }
 
-// load is steady traffic: lanes that each send one request after the other.
+// load is closed-loop traffic: each caller sends one request after the other.
 type load struct {
 	recorder
 	cancel context.CancelFunc
 	wg     conc.WaitGroup
 }
 
-// startLoad sends echo texts of the given length from a number of lanes, each
-// to the address that pick returns for it. Every request is let finish.
+// startLoad sends echo requests of the given length from a number of callers,
+// each request to the address that pick returns. Cancelling the load lets
+// requests in flight finish.
 func startLoad(ctx context.Context, callers, words int, pick func(caller, n int) string) *load {
 	l := &load{}
 	sendCtx, cancel := context.WithCancel(ctx)
@@ -57,24 +58,24 @@
 	return l
 }
 
-// stop sends nothing new, waits for every answer, and returns them all.
+// stop starts no new requests, waits for those in flight, and returns all results.
 func (l *load) stop() []result {
 	l.cancel()
 	l.wg.Wait()
 	return l.all()
 }
 
-// streams are long answers, one on each lane, that stream at the same time.
+// streams are long answers, one per caller, that stream concurrently.
 type streams struct {
 	recorder
 	wg      conc.WaitGroup
-	started atomic.Int32 // how many have received text
+	started atomic.Int32 // streams that have received text
 }
 
-// streamWords makes an answer that streams for more than a second.
+// streamWords makes a slowEngine stream an answer for more than a second.
 const streamWords = 60
 
-// startStreams sends one long streamed echo from each lane.
+// startStreams sends one long streamed echo request from each caller.
 func startStreams(ctx context.Context, callers, round int, pick func(caller, n int) string) *streams {
 	s := &streams{}
 	for caller := range callers {
--- a/test/vm_test.go
+++ b/test/vm_test.go
@@ -11,8 +11,8 @@
 	"github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// listVMs makes the platform's list show every engine's VM, in the state that
-// it has by number, else live.
+// listVMs sets the platform's VM list to one VM per engine. A VM has the state
+// given for its engine's index, or else is live.
 func (c *cluster) listVMs(states map[int]objectstore.VMState) {
 	c.t.Helper()
 	var vms []objectstore.VM
@@ -30,15 +30,15 @@
 	c.post(c.platformAddr, standin.PathVMs, string(data))
 }
 
-// Guards against this: new requests go to VMs that are about to be taken away, or that are gone.
+// Guards against: new requests are sent to VMs that are leaving or dead.
 func TestVMListShowsLeavingAndDeadVMs(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, clusterSpec{nodes: 3, engines: 4, options: slowEngine, slots: 6, ownIPs: true})
-	Convey("a leaving VM gets nothing new, a dead one neither, and streams end whole", t, func() {
+	Convey("leaving and dead VMs get no new requests, and streams on leaving VMs complete", t, func() {
 		c.listVMs(nil)
 		owner := c.owner(testPool)
 		l := startLoad(t.Context(), 16, 20, roundRobin(c.others(owner)))
-		eventually(t, "traffic flows to all", func() bool {
+		eventually(t, "every engine gets requests", func() bool {
 			for _, e := range c.engines {
 				if len(c.runsOf(e)) < 5 {
 					return false
@@ -49,7 +49,7 @@
 		leaving, dead := c.engines[0], c.engines[1]
 		c.listVMs(map[int]objectstore.VMState{0: objectstore.VMLeaving})
 		listedAt, ran, before := time.Now(), -1, 0
-		eventually(t, "100 answers come and none of them from the leaving VM", func() bool {
+		eventually(t, "100 answers arrive without a new run on the leaving VM", func() bool {
 			if n := len(c.runsOf(leaving)); n != ran {
 				ran, before = n, l.count()
 			}
@@ -62,22 +62,22 @@
 				last = r.StartedAt
 			}
 		}
-		t.Logf("last run on the leaving VM: %v after the list showed it", last.Sub(listedAt))
+		t.Logf("last run on the leaving VM: %v after the VM list changed", last.Sub(listedAt))
 
-		dead.link.proxy.Close() // nobody listens at a dead VM's address
+		dead.link.proxy.Close() // nothing listens on a dead VM's address
 		dead.kill()
 		before = l.count()
-		eventually(t, "answers come from the others", func() bool { return l.count() >= before+100 })
+		eventually(t, "the other VMs answer", func() bool { return l.count() >= before+100 })
 		owner.kill()
 		before = l.count()
 		runsBefore := len(c.runsOf(leaving))
-		eventually(t, "answers come under a new owner", func() bool { return l.count() >= before+150 })
+		eventually(t, "requests are answered under a new owner", func() bool { return l.count() >= before+150 })
 		results := l.stop()
 		after := len(c.runsOf(leaving)) - runsBefore
 		complete, refused, failed := checkAnswers(t, c, results)
-		t.Logf("%d whole, %v refused, %d broken; runs on the leaving VM after the owner change: %d", complete, refused, failed, after)
-		So(after, ShouldBeLessThanOrEqualTo, 6) // until the new owner has the list
+		t.Logf("%d complete, %v refused, %d failed; runs on the leaving VM after the owner change: %d", complete, refused, failed, after)
+		So(after, ShouldBeLessThanOrEqualTo, 6) // before the new owner has read the VM list
 		So(failed, ShouldEqual, 0)
-		So(len(results)-complete, ShouldBeLessThanOrEqualTo, 6) // what ran on the dead VM
+		So(len(results)-complete, ShouldBeLessThanOrEqualTo, 6) // requests that ran on the dead VM
 	})
 }
