--- a/test/ready_test.go
+++ b/test/ready_test.go
@@ -21,7 +21,7 @@
 			members = len(s.Members)
 			return s.State == "serving"
 		})
-		return members, bytes.Contains(n.process.output.bytes(), []byte("members met"))
+		return members, bytes.Contains(n.process.output.bytes(), []byte("joined the cluster"))
 	}
 	Convey("a restarted daemon knows the other members when it starts to serve", t, func() {
 		c.awaitMembers()
