--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -12,18 +12,18 @@
 	"time"
 )
 
-// call is one request as its caller saw it.
+// call is one request as its caller observed it.
 type call struct {
 	id, path, apiKey string
 	node             *node
 	sentAt, endedAt  time.Time
-	status           int // 0: no answer
+	status           int // 0: no response
 	complete         bool
 	body             string
 }
 
-// callers send requests until the context ends, over connections that they
-// keep until they break, and remember what they saw.
+// callers send requests over persistent connections until the context ends, and
+// record the results.
 type callers struct {
 	mu  sync.Mutex
 	all []*call
@@ -31,7 +31,7 @@
 
 var paths = []string{"/s/once/", "/s/resume/", "/once/", "/again/"}
 
-// run is one caller at one node.
+// run sends requests to one node, one after the other, until the context ends.
 func (c *callers) run(ctx context.Context, n *node, name string) {
 	var conn net.Conn
 	var r *bufio.Reader
@@ -62,8 +62,8 @@
 	}
 }
 
-// exchange sends the request and reads its answer; it reports whether the
-// connection may be used again.
+// exchange sends the request and reads the response. It reports whether the
+// connection may be reused.
 func (x *call) exchange(conn net.Conn, r *bufio.Reader) bool {
 	_ = conn.SetDeadline(time.Now().Add(8 * time.Second))
 	body := "body of " + x.id
@@ -92,10 +92,10 @@
 	}
 }
 
-// mayRetry tells whether the path's requests may run twice.
+// mayRetry reports whether requests to the path may run twice.
 func (x *call) mayRetry() bool { return x.path == "/s/resume/" || x.path == "/again/" }
 
-// violation says what of an answer breaks a promise; empty: nothing.
+// violation describes how the response breaks a guarantee, or is empty if it does not.
 func (x *call) violation() string {
 	switch {
 	case x.status == http.StatusOK && strings.HasPrefix(x.path, "/s/"):
@@ -104,19 +104,19 @@
 			if id, ok := strings.CutPrefix(line, "id: "); ok {
 				want++
 				if id != fmt.Sprint(want) {
-					return fmt.Sprintf("event %s in place of %d", id, want)
+					return fmt.Sprintf("event %s instead of %d", id, want)
 				}
 			}
 		}
 		if x.complete && want != 30 {
-			return fmt.Sprintf("whole with %d events", want)
+			return fmt.Sprintf("complete with %d events instead of 30", want)
 		}
 	case x.status == http.StatusOK && x.complete && !strings.HasSuffix(x.body, " body of "+x.id):
 		return fmt.Sprintf("answered with %q", x.body)
 	case x.status == http.StatusNotFound, x.status == http.StatusForbidden, x.status == http.StatusBadRequest:
-		return fmt.Sprintf("denied with %d", x.status)
+		return fmt.Sprintf("rejected with status %d", x.status)
 	case x.status == http.StatusUnauthorized && x.apiKey != "k3":
-		return "its key was denied"
+		return "a valid key was rejected"
 	}
 	return ""
 }
--- a/test/soak/crash_test.go
+++ b/test/soak/crash_test.go
@@ -13,14 +13,15 @@
 	"github.com/lycheekeel/lycheekeel/internal/explain"
 )
 
-// Guards against this: a caller asks what became of a request, and no log has its id.
+// Guards against: the fate of a request whose process was killed can't be traced,
+// because no log has its ID.
 func TestRequestLostWithItsProcessIsLogged(t *testing.T) {
-	// The stream outlasts whatever the test waits for.
+	// The stream lasts longer than the test.
 	f := newFleetWith(t, waitLimit/5, 10*waitLimit)
 	n := f.nodes[0]
 	f.eventually("the node is ready", n.ready)
 	id, serverID, sent := "", "", 0
-	// A node that has just started may refuse the first requests.
+	// A node may refuse its first requests after the start.
 	f.eventually("a server runs a request", func() bool {
 		conn, err := net.Dial("tcp", n.settings.Listen)
 		if err != nil {
@@ -40,7 +41,7 @@
 		}
 	}
 	logFile := filepath.Join(f.dir, n.name+".log")
-	f.eventually("the log tells that it still runs", func() bool {
+	f.eventually("the log reports the request as still running", func() bool {
 		written, err := os.ReadFile(logFile)
 		return err == nil && bytes.Contains(written, []byte("Still running.")) && bytes.Contains(written, []byte(id))
 	})
@@ -57,6 +58,6 @@
 	}
 	lost := c.Losses().Unended
 	if len(lost) != 1 || lost[0].Request != id || lost[0].Server != serverID || lost[0].VM != n.name {
-		t.Errorf("the logs tell %+v, want %s on %s at %s", lost, id, n.name, serverID)
+		t.Errorf("the logs report %+v, want %s on %s at %s", lost, id, n.name, serverID)
 	}
 }
--- a/test/soak/doc.go
+++ b/test/soak/doc.go
@@ -1,8 +1,9 @@
-// Package soak runs gateways as real processes and harms them from outside, at
-// random by a seed: processes are stopped, paused, killed and restarted,
-// connections to callers, peers, servers and the store are delayed, reset, cut
-// one way or silenced, the store misbehaves, keys are withdrawn, servers come
-// and go. What callers and servers saw is then held against the promises.
+// Package soak runs gateways as real processes and injects random faults, chosen
+// by a seed. Processes are terminated, paused, killed and restarted. Connections
+// to callers, peers, servers and the store are delayed, reset, cut or made
+// silent in one or both directions. The store fails, keys are revoked, and
+// servers join, leave and crash. The tests then check what callers and servers
+// observed against the gateway's guarantees.
 //
-//	go test ./test/soak -args -soak.seedCount=50 -soak.firstSeed=1
+//	go test ./test/soak -args -soak.seeds=50 -soak.from=1
 package soak
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -9,7 +9,8 @@
 	"github.com/lycheekeel/lycheekeel/platform/standin"
 )
 
-// fault is one thing that is done to the fleet; undo, where not nil, ends it.
+// fault is one kind of fault. inject returns a function that ends it, or nil if
+// there is nothing to undo.
 type fault struct {
 	name   string
 	inject func(f *fleet, r *rand.Rand) (undo func())
@@ -17,7 +18,7 @@
 
 func pick[T any](r *rand.Rand, all []T) T { return all[r.IntN(len(all))] }
 
-// faults are all that a run draws from.
+// faults are all faults that a run chooses from.
 var faults = []fault{
 	{"terminate and restart", func(f *fleet, r *rand.Rand) func() {
 		n := pick(r, f.nodes)
@@ -36,30 +37,30 @@
 		n.signal(syscall.SIGSTOP)
 		return func() { n.signal(syscall.SIGCONT) }
 	}},
-	{"hang up", func(f *fleet, r *rand.Rand) func() { pick(r, f.nodes).signal(syscall.SIGHUP); return nil }},
-	{"harm a link", func(f *fleet, r *rand.Rand) func() {
+	{"send SIGHUP", func(f *fleet, r *rand.Rand) func() { pick(r, f.nodes).signal(syscall.SIGHUP); return nil }},
+	{"disturb a link", func(f *fleet, r *rand.Rand) func() {
 		n := pick(r, f.nodes)
 		return disturbLink(pick(r, []*faultproxy.Proxy{n.callerProxy, n.peerProxy, n.storeProxy}), r)
 	}},
-	{"harm a server's link", func(f *fleet, r *rand.Rand) func() { return disturbLink(pick(r, f.servers).proxy, r) }},
-	{"store misbehaves", func(f *fleet, r *rand.Rand) func() {
+	{"disturb a server's link", func(f *fleet, r *rand.Rand) func() { return disturbLink(pick(r, f.servers).proxy, r) }},
+	{"store fails", func(f *fleet, r *rand.Rand) func() {
 		f.store.SetFaults(pick(r, []standin.Faults{{Busy: true}, {Silent: true}, {LoseWriteAnswers: true}, {StallWatches: true}}))
 		return func() { f.store.SetFaults(standin.Faults{}) }
 	}},
-	{"store forgets its history", func(f *fleet, _ *rand.Rand) func() { f.store.Compact(); return nil }},
+	{"store compacts its history", func(f *fleet, _ *rand.Rand) func() { f.store.Compact(); return nil }},
 	{"server is busy", func(f *fleet, r *rand.Rand) func() {
 		s := pick(r, f.servers)
 		s.SetBusy(true)
 		return func() { s.SetBusy(false) }
 	}},
-	{"server crashes, another comes", func(f *fleet, r *rand.Rand) func() {
+	{"server crashes and is replaced", func(f *fleet, r *rand.Rand) func() {
 		s := pick(r, f.servers)
 		s.stop()
 		s.proxy.ResetAndRefuse()
 		f.store.Remove(standin.KindServers, s.ID)
 		return func() { f.addServer(s.service) }
 	}},
-	{"server leaves, another comes", func(f *fleet, r *rand.Rand) func() {
+	{"server drains and is replaced", func(f *fleet, r *rand.Rand) func() {
 		s := pick(r, f.servers)
 		if s.drainingSince.IsZero() {
 			f.addServer(s.service)
@@ -69,7 +70,7 @@
 		return nil
 	}},
 	{"bad version is rolled out", func(f *fleet, _ *rand.Rand) func() { f.rollOutBadVersion(); return nil }},
-	{"key is withdrawn", func(f *fleet, _ *rand.Rand) func() {
+	{"key is revoked", func(f *fleet, _ *rand.Rand) func() {
 		if _, revoked := f.revokedAt["k3"]; !revoked {
 			f.putKeys("k1", "k2")
 			f.revokedAt["k3"] = time.Now()
@@ -78,7 +79,8 @@
 	}},
 }
 
-// disturbLink does something to a link.
+// disturbLink injects a random network fault into a link and returns the
+// function that ends it.
 func disturbLink(p *faultproxy.Proxy, r *rand.Rand) func() {
 	switch r.IntN(5) {
 	case 0:
@@ -95,8 +97,9 @@
 	return p.ClearFaults
 }
 
-// injectFaults injects faults, in series and overlapping, for the span; then it
-// ends them all.
+// injectFaults injects random faults, chosen among those that include selects,
+// for faultDuration. Faults may overlap. Then it ends all of them and waits for
+// the restarts.
 func (f *fleet) injectFaults(r *rand.Rand, include func(name string) bool) {
 	type ending struct {
 		at   time.Time
--- a/test/soak/fleet_test.go
+++ b/test/soak/fleet_test.go
@@ -25,19 +25,19 @@
 )
 
 var (
-	seedCount     = flag.Int("soak.seeds", 2, "how many seeds to run")
-	firstSeed     = flag.Int64("soak.from", 1, "the first seed")
-	nodeCount     = flag.Int("soak.nodes", 4, "how many gateways run")
-	faultDuration = flag.Duration("soak.span", 6*time.Second, "how long faults are injected")
+	seedCount     = flag.Int("soak.seeds", 2, "number of seeds to run")
+	firstSeed     = flag.Int64("soak.from", 1, "first seed")
+	nodeCount     = flag.Int("soak.nodes", 4, "number of gateways")
+	faultDuration = flag.Duration("soak.span", 6*time.Second, "time during which faults are injected")
 )
 
-// The promises' bounds that the processes are given.
+// Bounds of the guarantees, as configured in the gateways.
 const (
 	revokeBound = 3 * time.Second
 	gracePeriod = 8 * time.Second
-	// A bad version may get so much of its service's requests.
+	// A bad version may get this share of its service's requests, plus this number of requests.
 	canaryShare, canarySlack = 0.1, 50
-	// waitLimit is how long recovery may take on a machine that is busy.
+	// waitLimit is how long recovery may take on a busy machine.
 	waitLimit = 60 * time.Second
 )
 
@@ -61,7 +61,7 @@
 	os.Exit(code)
 }
 
-// fleet is everything of one run.
+// fleet holds the processes, servers and store of one run.
 type fleet struct {
 	t              *testing.T
 	dir            string
@@ -70,17 +70,17 @@
 	config         *standin.Configuration
 	nodes          []*node
 	servers        []*server
-	serversCreated int // servers, ever
-	// eventInterval is between two events of a stream.
+	serversCreated int // including servers that have ended
+	// eventInterval is the time between two events of a stream.
 	eventInterval time.Duration
 	revokedAt     map[string]time.Time
-	// badServers are the servers of the version that fails all it runs; nil: none was rolled out.
+	// badServers are the servers of the version that fails every request; nil: it was not rolled out.
 	badServers []*server
-	// restarts are under way: a node starts again when its process has ended.
+	// restarts tracks goroutines that wait for a process to exit and then restart its node.
 	restarts conc.WaitGroup
 }
 
-// node is one gateway process with the proxies before and behind it.
+// node is one gateway process with the proxies of its inbound and store connections.
 type node struct {
 	fleet                              *fleet
 	name                               string
@@ -88,22 +88,22 @@
 	settings                           gateway.Settings
 	mu                                 sync.Mutex
 	cmd                                *exec.Cmd
-	exited                             chan struct{} // closed when cmd has ended
+	exited                             chan struct{} // closed when cmd has exited
 }
 
-// server is one life of a backend server behind its proxy.
+// server is one incarnation of a backend server behind its proxy.
 type server struct {
 	*standin.Server
 	service       string
 	proxy         *faultproxy.Proxy
 	stop          context.CancelFunc
-	drainingSince time.Time // zero: it serves
+	drainingSince time.Time // zero: not draining
 }
 
 func newFleet(t *testing.T) *fleet { return newFleetWith(t, 5*time.Millisecond, 8*time.Second) }
 
-// newFleetWith returns a fleet whose streams have an event at each such interval, and
-// that long to end.
+// newFleetWith returns a fleet with the given time between stream events and the
+// given timeout for requests to /s/once/.
 func newFleetWith(t *testing.T, eventInterval, onceTimeout time.Duration) *fleet {
 	f := &fleet{t: t, eventInterval: eventInterval, dir: t.TempDir(), store: standin.NewStore(50), revokedAt: map[string]time.Time{}}
 	f.storeAddr, _ = f.serve(f.store.Serve)
@@ -128,13 +128,13 @@
 	return f
 }
 
-// putKeys writes the next version of the configuration with these keys.
+// putKeys stores a new version of the configuration with these API keys.
 func (f *fleet) putKeys(keys ...string) {
 	f.config.Keys = keys
 	f.store.PutConfiguration(f.config)
 }
 
-// serve runs a server on a port of its own.
+// serve runs a server on an unused port and returns its address and a function that stops it.
 func (f *fleet) serve(run func(context.Context, net.Listener) error) (string, context.CancelFunc) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -169,7 +169,7 @@
 	f.store.PutServer(s.ID, s.service, s.proxy.Addr(), state, 8)
 }
 
-// freeAddress returns a loopback address that nobody else listens at.
+// freeAddress returns an unused loopback address.
 func freeAddress(t *testing.T) string {
 	address, err := testport.Process.Address()
 	if err != nil {
@@ -199,7 +199,7 @@
 	f.t.Cleanup(n.kill)
 }
 
-// hasExited tells whether the node's process has ended.
+// hasExited reports whether the node's process has exited.
 func (n *node) hasExited() bool {
 	n.mu.Lock()
 	exited := n.exited
@@ -212,7 +212,7 @@
 	}
 }
 
-// start starts the process; the mutex is held, or nobody else knows the node.
+// start starts the process. The caller holds n.mu, or no other goroutine knows the node yet.
 func (n *node) start() {
 	file := filepath.Join(n.fleet.dir, n.name+".json")
 	b, err := json.Marshal(n.settings)
@@ -241,8 +241,8 @@
 	}()
 }
 
-// restarter returns what starts the node again once the process that it has
-// now has ended; another restart may be first.
+// restarter returns a function that restarts the node once its current process
+// has exited, unless another restart came first.
 func (n *node) restarter() func() {
 	n.mu.Lock()
 	exited := n.exited
@@ -262,10 +262,10 @@
 func (n *node) signal(s os.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	_ = n.cmd.Process.Signal(s) // an ended process needs none
+	_ = n.cmd.Process.Signal(s) // fails if the process has exited, which is harmless
 }
 
-// kill ends the process that this run started.
+// kill sends SIGKILL to the process and waits until it has exited.
 func (n *node) kill() {
 	n.signal(syscall.SIGKILL)
 	n.mu.Lock()
@@ -284,13 +284,13 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// eventually waits until the condition holds. Where it does not, the test
-// tells which processes have ended.
+// eventually waits until the condition holds. If it fails the test after
+// waitLimit, it logs which processes have exited.
 func (f *fleet) eventually(what string, cond func() bool) {
 	defer func() {
 		if f.t.Failed() {
 			for _, n := range f.nodes {
-				f.t.Logf("%s: ended %v", n.name, n.hasExited())
+				f.t.Logf("%s: exited %v", n.name, n.hasExited())
 			}
 		}
 	}()
--- a/test/soak/rollout_test.go
+++ b/test/soak/rollout_test.go
@@ -8,11 +8,12 @@
 
 const (
 	badVersion = "bad"
-	// rolloutTimeoutS is how long the rollout may take, in seconds.
+	// rolloutTimeoutS is the time limit of the rollout, in seconds.
 	rolloutTimeoutS = 4
 )
 
-// rollOutBadVersion requests, once, a rollout to a version of the plain service that fails all it runs.
+// rollOutBadVersion starts a rollout of the plain service to a version that fails
+// every request. Only the first call has an effect.
 func (f *fleet) rollOutBadVersion() {
 	if f.badServers != nil {
 		return
@@ -28,7 +29,8 @@
 	}
 }
 
-// checkRollout holds what the bad version got against its bound, by what its servers saw.
+// checkRollout checks that the bad version was rolled back and received no more
+// than its bounded share of requests, as counted by the servers.
 func (f *fleet) checkRollout() {
 	if f.badServers == nil {
 		return
@@ -46,7 +48,7 @@
 			otherCount += len(s.Arrivals())
 		}
 	}
-	f.t.Logf("the bad version got %d requests, the others %d", badCount, otherCount)
+	f.t.Logf("the bad version got %d requests, other versions %d", badCount, otherCount)
 	if float64(badCount) > canaryShare*float64(otherCount+badCount)+canarySlack {
 		f.t.Errorf("the bad version got %d of %d requests", badCount, otherCount+badCount)
 	}
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -16,17 +16,18 @@
 	"github.com/lycheekeel/lycheekeel/platform/standin"
 )
 
-// regressionSeeds are the seeds that ever failed, each with its cause. They run
-// beside the seeds that are asked for.
+// regressionSeeds are seeds that have failed before, each with its cause. They run
+// in addition to the requested seeds.
 var regressionSeeds = []int64{
-	// A gateway ended at its start: the port that it was to listen at for its
-	// peers was in use, by another run that had started at the same time.
+	// A gateway exited at startup because its peer port was in use by another
+	// run that had started at the same time.
 	18,
 }
 
-// callersPerNode send requests at each node.
+// callersPerNode is the number of concurrent callers of each node.
 const callersPerNode = 4
 
+// TestSoak checks the guarantees under random faults, once per seed.
 func TestSoak(t *testing.T) {
 	all := append([]int64(nil), regressionSeeds...)
 	for i := range *seedCount {
@@ -39,10 +40,10 @@
 	}
 }
 
-// TestRollingRestart is the same with nothing but planned work, during which
-// no request at all may be cut off.
+// Guards against: planned restarts and SIGHUPs cut requests off. No other fault is
+// injected.
 func TestRollingRestart(t *testing.T) {
-	planned := map[string]bool{"terminate and restart": true, "hang up": true}
+	planned := map[string]bool{"terminate and restart": true, "send SIGHUP": true}
 	f, c := runSeed(t, *firstSeed, func(name string) bool { return planned[name] })
 	for _, x := range c.all {
 		if x.status == 0 && len(f.arrivals()[x.id]) > 0 || x.status != 0 && !x.complete {
@@ -51,7 +52,8 @@
 	}
 }
 
-// runSeed torments a fleet under load, lets it recover, and checks the promises.
+// runSeed injects the faults that include selects into a fleet under load, waits
+// for recovery, and checks the guarantees.
 func runSeed(t *testing.T, seed int64, include func(string) bool) (*fleet, *callers) {
 	r := rand.New(rand.NewPCG(uint64(seed), 1))
 	f := newFleet(t)
@@ -81,7 +83,7 @@
 	return f, c
 }
 
-// awaitRecovery waits until every node is ready and serves again.
+// awaitRecovery waits until every node is ready and serves requests.
 func (f *fleet) awaitRecovery(c *callers) {
 	for _, n := range f.nodes {
 		f.eventually(n.name+" is ready again", n.ready)
@@ -101,7 +103,7 @@
 	return false
 }
 
-// arrivals returns the arrivals of each request at the servers, all lives of them.
+// arrivals returns the arrivals of each request at all servers, including those that have ended.
 func (f *fleet) arrivals() map[string][]standin.Arrival {
 	out := map[string][]standin.Arrival{}
 	for _, s := range append(slices.Clone(f.servers), f.badServers...) {
@@ -112,7 +114,7 @@
 	return out
 }
 
-// checkInvariants holds what callers and servers saw against the promises.
+// checkInvariants checks what callers and servers observed against the guarantees.
 func (f *fleet) checkInvariants(c *callers) {
 	runs := f.arrivals()
 	byID := make(map[string]*call, len(c.all))
@@ -127,13 +129,13 @@
 	for id, all := range runs {
 		for _, a := range all {
 			if a.HasKey || a.Tenant != "space" {
-				f.t.Errorf("%s: the key was passed on (%v), or its workspace is %q", id, a.HasKey, a.Tenant)
+				f.t.Errorf("%s: the API key was forwarded (%v), or the workspace is wrong: %q", id, a.HasKey, a.Tenant)
 			}
 		}
 	}
-	f.t.Logf("%d requests, %d served whole, %d ran", len(c.all), served, len(runs))
+	f.t.Logf("%d requests, %d served completely, %d ran", len(c.all), served, len(runs))
 	if served == 0 {
-		f.t.Error("nothing was served")
+		f.t.Error("no request was served")
 	}
 }
 
@@ -150,18 +152,18 @@
 	}
 	refusedNotRun := x.status == http.StatusServiceUnavailable || x.status == http.StatusTooManyRequests
 	if refusedNotRun && !x.mayRetry() && len(ran) > 0 {
-		f.t.Errorf("%s %s was answered %d and ran", x.id, x.path, x.status)
+		f.t.Errorf("%s %s was refused with status %d but ran", x.id, x.path, x.status)
 	}
 	if revokedAt, ok := f.revokedAt[x.apiKey]; ok && x.sentAt.After(revokedAt.Add(revokeBound)) && len(ran) > 0 {
-		f.t.Errorf("%s ran although its key was withdrawn %v before", x.id, x.sentAt.Sub(revokedAt))
+		f.t.Errorf("%s ran although its key was revoked %v before it was sent", x.id, x.sentAt.Sub(revokedAt))
 	}
 }
 
-// keepLogs leaves the processes' logs where the seed can be traced.
+// keepLogs copies the processes' logs to a directory that outlives the test.
 func (f *fleet) keepLogs(seed int64) {
 	dir := filepath.Join(os.TempDir(), fmt.Sprint("lycheekeel-soak-", seed))
 	if err := os.CopyFS(dir, os.DirFS(f.dir)); err != nil {
-		f.t.Logf("logs could not be kept: %v", err)
+		f.t.Logf("the logs could not be copied: %v", err)
 		return
 	}
 	f.t.Logf("logs of the processes: %s", dir)
