--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -10,17 +10,17 @@
 	port "github.com/lycheekeel/lycheekeel/engine"
 )
 
-// Prefixes of a last user message that ask for a certain answer.
+// Prefixes of the last user message that select the answer.
 const (
-	// PrefixEcho is answered with the rest of the message, word for word and
-	// whole, whatever MaxTokens says: anyone can check an answer by it.
+	// PrefixEcho is answered with the exact rest of the message, regardless of
+	// MaxTokens, so that callers can verify the answer.
 	PrefixEcho = "echo:"
-	// PrefixGenerate and a number N are answered with N tokens of filler, as
-	// far as MaxTokens allows.
+	// PrefixGenerate followed by a number N is answered with N tokens of
+	// filler text, but at most MaxTokens.
 	PrefixGenerate = "gen:"
 )
 
-// Reasons why an answer ended.
+// Finish reasons of an answer.
 const (
 	finishStop   = "stop"
 	finishLength = "length"
@@ -28,19 +28,20 @@
 
 const (
 	fillerWord = "word"
-	// maxFillerTokens bounds the longest filler answer.
+	// maxFillerTokens is the length of the longest filler answer.
 	maxFillerTokens = 1 << 16
-	// Without a hint an answer has between minAnswerTokens and minAnswerTokens+answerTokenSpan
-	// tokens, by the prompt's hash.
+	// Without a prefix, an answer has from minAnswerTokens up to but excluding
+	// minAnswerTokens+answerTokenSpan tokens. The prompt's hash selects the
+	// length.
 	minAnswerTokens, answerTokenSpan = 16, 240
 )
 
-// filler is the text of every generated answer; each token is one word of
-// port.BytesPerToken bytes.
+// filler is the text from which generated answers are taken. Each token is one
+// word of port.BytesPerToken bytes.
 var filler = strings.Repeat(fillerWord, maxFillerTokens)
 
-// answerFor returns the whole text that a run will generate, its tokens and
-// why it ends.
+// answerFor returns the full text that a run will generate, its length in tokens
+// and its finish reason.
 func answerFor(r *port.Run) (text string, tokens int, finish string) {
 	if rest, ok := strings.CutPrefix(r.LastMessage, PrefixEcho); ok {
 		return rest, countTokens(rest), finishStop
@@ -63,8 +64,8 @@
 	return minAnswerTokens + int(xxhash.Sum64String(r.Prompt)%answerTokenSpan)
 }
 
-// tokenEnd returns where the token that begins at from ends: after about
-// BytesPerToken bytes, never inside a character.
+// tokenEnd returns the end of the token that starts at byte offset from. A token
+// has about BytesPerToken bytes and never splits a character.
 func tokenEnd(text string, from int) int {
 	end := from + port.BytesPerToken
 	if end >= len(text) {
@@ -84,7 +85,7 @@
 	return n
 }
 
-// advance returns where the text stands after n more tokens from at.
+// advance returns the byte offset n tokens after byte offset at.
 func advance(text string, at, n int) int {
 	for ; n > 0 && at < len(text); n-- {
 		at = tokenEnd(text, at)
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// maxEvents is how many cache events are kept for readers; a reader that
-	// is further behind sees a gap.
+	// maxEvents is the number of cache events kept for readers. A reader that
+	// is further behind sees a gap in the sequence numbers.
 	maxEvents = 1 << 14
-	// maxReplyEvents bounds the events of one answer.
+	// maxReplyEvents is the maximum number of events in one reply.
 	maxReplyEvents = 2048
 )
 
@@ -22,24 +22,26 @@
 	at time.Time
 }
 
-// prefixCache is the prefix cache and its event log. The engine's lock guards it.
+// prefixCache is the prefix cache and its event log. Engine.mu guards it.
 type prefixCache struct {
 	blocks    *simplelru.LRU[uint64, struct{}]
-	events    []timedEvent // the newest, at most maxEvents
+	events    []timedEvent // the newest events, at most maxEvents
 	seq       uint64
 	size      int // in blocks
-	dropEvery int // lose every nth event
+	dropEvery int // drop every nth event; 0 drops none
 	storeTime time.Time
 }
 
 func newPrefixCache(blocks, drop int) *prefixCache {
 	c := &prefixCache{dropEvery: drop, size: blocks}
-	// The size is positive by Options.withDefaults, the only cause of an error.
+	// NewLRU fails only for a size that is not positive, which
+	// Options.withDefaults excludes.
 	c.blocks, _ = simplelru.NewLRU(blocks, func(b uint64, _ struct{}) { c.logEvent(b, false) })
 	return c
 }
 
-// matchPrefix returns how many leading blocks are cached and marks them as used.
+// matchPrefix returns the number of leading blocks that are cached and marks
+// them as recently used.
 func (c *prefixCache) matchPrefix(blocks []uint64) int {
 	for i, b := range blocks {
 		if _, ok := c.blocks.Get(b); !ok {
@@ -49,7 +51,8 @@
 	return len(blocks)
 }
 
-// store adds the blocks, last first, so that a prefix outlives its extensions.
+// store adds the blocks in reverse order, so that eviction removes the end of a
+// prefix before its beginning.
 func (c *prefixCache) store(blocks []uint64, now time.Time) {
 	c.storeTime = now
 	blocks = blocks[:min(len(blocks), c.size)]
@@ -75,7 +78,8 @@
 	c.events = append(c.events, ev)
 }
 
-// eventsAfter returns the events after seq that happened before until.
+// eventsAfter returns the events after seq, up to the time until and at most
+// maxReplyEvents.
 func (c *prefixCache) eventsAfter(seq uint64, until time.Time) []port.CacheEvent {
 	first := sort.Search(len(c.events), func(i int) bool { return c.events[i].Seq > seq })
 	var out []port.CacheEvent
--- a/internal/standin/engine/cursor.go
+++ b/internal/standin/engine/cursor.go
@@ -10,24 +10,26 @@
 	port "github.com/lycheekeel/lycheekeel/engine"
 )
 
-// maxChunkTokens bounds one chunk of a stream that is behind its run.
+// maxChunkTokens is the maximum size of a chunk. It matters for a stream that
+// lags behind its run.
 const maxChunkTokens = 256
 
-// cursor is one stream's place in a run's answer. It is read by one goroutine.
+// cursor is a stream's read position in a run's answer. Only one goroutine may
+// read from it.
 type cursor struct {
 	engine     *Engine
-	run        *run // may be another request's run when answers are crossed
+	run        *run // another request's run if the answers were swapped
 	requestID  string
 	serial     uint64 // order of creation, for SilenceExisting
 	ready      chan struct{}
 	timer      *time.Timer
-	offset     int // in tokens
-	byteOffset int // in bytes
+	offset     int // in the answer, in tokens
+	byteOffset int // in the answer, in bytes
 	done       bool
 }
 
 // next returns the next chunk and the id of the request that it belongs to.
-// ok is false where there was none within the time, or before ctx ended.
+// ok is false if no chunk came before the timeout or the end of ctx.
 func (c *cursor) next(ctx context.Context, timeout time.Duration) (chunk port.Chunk, id string, ok bool, err error) {
 	deadline := time.Now().Add(timeout)
 	for {
@@ -41,7 +43,7 @@
 	}
 }
 
-// poll returns a chunk, or how long to wait for one.
+// poll returns a chunk, or the time to wait before the next poll.
 func (c *cursor) poll(deadline time.Time) (chunk port.Chunk, id string, wait time.Duration, err error) {
 	c.engine.mu.Lock()
 	defer c.engine.mu.Unlock()
@@ -82,7 +84,8 @@
 	return chunk
 }
 
-// wait returns false where the time passed or ctx ended first.
+// wait waits until the run has progressed. It returns false if d elapsed or ctx
+// ended first.
 func (c *cursor) wait(ctx context.Context, d time.Duration) bool {
 	if c.timer == nil {
 		c.timer = time.NewTimer(d)
@@ -100,7 +103,7 @@
 	}
 }
 
-// Close implements port.Stream: the run goes on.
+// Close implements port.Stream. The run continues.
 func (c *cursor) Close() error {
 	c.engine.mu.Lock()
 	defer c.engine.mu.Unlock()
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -12,24 +12,24 @@
 	port "github.com/lycheekeel/lycheekeel/engine"
 )
 
-// Engine is the stand-in's core. It runs in real time: a sound way to test it
-// without waiting is testing/synctest. It is safe for concurrent use.
+// Engine is a simulated model engine. It runs in real time; tests can use the
+// fake clock of testing/synctest to avoid waiting. It is safe for concurrent use.
 type Engine struct {
 	opts Options
 	stop context.CancelFunc
 	loop conc.WaitGroup
-	wake chan struct{} // there is something to do
+	wake chan struct{} // signals the step loop that there is work
 
 	mu           sync.Mutex
 	faults       Faults
 	incarnation  uint64
 	downUntil    time.Time
 	frontends    []frontend      // called with mu held
-	runs         map[string]*run // the newest of each request id
+	runs         map[string]*run // the newest run of each request id
 	waiting      []*run
 	batch        []*run
 	kvUsed       int
-	ended        []*run // in the order of their end
+	ended        []*run // in the order in which they ended
 	records      []*RunRecord
 	cache        *prefixCache
 	models       []loadedModel
@@ -38,15 +38,15 @@
 	draining     bool
 	loadHistory  []loadSample
 	lastSerial   uint64
-	silencedUpTo uint64  // lastSerial up to this one are silent
-	swapPending  *cursor // waits for another answer to be swapped with
+	silencedUpTo uint64  // cursors with a serial up to this one are silent
+	swapPending  *cursor // waits for another stream to swap answers with
 }
 
-// frontend is a way in to an engine from outside its process.
+// frontend is a listener that makes an engine reachable from other processes.
 type frontend interface {
-	// TakeDown breaks all connections and refuses new ones for a time.
+	// TakeDown closes all connections and refuses new ones for a duration.
 	TakeDown(d time.Duration)
-	// Silence makes all open connections silent for good.
+	// Silence makes all open connections silent permanently.
 	Silence()
 }
 
@@ -64,7 +64,7 @@
 	return e, nil
 }
 
-// Close stops the engine; streams see a crash.
+// Close stops the engine. To open streams it looks like a crash.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	e.failRuns(time.Now())
@@ -73,7 +73,7 @@
 	e.loop.Wait()
 }
 
-// resetState sets the state of a new incarnation.
+// resetState sets the initial state of an incarnation.
 func (e *Engine) resetState() {
 	e.runs = map[string]*run{}
 	e.waiting, e.batch, e.ended, e.kvUsed = nil, nil, nil, 0
@@ -84,8 +84,8 @@
 	}
 }
 
-// Runs returns the run log: every run that the engine took on, oldest first.
-// It outlives a crash.
+// Runs returns the run log: every run that the engine accepted, oldest first.
+// The log survives a crash.
 func (e *Engine) Runs() []RunRecord {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -96,7 +96,7 @@
 	return out
 }
 
-// Faults returns the faults that are switched on.
+// Faults returns the active faults.
 func (e *Engine) Faults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -125,8 +125,8 @@
 	e.cache.dropEvery = f.DropEvents
 }
 
-// Crash crashes the engine: it loses everything and stays away for its
-// restart time.
+// Crash crashes the engine: it loses its state and is unreachable for
+// Options.RestartMs.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -157,7 +157,7 @@
 	e.frontends = append(e.frontends, f)
 }
 
-// start takes a request on.
+// start accepts a request and queues its run.
 func (e *Engine) start(req port.Run) (*cursor, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -176,7 +176,7 @@
 	return c, nil
 }
 
-// refusal returns why a request will not run, or nil.
+// refusal returns the reason why a request will not run, or nil.
 func (e *Engine) refusal(req *port.Run, now time.Time) error {
 	switch {
 	case e.faults.Refuse:
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// resume returns a stream of a known run from an offset.
+// resume returns a stream of a known run from an offset in tokens.
 func (e *Engine) resume(id string, offset int) (*cursor, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -210,7 +210,8 @@
 	return c
 }
 
-// swapAnswers swaps the answers of two streams where the fault is on.
+// swapAnswers swaps the answers of two new streams if Faults.CrossAnswers asks
+// for it.
 func (e *Engine) swapAnswers(c *cursor) {
 	if e.faults.CrossAnswers == 0 {
 		return
@@ -232,8 +233,8 @@
 	c.offset, c.byteOffset, other.offset, other.byteOffset = 0, 0, 0, 0
 }
 
-// cancel ends a run and frees its slot. An unknown run is no error: it is not
-// running, which is what was asked for.
+// cancel ends a run and frees its slot. It is idempotent: an unknown or ended
+// run is no error.
 func (e *Engine) cancel(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -248,7 +249,7 @@
 func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
-	default: // it is awake already
+	default: // a wakeup is already pending
 	}
 }
 
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -20,13 +20,14 @@
 
 var background = context.Background()
 
-// testOptions has round numbers: a step takes 10 ms and 1 ms for each sequence.
+// testOptions make durations easy to compute: a step takes 10 ms plus 1 ms for
+// each sequence.
 var testOptions = Options{
 	Slots: 2, StepMs: 10, SequenceMs: 1, PrefillPerSecond: 10_000, PrefillChunk: 100, KVTokens: 10_000, CacheBlocks: 4,
 	LoadMs: 100, RestartMs: 1_000, LingerMs: 5_000, KeepaliveMs: 200, SilenceMs: 1_000,
 }
 
-// withFakeClock runs f on a fake clock with an engine of its own.
+// withFakeClock runs f with a new engine on the fake clock of synctest.
 func withFakeClock(t *testing.T, o Options, f func(e *Engine)) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey(t.Name(), t, func() {
@@ -48,7 +49,7 @@
 	return s
 }
 
-// readAll reads to the end and returns the last chunk and the time taken.
+// readAll reads the stream to its end and returns the last chunk and the time taken.
 func readAll(s port.Stream) (port.Chunk, time.Duration, error) {
 	start := time.Now()
 	for {
@@ -73,15 +74,15 @@
 		_, d, err := readAll(startRun(e, genRun("a", 250, 5)))
 		So(err, ShouldBeNil)
 		So(d, ShouldEqual, 3*11*time.Millisecond+25*time.Millisecond+4*11*time.Millisecond)
-		// Two sequences make each step 1 ms longer; the third waits for a slot.
+		// The second sequence makes each step 1 ms longer; the third waits for a slot.
 		s := []port.Stream{startRun(e, genRun("b", 1, 10)), startRun(e, genRun("c", 1, 10)), startRun(e, genRun("d", 1, 10))}
 		_, d, _ = readAll(s[1])
-		So(d, ShouldBeBetweenOrEqual, 10*12*time.Millisecond, 11*12*time.Millisecond) // it may have missed a step
+		So(d, ShouldBeBetweenOrEqual, 10*12*time.Millisecond, 11*12*time.Millisecond) // the second may have joined one step late
 		load, _ := e.Load(background)
 		So(load.Running+load.Waiting, ShouldBeBetweenOrEqual, 1, 2)
 		_, d, _ = readAll(s[2])
 		So(d, ShouldBeBetweenOrEqual, 9*11*time.Millisecond, 10*12*time.Millisecond)
-		// A straggler at a tenth.
+		// A straggler that runs at a tenth of the speed.
 		So(e.SetFaults(Faults{Speed: 0.1}), ShouldBeNil)
 		_, d, _ = readAll(startRun(e, genRun("f", 1, 10)))
 		So(d.Round(10*time.Millisecond), ShouldEqual, 10*110*time.Millisecond)
@@ -104,15 +105,16 @@
 		_, _, err = readAll(startRun(e, genRun("e", 300, 1, 21, 22, 23)))
 		So(err, ShouldBeNil)
 		events, _ = e.CacheEvents(background, 6)
-		So(events, ShouldBeEmpty) // late
+		So(events, ShouldBeEmpty) // not visible yet
 		<-time.After(time.Second)
 		events, _ = e.CacheEvents(background, 6)
-		So(events, ShouldHaveLength, 3) // of six, with gaps
+		So(events, ShouldHaveLength, 3) // three of six events were dropped
 		So(events[0].Seq, ShouldEqual, 7)
 		So(events[1].Seq, ShouldEqual, 9)
 	})
 }
 
+// Guards against: a cancelled or abandoned run keeps its slot.
 func TestCancelAndAbandonFreeTheSlot(t *testing.T) {
 	o := testOptions
 	o.Slots = 1
@@ -130,7 +132,7 @@
 		s = startRun(e, genRun("left", 1, 60_000))
 		_ = s.Close()
 		<-time.After(4 * time.Second)
-		s, err = e.Resume(background, "left", 10) // still there
+		s, err = e.Resume(background, "left", 10) // the run still exists
 		So(err, ShouldBeNil)
 		c, err := s.Next(background)
 		So(err, ShouldBeNil)
@@ -144,7 +146,7 @@
 	})
 }
 
-// Guards against this: a doubled dispatch goes unseen in a test.
+// Guards against: a test misses a duplicate dispatch because the run log shows it once.
 func TestRunLogRecordsDuplicateDispatch(t *testing.T) {
 	withFakeClock(t, testOptions, func(e *Engine) {
 		a, b := startRun(e, genRun("same", 1, 2)), startRun(e, genRun("same", 1, 3))
@@ -156,6 +158,8 @@
 	})
 }
 
+// Guards against: a delayed report shows current load, or an order with a stale
+// fencing token is carried out.
 func TestLaggingReportsAndOrders(t *testing.T) {
 	o := testOptions
 	o.Models = []wire.Model{{Model: "m", Version: "1"}}
@@ -166,7 +170,7 @@
 		So(err, ShouldBeNil)
 		<-time.After(900 * time.Millisecond)
 		load, _ := e.Load(background)
-		So(load.Running, ShouldEqual, 1) // it still shows the run that has ended
+		So(load.Running, ShouldEqual, 1) // the report still shows the ended run
 		So(load.Age, ShouldEqual, time.Second)
 		So(e.SetFaults(Faults{}), ShouldBeNil)
 
@@ -194,7 +198,7 @@
 	})
 }
 
-// Guards against this: a test of silence, crossing or crashing proves nothing.
+// Guards against: silence, swapped answers or crashes are switched on, but have no effect.
 func TestFaultsInProcess(t *testing.T) {
 	withFakeClock(t, testOptions, func(e *Engine) {
 		old := startRun(e, genRun("old", 1, 500))
@@ -235,8 +239,8 @@
 	})
 }
 
-// Any echo text comes back whole, in contiguous chunks of whole characters,
-// from whatever offset it is resumed.
+// Guards against: an echo answer that is resumed at some offset loses text or
+// splits a character.
 func TestEchoIsCompleteFromAnyOffset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.String().Draw(t, "text")
@@ -248,7 +252,7 @@
 			for c.offset < until {
 				chunk := c.takeChunk()
 				if !utf8.ValidString(chunk.Text) {
-					t.Fatalf("chunk %q cuts a character", chunk.Text)
+					t.Fatalf("chunk %q splits a character", chunk.Text)
 				}
 				got.WriteString(chunk.Text)
 			}
@@ -258,7 +262,7 @@
 		x.generatedTokens = x.totalTokens
 		take(e.newCursor(x, from), x.totalTokens)
 		if got.String() != text {
-			t.Fatalf("got %q, want %q", got.String(), text)
+			t.Fatalf("echo answer is %q, want %q", got.String(), text)
 		}
 	})
 }
--- a/internal/standin/engine/inprocess.go
+++ b/internal/standin/engine/inprocess.go
@@ -11,8 +11,9 @@
 	port "github.com/lycheekeel/lycheekeel/engine"
 )
 
-// Engine implements the port in the same process. A crashed engine cannot be
-// reached (ErrNotSent); a silent one answers nothing until the silence limit.
+// Engine implements port.Engine for callers in the same process. Calls to a
+// crashed engine fail with ErrNotSent. Calls to a silent engine fail with
+// ErrConnectionLost after the silence timeout.
 var _ port.Engine = (*Engine)(nil)
 
 // Run implements port.Engine.
@@ -56,7 +57,7 @@
 	return e.cacheEvents(after), nil
 }
 
-// ExportKV implements port.Engine: of the leading blocks that it holds.
+// ExportKV implements port.Engine. It exports the leading blocks that are cached.
 func (e *Engine) ExportKV(ctx context.Context, blocks []uint64) ([]byte, error) {
 	if err := e.connect(ctx, nil); err != nil {
 		return nil, err
@@ -80,8 +81,8 @@
 	return e.handleOrder(o)
 }
 
-// connect connects, calls sending and returns an error where the engine is down
-// or silent.
+// connect simulates a connection: it calls beforeSend, unless that is nil, and
+// returns an error if the engine is down or silent.
 func (e *Engine) connect(ctx context.Context, beforeSend func() error) error {
 	e.mu.Lock()
 	down, silent := time.Now().Before(e.downUntil), e.faults.Silent == SilenceAll
@@ -116,7 +117,7 @@
 	return e.faults.Silent == SilenceAll || c.serial <= e.silencedUpTo
 }
 
-// asStream turns a cursor and its error into the port's.
+// asStream returns the cursor as a port.Stream, or nil and the error.
 func asStream(c *cursor, err error) (port.Stream, error) {
 	if err != nil {
 		return nil, err
@@ -144,9 +145,10 @@
 	}
 }
 
+// blockBytes is the encoded size of a block hash.
 const blockBytes = 8
 
-// encodeBlocks is the form of exported KV: the blocks' hashes, big endian.
+// encodeBlocks encodes exported KV data: the block hashes in big endian.
 func encodeBlocks(blocks []uint64) []byte {
 	out := make([]byte, 0, len(blocks)*blockBytes)
 	for _, b := range blocks {
@@ -167,7 +169,7 @@
 	return nil
 }
 
-// LocalDialer is a port.Dialer over engines in the same process. It is safe for
+// LocalDialer is a port.Dialer for engines in the same process. It is safe for
 // concurrent use.
 type LocalDialer struct{ engines sync.Map }
 
@@ -177,11 +179,11 @@
 // Remove makes the address unreachable.
 func (f *LocalDialer) Remove(address string) { f.engines.Delete(address) }
 
-// unreachable is always down.
+// unreachable is an engine that is always down.
 var unreachable = &Engine{downUntil: time.Unix(1<<40, 0)}
 
-// Engine implements port.Dialer. At an address without an engine it returns
-// one that nothing can be sent to.
+// Engine implements port.Dialer. For an unknown address it returns an engine that
+// cannot be reached.
 func (f *LocalDialer) Engine(address string) port.Engine {
 	if e, ok := f.engines.Load(address); ok {
 		return e.(port.Engine)
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -1,11 +1,12 @@
-// Package engine is a stand-in for a model engine, for tests, demonstrations
-// and experiments. It computes nothing, but it takes the time that an engine
-// would: it batches continuously in steps, shares each step between prefill
-// and decode, has a limited number of slots, limited KV memory and a limited
-// prefix cache. Faults can be switched on while it runs.
+// Package engine simulates a model engine for tests, demonstrations and
+// experiments. It runs no model; it reproduces the timing of one: continuous
+// batching in steps that are shared between prefill and decode, with a limited
+// number of slots, limited KV memory and a limited prefix cache. Faults can be
+// injected while it runs.
 //
-// One core (Engine) has two fronts: it implements the engine port in the same
-// process, and Serve serves it over HTTP for the adapter httpengine.
+// Engine can be reached in two ways: it implements the interface Engine of the
+// module's package engine for callers in the same process, and Serve exposes it
+// over HTTP for the adapter httpengine.
 package engine
 
 import (
@@ -17,44 +18,47 @@
 	"github.com/lycheekeel/lycheekeel/engine/httpengine/wire"
 )
 
-// Options describe an engine. A zero field takes its default.
+// Options configure an engine. A zero field takes its default.
 type Options struct {
-	// Models that it holds from the start. With none it serves any model.
+	// Models are loaded from the start. With none, the engine serves any model.
 	Models []wire.Model `json:"models,omitempty"`
-	// Empty starts it without a model: it refuses every request until an
-	// order has loaded one.
+	// Empty starts the engine without a model: it refuses every request until
+	// an order has loaded one.
 	Empty bool `json:"empty,omitempty"`
-	// Slots is how many sequences it batches; more requests wait inside,
-	// first come, first served. Default 16.
+	// Slots is the maximum batch size in sequences. Further requests wait in
+	// the engine's FIFO queue. Default 16.
 	Slots int `json:"slots,omitempty"`
-	// StepMs is the fixed part of a step's time. Default 5.
+	// StepMs is the fixed part of a step's duration. Default 5.
 	StepMs float64 `json:"step_ms,omitempty"`
-	// SequenceMs is what each decoding sequence adds to a step, so that
-	// decode slows down as the batch grows. Default 0.1.
+	// SequenceMs is added to a step's duration for each sequence in the batch,
+	// so that decode slows down as the batch grows. Default 0.1.
 	SequenceMs float64 `json:"sequence_ms,omitempty"`
-	// PrefillPerSecond is the prefill rate in tokens. Default 20,000.
+	// PrefillPerSecond is the prefill rate in tokens per second. Default 20,000.
 	PrefillPerSecond float64 `json:"prefill_per_second,omitempty"`
-	// PrefillChunk is the most prefill tokens in one step. Default 512.
+	// PrefillChunk is the maximum number of prefill tokens in one step.
+	// Default 512.
 	PrefillChunk int `json:"prefill_chunk,omitempty"`
-	// KVTokens is the KV memory of the sequences in the batch. Default 200,000.
+	// KVTokens is the KV memory for the sequences in the batch, in tokens.
+	// Default 200,000.
 	KVTokens int `json:"kv_tokens,omitempty"`
 	// CacheBlocks is the size of the prefix cache in blocks of
-	// engine.BlockTokens, kept beside KVTokens. Default 1,024.
+	// engine.BlockTokens. It does not count towards KVTokens. Default 1,024.
 	CacheBlocks int `json:"cache_blocks,omitempty"`
-	// LoadMs is how long an order to load takes. Default 500.
+	// LoadMs is how long it takes to load a model or an adapter. Default 500.
 	LoadMs float64 `json:"load_ms,omitempty"`
-	// RestartMs is how long a crashed engine stays away. Default 1,000.
+	// RestartMs is how long an engine is unreachable after a crash.
+	// Default 1,000.
 	RestartMs float64 `json:"restart_ms,omitempty"`
-	// LingerMs is how long a run goes on without a connection, and how long
-	// an ended one can be resumed. Default 10,000.
+	// LingerMs is how long a run continues without a stream, and how long an
+	// ended run can be resumed. Default 10,000.
 	LingerMs float64 `json:"linger_ms,omitempty"`
-	// KeepaliveMs is how often a stream without tokens sends a keepalive
-	// line. Default 200.
+	// KeepaliveMs is the interval of keepalive lines on a stream that has no
+	// tokens to send. Default 200.
 	KeepaliveMs float64 `json:"keepalive_ms,omitempty"`
-	// SilenceMs is the silence limit of streams used in the same process,
-	// where no adapter watches over them. Default 1,000.
+	// SilenceMs is the silence timeout of streams in the same process, where
+	// no adapter enforces one. Default 1,000.
 	SilenceMs float64 `json:"silence_ms,omitempty"`
-	// Faults at the start.
+	// Faults are the initial faults.
 	Faults Faults `json:"faults,omitzero"`
 }
 
@@ -80,46 +84,46 @@
 	}
 }
 
-// Silence says which connections of an engine are silent: what is sent on
-// them is lost in both directions, while they stay open.
+// Silence selects the connections of an engine that are silent: they stay
+// open, but bytes are dropped in both directions.
 type Silence string
 
 // The values of Silence.
 const (
 	SilenceOff      Silence = ""
-	SilenceExisting Silence = "existing" // those open when it was switched on
-	SilenceAll      Silence = "all"      // new ones as well
+	SilenceExisting Silence = "existing" // connections open when the fault was switched on
+	SilenceAll      Silence = "all"      // new connections as well
 )
 
-// Faults are what an engine can be told to do wrong. The zero value is a
-// sound engine.
+// Faults are the faults that can be injected. The zero value injects none.
 type Faults struct {
-	// Speed multiplies the engine's speed: 0.1 is a straggler at a tenth.
-	// Zero means 1.
+	// Speed multiplies the engine's speed: 0.1 makes it a straggler that runs
+	// at a tenth of its speed. Zero means 1.
 	Speed float64 `json:"speed"`
-	// CrashText crashes the engine when a request whose prompt holds the
+	// CrashText crashes the engine when a request whose prompt contains the
 	// text gets a slot.
 	CrashText string `json:"crash_text"`
 	// Silent makes connections silent.
 	Silent Silence `json:"silent"`
-	// AnswerDelayMs withholds every answer's tokens for so long.
+	// AnswerDelayMs withholds the tokens of every answer for this long after
+	// the request was accepted.
 	AnswerDelayMs float64 `json:"answer_delay_ms"`
-	// CrossAnswers is how many pairs of answers are still to be swapped: each
-	// of two connections gets the other's answer.
+	// CrossAnswers is the number of pairs of answers still to be swapped: each
+	// of the two streams carries the other one's answer.
 	CrossAnswers int `json:"cross_answers"`
-	// IgnoreFencing obeys orders with an old fencing token.
+	// IgnoreFencing carries out orders with a stale fencing token.
 	IgnoreFencing bool `json:"ignore_fencing"`
-	// ReportLagMs is how old load reports and cache events are.
+	// ReportLagMs is the age of load reports and cache events.
 	ReportLagMs float64 `json:"report_lag_ms"`
-	// DropEvents loses every nth cache event (1: all of them).
+	// DropEvents drops every nth cache event (1: all of them).
 	DropEvents int `json:"drop_events"`
-	// Refuse answers every new request that it will not run.
+	// Refuse refuses every new request as not run.
 	Refuse bool `json:"refuse"`
-	// Leaving announces that the engine leaves and refuses new requests.
+	// Leaving reports the engine as leaving and refuses new requests.
 	Leaving bool `json:"leaving"`
 }
 
-// validate returns an error that names the first bad field.
+// validate returns an error for the first invalid field.
 func (f Faults) validate() error {
 	switch {
 	case f.Speed < 0 || f.AnswerDelayMs < 0 || f.ReportLagMs < 0 || f.CrossAnswers < 0 || f.DropEvents < 0:
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -9,7 +9,7 @@
 	"github.com/lycheekeel/lycheekeel/engine/httpengine/wire"
 )
 
-// loadedModel is a model that the engine holds from a time on.
+// loadedModel is a model that can be served from readyAt on.
 type loadedModel struct {
 	wire.Model
 	readyAt time.Time
@@ -19,7 +19,7 @@
 type OrderRecord struct {
 	wire.Order
 	At      time.Time `json:"at"`
-	Refused bool      `json:"refused"` // for its old fencing token
+	Refused bool      `json:"refused"` // because of a stale fencing token
 }
 
 type loadSample struct {
@@ -27,15 +27,15 @@
 	at   time.Time
 }
 
-// Orders returns every order that the engine got, oldest first.
+// Orders returns every order that the engine received, oldest first.
 func (e *Engine) Orders() []OrderRecord {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]OrderRecord(nil), e.orders...)
 }
 
-// serves reports whether the engine serves a model now. An empty version means
-// any.
+// serves reports whether the engine serves a model now. An empty version matches
+// any version.
 func (e *Engine) serves(model, version string, now time.Time) bool {
 	if len(e.models) == 0 {
 		return !e.opts.Empty
@@ -49,8 +49,8 @@
 	return false
 }
 
-// handleOrder obeys an order, unless its fencing token is older than one it has
-// seen and the engine heeds fencing tokens.
+// handleOrder logs and carries out an order. It refuses an order whose fencing
+// token is lower than the highest one seen, unless Faults.IgnoreFencing is set.
 func (e *Engine) handleOrder(o port.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -109,8 +109,8 @@
 	return kept
 }
 
-// loadReport returns the load report that the engine shows: a past one where its
-// reports lag.
+// loadReport returns the current load report, or an earlier one if
+// Faults.ReportLagMs is set.
 func (e *Engine) loadReport() port.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -147,8 +147,8 @@
 	return l
 }
 
-// recordLoad keeps the current report for lagging ones; it forgets those that
-// are too old to be shown again.
+// recordLoad adds the current report to the history from which delayed reports
+// are taken, and removes those that are no longer needed.
 func (e *Engine) recordLoad(now time.Time) {
 	lag := ms(e.faults.ReportLagMs)
 	if lag == 0 {
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -15,13 +15,12 @@
 	OutcomeStop      Outcome = finishStop
 	OutcomeLength    Outcome = finishLength
 	OutcomeCancelled Outcome = "cancelled"
-	OutcomeCrashed   Outcome = "crashed"   // the engine crashed under it
-	OutcomeAbandoned Outcome = "abandoned" // nobody listened for too long
+	OutcomeCrashed   Outcome = "crashed"   // the engine crashed during the run
+	OutcomeAbandoned Outcome = "abandoned" // it had no stream for longer than Options.LingerMs
 )
 
 // RunRecord is one entry of the run log. The log has an entry for every run
-// that the engine took on: a request that was dispatched twice stands in it
-// twice.
+// that the engine accepted, so a request that was dispatched twice has two.
 type RunRecord struct {
 	RequestID       string     `json:"request_id"`
 	Model           string     `json:"model"`
@@ -29,15 +28,15 @@
 	PromptTokens    int        `json:"prompt_tokens"`
 	PrefillComputed int        `json:"prefill_computed"`
 	Tokens          int        `json:"tokens"`
-	Ended           *time.Time `json:"ended"` // null while it runs
+	Ended           *time.Time `json:"ended"` // null while the run is in progress
 	Outcome         Outcome    `json:"outcome"`
 }
 
-// run is one sequence. The engine's lock guards it.
+// run is one sequence. Engine.mu guards it.
 type run struct {
 	req          port.Run
-	answer       string // the whole answer
-	totalTokens  int    // its tokens
+	answer       string // the full text that the run will generate
+	totalTokens  int    // length of answer
 	finishReason string
 
 	promptTokens    int
@@ -46,8 +45,8 @@
 	prefillComputed int
 	generatedTokens int
 
-	visibleAt time.Time // tokens are withheld until then
-	idleSince time.Time // since it ended, or lost its last stream
+	visibleAt time.Time // streams deliver no tokens before this time
+	idleSince time.Time // when the run ended or lost its last stream
 	ended     bool
 	crashed   bool // the engine crashed
 	streams   []*cursor
@@ -70,8 +69,8 @@
 // kvTokens is the KV memory that the run holds while in the batch, in tokens.
 func (r *run) kvTokens() int { return r.promptTokens + r.totalTokens }
 
-// startPrefill sets how much of the prompt must be computed, given the cached blocks.
-// The last token of a prompt is always computed.
+// startPrefill sets how many prompt tokens must be computed, given the number of
+// cached leading blocks. The last token of a prompt is always computed.
 func (r *run) startPrefill(cachedBlocks int) {
 	cached := min(cachedBlocks*port.BlockTokens, r.promptTokens-1)
 	r.prefillComputed = r.promptTokens - cached
@@ -95,7 +94,7 @@
 	for _, c := range r.streams {
 		select {
 		case c.ready <- struct{}{}:
-		default: // it has not yet seen the last one
+		default: // a notification is already pending
 		}
 	}
 }
@@ -119,7 +118,7 @@
 	}
 }
 
-// idleBefore reports whether nobody has listened since before the time.
+// idleBefore reports whether the run has been idle since before the cutoff.
 func (r *run) idleBefore(cutoff time.Time) bool {
 	return !r.idleSince.IsZero() && r.idleSince.Before(cutoff)
 }
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -16,12 +16,12 @@
 	"github.com/lycheekeel/lycheekeel/internal/standin/gate"
 )
 
-// Paths of the stand-in's own interface.
+// Paths of the stand-in's control interface.
 const (
 	PathRuns   = "/standin/runs"   // GET: the run log, []RunRecord
 	PathOrders = "/standin/orders" // GET: the order log, []OrderRecord
 	PathFaults = "/standin/faults" // GET: Faults; POST: the fields to change
-	PathCrash  = "/standin/crash"  // POST: crash now
+	PathCrash  = "/standin/crash"  // POST: crash the engine
 	PathHealth = "/healthz"        // GET
 )
 
@@ -30,8 +30,8 @@
 	engine *Engine
 }
 
-// Serve runs an engine with the options on the listener, which it owns, until
-// ctx ends.
+// Serve creates an engine and serves it on the listener until ctx ends. It takes
+// ownership of the listener.
 func Serve(ctx context.Context, ln net.Listener, o Options) error {
 	e, err := New(o)
 	if err != nil {
@@ -41,8 +41,9 @@
 	return ServeEngine(ctx, ln, e)
 }
 
-// ServeEngine serves an engine on the listener, which it owns, until ctx ends.
-// The engine stays open, and can be served on several listeners.
+// ServeEngine serves an engine on the listener until ctx ends. It takes ownership
+// of the listener. It does not close the engine, which can be served on several
+// listeners.
 func ServeEngine(ctx context.Context, ln net.Listener, e *Engine) error {
 	l := gate.New(ln)
 	e.addFrontend(l)
@@ -69,7 +70,8 @@
 	}
 }
 
-// handleControl serves the stand-in's own interface, which no fault touches.
+// handleControl serves the control interface, which faults don't affect. It
+// returns false if the path is not part of it.
 func (s *server) handleControl(ctx *fasthttp.RequestCtx, path string) bool {
 	switch path {
 	case PathRuns:
@@ -106,13 +108,14 @@
 	gate.Reply(ctx, f)
 }
 
-// exemptConn lets the connection that gives an order see its answer, and no more.
+// exemptConn exempts the connection of a control request from faults, so that the
+// reply arrives, and closes it after the reply.
 func exemptConn(ctx *fasthttp.RequestCtx) {
 	ctx.Conn().(*gate.Conn).Exempt()
 	ctx.SetConnectionClose()
 }
 
-// handler serves one path of the protocol.
+// handler serves one path of the engine protocol.
 type handler func(e *Engine, ctx *fasthttp.RequestCtx) error
 
 var routes = map[string]handler{
@@ -144,7 +147,7 @@
 	wire.PathCacheEvents: cacheEvents,
 }
 
-// withBody decodes a route's message.
+// withBody returns a handler that decodes the JSON body and passes it to f.
 func withBody[M any](f func(*Engine, *fasthttp.RequestCtx, M) error) handler {
 	return func(e *Engine, ctx *fasthttp.RequestCtx) error {
 		var m M
@@ -179,7 +182,7 @@
 	return out
 }
 
-// replyError answers with an error of the port.
+// replyError sends err with the HTTP status that belongs to it.
 func replyError(ctx *fasthttp.RequestCtx, err error) {
 	m := wire.Error{Message: err.Error(), NotRun: errors.Is(err, port.ErrRefusedNotRun)}
 	switch {
--- a/internal/standin/engine/step.go
+++ b/internal/standin/engine/step.go
@@ -7,10 +7,12 @@
 )
 
 const (
-	// minTimerWait is the wait that is too short for a timer.
+	// minTimerWait is the shortest wait for which a timer is used. Shorter
+	// waits only yield the processor.
 	minTimerWait = 20 * time.Microsecond
-	// maxCatchUp is how far behind the steps may be and still be made up for:
-	// timers wake late, and without it an engine would run slower than told.
+	// maxCatchUp is the largest delay of a step that the next steps make up
+	// for. Timers fire late, so without it an engine would run slower than
+	// configured.
 	maxCatchUp = 20 * time.Millisecond
 )
 
@@ -41,7 +43,7 @@
 	}
 }
 
-// sleep waits for something to do. It returns false where ctx ended.
+// sleep waits for work, but at most for d. It returns false if ctx ended.
 func (e *Engine) sleep(ctx context.Context, timer *time.Timer, d time.Duration) bool {
 	timer.Reset(d)
 	select {
@@ -53,7 +55,7 @@
 	return true
 }
 
-// expiryInterval is how often an engine without work forgets old runs.
+// expiryInterval is how often an idle engine removes expired runs.
 func (e *Engine) expiryInterval() time.Duration { return max(ms(e.opts.LingerMs)/4, time.Millisecond) }
 
 func waitUntil(ctx context.Context, timer *time.Timer, end time.Time) bool {
@@ -71,8 +73,8 @@
 	}
 }
 
-// startStep begins a step and returns how long it takes, or a negative time where
-// there is nothing to do.
+// startStep starts a step and returns its duration, which is negative if there
+// is no work.
 func (e *Engine) startStep(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -87,7 +89,8 @@
 	return time.Duration(float64(d) / e.faults.speed())
 }
 
-// expireRuns ends runs that nobody listens to and drops ended ones after a while.
+// expireRuns ends runs that have had no stream for Options.LingerMs, and removes
+// runs that ended that long ago.
 func (e *Engine) expireRuns(now time.Time) {
 	cutoff := now.Add(-ms(e.opts.LingerMs))
 	for _, r := range e.batch {
@@ -113,7 +116,8 @@
 	e.ended = e.ended[n:]
 }
 
-// removeEnded moves ended runs out of a list; those of the batch free memory.
+// removeEnded moves the ended runs of a list to e.ended and returns the others.
+// If the list is the batch, it also frees their KV memory.
 func (e *Engine) removeEnded(list []*run, batch bool) []*run {
 	kept := list[:0]
 	for _, r := range list {
@@ -130,8 +134,8 @@
 	return kept
 }
 
-// admit gives free slots to waiting requests, first come, first served. A
-// request larger than the whole memory runs alone.
+// admit gives free slots to waiting requests in FIFO order. A request that needs
+// more than the total KV memory runs alone.
 func (e *Engine) admit(now time.Time) {
 	for len(e.waiting) > 0 && len(e.batch) < e.opts.Slots {
 		r := e.waiting[0]
@@ -150,8 +154,8 @@
 	}
 }
 
-// allotPrefill gives the step's prefill budget out in order and returns how
-// much of it was used.
+// allotPrefill divides the step's prefill budget among the batch in order and
+// returns the number of tokens used.
 func (e *Engine) allotPrefill() int {
 	left := e.opts.PrefillChunk
 	for _, r := range e.batch {
@@ -161,8 +165,8 @@
 	return e.opts.PrefillChunk - left
 }
 
-// completeStep ends a step: prefill advances, and each decoding sequence has one
-// more token. The step that completes a prefill yields the first token.
+// completeStep ends a step: it advances prefill and generates one token for each
+// decoding sequence. The step that completes a prefill generates the first token.
 func (e *Engine) completeStep(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine/streambody.go
+++ b/internal/standin/engine/streambody.go
@@ -11,16 +11,17 @@
 	"github.com/lycheekeel/lycheekeel/engine/httpengine/wire"
 )
 
-// streamBody is a run's answer as an HTTP body of lines. The server reads it on the
-// connection's own goroutine and sends what each Read returns at once.
+// streamBody is a run's answer as an HTTP body of lines. The HTTP server reads it
+// on the connection's goroutine and sends the result of every Read immediately.
 type streamBody struct {
 	cursor *cursor
 	buf    []byte
-	unread []byte // of buf, not read yet
+	unread []byte // the part of buf that was not read yet
 	done   bool
 }
 
-// streamTo answers with the stream that start or resume returned.
+// streamTo returns a function that replies with the stream that Engine.start or
+// Engine.resume returned.
 func streamTo(ctx *fasthttp.RequestCtx) func(*cursor, error) error {
 	return func(c *cursor, err error) error {
 		if err == nil {
@@ -46,8 +47,8 @@
 	return n, nil
 }
 
-// fill makes the next line: a chunk, a keepalive or the run's failure. An
-// error breaks the connection.
+// fill encodes the next line: a chunk, a keepalive or the run's error. If fill
+// returns an error, the server closes the connection.
 func (b *streamBody) fill() error {
 	c := b.cursor
 	chunk, id, ok, err := c.next(context.Background(), ms(c.engine.opts.KeepaliveMs))
@@ -70,5 +71,6 @@
 	return nil
 }
 
-// Close implements io.Closer: the connection is done or gone.
+// Close implements io.Closer. The server calls it after the last byte or when the
+// connection is lost.
 func (b *streamBody) Close() error { return b.cursor.Close() }
