--- a/internal/standin/gate/gate.go
+++ b/internal/standin/gate/gate.go
@@ -1,5 +1,6 @@
-// Package gate is a listener for stand-ins whose connections can go silent
-// and which can refuse connections for a while, as a crashed process does.
+// Package gate provides a listener for stand-ins that injects connection faults:
+// it can make its connections silent, and it can refuse connections for a while,
+// as a crashed process does.
 package gate
 
 import (
@@ -11,13 +12,13 @@
 	"github.com/pkg/errors"
 )
 
-// reopenRetryInterval is how soon a failed attempt to listen again is repeated.
+// reopenRetryInterval is the time between attempts to listen again.
 const reopenRetryInterval = 20 * time.Millisecond
 
-// errClosed ends Accept.
-var errClosed = errors.New("gate closed")
+// errClosed is returned by Accept after Close.
+var errClosed = errors.New("listener closed")
 
-// Listener is a net.Listener. It is safe for concurrent use.
+// Listener is a net.Listener with fault injection. It is safe for concurrent use.
 type Listener struct {
 	address net.Addr
 
@@ -28,7 +29,7 @@
 	conns   map[*Conn]struct{}
 }
 
-// New wraps a listener, which the gate then owns.
+// New wraps a listener and takes ownership of it.
 func New(ln net.Listener) *Listener {
 	return &Listener{address: ln.Addr(), ln: ln, changed: make(chan struct{}), conns: map[*Conn]struct{}{}}
 }
@@ -73,7 +74,7 @@
 	return c
 }
 
-// Silence makes every open connection silent for good.
+// Silence makes all open connections silent permanently, except exempt ones.
 func (l *Listener) Silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +83,8 @@
 	}
 }
 
-// TakeDown breaks all connections and refuses new ones for the time.
+// TakeDown closes all connections, except exempt ones, and refuses new ones for
+// the duration.
 func (l *Listener) TakeDown(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,7 +123,7 @@
 	l.notifyChanged()
 }
 
-// Close implements net.Listener. It breaks all connections.
+// Close implements net.Listener. It closes all connections.
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,21 +140,22 @@
 	l.changed = make(chan struct{})
 }
 
-// Conn is a connection that can go silent: it stays open, but what either
-// side sends is lost, as when a device between the two has forgotten it.
+// Conn is a connection that can be made silent: it stays open, but bytes are
+// dropped in both directions, as if a device on the path, such as a NAT or a
+// firewall, had lost the connection's state.
 type Conn struct {
 	net.Conn
 	listener   *Listener
 	silent     atomic.Bool
 	exempt     atomic.Bool
-	peerClosed atomic.Bool // the peer closed it
+	peerClosed atomic.Bool // a read failed: the peer closed or reset the connection
 }
 
-// Silence makes the connection silent for good.
+// Silence makes the connection silent permanently, unless it is exempt.
 func (c *Conn) Silence() { c.silent.Store(!c.exempt.Load()) }
 
-// Exempt excepts the connection from Silence and Shut, so that the order for
-// them can be answered on it.
+// Exempt excludes the connection from Silence and TakeDown, so that the request
+// that triggers them can be answered on it.
 func (c *Conn) Exempt() { c.exempt.Store(true) }
 
 // Read implements net.Conn.
@@ -177,8 +180,9 @@
 	return c.Conn.Write(b)
 }
 
-// Close implements net.Conn. A silent connection's end is lost as well: it
-// stays open to the peer until the peer or the gate closes it.
+// Close implements net.Conn. On a silent connection it does nothing, so that the
+// peer does not notice: the connection stays open until the peer or the Listener
+// closes it.
 func (c *Conn) Close() error {
 	if c.silent.Load() && !c.peerClosed.Load() {
 		return nil
--- a/internal/standin/gate/serve.go
+++ b/internal/standin/gate/serve.go
@@ -12,11 +12,12 @@
 
 const (
 	maxBodyBytes = 64 << 20
-	// idleTimeout is far above the time for which clients reuse a connection.
+	// idleTimeout is much longer than clients keep an idle connection, so that
+	// the server does not close a connection that a client is about to reuse.
 	idleTimeout = 60 * time.Second
 )
 
-// Serve answers requests until ctx ends, which breaks all connections.
+// Serve serves requests until ctx ends. It then closes all connections.
 func (l *Listener) Serve(ctx context.Context, handler fasthttp.RequestHandler) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
@@ -30,13 +31,14 @@
 	return nil
 }
 
-// discardLogger drops fasthttp's own log: broken connections are a stand-in's trade.
+// discardLogger discards fasthttp's log messages, because a stand-in breaks
+// connections on purpose.
 type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
 func (discardLogger) Printf(string, ...any) {}
 
-// Reply answers with a message as JSON.
+// Reply sends a message as JSON.
 func Reply(ctx *fasthttp.RequestCtx, message any) {
 	b, err := json.Marshal(message)
 	if err != nil {
@@ -47,8 +49,8 @@
 	ctx.SetBody(b)
 }
 
-// Patch reads a JSON body over a message: members that are absent keep their
-// value, unknown ones are an error.
+// Patch decodes a JSON body into a message. Absent members keep their values;
+// unknown members are an error.
 func Patch(ctx *fasthttp.RequestCtx, into any) error {
 	d := json.NewDecoder(bytes.NewReader(ctx.PostBody()))
 	d.DisallowUnknownFields()
