--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a stand-in for a plain service. It answers every call
-// with the call itself, counts the calls and can be told to fail.
+// Package service simulates a plain service for tests. It echoes every call,
+// counts the calls and can inject faults.
 package service
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/lycheekeel/lycheekeel/internal/standin/gate"
 )
 
-// Paths of the stand-in's own interface.
+// Paths of the stand-in's control interface.
 const (
 	PathCalls  = "/standin/calls"  // GET: the counts, []CallCount
 	PathFaults = "/standin/faults" // GET: Faults; POST: the fields to change
@@ -28,68 +28,67 @@
 	headerNotRun    = "X-Lycheekeel-Not-Run"
 )
 
-// Options of a service.
+// Options configure a service.
 type Options struct {
 	Faults Faults `json:"faults,omitzero"`
 }
 
-// Faults are what a service can be told to do wrong.
+// Faults are the faults that can be injected. The zero value injects none.
 type Faults struct {
-	// CloseAfterRead closes the connection of each call after it was read
-	// and counted.
+	// CloseAfterRead closes the connection after the call was read and counted.
 	CloseAfterRead bool `json:"close_after_read"`
-	// DelayMs delays each answer.
+	// DelayMs delays each answer by this many milliseconds.
 	DelayMs float64 `json:"delay_ms"`
-	// Silent reads and counts calls, and never answers.
+	// Silent reads and counts calls, but never answers them.
 	Silent bool `json:"silent"`
-	// Refuse answers that the call did not and will not run.
+	// Refuse refuses each call as not run, without counting it.
 	Refuse bool `json:"refuse"`
 }
 
 // Echo is the answer to a call.
 type Echo struct {
 	Method string      `json:"method"`
-	Path   string      `json:"path"` // with its query
+	Path   string      `json:"path"` // including the query
 	Header [][2]string `json:"header"`
 	Body   string      `json:"body"`
 }
 
-// Call identifies a call; one that was sent twice has the same Call.
+// Call identifies a call. A call that was sent twice has the same Call both times.
 type Call struct {
 	Method    string `json:"method"`
 	Path      string `json:"path"`
 	RequestID string `json:"request_id"`
 }
 
-// CallCount is how often a call came in.
+// CallCount is the number of times that a call was received.
 type CallCount struct {
 	Call
 	Count int `json:"count"`
 }
 
-// Service is the stand-in. It is safe for concurrent use.
+// Service is a simulated plain service. It is safe for concurrent use.
 type Service struct {
 	mu     sync.Mutex
 	faults Faults
 	calls  map[Call]int
 }
 
-// New returns a service.
+// New returns a service with the options.
 func New(o Options) *Service { return &Service{faults: o.Faults, calls: map[Call]int{}} }
 
-// Serve runs a service with the options on the listener, which it owns, until
-// ctx ends.
+// Serve creates a service and serves it on the listener until ctx ends. It takes
+// ownership of the listener.
 func Serve(ctx context.Context, ln net.Listener, o Options) error {
 	return New(o).Serve(ctx, ln)
 }
 
-// Serve serves on the listener, which it owns, until ctx ends.
+// Serve serves on the listener until ctx ends. It takes ownership of the listener.
 func (s *Service) Serve(ctx context.Context, ln net.Listener) error {
 	logs.For("standin-service").WithField("listen", ln.Addr().String()).Info("serving")
 	return gate.New(ln).Serve(ctx, func(r *fasthttp.RequestCtx) { s.handle(ctx, r) })
 }
 
-// Calls returns every call with its count, in a fixed order.
+// Calls returns every call with its count, sorted by path, method and request id.
 func (s *Service) Calls() []CallCount {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,7 +102,7 @@
 	return out
 }
 
-// Count returns how often calls with the request id came in.
+// Count returns the number of calls received with the request id.
 func (s *Service) Count(requestID string) int {
 	n := 0
 	for _, c := range s.Calls() {
@@ -148,7 +147,7 @@
 	gate.Reply(r, s.faults)
 }
 
-// call counts a call and answers it, or does what the faults say.
+// call counts a call and answers it, subject to the faults.
 func (s *Service) call(ctx context.Context, r *fasthttp.RequestCtx) {
 	f := s.countCall(r)
 	if f.DelayMs > 0 {
