--- a/internal/standin/objectstore/http.go
+++ b/internal/standin/objectstore/http.go
@@ -15,21 +15,22 @@
 	"github.com/lycheekeel/lycheekeel/objectstore/httpobjectstore/wire"
 )
 
-// The control paths of the stand-in itself; they obey no fault.
+// Paths of the stand-in's control interface. Faults don't affect them.
 const (
 	PathFaults = "/standin/faults"
 	PathVMs    = "/standin/vms"
 	PathCalls  = "/standin/calls"
 )
 
-// idleTimeout closes a connection without requests; clients must keep theirs
-// for less.
+// idleTimeout is the time after which an idle connection is closed. Clients must
+// use a shorter idle timeout.
 const idleTimeout = time.Minute
 
-// bodyMargin lets a value just over the limit reach the check that refuses it.
+// bodyMargin is the number of bytes that the HTTP server accepts beyond the value
+// limit, so that a value just over the limit is refused by the store's own check.
 const bodyMargin = 1 << 20
 
-// Serve answers HTTP on the listener until the context ends.
+// Serve serves HTTP on the listener until ctx ends.
 func (s *Standin) Serve(ctx context.Context, ln net.Listener) error {
 	srv := &fasthttp.Server{
 		Handler:            s.handle,
@@ -42,16 +43,17 @@
 	go func() { done <- srv.Serve(ln) }()
 	select {
 	case err := <-done:
-		return errors.Wrap(err, "platform stand-in")
+		return errors.Wrap(err, "serve the platform stand-in")
 	case <-ctx.Done():
 		stopping, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_ = srv.ShutdownWithContext(stopping) // open watches may outlast it
+		_ = srv.ShutdownWithContext(stopping) // open watches may outlast the timeout
 		return ln.Close()
 	}
 }
 
-// discardLogger drops fasthttp's lines about connections that clients cut.
+// discardLogger discards fasthttp's log messages, which report connections that
+// clients closed.
 type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
@@ -60,7 +62,7 @@
 func (s *Standin) handle(c *fasthttp.RequestCtx) {
 	answer, err := s.route(c)
 	if errors.Is(err, port.ErrUnknownOutcome) {
-		// The answer is lost: the connection closes without one.
+		// Simulate a lost answer: close the connection without a response.
 		c.HijackSetNoResponse(true)
 		c.Hijack(func(net.Conn) {})
 		return
@@ -99,8 +101,9 @@
 	return fasthttp.StatusInternalServerError
 }
 
-// route answers one request. Its context is the server's: fasthttp does not
-// tell when a client has gone, and a write goes on without it anyway.
+// route serves one request. The context that it passes on ends with the server,
+// not with the connection: fasthttp does not report that a client disconnected,
+// and a write continues without its client anyway.
 func (s *Standin) route(c *fasthttp.RequestCtx) (any, error) {
 	args := c.QueryArgs()
 	kind, name := port.Kind(args.Peek(wire.ArgKind)), string(args.Peek(wire.ArgName))
@@ -108,7 +111,7 @@
 	case "GET " + wire.PathObject:
 		return s.Get(c, kind, name)
 	case "PUT " + wire.PathObject:
-		body := bytes.Clone(c.PostBody()) // a slow write outlives the handler
+		body := bytes.Clone(c.PostBody()) // a slow write may outlive the handler
 		if args.Has(wire.ArgCreate) {
 			v, err := s.Create(c, kind, name, body)
 			return wire.WriteResponse{Version: v}, err
@@ -142,7 +145,7 @@
 	return wire.WatchResponse{Events: events, Version: next}, err
 }
 
-// handleControl answers the stand-in's own paths.
+// handleControl serves the control interface.
 func (s *Standin) handleControl(c *fasthttp.RequestCtx, route string) (any, error) {
 	switch route {
 	case "POST " + PathFaults:
--- a/internal/standin/objectstore/standin.go
+++ b/internal/standin/objectstore/standin.go
@@ -1,7 +1,8 @@
-// Package objectstore is a small stand-in for the platform in tests: an object
-// API with versions, conditional updates and watches, a VM list that lags and
-// a rate-limited weight store, with switchable faults. It serves in-process
-// as a objectstore.Platform, and over HTTP. It keeps everything in memory.
+// Package objectstore simulates the platform for tests: an object API with
+// versions, conditional updates and watches, a VM list that may lag, and a
+// rate-limited weight store. Faults can be injected. It implements
+// objectstore.Platform for callers in the same process and also serves HTTP. All
+// state is kept in memory.
 package objectstore
 
 import (
@@ -18,28 +19,30 @@
 	port "github.com/lycheekeel/lycheekeel/objectstore"
 )
 
-// Defaults of Options.
+// Defaults of Options: history in changes, loads per second, and burst in loads.
 const (
 	defaultHistory     = 20000
 	defaultLoadsPerSec = 10
 	defaultLoadBurst   = 4
 )
 
-// Options set up a stand-in; the zero value works.
+// Options configure a stand-in. A zero History takes its default, and so do both
+// load fields if LoadsPerSecond is zero.
 type Options struct {
-	// History is how many changes a watch can look back; older ones are
+	// History is the number of changes kept for watches. Older changes are
 	// compacted.
 	History int
-	// LoadsPerSecond and LoadBurst ration the weight store.
+	// LoadsPerSecond and LoadBurst are the rate and the burst of the weight
+	// store's token bucket.
 	LoadsPerSecond float64
 	LoadBurst      int
-	// Seed fixes which answers LoseFraction loses.
+	// Seed seeds the choice of the answers that Faults.LoseFraction loses.
 	Seed uint64
-	// VMs is the first VM list.
+	// VMs is the initial VM list.
 	VMs []port.VM
 }
 
-// Standin is the stand-in's core. It is safe for concurrent use.
+// Standin is a simulated platform. It is safe for concurrent use.
 type Standin struct {
 	store       *store
 	faults      atomic.Pointer[faultState]
@@ -51,7 +54,7 @@
 	vms []vmState
 }
 
-// vmState is a VM list and when it became true.
+// vmState is a VM list and the time since which it has been current.
 type vmState struct {
 	since time.Time
 	vms   []port.VM
@@ -59,7 +62,7 @@
 
 var _ port.Platform = (*Standin)(nil)
 
-// New returns a healthy stand-in.
+// New returns a stand-in without faults.
 func New(o Options) *Standin {
 	if o.History == 0 {
 		o.History = defaultHistory
@@ -77,20 +80,20 @@
 	return s
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the active faults.
 func (s *Standin) SetFaults(f Faults) { s.faults.Store(newFaultState(f)) }
 
-// Faults returns the faults as they were set.
+// Faults returns the active faults as they were set.
 func (s *Standin) Faults() Faults { return s.faults.Load().Faults }
 
-// SetVMs replaces the VM list; VMs shows it after the lag.
+// SetVMs replaces the VM list. VMs returns it after Faults.VMLagMs.
 func (s *Standin) SetVMs(vms []port.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.vms = append(s.vms, vmState{since: time.Now(), vms: vms})
 }
 
-// Calls returns how often each method was called, refused calls included.
+// Calls returns the number of calls of each method, including refused calls.
 func (s *Standin) Calls() map[string]int64 {
 	out := map[string]int64{}
 	s.calls.Range(func(k, v any) bool {
@@ -131,14 +134,16 @@
 	return s.write(ctx, "create", func() (port.Version, error) { return s.store.create(kind, name, value) })
 }
 
-// Update implements objectstore.ObjectAPI; ErrNotFound where it is absent.
+// Update implements objectstore.ObjectAPI. It returns ErrNotFound if the object
+// does not exist.
 func (s *Standin) Update(ctx context.Context, kind port.Kind, name string, value []byte, expected port.Version) (port.Version, error) {
 	return s.write(ctx, "update", func() (port.Version, error) {
 		return s.store.update(kind, name, value, expected, false)
 	})
 }
 
-// Delete implements objectstore.ObjectAPI; ErrNotFound where it is absent.
+// Delete implements objectstore.ObjectAPI. It returns ErrNotFound if the object
+// does not exist.
 func (s *Standin) Delete(ctx context.Context, kind port.Kind, name string, expected port.Version) (port.Version, error) {
 	return s.write(ctx, "delete", func() (port.Version, error) {
 		return s.store.update(kind, name, nil, expected, true)
@@ -170,7 +175,7 @@
 	}
 }
 
-// VMs implements objectstore.VMList: the list as it was VMLagMs ago.
+// VMs implements objectstore.VMList. It returns the list as of Faults.VMLagMs ago.
 func (s *Standin) VMs(ctx context.Context) ([]port.VM, error) {
 	f, err := s.beginRead(ctx, "vms")
 	if err != nil {
@@ -201,7 +206,7 @@
 	return wait, nil
 }
 
-// beginRead counts a call without effect and applies the faults.
+// beginRead counts a read-only call, applies the faults and returns them.
 func (s *Standin) beginRead(ctx context.Context, method string) (*faultState, error) {
 	s.countCall(method)
 	f := s.faults.Load()
@@ -219,8 +224,8 @@
 	err     error
 }
 
-// write counts a write, applies the faults and then the write. Once taken,
-// the write takes effect even when its caller no longer waits.
+// write counts a write, applies the faults and then performs the write. An
+// accepted write takes effect even if its caller stops waiting.
 func (s *Standin) write(ctx context.Context, method string, apply func() (port.Version, error)) (port.Version, error) {
 	s.countCall(method)
 	f := s.faults.Load()
@@ -230,7 +235,7 @@
 	done := make(chan writeResult, 1)
 	run := func() {
 		if f.writeLimiter != nil {
-			_ = f.writeLimiter.Wait(context.Background()) // no deadline: it can't fail
+			_ = f.writeLimiter.Wait(context.Background()) // can't fail without a deadline
 		}
 		wait.For(context.Background(), f.delay())
 		v, err := apply()
--- a/internal/standin/objectstore/store.go
+++ b/internal/standin/objectstore/store.go
@@ -16,14 +16,14 @@
 	name string
 }
 
-// record keeps an object's newest state and the one before, for stale reads.
-// A nil state is "absent".
+// record holds an object's newest state and the previous one, for stale reads. A
+// nil state means that the object does not exist.
 type record struct {
 	cur, prev *port.Object
-	version   port.Version // of the newest change, a deletion's too
+	version   port.Version // of the newest change, including a deletion
 }
 
-// stateAt returns the state as of the version, nil where absent.
+// stateAt returns the state as of the version, or nil if the object did not exist.
 func (r *record) stateAt(v port.Version) *port.Object {
 	if r.version <= v {
 		return r.cur
@@ -31,14 +31,14 @@
 	return r.prev
 }
 
-// store is the versioned map: one version counter for all kinds.
+// store is a versioned map of objects. All kinds share one version counter.
 type store struct {
 	mu           sync.Mutex
 	version      port.Version
 	records      map[key]*record
 	history      []port.Event // oldest first
 	historyLimit int
-	compacted    port.Version // newest version that history has dropped
+	compacted    port.Version // newest version that was removed from history
 	changed      chan struct{}
 }
 
@@ -91,7 +91,8 @@
 	return v, nil
 }
 
-// update replaces or, where deleted, removes an object at its version.
+// update replaces an object, or removes it if deleted is set. It fails unless the
+// object is at the expected version.
 func (s *store) update(kind port.Kind, name string, value []byte, expected port.Version, deleted bool) (port.Version, error) {
 	if len(value) > port.MaxValueBytes {
 		return 0, errors.Wrapf(port.ErrTooLarge, "%d bytes", len(value))
@@ -113,7 +114,7 @@
 	return o.Version, nil
 }
 
-// put makes the change the newest one. The caller holds mu.
+// put stores o as the newest change. The caller holds mu.
 func (s *store) put(o port.Object, deleted bool) {
 	k := key{o.Kind, o.Name}
 	r := s.records[k]
@@ -132,8 +133,8 @@
 	s.changed = make(chan struct{})
 }
 
-// compact drops old history, a tenth at a time, and with it the records of
-// objects deleted so long ago.
+// compact removes the oldest tenth of a full history, and the records of objects
+// whose deletion is part of it. The caller holds mu.
 func (s *store) compact() {
 	if len(s.history) <= s.historyLimit {
 		return
@@ -149,8 +150,8 @@
 	s.history = slices.Clone(s.history[n:])
 }
 
-// eventsSince returns the changes of the kinds after the version, the version to
-// go on from, and a channel that the next change closes.
+// eventsSince returns the changes of the kinds after a version, the version to
+// continue from, and a channel that is closed by the next change.
 func (s *store) eventsSince(kinds []port.Kind, after port.Version) ([]port.Event, port.Version, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
