--- a/internal/faultproxy/conn.go
+++ b/internal/faultproxy/conn.go
@@ -10,9 +10,10 @@
 )
 
 const (
-	// readBufferBytes is how much is read at once.
+	// readBufferBytes is the maximum size of a single read.
 	readBufferBytes = 32 << 10
-	// maxDelayedChunks bounds what is held back by a delay.
+	// maxDelayedChunks is the maximum number of chunks that a delay can queue
+	// in one direction. Further reads block.
 	maxDelayedChunks = 256
 )
 
@@ -25,7 +26,8 @@
 	silent Direction
 }
 
-// chunk is bytes that are due at a time; nil bytes end the direction.
+// chunk is a piece of data that is to be delivered at a given time. Nil bytes mark
+// the end of the stream.
 type chunk struct {
 	bytes []byte
 	due   time.Time
@@ -48,7 +50,7 @@
 	resetConn(c.server)
 }
 
-// run forwards both ways until both have ended.
+// run forwards both directions until both have ended.
 func (c *conn) run() {
 	var g conc.WaitGroup
 	g.Go(func() { c.copy(c.client, c.server, ToTarget) })
@@ -58,8 +60,8 @@
 	c.server.Close()
 }
 
-// copy forwards one direction through a queue, so that a delay holds bytes
-// back without slowing them down.
+// copy forwards one direction through a queue, so that a delay adds latency
+// without reducing throughput.
 func (c *conn) copy(from, to *net.TCPConn, d Direction) {
 	queue := make(chan chunk, maxDelayedChunks)
 	var g conc.WaitGroup
@@ -80,8 +82,8 @@
 	g.Wait()
 }
 
-// deliver writes what is due, drops it where the direction is silent, and
-// hides the end of a silent connection until the proxy closes.
+// deliver writes each chunk when it is due, or drops it if the direction is
+// silent. It hides the end of a silent stream until the proxy closes.
 func (c *conn) deliver(queue <-chan chunk, to *net.TCPConn, d Direction) {
 	for k := range queue {
 		c.waitUntil(k.due)
@@ -98,7 +100,7 @@
 	}
 }
 
-// waitUntil waits until the time or until the proxy closes.
+// waitUntil waits until the given time or until the proxy closes.
 func (c *conn) waitUntil(until time.Time) {
 	t := time.NewTimer(time.Until(until))
 	defer t.Stop()
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy is a TCP proxy that injects the network's failures into
-// one link while a test runs: resets, delays, refused connections, and
-// connections that go silent for good while new ones work.
+// Package faultproxy is a TCP proxy for tests that injects network faults into one
+// link: connection resets, delays, refused connections, and connections that
+// become silent permanently while new ones work.
 package faultproxy
 
 import (
@@ -12,17 +12,17 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Direction is a set of the two ways that bytes flow in.
+// Direction is a set of directions of the byte flow.
 type Direction uint8
 
 // The directions.
 const (
-	ToTarget Direction = 1 << iota // from the dialing side to the target
-	ToClient
-	Both = ToTarget | ToClient
+	ToTarget Direction = 1 << iota // from the client to the target
+	ToClient                       // from the target to the client
+	Both     = ToTarget | ToClient
 )
 
-// Proxy forwards connections to one target. Safe for concurrent use.
+// Proxy forwards connections to one target. It is safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 	group    conc.WaitGroup
@@ -36,38 +36,39 @@
 	closed     bool
 	conns      map[*conn]struct{}
 	accepted   int
-	resetCount int // how often existing connections were reset
+	resetCount int // number of calls of Reset
 }
 
-// New listens at an address (port 0 picks one) and forwards to the target.
+// New listens at an address (port 0 selects a free port) and forwards connections
+// to the target. Close stops the proxy.
 func New(listen, target string) (*Proxy, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
-		return nil, errors.Wrap(err, "faultproxy")
+		return nil, errors.Wrap(err, "faultproxy: listen")
 	}
 	p := &Proxy{listener: ln, target: target, done: make(chan struct{}), conns: map[*conn]struct{}{}}
 	p.group.Go(p.accept)
 	return p, nil
 }
 
-// Addr is the address that the proxy listens at, IP:port.
+// Addr returns the address that the proxy listens at, as IP:port.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// SetTarget forwards new connections to another target.
+// SetTarget changes the target of new connections.
 func (p *Proxy) SetTarget(target string) { p.set(func() { p.target = target }) }
 
-// ClearFaults lets new connections through without faults and ends the delay of
-// existing ones. Connections that went silent stay silent.
+// ClearFaults forwards new connections without faults and ends the delay of
+// existing ones. Connections that are already silent stay silent.
 func (p *Proxy) ClearFaults() { p.set(func() { p.delay, p.refuse, p.silent = 0, false, 0 }) }
 
-// Delay holds all bytes back that long, each way, in order.
+// Delay delays all bytes by d in each direction. Their order is kept.
 func (p *Proxy) Delay(d time.Duration) { p.set(func() { p.delay = d }) }
 
 // Refuse resets new connections as soon as they are accepted.
 func (p *Proxy) Refuse() { p.set(func() { p.refuse = true }) }
 
-// Reset resets the existing connections on both sides. One that was accepted,
-// but whose target is not reached yet, is an existing one.
+// Reset resets the existing connections on both sides. That includes connections
+// that were accepted but are not yet connected to the target.
 func (p *Proxy) Reset() {
 	p.set(func() { p.resetCount++ })
 	for _, c := range p.openConns() {
@@ -81,8 +82,8 @@
 	p.Reset()
 }
 
-// Silence makes the existing connections silent for good: bytes in the
-// direction vanish, and neither side is told when the other closes. New
+// Silence makes the existing connections silent permanently: bytes in the given
+// direction are dropped, and so is the end of the stream when a side closes. New
 // connections work.
 func (p *Proxy) Silence(d Direction) {
 	for _, c := range p.openConns() {
@@ -90,21 +91,23 @@
 	}
 }
 
-// SilenceAll makes existing and new connections silent, until Pass for new
-// ones. New connections are accepted, as by a host whose process is frozen.
+// SilenceAll makes existing and new connections silent; ClearFaults ends it for
+// new ones. New connections are still accepted, as by a host whose process is
+// frozen.
 func (p *Proxy) SilenceAll(d Direction) {
 	p.set(func() { p.silent = d })
 	p.Silence(d)
 }
 
-// Connections returns how many are open now and how many were accepted ever.
+// Connections returns the number of open connections and the number of
+// connections accepted so far.
 func (p *Proxy) Connections() (open, total int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns), p.accepted
 }
 
-// Close resets everything and waits for the goroutines.
+// Close stops listening, resets all connections and waits for the goroutines.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	if p.closed {
@@ -151,7 +154,8 @@
 	}
 }
 
-// forward connects one accepted connection with the target.
+// forward connects an accepted connection to the target and forwards until both
+// directions have ended.
 func (p *Proxy) forward(client *net.TCPConn) {
 	p.mu.Lock()
 	target, refuse, silent, resetCount := p.target, p.refuse, p.silent, p.resetCount
@@ -180,7 +184,7 @@
 	p.mu.Unlock()
 }
 
-// resetConn closes a connection so that its peer sees a reset, not an end.
+// resetConn closes a connection with a TCP reset instead of a normal close.
 func resetConn(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	c.Close()
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -9,7 +9,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// readTimeout bounds a read that must succeed; quiet bounds one that must not.
+// readTimeout limits a read that must succeed. shortWait limits a read that must
+// time out, and is the delay that the proxy adds.
 const (
 	readTimeout = 10 * time.Second
 	shortWait   = 50 * time.Millisecond
@@ -36,7 +37,7 @@
 	return c
 }
 
-// echo writes a line and returns what came back within the time.
+// echo writes five bytes and returns what was read back before the timeout.
 func echo(c net.Conn, within time.Duration) (string, error) {
 	_, _ = c.Write([]byte("hello"))
 	_ = c.SetReadDeadline(time.Now().Add(within))
@@ -52,7 +53,7 @@
 }
 
 func TestProxy(t *testing.T) {
-	Convey("Given a proxy before an echo server", t, func() {
+	Convey("Given a proxy in front of an echo server", t, func() {
 		ln := echoServer()
 		Reset(func() { ln.Close() })
 		p, err := New("127.0.0.1:0", ln.Addr().String())
@@ -75,14 +76,14 @@
 				So(err, ShouldNotBeNil)
 			}
 		})
-		Convey("a cut resets and refuses until it passes again", func() {
+		Convey("ResetAndRefuse resets and refuses connections until ClearFaults", func() {
 			p.ResetAndRefuse()
-			// A write would take the reset's error away from the read.
+			// Read without writing first: a write could consume the reset error.
 			_ = existing.SetReadDeadline(time.Now().Add(readTimeout))
 			_, err := existing.Read(make([]byte, 1))
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldContainSubstring, "reset")
-			// The reset may come before the dial returns.
+			// The reset may arrive before Dial returns.
 			if c, err := net.Dial("tcp", p.Addr()); err == nil {
 				_, err = echo(c, readTimeout)
 				So(err, ShouldNotBeNil)
@@ -90,13 +91,13 @@
 			p.ClearFaults()
 			checkEcho(dial(p))
 		})
-		Convey("a delay holds bytes back both ways", func() {
+		Convey("a delay applies to both directions", func() {
 			p.Delay(shortWait)
 			start := time.Now()
 			checkEcho(existing)
 			So(time.Since(start), ShouldBeGreaterThanOrEqualTo, 2*shortWait)
 		})
-		Convey("an end is passed on", func() {
+		Convey("the end of a stream is forwarded", func() {
 			So(existing.(*net.TCPConn).CloseWrite(), ShouldBeNil)
 			_ = existing.SetReadDeadline(time.Now().Add(readTimeout))
 			_, err := existing.Read(make([]byte, 1))
