--- a/internal/testport/testport.go
+++ b/internal/testport/testport.go
@@ -1,14 +1,14 @@
-// Package testport hands out loopback ports to tests whose processes listen at
-// a port that is chosen before they start, and again after they were killed.
+// Package testport allocates loopback ports for tests whose processes listen at a
+// port that is chosen before they start, and listen at it again after a restart.
 //
-// A port that was free a moment ago may be taken when the process starts: by
-// an outgoing connection, to which the system gives any port of its local
-// range, or by another test program that chose the same one while the process
-// was down. The process then ends with "address already in use", and its test
-// fails without a fault of the product. So ports lie below the system's range
-// (32768 and up on Linux), in blocks, and a test program takes a whole block:
-// it listens at the block's first port as long as it lives, which no second
-// program on the machine can do.
+// A port that was free when it was chosen can be in use when the process starts:
+// by an outgoing connection, which gets a port of the system's ephemeral range, or
+// by another test program that chose the same port while the process was down. The
+// process then fails with "address already in use", and the test fails although
+// the product has no fault. Therefore ports are allocated below the ephemeral range
+// (32768 and up on Linux) and in blocks. A test program reserves a block by
+// listening at its first port until it exits, which only one program on a machine
+// can do.
 package testport
 
 import (
@@ -19,29 +19,29 @@
 	"github.com/pkg/errors"
 )
 
-// Ports from first up to, but without, last are handed out, in blocks of
-// blockSize: the largest test starts about a hundred processes with three
-// ports each, and fifty blocks suffice for the test programs that run at once.
+// Blocks of blockSize ports lie in the range from firstPort up to but excluding
+// endPort. The largest test starts about a hundred processes with three ports each,
+// and about fifty blocks suffice for the test programs that run concurrently.
 const (
 	firstPort = 15000
 	endPort   = 32000
 	blockSize = 340
 )
 
-// Allocator hands out ports of the blocks that it holds, each port once. It is
-// safe for concurrent use.
+// Allocator allocates ports from the blocks that it has reserved, each port once.
+// The zero value is ready to use. It is safe for concurrent use.
 type Allocator struct {
 	mu             sync.Mutex
 	blockListeners []net.Listener
-	nextPort       int // the next port to hand out
+	nextPort       int // the next port to allocate
 	blockEnd       int // the first port after the block
 }
 
-// Process is the test program's allocator.
+// Process is the allocator of the test program.
 var Process = &Allocator{}
 
-// Address returns a loopback address, host and port, that nobody listens at
-// and that no other allocator hands out while this one holds its blocks.
+// Address returns a loopback address, as IP:port, that is not in use and that no
+// other allocator returns before Close.
 func (a *Allocator) Address() (string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// reserveBlock takes the first block that nobody holds.
+// reserveBlock reserves the first block that no other allocator holds.
 func (a *Allocator) reserveBlock() error {
 	for port := firstPort; port+blockSize <= endPort; port += blockSize {
 		ln, err := net.Listen("tcp", loopback(port))
@@ -73,7 +73,8 @@
 	return errors.Errorf("no free block of ports from %d to %d", firstPort, endPort)
 }
 
-// Close gives the blocks back. A test program that ends does so, too.
+// Close releases the reserved blocks. The exit of the test program releases them
+// as well.
 func (a *Allocator) Close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/testport/testport_test.go
+++ b/internal/testport/testport_test.go
@@ -7,14 +7,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against this: a daemon that a test kills and starts again does not listen: "address already in use".
+// Guards against: a daemon that a test restarts fails with "address already in use".
 func TestAllocatorsHandOutDistinctPorts(t *testing.T) {
-	Convey("Given two allocators, as of two test programs", t, func() {
+	Convey("Given two allocators, as in two test programs", t, func() {
 		var one, two Allocator
 		defer one.Close()
 		defer two.Close()
 
-		Convey("no address of one is handed out by the other, nor twice, over more than a block each", func() {
+		Convey("each returns more than a block of addresses and no address is returned twice", func() {
 			seen := map[string]bool{}
 			for range blockSize + 10 {
 				for _, a := range []*Allocator{&one, &two} {
@@ -25,7 +25,7 @@
 				}
 			}
 		})
-		Convey("an address that somebody else listens at is passed over", func() {
+		Convey("an address that is in use is skipped", func() {
 			before, err := one.Address()
 			So(err, ShouldBeNil)
 			taken := loopback(one.nextPort)
--- a/internal/testwait/testwait.go
+++ b/internal/testwait/testwait.go
@@ -1,5 +1,5 @@
-// Package testwait lets tests wait for what must come. The wait ends a test
-// that would otherwise hang; it decides nothing else.
+// Package testwait lets tests wait for a condition that must become true. The
+// timeout only ends a test that would otherwise hang.
 package testwait
 
 import (
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// pollInterval is how often a condition is looked at.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 5 * time.Millisecond
 
-// Until waits until the condition holds, and fails the test where it does not
-// within the limit; what names it.
+// Until waits until cond returns true, and fails the test if it does not before
+// the timeout. what describes the condition in the failure message.
 func Until(tb testing.TB, timeout time.Duration, what string, cond func() bool) {
 	tb.Helper()
 	tick := time.NewTicker(pollInterval)
@@ -21,7 +21,7 @@
 		select {
 		case <-tick.C:
 		case <-deadline:
-			tb.Fatalf("not within %v: %s", timeout, what)
+			tb.Fatalf("condition not met within %v: %s", timeout, what)
 		}
 	}
 }
