--- a/internal/demo/configuration.go
+++ b/internal/demo/configuration.go
@@ -11,21 +11,22 @@
 	"github.com/lycheekeel/lycheekeel/workspace"
 )
 
-// keyPrefix with a workspace's name is its key in the shipped examples.
+// keyPrefix followed by a workspace's name is the workspace's key in the shipped
+// examples.
 const keyPrefix = "change-me-"
 
-// serviceSlots is how many calls the plain service takes at once.
+// serviceSlots is the maximum number of concurrent calls to the plain service.
 const serviceSlots = 16
 
-// configuration is the shipped examples with the demonstration's servers in
-// place of the examples' own.
+// configuration is the configuration of the shipped examples, with the back ends
+// replaced by the stand-ins.
 type configuration struct {
 	standins *standinSet
 	objects  []objectstore.Object
 	keys     map[string]string
-	models   []string // of every pool
+	models   []string // of every pool; may have duplicates
 	services []string
-	engines  []string // an address of each
+	engines  []string // one address of each engine
 	pools    []*workspace.Pool
 }
 
@@ -50,14 +51,14 @@
 	return c, nil
 }
 
-// modelNames returns the models' names, each once.
+// modelNames returns the sorted names of the models without duplicates.
 func (c *configuration) modelNames() []string {
 	names := slices.Clone(c.models)
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// addDocument takes over a document of an example.
+// addDocument adds a document of an example, except a BackendServer.
 func (c *configuration) addDocument(d workspace.Document) error {
 	switch o := d.Object.(type) {
 	case *workspace.BackendServer:
@@ -77,8 +78,8 @@
 	return c.add(d.Kind, d.Name, d.Object)
 }
 
-// addServers gives a pool its servers: every engine with its share of the
-// slots, or the plain service.
+// addServers adds the servers of a pool: the plain service, or every engine with
+// an equal share of its slots for each model.
 func (c *configuration) addServers(p *workspace.Pool) error {
 	if p.Service != "" {
 		address, err := c.standins.serviceAddress()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo runs a whole small system in one process: a platform, three
-// model engines of two generations and a plain service as stand-ins behind
-// loopback HTTP, and one daemon with its real code, configured by the shipped
-// examples.
+// Package demo runs a small complete system in one process: stand-ins for the
+// platform, for three model engines of two hardware generations and for a plain
+// service, all behind loopback HTTP, and one real daemon, configured by the
+// shipped examples.
 package demo
 
 import (
@@ -19,46 +19,49 @@
 	"github.com/lycheekeel/lycheekeel/objectstore/httpobjectstore"
 )
 
-// region and zone are where everything in the demonstration stands.
+// region and zone are the region and the availability zone of all servers and the
+// daemon.
 const (
 	region = "demo"
 	zone   = "demo-hall"
 )
 
-// anyPort lets the system pick a port on the loopback interface.
+// anyPort is a loopback address whose port is selected by the operating system.
 const anyPort = "127.0.0.1:0"
 
-// drainMs is the demonstration's drain time: there is no balancer to wait for.
+// drainMs is the drain time in milliseconds. It is short because there is no load
+// balancer to wait for.
 const drainMs = 1
 
-// Options say where the daemon listens, as IP:port.
+// Options are the addresses that the daemon listens at, as IP:port.
 type Options struct {
 	Listen string
 	Admin  string
 }
 
-// Info tells how to use a demonstration that is ready.
+// Info describes how to use a demonstration that is ready.
 type Info struct {
 	Listen string `json:"listen"`
 	Admin  string `json:"admin"`
-	// Keys are the bearer keys by workspace.
+	// Keys maps workspaces to their bearer keys.
 	Keys   map[string]string `json:"keys"`
 	Models []string          `json:"models"`
 	// Services are the plain services that can be called.
 	Services []string `json:"services"`
-	// Engines has one address of each engine stand-in, whose run log is at
-	// /standin/runs.
+	// Engines has one address of each engine stand-in. The path /standin/runs
+	// at that address returns the engine's run log.
 	Engines []string `json:"engines"`
 }
 
-// engineSpec is a kind of hardware.
+// engineSpec describes an engine stand-in.
 type engineSpec struct {
 	name       string
 	generation string
 	options    engine.Options
 }
 
-// engineSpecs are the demonstration's engines: two generations, three speeds.
+// engineSpecs returns the engines of the demonstration, which have two hardware
+// generations and three speeds.
 func engineSpecs() []engineSpec {
 	return []engineSpec{
 		{"engine-1", "gen2", engine.Options{Slots: 48, StepMs: 4, PrefillPerSecond: 30_000}},
@@ -67,8 +70,8 @@
 	}
 }
 
-// Run runs a demonstration until ctx ends. It calls ready once, when requests
-// can be sent.
+// Run runs a demonstration until ctx ends. It calls ready once, when the daemon can
+// serve requests.
 func Run(ctx context.Context, o Options, ready func(Info)) error {
 	standins, stop := context.WithCancel(context.Background())
 	var group conc.WaitGroup
@@ -98,7 +101,7 @@
 	return d.Run(ctx)
 }
 
-// standinSet is the stand-ins with their addresses.
+// standinSet is the set of running stand-ins.
 type standinSet struct {
 	ctx      context.Context
 	group    *conc.WaitGroup
@@ -110,7 +113,7 @@
 func (s *standinSet) start() error {
 	ln, err := net.Listen("tcp", anyPort)
 	if err != nil {
-		return errors.Wrap(err, "listen for the platform")
+		return errors.Wrap(err, "listen for the platform stand-in")
 	}
 	s.platform = ln.Addr().String()
 	p := platformstandin.New(platformstandin.Options{})
@@ -126,34 +129,34 @@
 	return nil
 }
 
-// engineAddress opens one more address of an engine. Each pool knows the
-// engine by an address of its own, as if it were several servers.
+// engineAddress opens an additional address of an engine. Each pool uses a
+// different address of the engine, as if it were several servers.
 func (s *standinSet) engineAddress(i int) (string, error) {
 	ln, err := net.Listen("tcp", anyPort)
 	if err != nil {
-		return "", errors.Wrap(err, "listen for an engine")
+		return "", errors.Wrap(err, "listen for an engine stand-in")
 	}
 	s.serve(func() error { return engine.ServeEngine(s.ctx, ln, s.engines[i]) })
 	return ln.Addr().String(), nil
 }
 
-// serviceAddress opens one more address of the plain service.
+// serviceAddress opens an additional address of the plain service.
 func (s *standinSet) serviceAddress() (string, error) {
 	ln, err := net.Listen("tcp", anyPort)
 	if err != nil {
-		return "", errors.Wrap(err, "listen for the service")
+		return "", errors.Wrap(err, "listen for the service stand-in")
 	}
 	s.serve(func() error { return s.service.Serve(s.ctx, ln) })
 	return ln.Addr().String(), nil
 }
 
-// serve runs a stand-in until the demonstration ends. One that fails shows in
-// the daemon's log as a server that is gone.
+// serve runs a stand-in until the demonstration ends. It ignores errors: the
+// daemon's log reports a failed stand-in as an unreachable server.
 func (s *standinSet) serve(run func() error) {
 	s.group.Go(func() { _ = run() })
 }
 
-// stop ends the engines; their listeners have ended with the context.
+// stop closes the engines. Their listeners are closed when the context ends.
 func (s *standinSet) stop() {
 	for _, e := range s.engines {
 		e.Close()
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -12,11 +12,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// testTimeout is generous: the test is not decided by it.
+// testTimeout only ends a test that hangs.
 const testTimeout = 60 * time.Second
 
 func TestDemo(t *testing.T) {
-	Convey("A demonstration answers every workspace, and stops cleanly", t, func() {
+	Convey("A demonstration answers requests of every workspace and stops without an error", t, func() {
 		ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 		defer stop()
 		infos, runErr := make(chan Info, 1), make(chan error, 1)
@@ -27,7 +27,7 @@
 		select {
 		case info = <-infos:
 		case err := <-runErr:
-			t.Fatalf("ended before it was ready: %v", err)
+			t.Fatalf("demonstration ended before it was ready: %v", err)
 		}
 		So(len(info.Keys), ShouldEqual, 10)
 		So(len(info.Engines), ShouldEqual, len(engineSpecs()))
