--- a/internal/demo/configuration.go
+++ b/internal/demo/configuration.go
@@ -23,8 +23,8 @@
 type configuration struct {
 	standins *standinSet
 	objects  []objectstore.Object
-	keys     map[string]string
-	models   []string // of every pool; may have duplicates
+	keys     map[string]string // by workspace
+	models   []string          // of every pool; may have duplicates
 	services []string
 	engines  []string // one address of each engine
 	pools    []*workspace.Pool
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -117,7 +117,7 @@
 	ReportLagMs float64 `json:"report_lag_ms"`
 	// DropEvents drops every nth cache event (1: all of them).
 	DropEvents int `json:"drop_events"`
-	// Refuse refuses every new request as not run.
+	// Refuse refuses every new request with ErrRefusedNotRun.
 	Refuse bool `json:"refuse"`
 	// Leaving reports the engine as leaving and refuses new requests.
 	Leaving bool `json:"leaving"`
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -49,8 +49,9 @@
 	return false
 }
 
-// handleOrder logs and carries out an order. It refuses an order whose fencing
-// token is lower than the highest one seen, unless Faults.IgnoreFencing is set.
+// handleOrder adds an order to the order log and carries it out. It refuses an
+// order whose fencing token is lower than the highest one seen, unless
+// Faults.IgnoreFencing is set.
 func (e *Engine) handleOrder(o port.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -36,7 +36,7 @@
 type run struct {
 	req          port.Run
 	answer       string // the full text that the run will generate
-	totalTokens  int    // length of answer
+	totalTokens  int    // length of answer in tokens
 	finishReason string
 
 	promptTokens    int
@@ -48,7 +48,7 @@
 	visibleAt time.Time // streams deliver no tokens before this time
 	idleSince time.Time // when the run ended or lost its last stream
 	ended     bool
-	crashed   bool // the engine crashed
+	crashed   bool // the engine crashed or was closed, possibly after the run ended
 	streams   []*cursor
 	record    *RunRecord
 }
--- a/internal/standin/gate/gate.go
+++ b/internal/standin/gate/gate.go
@@ -23,8 +23,8 @@
 	address net.Addr
 
 	mu      sync.Mutex
-	ln      net.Listener // nil while connections are refused
-	changed chan struct{}
+	ln      net.Listener  // nil while connections are refused
+	changed chan struct{} // closed and replaced when ln is reopened or closed is set
 	closed  bool
 	conns   map[*Conn]struct{}
 }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -41,7 +41,8 @@
 	DelayMs float64 `json:"delay_ms"`
 	// Silent reads and counts calls, but never answers them.
 	Silent bool `json:"silent"`
-	// Refuse refuses each call as not run, without counting it.
+	// Refuse refuses each call with the header X-Lycheekeel-Not-Run and does not
+	// count it.
 	Refuse bool `json:"refuse"`
 }
 
