--- a/pool/admission.go
+++ b/pool/admission.go
@@ -19,7 +19,7 @@
 	// retrySpreadMax limits the time over which retries are spread. Nobody can predict
 	// when a longer overload ends.
 	retrySpreadMax = 10 * time.Second
-	// siblingMaxAge is the age from which a sibling's report is ignored.
+	// siblingMaxAge is the age beyond which a sibling's report is ignored.
 	siblingMaxAge = 2 * time.Second
 )
 
@@ -97,8 +97,8 @@
 }
 
 // makeRoom evicts a request if the queue is full, and reports whether w may wait. The
-// lowest tier is evicted first. Within the tier of w it evicts only late requests, or
-// requests of the workspace with the most waiting requests.
+// lowest tier is evicted first. Within the tier of w it evicts only for fairness: late
+// requests, or requests of the workspace with the most waiting requests.
 func (p *Pool) makeRoom(w *waiter) bool {
 	if len(p.waiting) < p.maxWaiting() {
 		return true
@@ -218,7 +218,7 @@
 }
 
 // redirectWhileDown redirects requests to siblings with free slots while no server of
-// this pool is up.
+// this pool is up: they could not get a slot here.
 func (p *Pool) redirectWhileDown() {
 	if p.isBaseline() || len(p.siblings) == 0 || slices.ContainsFunc(p.sorted, p.up) {
 		return
--- a/pool/baseline.go
+++ b/pool/baseline.go
@@ -4,7 +4,7 @@
 
 // The baselines handle the same events and commands as PolicyLycheekeel, with the same
 // servers and queue limit, but route like simple load balancers. They ignore tiers and
-// prefixes, and limit the running requests to each server's configured slots.
+// prefixes, and use each server's configured slots instead of an adaptive limit.
 
 // dispatchesImmediately reports whether the policy has no queue of its own. Such a
 // policy sends each request on arrival and leaves the queueing to the engines.
--- a/pool/breaker.go
+++ b/pool/breaker.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// breakerLostRuns is the number of consecutive lost runs that opens the breaker. A
-	// crash loses all runs at once, so the breaker opens within a few milliseconds. If a
-	// twentieth of the answers is lost in transit, one run in 160,000 is the fourth in a
-	// row.
+	// breakerLostRuns is the number of lost runs, without any answer of the server in
+	// between, that opens the breaker. A crash loses all runs at once, so the breaker opens
+	// within a few milliseconds. If a twentieth of the answers is lost in transit, one run
+	// in 160,000 is the fourth in a row.
 	breakerLostRuns = 4
 	// breakerFailedRuns is the number of consecutive failed runs that opens the breaker.
 	// A server that fails a seventh of its runs is taken out of use about once in 800,000
@@ -20,8 +20,8 @@
 	// request of the lowest tier. A longer backoff would waste the slots of a server that
 	// fails and recovers every second for most of the time that it is up.
 	breakerBackoffMin, breakerBackoffMax = 200 * time.Millisecond, 400 * time.Millisecond
-	// breakerProbeWait is how long a due probe waits for a request of the lowest tier,
-	// since the probe may be lost.
+	// breakerProbeWait is how long a due probe waits for a request of the lowest tier. The
+	// request that is used as a probe may well be lost.
 	breakerProbeWait = time.Second
 )
 
--- a/pool/capacity.go
+++ b/pool/capacity.go
@@ -141,7 +141,7 @@
 }
 
 // findFastest combines the best latencies of all servers that are up. compareServers
-// updates it.
+// calls it again each time.
 func (p *Pool) findFastest() {
 	p.fastest = score.Profile{}
 	for _, s := range p.sorted {
--- a/pool/choose.go
+++ b/pool/choose.go
@@ -23,9 +23,9 @@
 	// tokenTargetShare is the share of a target between tokens up to which a server
 	// counts as fast enough.
 	tokenTargetShare = 0.9
-	// A request waits for a server whose time between tokens is below clearlyFast of the
-	// target if the available one is above clearlySlow of it. Smaller differences are
-	// within the noise.
+	// clearlySlow and clearlyFast are shares of the target between tokens. A request waits
+	// for a server below clearlyFast if the available one is above clearlySlow. Smaller
+	// differences are within the noise.
 	clearlySlow, clearlyFast = 1.05, 0.85
 	// relaxedShare is the share of the time left to its targets within which a request
 	// must be served to count as far from them.
--- a/pool/entries.go
+++ b/pool/entries.go
@@ -44,8 +44,8 @@
 	return int(math.Ceil(float64(limit) * float64(e.reportedCount()) / float64(e.alive)))
 }
 
-// updateComplete sets complete once all entries have reported or reportTimeout has
-// passed.
+// updateComplete sets complete when all entries have reported or reportTimeout has
+// passed. It is never reset.
 func (e *entries) updateComplete(now time.Time) {
 	if !e.complete && e.alive > 0 {
 		e.complete = now.Sub(e.firstSetAt) >= reportTimeout || e.reportedCount() >= e.alive
--- a/pool/limit/aimd.go
+++ b/pool/limit/aimd.go
@@ -2,16 +2,16 @@
 
 // aimd is additive increase, multiplicative decrease. It adds one to the limit for
 // each limit's worth of good samples, and reduces it by a factor while the
-// smoothed ratio is above 1. After a decrease it ignores one limit's worth of
-// samples, since requests that ran at the old limit say nothing about the new one.
-// Without smoothing, a single burst of prefill on a server, which slows every token
-// for a moment, would cost it a fifth of its limit.
+// smoothed ratio is above 1. After a decrease it keeps the limit for one limit's
+// worth of samples, since requests that ran at the old limit say nothing about the
+// new one. Without smoothing, a single burst of prefill on a server, which slows
+// every token for a moment, would cost it a fifth of its limit.
 type aimd struct {
 	bounds      Bounds
 	limit       float64
 	ratio       float64
 	initialized bool
-	cooldown    float64 // samples still to be ignored after a decrease
+	cooldown    float64 // samples until the limit may change again after a decrease
 }
 
 const (
--- a/pool/limit/gradient.go
+++ b/pool/limit/gradient.go
@@ -16,7 +16,7 @@
 const (
 	gradientSmoothing = 0.1 // weight of a new sample in the mean
 	gradientStep      = 0.1 // fraction of the way to the new limit at each sample
-	// The bounds of the correction factor of one sample.
+	// minGradient and maxGradient bound the correction factor of one sample.
 	minGradient, maxGradient = 0.5, 1.5
 )
 
--- a/pool/observe.go
+++ b/pool/observe.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	// A first token that takes longer than lateTokenFactor times the predicted time plus
-	// lateTokenSlack was queued inside the engine: too many requests were sent to it.
+	// lateTokenFactor and lateTokenSlack define a late first token: one that takes longer
+	// than the factor times the predicted time plus the slack. It was queued inside the
+	// engine, because too many requests were sent to it.
 	lateTokenFactor = 3
 	lateTokenSlack  = 100 * time.Millisecond
-	// Ratios of measured time to target that are reported to a limit algorithm without a
-	// target of its own.
+	// ratioGood and ratioBad are the ratios of measured time to target that are reported to
+	// a limit algorithm without a target of its own.
 	ratioGood, ratioBad = 0.5, 1.5
 	// manyRunningShare is the share of the slot limit from which a late first token is
 	// attributed to the number of running requests.
@@ -22,8 +23,8 @@
 	kiloToken = 1000.0
 	// compareInterval is the time between comparisons of servers.
 	compareInterval = 100 * time.Millisecond
-	// A straggler is first probed after stragglerBackoffMin. The time doubles with each
-	// failed probe, up to stragglerBackoffMax.
+	// stragglerBackoffMin is the time until the first probe of a straggler. It doubles with
+	// each failed probe, up to stragglerBackoffMax.
 	stragglerBackoffMin, stragglerBackoffMax = time.Second, 30 * time.Second
 	// minPeers is the number of measured servers from which a generation has a common
 	// latency profile.
@@ -184,7 +185,8 @@
 			maxWait := lateTokenFactor*s.latency.FirstToken(r.prefillAhead+r.uncachedTokens) + lateTokenSlack
 			// A server that makes progress on other requests is not stuck: the grant may be
 			// at a slow entry, or one answer may be lost. Without this check, a slow entry
-			// VM would stop every server on which it holds a grant.
+			// VM would stop every server on which it holds a grant: slots would stay free while
+			// requests wait.
 			if r.prefillDone || waited <= maxWait || p.now.Sub(s.lastProgress) <= maxWait {
 				continue
 			}
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -81,7 +81,7 @@
 	fastest           score.Profile            // best latencies of all servers; zero means unknown
 	comparedAt        time.Time
 	arrivals          [request.MaxTiers]headroom.Arrivals
-	firstTokenTargets [request.MaxTiers]time.Duration // latest first-token target, by tier
+	firstTokenTargets [request.MaxTiers]time.Duration // most recent first-token target, by tier
 	servedWork        decay.Rate
 	rates             tierRates
 	deadlines         deadlines
--- a/pool/schedule.go
+++ b/pool/schedule.go
@@ -25,8 +25,8 @@
 	// bypassSlack is the time that the head must have left, beyond its own first token,
 	// to be bypassed.
 	bypassSlack = 200 * time.Millisecond
-	// memoryStarveAfter is how long smaller requests may be granted before a request for
-	// which no server has memory.
+	// memoryStarveAfter is how long smaller requests may overtake a request for which no
+	// server has memory.
 	memoryStarveAfter = 500 * time.Millisecond
 	// bypassQueueLength is the number of waiting requests of a tier from which bypassSlack
 	// does not apply. Some of them will be late in any case, and computing cold prompts
--- a/pool/score/latency.go
+++ b/pool/score/latency.go
@@ -41,8 +41,8 @@
 	// minSlowdownSamples is how many samples are needed to call a server a
 	// straggler.
 	minSlowdownSamples = 3
-	// A server becomes a straggler above stragglerThreshold, and stops being one at
-	// or below recoveryThreshold. Both are slowdowns relative to its peers.
+	// stragglerThreshold is the slowdown, relative to its peers, above which a server
+	// becomes a straggler. It stops being one at or below recoveryThreshold.
 	stragglerThreshold, recoveryThreshold = 3.0, 1.7
 	// maxSlowdown caps a single sample of the slowdown.
 	maxSlowdown = 20.0
--- a/pool/server.go
+++ b/pool/server.go
@@ -13,10 +13,10 @@
 	// leavingTimeout is how long a server's own report that it is leaving overrides the
 	// health monitor, which may not have noticed yet.
 	leavingTimeout = 10 * time.Second
-	// An unreachable server gets no grants for unreachableBackoffMin. The time doubles
+	// unreachableBackoffMin is how long an unreachable server gets no grants. It doubles
 	// with each consecutive failure, up to unreachableBackoffMax.
 	unreachableBackoffMin, unreachableBackoffMax = 250 * time.Millisecond, 5 * time.Second
-	// Range of the limit on KV memory, in thousands of tokens.
+	// kiloTokensMin and kiloTokensMax bound the limit on KV memory, in thousands of tokens.
 	kiloTokensMin, kiloTokensMax = 4, 4096
 )
 
--- a/pool/starved_test.go
+++ b/pool/starved_test.go
@@ -106,8 +106,8 @@
 	retried  bool
 }
 
-// A shed caller waits at most its remaining time divided by retryDivisor before its
-// retry.
+// retryDivisor divides the remaining time of a shed caller; the result is its longest
+// wait before the retry.
 const retryDivisor = 3
 
 // runReplay replays a load with the given shares for starved tiers.
--- a/pool/tally.go
+++ b/pool/tally.go
@@ -10,7 +10,7 @@
 // TierTally counts the results of a tier's requests since the pool's start.
 type TierTally struct {
 	// Granted counts requests granted while they could meet their target, GrantedLate
-	// those granted later.
+	// those granted when they no longer could.
 	Granted, GrantedLate int
 	// Shed counts requests refused for lack of a slot, Expired those that reached their
 	// deadline.
