--- a/broker/choose.go
+++ b/broker/choose.go
@@ -9,8 +9,8 @@
 	"github.com/lycheekeel/lycheekeel/request"
 )
 
-// waitGranularity is the step to which expected waits are rounded. A difference of
-// one step outweighs a prefix that the other pool may have cached.
+// waitGranularity is the step to which expected waits are rounded down. A difference
+// of one step outweighs a prefix that the other pool may have cached.
 const waitGranularity = 200 * time.Millisecond
 
 // cachedBrief is the last brief of a pool and the time until which it is valid.
--- a/broker/session.go
+++ b/broker/session.go
@@ -115,8 +115,8 @@
 	return helloTimeout << min(l.unansweredHellos, maxHelloDoublings)
 }
 
-// findOwner returns the pool's owner according to membership, or nil if there is
-// none or it is not reachable.
+// findOwner returns the pool's owner according to membership. It returns nil if there
+// is none, or if it is another daemon and this one has no transport.
 func (l *link) findOwner() owner {
 	name, ok := l.entry.host.Owner(l.pool, l.entry.cfg.Region)
 	switch {
--- a/broker/waiter.go
+++ b/broker/waiter.go
@@ -68,8 +68,8 @@
 	return ev
 }
 
-// maxSentBlocks is how many prefix blocks are sent to an owner: those of a prompt's
-// first 128k tokens, which decide where its prefix may be cached.
+// maxSentBlocks is the maximum number of prefix blocks sent to an owner: those of a
+// prompt's first 128k tokens, which decide where its prefix may be cached.
 const maxSentBlocks = 2048
 
 func sentBlocks(s *request.Spec) []uint64 { return s.Blocks[:min(maxSentBlocks, len(s.Blocks))] }
--- a/claim/background.go
+++ b/claim/background.go
@@ -12,7 +12,8 @@
 	"github.com/lycheekeel/lycheekeel/internal/wait"
 )
 
-// background records in the background the outcomes that a store outage delayed.
+// background does what a call of Claim or Finish leaves to be done: it abandons
+// undecided claims and records outcomes, with retries while the store is unavailable.
 //
 // The number of jobs, their time and their calls are bounded. Without bounds every
 // entry would accumulate outcomes in an outage, so that memory grows, and overload
--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -21,7 +21,7 @@
 	claimTimeout  = 500 * time.Millisecond
 )
 
-// benchStore answers within 3 ms and accepts 300 writes per second.
+// benchStore answers after 3 ms and accepts 300 writes per second.
 var benchStore = standin.Faults{SlowMs: 3, WritesPerSecond: 300}
 
 func grouped(shards int) func(objectstore.ObjectAPI) closableLedger {
--- a/quota/peers.go
+++ b/quota/peers.go
@@ -32,7 +32,9 @@
 	accrued   float64 // seconds at the whole rate
 	accruedAt time.Time
 	checkedAt time.Time
-	// Numbers of the other daemons in each state at checkedAt.
+	// suspected, silent, neverHeard and fresh count the other daemons by their state at
+	// checkedAt. suspected and silent ones had sent no heartbeat for longer than
+	// suspectTimeout or SilenceTimeout, neverHeard ones none at all. fresh counts the rest.
 	suspected, silent, neverHeard, fresh int
 }
 
--- a/rollout/budget.go
+++ b/rollout/budget.go
@@ -4,8 +4,9 @@
 
 // Bounds are the operators' limits on rollouts, summed over all daemons.
 type Bounds struct {
-	// A bad version may get at most Share of a service's requests between the request for
-	// its rollout and the deadline, plus Slack requests.
+	// Share is the largest part of a service's requests that a bad version may get between
+	// the request for its rollout and the deadline. Slack is the number of requests that it
+	// may get in addition.
 	Share float64
 	Slack float64
 }
--- a/rollout/decider.go
+++ b/rollout/decider.go
@@ -29,8 +29,8 @@
 	// baselineWindow is how much of the stable version's latest answers is used for an
 	// interval in which it gives too few.
 	baselineWindow = 4 * time.Second
-	// minBaselineRatio is the ratio of stable to new answers from which on an interval
-	// needs no answers of earlier ones.
+	// minBaselineRatio is the ratio of stable to new answers below which an interval has too
+	// few stable answers, and those of baselineWindow are used.
 	minBaselineRatio = 2.0
 	// brokenInterval is the time in which the broken answers of a server count as one bad
 	// answer: a single crash breaks all runs on a server, and must not reject the version.
--- a/rollout/recorder.go
+++ b/rollout/recorder.go
@@ -205,9 +205,10 @@
 }
 
 const (
-	// A time is slow if it exceeds the stable version's median and 95th percentile by these
-	// factors. Bad versions are several times slower. Servers of one version differ by up
-	// to four times, which the tail covers.
+	// slowMedianFactor and slowTailFactor are the factors by which a time must exceed the
+	// stable version's median and 95th percentile to be slow. Bad versions are several
+	// times slower. Servers of one version differ by up to four times, which the tail
+	// covers.
 	slowMedianFactor, slowTailFactor = 2.5, 1.25
 	tailPercentile                   = 95
 	// minSamples is the number of times that are needed for a threshold.
