--- a/discovery/directory.go
+++ b/discovery/directory.go
@@ -63,7 +63,7 @@
 // lacks servers that are running; requests would then be refused for lack of servers.
 // The directory therefore keeps servers that are missing from the list for
 // StoreRecoveryGrace. A server that has been listed since the outage and is missing
-// later has left: keeping it too would send requests to it up to 2.1 s after it left.
+// later has left: keeping it too sent requests to a server 2.1 s after it had left.
 type Directory struct {
 	servers map[string]Server
 	// missing are the servers that are kept although the newest list lacks them.
--- a/discovery/directory_test.go
+++ b/discovery/directory_test.go
@@ -173,7 +173,7 @@
 	})
 }
 
-// Guards against a relisted server that daemons without access to the store never learn
+// Guards against a relisted server that daemons which do not read the store never learn
 // of.
 func TestDirectoryReportsRelistedServer(t *testing.T) {
 	for name, relist := range map[string]func(*Directory, time.Time) bool{
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -156,9 +156,9 @@
 }
 
 // freshWithin reports whether the newest proof of the configuration is younger than a
-// share of RevokeMs, and the store has not failed to answer this daemon for that long.
-// A daemon that the store does not answer relies on readers alone. The callers that it
-// refuses are served by the other daemons, whereas what it serves itself counts for
+// share of RevokeMs, and this daemon has not been cut off from the store for longer than
+// that. A daemon that the store does not answer relies on readers alone. The callers that
+// it refuses are served by the other daemons, whereas what it serves itself counts for
 // nothing by the users' contract.
 func (g *Gateway) freshWithin(share float64) bool {
 	limit := milliseconds(g.settings.Bounds.RevokeMs * share)
--- a/internal/gateway/quotasync_test.go
+++ b/internal/gateway/quotasync_test.go
@@ -189,7 +189,8 @@
 	})
 }
 
-// Guards against a malformed message that changes quota levels or is accepted.
+// Guards against a malformed message that is accepted, and against an answer to no batch of this
+// daemon that changes quota levels.
 func TestMalformedQuotaMessagesAreRefused(t *testing.T) {
 	Convey("Malformed messages are refused and change nothing", t, func() {
 		q, transport := newTestQuotaSync("a1", zoneMembers(map[string]int{"a": 2}))
--- a/internal/gateway/rolloutstate.go
+++ b/internal/gateway/rolloutstate.go
@@ -155,8 +155,8 @@
 	s.applyPeerRollouts(all, nil, rev)
 }
 
-// applyPeerRollouts does the same with the list of a reader, together with the versions
-// that the reader has rejected.
+// applyPeerRollouts applies a reader's list of all rollouts, unless newer ones are known,
+// together with the versions that must not serve according to the reader.
 func (s *state) applyPeerRollouts(all []rollout.Rollout, unfit []*wire.ServiceVersion, rev objectstore.Version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,8 +191,8 @@
 	s.updateRollouts(rev, func() { s.rollouts.all.Put(r) })
 }
 
-// removeRollout applies the withdrawal of a rollout at the revision removedAt. An older one
-// concerns an earlier rollout of the service.
+// removeRollout applies the withdrawal of a rollout at the revision removedAt. A withdrawal
+// that is older than the known rollout concerns an earlier one and is ignored.
 func (s *state) removeRollout(service string, removedAt, rev objectstore.Version) {
 	s.updateRollouts(rev, func() {
 		if s.rollouts.all[service].Revision <= uint64(removedAt) {
--- a/member/config.go
+++ b/member/config.go
@@ -59,8 +59,8 @@
 	retransmitMultiplier = 4
 	// pushFanout is how many members receive a new broadcast at once.
 	pushFanout = 2
-	// maxVerifyProbes limits the concurrent probes when verification probes are
-	// started.
+	// maxVerifyProbes is the number of running probes, of any kind, from which on no
+	// verification probe is started.
 	maxVerifyProbes = 8
 	// maxRelays limits the concurrent probes on behalf of other members.
 	maxRelays = 64
--- a/member/table.go
+++ b/member/table.go
@@ -204,8 +204,8 @@
 	}
 }
 
-// record returns the wire form of the entry. The suspector is the member whose probe
-// failed; empty if there is none.
+// record returns the wire form of the entry. The suspector is the member that suspects
+// it or considers it dead; empty if there is none.
 func (e *memberEntry) record(suspector string) *wire.Record {
 	return &wire.Record{
 		Name: e.Name, Incarnation: e.Incarnation, State: wire.State(e.State), Address: e.Address,
