--- a/internal/entry/budget.go
+++ b/internal/entry/budget.go
@@ -12,7 +12,8 @@
 // of the lowest tier first.
 //
 // Without it, a burst of long prompts exhausts the memory of a small VM, the process
-// is killed, and requests of all tiers are lost.
+// is killed, and requests of all tiers are lost. The symptom is an entry that restarts
+// in every burst.
 type bodyBudget struct {
 	overhead int64 // bytes counted for each request in addition to its body
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -45,7 +45,8 @@
 	ClaimSlotTimeout time.Duration
 	// ResumeWindow is how long a broken stream may stay without a new chunk.
 	ResumeWindow time.Duration
-	// MaxRunTime bounds the time from dispatch to the end of the answer.
+	// MaxRunTime bounds the time from dispatch to the end of the answer, whatever the
+	// request's deadline.
 	MaxRunTime time.Duration
 	// KeepaliveInterval is the time without data after which a stream gets an SSE comment.
 	KeepaliveInterval time.Duration
--- a/internal/entry/prompt.go
+++ b/internal/entry/prompt.go
@@ -11,8 +11,8 @@
 // blockBytes is the length of one prefix block, in bytes of text.
 const blockBytes = engine.BlockTokens * engine.BytesPerToken
 
-// maxBlocks bounds the number of block hashes sent with a request. A longer common
-// prefix would not change the choice of a server.
+// maxBlocks bounds the number of block hashes sent with a request. A common prefix of
+// this length is more than enough to choose a server by.
 const maxBlocks = 1024
 
 // blockHashes returns the chained hashes of the prompt's complete blocks. Each hash
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -122,6 +122,7 @@
 	return true, nil
 }
 
-// minProgressInterval is the unit of the least time between two progress reports of a
-// stream. That time doubles with each report, up to 16 units.
+// minProgressInterval is the base of the least time between two progress reports of a
+// stream: twice the base after the first report, then doubling with each report up to 16
+// times the base.
 const minProgressInterval = 500 * time.Millisecond
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -64,7 +64,7 @@
 }
 
 // pingDue pings connections as far as the rate limit allows: first those with an
-// unanswered message, oldest first, then the others, longest without a receipt
+// unanswered message, oldest first, then the others, those quiet for longest
 // first.
 //
 // With 60 connections, the quiet ones alone exceed the rate limit. Without this
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -38,8 +38,8 @@
 	// HandshakeTimeout limits the dial and the authentication, each. The default
 	// is 2 s.
 	HandshakeTimeout time.Duration
-	// PingDelay is how long after a message without any byte received the peer
-	// is pinged. The default is 300 ms.
+	// PingDelay is how long a sent message may go without any byte from the
+	// peer before the peer is pinged. The default is 300 ms.
 	PingDelay time.Duration
 	// PingTimeout is how long after an unanswered ping the connection is closed.
 	// The default is 700 ms.
--- a/internal/poolwire/poolwire_test.go
+++ b/internal/poolwire/poolwire_test.go
@@ -143,7 +143,7 @@
 }
 
 // FuzzDecode checks that no payload makes a decoder panic, and that a decoded
-// batch is unchanged after it is encoded and decoded again.
+// batch is within bounds: it can be encoded and decoded again, unchanged.
 func FuzzDecode(f *testing.F) {
 	f.Add(EncodeHello(Hello{Pool: "p", Entry: "e", Session: 1}))
 	f.Add(EncodeEvents(Events{Pool: "p", Entry: "e", Seq: 1, Events: allEvents("e")}))
--- a/workspace/compile.go
+++ b/workspace/compile.go
@@ -87,9 +87,9 @@
 // Compile resolves the objects into a snapshot. An object may be listed in
 // several versions; the newest valid one is used. If the newest version of an
 // object is invalid, it is reported and the last good version, listed or known
-// from an earlier Compile, stays active. All other objects become active, so that
-// one operator's mistake neither deactivates every workspace nor the one that it
-// concerns. Compile returns all findings together.
+// from an earlier Compile, stays active. All other objects become active. Without
+// this, one operator's mistake would deactivate every workspace, or its own until
+// somebody notices. Compile returns all findings together.
 func (c *Compiler) Compile(objects []objectstore.Object) (*Snapshot, Findings) {
 	run := &compilation{
 		Compiler:    c,
--- a/workspace/objects.go
+++ b/workspace/objects.go
@@ -69,7 +69,8 @@
 	MaxWaiting Number `json:"max_waiting"`
 }
 
-// ModelSpec names a model, the version that serves it, and its default tier.
+// ModelSpec names a model, the version that serves it, its default tier, and whether
+// its requests may be retried.
 type ModelSpec struct {
 	Name    string `json:"name"`
 	Version string `json:"version"` // may be "${parameter}"
