--- a/cmd/lycheekeeld/gateway.go
+++ b/cmd/lycheekeeld/gateway.go
@@ -24,9 +24,9 @@
 	if err := logs.Configure(out, s.LogLevel, true); err != nil {
 		return err
 	}
-	// SIGHUP would end the process. There is nothing to reload: settings are read
-	// only at the start, and those that may change later (the seeds) are only
-	// needed then.
+	// If it were not ignored, SIGHUP would end the process. There is nothing to
+	// reload: settings are read only at the start, and those that may change later
+	// (the seeds) are only needed then.
 	signal.Ignore(syscall.SIGHUP)
 	m := metrics.New()
 	g, err := gateway.New(s, platform.New(s.Store, m), m)
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -43,8 +43,8 @@
 // ControlBound is the required bound.
 var ControlBound = Bound{CPU: 0.026, Memory: 32 << 20, Bytes: 4 << 10}
 
-// model computes the costs of a size from measured series. err is the first series
-// that is missing.
+// model computes the costs of a size from measured series. err is the error of the
+// first series that is missing.
 type model struct {
 	measurements *Measurements
 	size         Size
--- a/internal/demo/configuration.go
+++ b/internal/demo/configuration.go
@@ -78,8 +78,8 @@
 	return c.add(d.Kind, d.Name, d.Object)
 }
 
-// addServers adds the servers of a pool: the plain service, or every engine with
-// an equal share of its slots for each model.
+// addServers adds the servers of a pool: the plain service, or every engine. The
+// pools of models share the slots of an engine equally.
 func (c *configuration) addServers(p *workspace.Pool) error {
 	if p.Service != "" {
 		address, err := c.standins.serviceAddress()
--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -68,8 +68,8 @@
 	return &loadMeter{scenario: s, duration: duration, windows: make([]float64, int(duration/peakWindow)+1)}
 }
 
-// add adds a request. The fleet time of a request is one over the sum of its engines'
-// rates for such requests.
+// add adds a request. Its fleet time is one over the sum of the rates at which the
+// fleet's engines could run such requests.
 func (m *loadMeter) add(a *load.Arrival, prefill int) {
 	rate := 0.0
 	for _, g := range m.scenario.Engines {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -42,7 +42,8 @@
 	// involved that were written about the same time. Both are ordered by time.
 	Lines  []Line
 	Around []Line
-	// Read is the number of lines read, Skipped of those that are no log lines.
+	// Read is the number of lines read, Skipped the number of those that are no log
+	// lines.
 	Read, Skipped int
 }
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
 // Package metrics provides registries of expvar metrics. The names of expvar are
-// global to a process. With a Registry each, tests and several daemons in one
-// process have separate metrics, and only one of them publishes its own.
+// global to a process, so every part gets its metrics from a Registry: tests and
+// several daemons in one process keep theirs apart, and only one of them publishes.
 package metrics
 
 import (
--- a/internal/testport/testport.go
+++ b/internal/testport/testport.go
@@ -41,7 +41,7 @@
 var Process = &Allocator{}
 
 // Address returns a loopback address, as IP:port, that is not in use and that no
-// other allocator returns before Close.
+// other allocator returns until this one is closed.
 func (a *Allocator) Address() (string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
